--- a/internal/feed/board.go
+++ b/internal/feed/board.go
@@ -7,17 +7,17 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"ploverhitch/internal/manifest"
-	"ploverhitch/internal/roster"
+	"ploverhitch/internal/membership"
 )
 
 // News is one entry of a feed. Every part of it is merged by its own order, so
 // news from several nodes, late or twice, does no harm.
 type News struct {
-	Life  uint64          `cbor:"1,keyasint"`
-	Place uint64          `cbor:"2,keyasint"`
-	Items []manifest.Item `cbor:"3,keyasint,omitempty"`
-	Fleet *Fleet          `cbor:"4,keyasint,omitempty"`
-	View  *roster.View    `cbor:"5,keyasint,omitempty"`
+	Life  uint64           `cbor:"1,keyasint"`
+	Place uint64           `cbor:"2,keyasint"`
+	Items []manifest.Item  `cbor:"3,keyasint,omitempty"`
+	Fleet *Fleet           `cbor:"4,keyasint,omitempty"`
+	View  *membership.View `cbor:"5,keyasint,omitempty"`
 	// IsCheckpoint marks the whole of what the sender holds.
 	IsCheckpoint bool `cbor:"6,keyasint,omitempty"`
 	// IsWhole says that the sender speaks for a majority of the core.
@@ -61,7 +61,7 @@
 type Board struct {
 	Book    manifest.Book
 	Fleet   Fleet
-	View    roster.View
+	View    membership.View
 	IsWhole bool
 }
 
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -11,7 +11,7 @@
 
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/manifest"
-	"ploverhitch/internal/roster"
+	"ploverhitch/internal/membership"
 	"ploverhitch/internal/signal"
 )
 
@@ -87,12 +87,12 @@
 
 	It("starts from a checkpoint, and from then on sends only what is newer", func() {
 		hub := feed.NewHub()
-		hub.Publish(feed.News{Items: []manifest.Item{item("a", 1)}, View: &roster.View{Epoch: 3}})
+		hub.Publish(feed.News{Items: []manifest.Item{item("a", 1)}, View: &membership.View{Epoch: 3}})
 		var got []feed.News
 		follow(hub, feed.Follow{Name: "one"}, func(news feed.News) bool { got = append(got, news); return true })
 		Expect(got).To(HaveLen(1))
 		Expect(got[0].IsCheckpoint).To(BeTrue())
-		hub.Publish(feed.News{Items: []manifest.Item{item("a", 1)}, View: &roster.View{Epoch: 2}})
+		hub.Publish(feed.News{Items: []manifest.Item{item("a", 1)}, View: &membership.View{Epoch: 2}})
 		Expect(got).To(HaveLen(1))
 		hub.Publish(feed.News{Items: []manifest.Item{item("a", 2)}})
 		Expect(got).To(HaveLen(2))
--- a/internal/roster/accord.go
+++ b/internal/membership/accord.go
@@ -1,4 +1,4 @@
-package roster
+package membership
 
 // Number orders the proposals for one view: the higher round, then the greater
 // name, so that two proposers never share one.
@@ -62,7 +62,7 @@
 //
 // Example:
 //
-//	decided, isDecided := roster.Propose(view, wanted, number, ask)
+//	decided, isDecided := membership.Propose(view, wanted, number, ask)
 func Propose(view, wanted View, number Number, ask func(Motion) []Response) (decided View, highest Number, isDecided bool) {
 	highest = number
 	count := func(responses []Response) (oks int) {
--- a/internal/roster/roster_test.go
+++ b/internal/membership/roster_test.go
@@ -1,4 +1,4 @@
-package roster_test
+package membership_test
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ploverhitch/internal/roster"
+	"ploverhitch/internal/membership"
 	"ploverhitch/internal/timetable"
 )
 
@@ -23,13 +23,13 @@
 		decidedRuns := 0
 		for seed := range uint64(500) {
 			random := rand.New(rand.NewPCG(seed, 11))
-			view := roster.FirstView([]string{"a", "b", "c"})
-			acceptors := map[string]*roster.Acceptor{"a": {}, "b": {}, "c": {}}
+			view := membership.FirstView([]string{"a", "b", "c"})
+			acceptors := map[string]*membership.Acceptor{"a": {}, "b": {}, "c": {}}
 			decided := map[string]bool{}
 			// A rival's whole proposal may come between any two messages.
 			var depth int
 			var propose func(node string, round uint64)
-			ask := func(motion roster.Motion) (out []roster.Response) {
+			ask := func(motion membership.Motion) (out []membership.Response) {
 				for _, member := range view.Members {
 					if random.IntN(4) == 0 {
 						continue
@@ -47,7 +47,7 @@
 			propose = func(node string, round uint64) {
 				depth++
 				wanted := view.Swap("c", node)
-				if out, _, isDecided := roster.Propose(view, wanted, roster.Number{Round: round, Node: node}, ask); isDecided {
+				if out, _, isDecided := membership.Propose(view, wanted, membership.Number{Round: round, Node: node}, ask); isDecided {
 					decided[fmt.Sprint(out)] = true
 				}
 				depth--
@@ -55,7 +55,7 @@
 			for round := range uint64(4) {
 				propose("n", 1+round*2)
 				if random.IntN(3) == 0 {
-					var lost roster.Acceptor
+					var lost membership.Acceptor
 					lost = lost.Join(*acceptors["b"]).Join(*acceptors["c"])
 					acceptors["a"] = &lost
 				}
@@ -67,13 +67,13 @@
 	})
 
 	It("tells a proposer of an older view which one it missed", func() {
-		old := roster.FirstView([]string{"a", "b", "c"})
+		old := membership.FirstView([]string{"a", "b", "c"})
 		present := old.Swap("a", "d")
-		acceptor := roster.Acceptor{}
-		out, _, isDecided := roster.Propose(old, old.Swap("b", "e"), roster.Number{Round: 1, Node: "a"}, func(motion roster.Motion) []roster.Response {
+		acceptor := membership.Acceptor{}
+		out, _, isDecided := membership.Propose(old, old.Swap("b", "e"), membership.Number{Round: 1, Node: "a"}, func(motion membership.Motion) []membership.Response {
 			response, isChanged := acceptor.On(present, motion)
 			Expect(isChanged).To(BeFalse())
-			return []roster.Response{response}
+			return []membership.Response{response}
 		})
 		Expect(isDecided).To(BeTrue())
 		Expect(out).To(Equal(present))
@@ -87,7 +87,7 @@
 			for i := range size {
 				members = append(members, fmt.Sprint(i))
 			}
-			view := roster.FirstView(members)
+			view := membership.FirstView(members)
 			// A majority that counted the reader has Majority-1 others.
 			Expect(view.ReadSet() + view.Majority() - 1).To(BeNumerically(">", size-1))
 		}
@@ -97,7 +97,7 @@
 		members := []string{"a", "b", "c", "d", "e"}
 		watched := map[string]int{}
 		for _, member := range members {
-			watchers := roster.Watchers(members, member, 2)
+			watchers := membership.Watchers(members, member, 2)
 			Expect(watchers).To(HaveLen(2))
 			Expect(watchers).NotTo(ContainElement(member))
 			for _, watcher := range watchers {
@@ -113,25 +113,25 @@
 var _ = Describe("the watch", func() {
 	It("gives the duty to the first live and fit member in the agreed order", func() {
 		hand := &timetable.Hand{}
-		watch := roster.NewWatch(hand, time.Second)
-		view := roster.FirstView([]string{"a", "b", "c"})
+		watch := membership.NewWatch(hand, time.Second)
+		view := membership.FirstView([]string{"a", "b", "c"})
 		Expect(watch.First(view, "c", true)).To(Equal("c"))
-		watch.Hear(roster.Beat{From: "a", IsFit: true})
+		watch.Hear(membership.Beat{From: "a", IsFit: true})
 		Expect(watch.First(view, "c", true)).To(Equal("a"))
 		hand.Sleep(900 * time.Millisecond)
-		watch.Hear(roster.Beat{From: "b", IsFit: true})
+		watch.Hear(membership.Beat{From: "b", IsFit: true})
 		Expect(watch.First(view, "c", true)).To(Equal("a"))
 		hand.Sleep(200 * time.Millisecond)
 		Expect(watch.First(view, "c", true)).To(Equal("b"))
-		watch.Hear(roster.Beat{From: "b", IsFit: false})
+		watch.Hear(membership.Beat{From: "b", IsFit: false})
 		Expect(watch.First(view, "c", true)).To(Equal("c"))
 		Expect(watch.First(view, "c", false)).To(BeEmpty())
 	})
 
 	It("takes a watcher's word for whom it heard", func() {
 		hand := &timetable.Hand{}
-		watch := roster.NewWatch(hand, time.Second)
-		watch.Hear(roster.Beat{From: "b", Seen: map[string]bool{"a": true}})
+		watch := membership.NewWatch(hand, time.Second)
+		watch.Hear(membership.Beat{From: "b", Seen: map[string]bool{"a": true}})
 		Expect(watch.IsLive("a")).To(BeTrue())
 		hand.Sleep(600 * time.Millisecond)
 		Expect(watch.IsLive("a")).To(BeFalse())
--- a/internal/roster/view.go
+++ b/internal/membership/view.go
@@ -1,6 +1,6 @@
-// Package roster knows the core's members: the numbered view, the agreement by
+// Package membership knows the core's members: the numbered view, the agreement by
 // which the view changes, the heartbeats on the ring, and who holds a duty.
-package roster
+package membership
 
 import (
 	"hash/fnv"
@@ -22,7 +22,7 @@
 //
 // Example:
 //
-//	view := roster.FirstView([]string{"10.0.0.1:7200", "10.0.0.2:7200"})
+//	view := membership.FirstView([]string{"10.0.0.1:7200", "10.0.0.2:7200"})
 func FirstView(members []string) View {
 	members = slices.Clone(members)
 	sort.Strings(members)
@@ -75,7 +75,7 @@
 //
 // Example:
 //
-//	for _, watcher := range roster.Watchers(view.Members, self, 2) { beat(watcher) }
+//	for _, watcher := range membership.Watchers(view.Members, self, 2) { beat(watcher) }
 func Watchers(members []string, self string, count int) []string {
 	ring := slices.Clone(members)
 	if !slices.Contains(ring, self) {
@@ -98,7 +98,7 @@
 //
 // Example:
 //
-//	members := roster.Followed(view.Members, node)[:view.Majority()]
+//	members := membership.Followed(view.Members, node)[:view.Majority()]
 func Followed(members []string, follower string) []string {
 	out := slices.Clone(members)
 	sort.Slice(out, func(i, j int) bool {
--- a/internal/roster/watch.go
+++ b/internal/membership/watch.go
@@ -1,4 +1,4 @@
-package roster
+package membership
 
 import (
 	"time"
@@ -41,7 +41,7 @@
 //
 // Example:
 //
-//	watch := roster.NewWatch(clock, 1200*time.Millisecond)
+//	watch := membership.NewWatch(clock, 1200*time.Millisecond)
 func NewWatch(clock timetable.Clock, silentAfter time.Duration) *Watch {
 	return &Watch{clock: clock, after: timetable.Steady(silentAfter), heard: map[string]timetable.Steady{}, fit: map[string]bool{}}
 }
--- a/internal/points/members.go
+++ b/internal/points/members.go
@@ -1,7 +1,7 @@
 package points
 
 import (
-	"ploverhitch/internal/roster"
+	"ploverhitch/internal/membership"
 	"ploverhitch/internal/signal"
 )
 
@@ -13,7 +13,7 @@
 
 // askMembers makes a call to every member of the view at once. Each member's
 // reply comes once; forget must be called when no more are wanted.
-func askMembers[T any](p *proxy, view roster.View, kind signal.Kind, body any) (replies <-chan said[T], forget func()) {
+func askMembers[T any](p *proxy, view membership.View, kind signal.Kind, body any) (replies <-chan said[T], forget func()) {
 	got := make(chan said[T], len(view.Members))
 	forgets := make([]func(), 0, len(view.Members))
 	for _, member := range view.Members {
--- a/internal/points/points.go
+++ b/internal/points/points.go
@@ -20,7 +20,7 @@
 	"ploverhitch/internal/loadgauge"
 	"ploverhitch/internal/loopline"
 	"ploverhitch/internal/manifest"
-	"ploverhitch/internal/roster"
+	"ploverhitch/internal/membership"
 	"ploverhitch/internal/settings"
 	"ploverhitch/internal/shunt"
 	"ploverhitch/internal/signal"
@@ -39,7 +39,7 @@
 	tree    *branchline.Tree
 	site    string
 	servers []feed.Server
-	view    roster.View
+	view    membership.View
 	digest  string
 	proxies int
 	// shares, holder and reading are those of the fleet, heard when it came.
--- a/internal/signalbox/ask.go
+++ b/internal/signalbox/ask.go
@@ -7,7 +7,7 @@
 	"github.com/juju/errors"
 
 	"ploverhitch/internal/derail"
-	"ploverhitch/internal/roster"
+	"ploverhitch/internal/membership"
 	"ploverhitch/internal/signal"
 	"ploverhitch/internal/telegram"
 )
@@ -73,7 +73,7 @@
 
 // isDone asks every member and tells whether a majority of the view says that it
 // is done.
-func (b *box) isDone(view roster.View, kind signal.Kind, in any, wait time.Duration) bool {
+func (b *box) isDone(view membership.View, kind signal.Kind, in any, wait time.Duration) bool {
 	count := 0
 	askAll(b, view.Members, kind, in, wait, func(_ string, done telegram.Done) bool {
 		if done.OK {
--- a/internal/signalbox/box.go
+++ b/internal/signalbox/box.go
@@ -13,7 +13,7 @@
 	"ploverhitch/internal/ballast"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/ledger"
-	"ploverhitch/internal/roster"
+	"ploverhitch/internal/membership"
 	"ploverhitch/internal/settings"
 	"ploverhitch/internal/signal"
 	"ploverhitch/internal/timetable"
@@ -40,7 +40,7 @@
 	lines map[string]*signal.Line
 
 	// watch and newcomers belong to the roster's loop.
-	watch     *roster.Watch
+	watch     *membership.Watch
 	roll      *timetable.Loop[func()]
 	newcomers map[string]timetable.Steady
 	began     timetable.Steady
@@ -74,7 +74,7 @@
 	}
 	b.set.Store(set)
 	b.began = b.clock.Steady()
-	b.watch = roster.NewWatch(b.clock, set.Tuning.SilentAfter.Std())
+	b.watch = membership.NewWatch(b.clock, set.Tuning.SilentAfter.Std())
 	if err := b.open(set); err != nil {
 		return err
 	}
@@ -145,13 +145,13 @@
 	})
 }
 
-func (b *box) view() (view roster.View) {
+func (b *box) view() (view membership.View) {
 	b.keeper.read(func(t *tables) { view = t.view })
 	return view
 }
 
 // adopt takes a newer view, keeps it, and publishes it.
-func (b *box) adopt(view roster.View) bool {
+func (b *box) adopt(view membership.View) bool {
 	return b.keeper.keep(func(t *tables) []record {
 		if view.Epoch <= t.view.Epoch {
 			return nil
@@ -173,5 +173,5 @@
 
 // known is whom to ask for the present view: the members known and the seeds.
 func (b *box) known() []string {
-	return roster.FirstView(append(b.seeds(), b.view().Members...)).Members
+	return membership.FirstView(append(b.seeds(), b.view().Members...)).Members
 }
--- a/internal/signalbox/duty.go
+++ b/internal/signalbox/duty.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"ploverhitch/internal/feed"
-	"ploverhitch/internal/roster"
+	"ploverhitch/internal/membership"
 	"ploverhitch/internal/telegram"
 	"ploverhitch/internal/timetable"
 )
@@ -36,8 +36,8 @@
 // beat is the roster's alarm: tell the watchers, then see whether a duty or the
 // view has to move. What takes time is done beside the loop.
 func (b *box) beat() {
-	var view roster.View
-	var term roster.Term
+	var view membership.View
+	var term membership.Term
 	var digest string
 	var isTrusted bool
 	seen := b.watch.Direct()
@@ -48,10 +48,10 @@
 		return nil
 	}, func() {
 		isFit = isFit && isTrusted
-		mine := roster.Beat{From: b.self, View: view, Term: term, Digest: digest, Seen: seen, IsFit: isFit}
+		mine := membership.Beat{From: b.self, View: view, Term: term, Digest: digest, Seen: seen, IsFit: isFit}
 		fleet := b.fleet()
 		mine.FleetTerm, mine.FleetCount = fleet.Term, fleet.Count
-		for _, watcher := range roster.Watchers(view.Members, b.self, watcherCount) {
+		for _, watcher := range membership.Watchers(view.Members, b.self, watcherCount) {
 			b.line(watcher).Send(telegram.KindBeat, mine, nil)
 		}
 		b.roll.Offer(func() {
@@ -68,7 +68,7 @@
 	})
 }
 
-func (b *box) takeDuty(view roster.View, term roster.Term, first string) {
+func (b *box) takeDuty(view membership.View, term membership.Term, first string) {
 	switch {
 	case term.Holder == b.self && term.Number == b.myTerm.Load() && first == b.self:
 		b.isHolder.Store(true)
@@ -81,12 +81,12 @@
 		if view.Members[0] != b.self && b.clock.Steady()-b.began < timetable.Steady(b.set.Load().Tuning.SilentAfter) {
 			return
 		}
-		go b.claim(view, roster.Term{Number: term.Number + 1, Holder: b.self})
+		go b.claim(view, membership.Term{Number: term.Number + 1, Holder: b.self})
 	}
 }
 
 // claim asks a majority to fence off every lower term.
-func (b *box) claim(view roster.View, term roster.Term) {
+func (b *box) claim(view membership.View, term membership.Term) {
 	if !b.isClaiming.CompareAndSwap(false, true) {
 		return
 	}
@@ -101,7 +101,7 @@
 
 // onBeat hears a member, and takes from it what is newer: the view, the term,
 // and, where the digests differ, the items.
-func (b *box) onBeat(in roster.Beat, _ func(telegram.Done)) {
+func (b *box) onBeat(in membership.Beat, _ func(telegram.Done)) {
 	b.roll.Offer(func() { b.watch.Hear(in) })
 	b.told.Store(in.From, feed.Reading{Term: in.FleetTerm, Count: in.FleetCount})
 	isBehind := false
@@ -138,7 +138,7 @@
 
 // tendView gives a member that is lost up for a node that waits, or takes a
 // node in while there are fewer members than the tolerance asks for.
-func (b *box) tendView(view roster.View) {
+func (b *box) tendView(view membership.View) {
 	set, now := b.set.Load(), b.clock.Steady()
 	waiting := ""
 	for address, at := range b.newcomers {
@@ -163,14 +163,14 @@
 	go b.changeView(view, view.Swap(lost, waiting))
 }
 
-func (b *box) changeView(view, wanted roster.View) {
+func (b *box) changeView(view, wanted membership.View) {
 	if !b.isProposing.CompareAndSwap(false, true) {
 		return
 	}
 	defer b.isProposing.Store(false)
-	ask := func(motion roster.Motion) (out []roster.Response) {
+	ask := func(motion membership.Motion) (out []membership.Response) {
 		oks := 0
-		askAll(b, view.Members, telegram.KindMotion, motion, askSpan, func(_ string, r roster.Response) bool {
+		askAll(b, view.Members, telegram.KindMotion, motion, askSpan, func(_ string, r membership.Response) bool {
 			out = append(out, r)
 			if r.OK {
 				oks++
@@ -179,8 +179,8 @@
 		})
 		return out
 	}
-	number := roster.Number{Round: b.round.Add(1), Node: b.self}
-	decided, highest, isDecided := roster.Propose(view, wanted, number, ask)
+	number := membership.Number{Round: b.round.Add(1), Node: b.self}
+	decided, highest, isDecided := membership.Propose(view, wanted, number, ask)
 	b.round.Store(max(b.round.Load(), highest.Round))
 	if isDecided {
 		b.note("warn", "the view changed", "epoch", decided.Epoch, "members", decided.Members)
--- a/internal/signalbox/handlers.go
+++ b/internal/signalbox/handlers.go
@@ -7,7 +7,7 @@
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/ledger"
 	"ploverhitch/internal/manifest"
-	"ploverhitch/internal/roster"
+	"ploverhitch/internal/membership"
 	"ploverhitch/internal/signal"
 	"ploverhitch/internal/telegram"
 )
@@ -123,11 +123,11 @@
 	})
 }
 
-func (b *box) onMotion(in roster.Motion, answer func(roster.Response)) {
-	var response roster.Response
+func (b *box) onMotion(in membership.Motion, answer func(membership.Response)) {
+	var response membership.Response
 	b.keeper.put(func(t *tables) []record {
 		if !t.isTrusted {
-			response = roster.Response{View: t.view}
+			response = membership.Response{View: t.view}
 			return nil
 		}
 		var isChanged bool
@@ -139,7 +139,7 @@
 	}, func() { answer(response) })
 }
 
-func (b *box) onClaim(in roster.Term, answer func(telegram.Done)) {
+func (b *box) onClaim(in membership.Term, answer func(telegram.Done)) {
 	isGranted := false
 	b.keeper.put(func(t *tables) []record {
 		if !t.isTrusted || in.Number <= t.term.Number {
@@ -203,7 +203,7 @@
 	})
 }
 
-func (b *box) onView(_ struct{}, answer func(roster.View)) {
-	var view roster.View
+func (b *box) onView(_ struct{}, answer func(membership.View)) {
+	var view membership.View
 	b.keeper.put(func(t *tables) []record { view = t.view; return nil }, func() { answer(view) })
 }
--- a/internal/signalbox/member_test.go
+++ b/internal/signalbox/member_test.go
@@ -13,7 +13,7 @@
 	"ploverhitch/internal/ledger"
 	"ploverhitch/internal/loadgauge"
 	"ploverhitch/internal/manifest"
-	"ploverhitch/internal/roster"
+	"ploverhitch/internal/membership"
 	"ploverhitch/internal/telegram"
 	"ploverhitch/internal/timetable"
 	"ploverhitch/internal/trial"
@@ -22,7 +22,7 @@
 var _ = Describe("what a member of the core refuses", func() {
 	var b *box
 	var hand *timetable.Hand
-	view := roster.View{Epoch: 3, Members: []string{"a", "b", "c"}}
+	view := membership.View{Epoch: 3, Members: []string{"a", "b", "c"}}
 
 	BeforeEach(func() {
 		hand = &timetable.Hand{Now: time.Hour}
@@ -37,7 +37,7 @@
 		b.adopt(view)
 	})
 
-	vote := func(epoch roster.Epoch, key string) ledger.Verdict {
+	vote := func(epoch membership.Epoch, key string) ledger.Verdict {
 		got := make(chan telegram.Vote, 1)
 		b.onReserve(telegram.Reserve{Epoch: epoch, Intent: ledger.Intent{
 			Key: ledger.Key{Tenant: "h", Key: key}, Attempt: ledger.Attempt("of " + key), Lane: "fee", Service: "fees", Reservation: key,
@@ -50,12 +50,12 @@
 		return (<-got).OK
 	}
 	claim := func(number uint64) bool {
-		return done(func(answer func(telegram.Done)) { b.onClaim(roster.Term{Number: number, Holder: "b"}, answer) })
+		return done(func(answer func(telegram.Done)) { b.onClaim(membership.Term{Number: number, Holder: "b"}, answer) })
 	}
 	tell := func(fleet feed.Fleet) bool {
 		return done(func(answer func(telegram.Done)) { b.onFleet(fleet, answer) })
 	}
-	write := func(term uint64, epoch roster.Epoch) bool {
+	write := func(term uint64, epoch membership.Epoch) bool {
 		return done(func(answer func(telegram.Done)) {
 			b.onTrial(telegram.Trial{Epoch: epoch, State: trial.State{Subject: "fees", Number: 1, Term: term, Count: 1}}, answer)
 		})
--- a/internal/signalbox/settle.go
+++ b/internal/signalbox/settle.go
@@ -7,7 +7,7 @@
 	"github.com/juju/errors"
 
 	"ploverhitch/internal/manifest"
-	"ploverhitch/internal/roster"
+	"ploverhitch/internal/membership"
 	"ploverhitch/internal/signal"
 	"ploverhitch/internal/telegram"
 )
@@ -22,7 +22,7 @@
 	p := b.set.Load().Platform
 	var isEmpty bool
 	b.keeper.read(func(t *tables) { isEmpty = t.isEmpty })
-	if first := roster.FirstView(b.seeds()); isEmpty && p.Bootstrap && first.Has(b.self) {
+	if first := membership.FirstView(b.seeds()); isEmpty && p.Bootstrap && first.Has(b.self) {
 		b.adopt(first)
 		b.trust()
 		return
@@ -72,8 +72,8 @@
 }
 
 func (b *box) findView() {
-	var best roster.View
-	askAll(b, b.known(), telegram.KindView, struct{}{}, askSpan, func(_ string, view roster.View) bool {
+	var best membership.View
+	askAll(b, b.known(), telegram.KindView, struct{}{}, askSpan, func(_ string, view membership.View) bool {
 		if view.Epoch > best.Epoch {
 			best = view
 		}
@@ -85,7 +85,7 @@
 }
 
 // rebuild reads all that enough of the other members hold and keeps the union.
-func (b *box) rebuild(view roster.View) bool {
+func (b *box) rebuild(view membership.View) bool {
 	read := 0
 	for _, member := range view.Members {
 		if member == b.self {
@@ -134,7 +134,7 @@
 	return out
 }
 
-func (b *box) dump(member string, epoch roster.Epoch) (pages []telegram.Page, err error) {
+func (b *box) dump(member string, epoch membership.Epoch) (pages []telegram.Page, err error) {
 	ended := make(chan error, 1)
 	end := func(err error) {
 		select {
--- a/internal/signalbox/tables.go
+++ b/internal/signalbox/tables.go
@@ -7,30 +7,30 @@
 	"ploverhitch/internal/ledger"
 	"ploverhitch/internal/loopline"
 	"ploverhitch/internal/manifest"
-	"ploverhitch/internal/roster"
+	"ploverhitch/internal/membership"
 	"ploverhitch/internal/timetable"
 	"ploverhitch/internal/trial"
 )
 
 // record is one kept change; exactly one part is set.
 type record struct {
-	Entry    *ledger.Entry    `cbor:"1,keyasint,omitempty"`
-	Items    []manifest.Item  `cbor:"2,keyasint,omitempty"`
-	Acceptor *roster.Acceptor `cbor:"3,keyasint,omitempty"`
-	View     *roster.View     `cbor:"4,keyasint,omitempty"`
-	Term     *roster.Term     `cbor:"5,keyasint,omitempty"`
-	Trusted  *bool            `cbor:"6,keyasint,omitempty"`
-	Fleet    *feed.Fleet      `cbor:"7,keyasint,omitempty"`
-	Trial    *trial.State     `cbor:"8,keyasint,omitempty"`
+	Entry    *ledger.Entry        `cbor:"1,keyasint,omitempty"`
+	Items    []manifest.Item      `cbor:"2,keyasint,omitempty"`
+	Acceptor *membership.Acceptor `cbor:"3,keyasint,omitempty"`
+	View     *membership.View     `cbor:"4,keyasint,omitempty"`
+	Term     *membership.Term     `cbor:"5,keyasint,omitempty"`
+	Trusted  *bool                `cbor:"6,keyasint,omitempty"`
+	Fleet    *feed.Fleet          `cbor:"7,keyasint,omitempty"`
+	Trial    *trial.State         `cbor:"8,keyasint,omitempty"`
 }
 
 // tables is everything that is kept; the keeper alone touches it.
 type tables struct {
 	voter    *ledger.Voter
 	book     manifest.Book
-	acceptor roster.Acceptor
-	view     roster.View
-	term     roster.Term
+	acceptor membership.Acceptor
+	view     membership.View
+	term     membership.Term
 	// fleet is kept so that a core that lost its power can tell at once which
 	// servers there were.
 	fleet feed.Fleet
@@ -65,7 +65,7 @@
 		t.acceptor = *r.Acceptor
 	case r.View != nil:
 		if r.View.Epoch > t.view.Epoch {
-			t.view, t.acceptor = *r.View, roster.Acceptor{}
+			t.view, t.acceptor = *r.View, membership.Acceptor{}
 		}
 	case r.Term != nil:
 		t.term = *r.Term
--- a/internal/telegram/telegram.go
+++ b/internal/telegram/telegram.go
@@ -5,7 +5,7 @@
 import (
 	"ploverhitch/internal/ledger"
 	"ploverhitch/internal/manifest"
-	"ploverhitch/internal/roster"
+	"ploverhitch/internal/membership"
 	"ploverhitch/internal/signal"
 	"ploverhitch/internal/trial"
 )
@@ -38,14 +38,14 @@
 
 // Reserve asks a core node for its vote, under the view's epoch.
 type Reserve struct {
-	Epoch  roster.Epoch  `cbor:"1,keyasint"`
-	Intent ledger.Intent `cbor:"2,keyasint"`
+	Epoch  membership.Epoch `cbor:"1,keyasint"`
+	Intent ledger.Intent    `cbor:"2,keyasint"`
 }
 
 // Vote is the reply; View stands where the asker's view is not the voter's.
 type Vote struct {
-	Ballot ledger.Ballot `cbor:"1,keyasint"`
-	View   *roster.View  `cbor:"2,keyasint,omitempty"`
+	Ballot ledger.Ballot    `cbor:"1,keyasint"`
+	View   *membership.View `cbor:"2,keyasint,omitempty"`
 }
 
 // Record tells a core node what became of an intent.
@@ -88,18 +88,18 @@
 // Dump asks for all that a node holds; the node must be in the asker's epoch or
 // a later one.
 type Dump struct {
-	Epoch roster.Epoch `cbor:"1,keyasint"`
+	Epoch membership.Epoch `cbor:"1,keyasint"`
 }
 
 // Page is one of the pages that answer a dump.
 type Page struct {
-	OK       bool            `cbor:"1,keyasint"`
-	Entries  []ledger.Entry  `cbor:"2,keyasint,omitempty"`
-	IsLast   bool            `cbor:"3,keyasint,omitempty"`
-	Items    []manifest.Item `cbor:"4,keyasint,omitempty"`
-	Acceptor roster.Acceptor `cbor:"5,keyasint"`
-	Term     roster.Term     `cbor:"6,keyasint"`
-	Trials   []trial.State   `cbor:"7,keyasint,omitempty"`
+	OK       bool                `cbor:"1,keyasint"`
+	Entries  []ledger.Entry      `cbor:"2,keyasint,omitempty"`
+	IsLast   bool                `cbor:"3,keyasint,omitempty"`
+	Items    []manifest.Item     `cbor:"4,keyasint,omitempty"`
+	Acceptor membership.Acceptor `cbor:"5,keyasint"`
+	Term     membership.Term     `cbor:"6,keyasint"`
+	Trials   []trial.State       `cbor:"7,keyasint,omitempty"`
 }
 
 // Join says that a node with an empty place waits to become a member.
--- a/internal/telegram/trials.go
+++ b/internal/telegram/trials.go
@@ -4,19 +4,19 @@
 	"ploverhitch/internal/derail"
 	"ploverhitch/internal/hotbox"
 	"ploverhitch/internal/manifest"
-	"ploverhitch/internal/roster"
+	"ploverhitch/internal/membership"
 	"ploverhitch/internal/trial"
 )
 
 // Trial brings one writing of a trial's state to a member.
 type Trial struct {
-	Epoch roster.Epoch `cbor:"1,keyasint"`
-	State trial.State  `cbor:"2,keyasint"`
+	Epoch membership.Epoch `cbor:"1,keyasint"`
+	State trial.State      `cbor:"2,keyasint"`
 }
 
 // Trials asks a member for all trials.
 type Trials struct {
-	Epoch roster.Epoch `cbor:"1,keyasint"`
+	Epoch membership.Epoch `cbor:"1,keyasint"`
 }
 
 // TrialsTold is the reply; it counts only where it is OK. Fence is the highest
--- a/internal/telegraph/choose_test.go
+++ b/internal/telegraph/choose_test.go
@@ -9,7 +9,7 @@
 	. "github.com/onsi/gomega"
 
 	"ploverhitch/internal/feed"
-	"ploverhitch/internal/roster"
+	"ploverhitch/internal/membership"
 	"ploverhitch/internal/settings"
 	"ploverhitch/internal/signal"
 	"ploverhitch/internal/timetable"
@@ -27,7 +27,7 @@
 	return out
 }
 
-func newDesk(node string, view roster.View) (*desk, *timetable.Hand) {
+func newDesk(node string, view membership.View) (*desk, *timetable.Hand) {
 	hand := &timetable.Hand{Now: time.Hour}
 	set := &settings.Settings{Platform: settings.Platform{NodeName: node, SeedNodes: []string{"10.0.9.1:8382"}, InternalPorts: []int{7200, 7215}}}
 	d := &desk{set: set, clock: hand, hub: feed.NewHub(), followers: map[string]*feed.Follower{}}
@@ -39,13 +39,13 @@
 
 var _ = Describe("whom a telegraph follows", func() {
 	It("is the seeds until it knows a view", func() {
-		d, _ := newDesk("edge-1", roster.View{})
+		d, _ := newDesk("edge-1", membership.View{})
 		Expect(d.wanted()).To(Equal(map[string]bool{"10.0.9.1:7200": true}))
 	})
 
 	It("meets every majority of the core, and all nodes together follow all members alike", func() {
 		for count := 1; count <= 9; count++ {
-			view, load := roster.View{Epoch: 1, Members: members(count)}, map[string]int{}
+			view, load := membership.View{Epoch: 1, Members: members(count)}, map[string]int{}
 			for number := range 300 {
 				d, _ := newDesk(fmt.Sprint("edge-", number), view)
 				wanted := d.wanted()
@@ -63,9 +63,9 @@
 	})
 
 	It("has a spare for each that does not tell, for a while after, and the seeds if most are silent", func() {
-		view := roster.View{Epoch: 1, Members: members(5)}
+		view := membership.View{Epoch: 1, Members: members(5)}
 		d, hand := newDesk("edge-1", view)
-		order := roster.Followed(view.Members, "edge-1")
+		order := membership.Followed(view.Members, "edge-1")
 		for _, member := range order[:3] {
 			d.followers[member] = feed.NewFollower("edge-1", signal.NewLine(member, time.Second, time.Second), func(feed.News) {}, time.Second)
 		}
--- a/internal/telegraph/telegraph.go
+++ b/internal/telegraph/telegraph.go
@@ -11,7 +11,7 @@
 
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/manifest"
-	"ploverhitch/internal/roster"
+	"ploverhitch/internal/membership"
 	"ploverhitch/internal/settings"
 	"ploverhitch/internal/signal"
 	"ploverhitch/internal/telegram"
@@ -53,7 +53,7 @@
 	next  chan *settings.Settings
 	// spareFor is the epoch and spares how many members are followed beside the
 	// chosen; wellAt is since when all of the chosen have told.
-	spareFor roster.Epoch
+	spareFor membership.Epoch
 	spares   int
 	wellAt   timetable.Steady
 }
@@ -135,7 +135,7 @@
 	}
 }
 
-func (d *desk) view() (view roster.View) {
+func (d *desk) view() (view membership.View) {
 	d.hub.Read(func(board *feed.Board) { view = board.View })
 	return view
 }
