--- a/cmd/gradient/measures.go
+++ b/cmd/gradient/measures.go
@@ -7,11 +7,11 @@
 
 	"github.com/fxamacker/cbor/v2"
 
+	"ploverhitch/internal/config"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/hotbox"
 	"ploverhitch/internal/ledger"
 	"ploverhitch/internal/loadgauge"
-	"ploverhitch/internal/manifest"
 	"ploverhitch/internal/shunt"
 	"ploverhitch/internal/signal"
 	"ploverhitch/internal/timetable"
@@ -80,17 +80,17 @@
 	return result{0, repeated(func() { laid.Hear(next) })}
 }
 
-func bookOf(size int) manifest.Book {
-	var items []manifest.Item
+func bookOf(size int) config.Book {
+	var items []config.Item
 	for at := range size {
 		name := fmt.Sprint("lane-", at)
-		body, _ := json.Marshal(manifest.LaneSpec{
-			Name: name, PathPrefix: "/" + name + "/", LaneType: manifest.Safe, Timeout: timetable.Span(time.Second), TargetLatency: timetable.Span(time.Second),
+		body, _ := json.Marshal(config.LaneSpec{
+			Name: name, PathPrefix: "/" + name + "/", LaneType: config.Safe, Timeout: timetable.Span(time.Second), TargetLatency: timetable.Span(time.Second),
 			Service: fmt.Sprint("service-", at%40), MaxAttempts: 2, Revision: 1,
 		})
-		items = append(items, manifest.Item{ID: manifest.ID{Class: manifest.LaneItem, Name: name}, Version: 1, Host: fmt.Sprint("h", at%400, ".example"), Body: body})
+		items = append(items, config.Item{ID: config.ID{Class: config.LaneItem, Name: name}, Version: 1, Host: fmt.Sprint("h", at%400, ".example"), Body: body})
 	}
-	book := manifest.Book{}
+	book := config.Book{}
 	book.Merge(items)
 	return book
 }
@@ -102,7 +102,7 @@
 }
 
 func book(size int) result {
-	bytes, kept := held(func() manifest.Book { return bookOf(size) })
+	bytes, kept := held(func() config.Book { return bookOf(size) })
 	return result{bytes, repeated(func() { kept.Digest() })}
 }
 
--- a/internal/manifest/item.go
+++ b/internal/config/item.go
@@ -1,6 +1,6 @@
-// Package manifest holds the operator's configuration: named items, each with
+// Package config holds the operator's configuration: named items, each with
 // a version of its own, merged item by item.
-package manifest
+package config
 
 import (
 	"crypto/sha256"
@@ -36,7 +36,7 @@
 //
 // Example:
 //
-//	text, err := manifest.Version(12).MarshalText() // "r12"
+//	text, err := config.Version(12).MarshalText() // "r12"
 func (v Version) MarshalText() ([]byte, error) {
 	return []byte("r" + strconv.FormatUint(uint64(v), 10)), nil
 }
--- a/internal/manifest/manifest_test.go
+++ b/internal/config/manifest_test.go
@@ -1,4 +1,4 @@
-package manifest_test
+package config_test
 
 import (
 	"encoding/json"
@@ -10,7 +10,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ploverhitch/internal/manifest"
+	"ploverhitch/internal/config"
 )
 
 func TestManifest(t *testing.T) {
@@ -29,8 +29,8 @@
 }
 
 // accept is what a node does with a call, short of keeping it.
-func accept(book manifest.Book, text []byte) error {
-	items, err := manifest.ParseModify(text)
+func accept(book config.Book, text []byte) error {
+	items, err := config.ParseModify(text)
 	if err != nil {
 		return err
 	}
@@ -43,7 +43,7 @@
 
 var _ = Describe("an operator's call", func() {
 	DescribeTable("that is invalid has no part in force", func(text []byte, reason string) {
-		book := manifest.Book{}
+		book := config.Book{}
 		Expect(accept(book, call(lane("a", "/a/", "s", 2, "")))).To(Succeed())
 		before := book.Digest()
 		Expect(accept(book, text)).To(MatchError(ContainSubstring(reason)))
@@ -61,7 +61,7 @@
 	)
 
 	It("of an old or equal version has no effect, whatever it holds", func() {
-		book := manifest.Book{}
+		book := config.Book{}
 		Expect(accept(book, call(lane("a", "/a/", "s", 5, "")))).To(Succeed())
 		before := book.Digest()
 		for _, version := range []int{4, 5} {
@@ -71,7 +71,7 @@
 	})
 
 	It("may move a place from one lane to another in one call", func() {
-		book := manifest.Book{}
+		book := config.Book{}
 		Expect(accept(book, call(lane("a", "/a/", "s", 2, "")))).To(Succeed())
 		text := strings.Replace(string(call(lane("b", "/a/", "s", 3, ""))), `"Lanes":[]`, `"Lanes":[{"Name":"a","Revision":"r3"}]`, 1)
 		Expect(accept(book, []byte(text))).To(Succeed())
@@ -81,7 +81,7 @@
 	})
 
 	It("is read back as it was sent", func() {
-		book := manifest.Book{}
+		book := config.Book{}
 		Expect(accept(book, call(lane("a", "/a/", "s", 2, `,"NotKnownHere":[1,2]`)))).To(Succeed())
 		text, err := book.Render()
 		Expect(err).NotTo(HaveOccurred())
@@ -97,21 +97,21 @@
 	It("come to the same in any order, and to the highest version of a plain search", func() {
 		random := rand.New(rand.NewPCG(4, 4))
 		for range 200 {
-			var sent []manifest.Item
+			var sent []config.Item
 			for range 30 {
-				sent = append(sent, manifest.Item{
-					ID: manifest.ID{Class: manifest.LaneItem, Name: fmt.Sprint(random.IntN(4))}, Version: manifest.Version(1 + random.IntN(6)),
+				sent = append(sent, config.Item{
+					ID: config.ID{Class: config.LaneItem, Name: fmt.Sprint(random.IntN(4))}, Version: config.Version(1 + random.IntN(6)),
 					Dropped: random.IntN(4) == 0, Host: fmt.Sprint(random.IntN(3)),
 				})
 			}
-			one, two := manifest.Book{}, manifest.Book{}
+			one, two := config.Book{}, config.Book{}
 			one.Merge(sent)
 			for _, at := range random.Perm(len(sent)) {
 				two.Merge(sent[at : at+1])
 			}
 			Expect(two.Digest()).To(Equal(one.Digest()))
 			for id, held := range one {
-				highest := manifest.Version(0)
+				highest := config.Version(0)
 				for _, item := range sent {
 					if item.ID == id {
 						highest = max(highest, item.Version)
@@ -134,7 +134,7 @@
 			return out
 		}
 		for range 100 {
-			book, prefixes := manifest.Book{}, map[string]bool{}
+			book, prefixes := config.Book{}, map[string]bool{}
 			for i := range 6 {
 				prefix := path() + "/"
 				if accept(book, call(lane(fmt.Sprint("l", i), prefix, "s", 2, ""))) == nil {
@@ -159,7 +159,7 @@
 	})
 
 	It("splits by weight", func() {
-		book := manifest.Book{}
+		book := config.Book{}
 		Expect(accept(book, call(lane("a", "/a/", "s", 2, `,"TrafficSplit":[{"Service":"s","Weight":1},{"Service":"none","Weight":0}]`)))).NotTo(Succeed())
 		text := strings.Replace(string(call(lane("a", "/a/", "", 2, `,"TrafficSplit":[{"Service":"s","Weight":1},{"Service":"t","Weight":3}]`))),
 			`"Services":[`, `"Services":[{"Name":"t","Revision":"r1"},`, 1)
--- a/internal/manifest/own.go
+++ b/internal/config/own.go
@@ -1,4 +1,4 @@
-package manifest
+package config
 
 import (
 	"encoding/json"
@@ -32,7 +32,7 @@
 //
 // Example:
 //
-//	items, err := manifest.Parser(manifest.SiteItem)(body)
+//	items, err := config.Parser(config.SiteItem)(body)
 func Parser(class Class) func(text []byte) ([]Item, error) {
 	own := ownItems[class]
 	return func(text []byte) (items []Item, err error) {
--- a/internal/manifest/sheet.go
+++ b/internal/config/sheet.go
@@ -1,4 +1,4 @@
-package manifest
+package config
 
 import (
 	"encoding/json"
--- a/internal/manifest/wire.go
+++ b/internal/config/wire.go
@@ -1,4 +1,4 @@
-package manifest
+package config
 
 import (
 	"bytes"
@@ -40,7 +40,7 @@
 //
 // Example:
 //
-//	items, err := manifest.ParseModify(body)
+//	items, err := config.ParseModify(body)
 func ParseModify(text []byte) ([]Item, error) {
 	var call modify
 	decoder := json.NewDecoder(bytes.NewReader(text))
--- a/internal/feed/board.go
+++ b/internal/feed/board.go
@@ -6,7 +6,7 @@
 import (
 	"github.com/fxamacker/cbor/v2"
 
-	"ploverhitch/internal/manifest"
+	"ploverhitch/internal/config"
 	"ploverhitch/internal/membership"
 )
 
@@ -15,7 +15,7 @@
 type News struct {
 	Life  uint64           `cbor:"1,keyasint"`
 	Place uint64           `cbor:"2,keyasint"`
-	Items []manifest.Item  `cbor:"3,keyasint,omitempty"`
+	Items []config.Item    `cbor:"3,keyasint,omitempty"`
 	Fleet *Fleet           `cbor:"4,keyasint,omitempty"`
 	View  *membership.View `cbor:"5,keyasint,omitempty"`
 	// IsCheckpoint marks the whole of what the sender holds.
@@ -59,7 +59,7 @@
 
 // Board is all that a node knows from news. It has one owner.
 type Board struct {
-	Book    manifest.Book
+	Book    config.Book
 	Fleet   Fleet
 	View    membership.View
 	IsWhole bool
@@ -70,7 +70,7 @@
 // Example:
 //
 //	board := feed.NewBoard()
-func NewBoard() *Board { return &Board{Book: manifest.Book{}} }
+func NewBoard() *Board { return &Board{Book: config.Book{}} }
 
 // Merge takes what is newer in the news and returns just that, and whether
 // there was any.
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -9,8 +9,8 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
+	"ploverhitch/internal/config"
 	"ploverhitch/internal/feed"
-	"ploverhitch/internal/manifest"
 	"ploverhitch/internal/membership"
 	"ploverhitch/internal/signal"
 )
@@ -20,8 +20,8 @@
 	RunSpecs(t, "feed")
 }
 
-func item(name string, version int) manifest.Item {
-	return manifest.Item{ID: manifest.ID{Class: manifest.LaneItem, Name: name}, Version: manifest.Version(version)}
+func item(name string, version int) config.Item {
+	return config.Item{ID: config.ID{Class: config.LaneItem, Name: name}, Version: config.Version(version)}
 }
 
 // follow asks the hub from a place on, over nothing but a closure.
@@ -38,7 +38,7 @@
 		for seed := range uint64(60) {
 			random := rand.New(rand.NewPCG(seed, 2))
 			hubs := []*feed.Hub{feed.NewHub(), feed.NewHub()}
-			all := manifest.Book{}
+			all := config.Book{}
 			board, reached := feed.NewBoard(), []feed.Follow{{}, {}}
 			ends := make([]func(), 2)
 			isCut := []bool{true, true}
@@ -72,7 +72,7 @@
 						isCut[at] = true
 					}
 				default:
-					news := feed.News{Items: []manifest.Item{item(fmt.Sprint(random.IntN(5)), step+1)}}
+					news := feed.News{Items: []config.Item{item(fmt.Sprint(random.IntN(5)), step+1)}}
 					all.Merge(news.Items)
 					for _, hub := range hubs {
 						hub.Publish(news)
@@ -87,14 +87,14 @@
 
 	It("starts from a checkpoint, and from then on sends only what is newer", func() {
 		hub := feed.NewHub()
-		hub.Publish(feed.News{Items: []manifest.Item{item("a", 1)}, View: &membership.View{Epoch: 3}})
+		hub.Publish(feed.News{Items: []config.Item{item("a", 1)}, View: &membership.View{Epoch: 3}})
 		var got []feed.News
 		follow(hub, feed.Follow{Name: "one"}, func(news feed.News) bool { got = append(got, news); return true })
 		Expect(got).To(HaveLen(1))
 		Expect(got[0].IsCheckpoint).To(BeTrue())
-		hub.Publish(feed.News{Items: []manifest.Item{item("a", 1)}, View: &membership.View{Epoch: 2}})
+		hub.Publish(feed.News{Items: []config.Item{item("a", 1)}, View: &membership.View{Epoch: 2}})
 		Expect(got).To(HaveLen(1))
-		hub.Publish(feed.News{Items: []manifest.Item{item("a", 2)}})
+		hub.Publish(feed.News{Items: []config.Item{item("a", 2)}})
 		Expect(got).To(HaveLen(2))
 		Expect(got[1].IsCheckpoint).To(BeFalse())
 		Expect(hub.Followers()).To(Equal([]string{"one"}))
--- a/internal/feed/fleet.go
+++ b/internal/feed/fleet.go
@@ -5,9 +5,9 @@
 	"strings"
 	"time"
 
+	"ploverhitch/internal/config"
 	"ploverhitch/internal/loadgauge"
 	"ploverhitch/internal/loopline"
-	"ploverhitch/internal/manifest"
 )
 
 // Grade says whether a server may get inquiries.
@@ -64,11 +64,11 @@
 // Stage is a staged change of lanes: on the nodes that it names these items hold
 // before the manifest's. It is a grant like a share.
 type Stage struct {
-	Subject string          `cbor:"1,keyasint"`
-	Number  uint64          `cbor:"2,keyasint"`
-	Wave    int             `cbor:"3,keyasint,omitempty"`
-	Nodes   []string        `cbor:"4,keyasint"`
-	Items   []manifest.Item `cbor:"5,keyasint"`
+	Subject string        `cbor:"1,keyasint"`
+	Number  uint64        `cbor:"2,keyasint"`
+	Wave    int           `cbor:"3,keyasint,omitempty"`
+	Nodes   []string      `cbor:"4,keyasint"`
+	Items   []config.Item `cbor:"5,keyasint"`
 }
 
 // Reading orders what the holders of the duty read: by term, then by count.
--- a/internal/inspector/check.go
+++ b/internal/inspector/check.go
@@ -7,8 +7,8 @@
 	"fmt"
 	"sort"
 
+	"ploverhitch/internal/config"
 	"ploverhitch/internal/feed"
-	"ploverhitch/internal/manifest"
 	"ploverhitch/internal/signalbox"
 	"ploverhitch/internal/telegram"
 )
@@ -37,7 +37,7 @@
 // Example:
 //
 //	findings := inspector.Check(book, sent, fleet)
-func Check(book manifest.Book, sent []manifest.Item, fleet Fleet) (out []Finding) {
+func Check(book config.Book, sent []config.Item, fleet Fleet) (out []Finding) {
 	find := func(what, where, format string, args ...any) {
 		out = append(out, Finding{what, where, fmt.Sprintf(format, args...)})
 	}
@@ -71,10 +71,10 @@
 
 type finder func(what, where, format string, args ...any)
 
-func checkItem(item manifest.Item, ready, slots map[string]int, edges int, find finder) {
+func checkItem(item config.Item, ready, slots map[string]int, edges int, find finder) {
 	switch item.ID.Class {
-	case manifest.LaneItem:
-		var lane manifest.LaneSpec
+	case config.LaneItem:
+		var lane config.LaneSpec
 		if json.Unmarshal(item.Body, &lane) != nil {
 			find("invalid", "lane "+item.ID.Name, "cannot be read")
 			return
@@ -87,8 +87,8 @@
 				find("no server", "lane "+lane.Name, "a share of %g goes to %s, which has no ready server", share.Weight, share.Service)
 			}
 		}
-	case manifest.ServiceItem:
-		var service manifest.ServiceSpec
+	case config.ServiceItem:
+		var service config.ServiceSpec
 		if json.Unmarshal(item.Body, &service) != nil {
 			find("invalid", "service "+item.ID.Name, "cannot be read")
 			return
--- a/internal/inspector/command.go
+++ b/internal/inspector/command.go
@@ -10,7 +10,7 @@
 
 	"github.com/alecthomas/kingpin/v2"
 
-	"ploverhitch/internal/manifest"
+	"ploverhitch/internal/config"
 	"ploverhitch/internal/shunt"
 	"ploverhitch/internal/timetable"
 )
@@ -81,7 +81,7 @@
 }
 
 func (c *Commands) check(control *Control) (int, error) {
-	var sent []manifest.Item
+	var sent []config.Item
 	var err error
 	if *c.file != "" {
 		if sent, err = FileItems(*c.file); err != nil {
--- a/internal/inspector/inspector_test.go
+++ b/internal/inspector/inspector_test.go
@@ -11,9 +11,9 @@
 	. "github.com/onsi/gomega"
 
 	"ploverhitch/internal/branchline"
+	"ploverhitch/internal/config"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/inspector"
-	"ploverhitch/internal/manifest"
 	"ploverhitch/internal/shunt"
 	"ploverhitch/internal/signalbox"
 	"ploverhitch/internal/telegram"
@@ -24,8 +24,8 @@
 	RunSpecs(t, "inspector")
 }
 
-func items(text string) []manifest.Item {
-	out, err := manifest.ParseModify([]byte(text))
+func items(text string) []config.Item {
+	out, err := config.ParseModify([]byte(text))
 	Expect(err).NotTo(HaveOccurred())
 	return out
 }
@@ -33,8 +33,8 @@
 const inForce = `{"Upsert":{"Services":[{"Name":"fees","MaxConnections":9,"Revision":"r4"},{"Name":"packs","MaxConnections":9,"Revision":"r4"}],
 "VirtualHosts":[{"Hostname":"h","PathTable":[{"Name":"fee","PathPrefix":"/fee/","LaneType":"idempotent","Timeout":"1s","MaxAttempts":2,"Service":"fees","Revision":"r4"}]}]}}`
 
-func healthy() (manifest.Book, inspector.Fleet) {
-	book := manifest.Book{}
+func healthy() (config.Book, inspector.Fleet) {
+	book := config.Book{}
 	book.Merge(items(inForce))
 	return book, inspector.Fleet{
 		Servers: []feed.Server{{ID: "i-1", Service: "fees", Capacity: 2, IsReady: true}, {ID: "i-2", Service: "packs", Capacity: 2}},
--- a/internal/inspector/look.go
+++ b/internal/inspector/look.go
@@ -11,8 +11,8 @@
 
 	"github.com/juju/errors"
 
+	"ploverhitch/internal/config"
 	"ploverhitch/internal/feed"
-	"ploverhitch/internal/manifest"
 	"ploverhitch/internal/signal"
 	"ploverhitch/internal/signalbox"
 	"ploverhitch/internal/telegram"
@@ -64,16 +64,16 @@
 // Example:
 //
 //	book, err := control.Book()
-func (c *Control) Book() (manifest.Book, error) {
+func (c *Control) Book() (config.Book, error) {
 	text, err := c.get("/v1/manifest/read")
 	if err != nil {
 		return nil, err
 	}
-	items, err := manifest.ParseModify([]byte(`{"Upsert":` + string(text) + `}`))
+	items, err := config.ParseModify([]byte(`{"Upsert":` + string(text) + `}`))
 	if err != nil {
 		return nil, errors.Annotatef(err, "manifest of %s", c.Address)
 	}
-	book := manifest.Book{}
+	book := config.Book{}
 	book.Merge(items)
 	return book, nil
 }
@@ -84,7 +84,7 @@
 // Example:
 //
 //	items, err := inspector.FileItems("manifest.json")
-func FileItems(path string) ([]manifest.Item, error) {
+func FileItems(path string) ([]config.Item, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, errors.Trace(err)
@@ -98,7 +98,7 @@
 		}
 		return nil, errors.Errorf("%s, line %d: %s", path, 1+strings.Count(string(text[:at]), "\n"), err)
 	}
-	items, err := manifest.ParseModify(text)
+	items, err := config.ParseModify(text)
 	return items, errors.Annotate(err, path)
 }
 
--- a/internal/objects/objects.go
+++ b/internal/objects/objects.go
@@ -15,7 +15,7 @@
 	"github.com/juju/errors"
 	"sigs.k8s.io/yaml"
 
-	"ploverhitch/internal/manifest"
+	"ploverhitch/internal/config"
 	"ploverhitch/internal/timetable"
 )
 
@@ -35,13 +35,13 @@
 type laneObject struct {
 	header `json:",inline"`
 	Spec   struct {
-		Host          string            `json:"host"`
-		PathPrefix    string            `json:"pathPrefix"`
-		Type          manifest.LaneKind `json:"type"`
-		Timeout       timetable.Span    `json:"timeout"`
-		TargetLatency timetable.Span    `json:"targetLatency"`
-		Priority      int               `json:"priority"`
-		MaxAttempts   int               `json:"maxAttempts"`
+		Host          string          `json:"host"`
+		PathPrefix    string          `json:"pathPrefix"`
+		Type          config.LaneKind `json:"type"`
+		Timeout       timetable.Span  `json:"timeout"`
+		TargetLatency timetable.Span  `json:"targetLatency"`
+		Priority      int             `json:"priority"`
+		MaxAttempts   int             `json:"maxAttempts"`
 		BackendRefs   []struct {
 			Name   string  `json:"name"`
 			Weight float64 `json:"weight"`
@@ -74,15 +74,15 @@
 	own map[string][]any
 
 	Upsert struct {
-		Services     []manifest.ServiceSpec `json:"Services,omitempty"`
-		Limits       *manifest.LimitsSpec   `json:"Limits,omitempty"`
-		VirtualHosts []host                 `json:"VirtualHosts,omitempty"`
+		Services     []config.ServiceSpec `json:"Services,omitempty"`
+		Limits       *config.LimitsSpec   `json:"Limits,omitempty"`
+		VirtualHosts []host               `json:"VirtualHosts,omitempty"`
 	} `json:"Upsert"`
 }
 
 type host struct {
-	Hostname  string              `json:"Hostname"`
-	PathTable []manifest.LaneSpec `json:"PathTable"`
+	Hostname  string            `json:"Hostname"`
+	PathTable []config.LaneSpec `json:"PathTable"`
 }
 
 // readers is the table from a kind to how an object of it is taken.
@@ -125,14 +125,14 @@
 	if text, err = json.Marshal(out); err != nil {
 		return nil, nil, errors.Trace(err)
 	}
-	_, err = manifest.ParseModify(text)
+	_, err = config.ParseModify(text)
 	for _, path := range slices.Sorted(maps.Keys(out.own)) {
 		var body []byte
 		if err == nil {
 			body, err = json.Marshal(map[string]any{"Upsert": out.own[path]})
 		}
 		if err == nil {
-			_, err = manifest.Parser(ownPaths[path])(body)
+			_, err = config.Parser(ownPaths[path])(body)
 		}
 		own = append(own, Own{path, body})
 	}
@@ -159,15 +159,15 @@
 	if err := yaml.UnmarshalStrict(document, &o); err != nil {
 		return errors.Trace(err)
 	}
-	lane := manifest.LaneSpec{
+	lane := config.LaneSpec{
 		Name: o.Metadata.Name, PathPrefix: o.Spec.PathPrefix, LaneType: o.Spec.Type, Timeout: o.Spec.Timeout, TargetLatency: o.Spec.TargetLatency,
-		Priority: o.Spec.Priority, MaxAttempts: o.Spec.MaxAttempts, Revision: manifest.Version(o.Metadata.Generation),
+		Priority: o.Spec.Priority, MaxAttempts: o.Spec.MaxAttempts, Revision: config.Version(o.Metadata.Generation),
 	}
 	if len(o.Spec.BackendRefs) == 1 {
 		lane.Service = o.Spec.BackendRefs[0].Name
 	} else {
 		for _, backend := range o.Spec.BackendRefs {
-			lane.TrafficSplit = append(lane.TrafficSplit, manifest.Share{Service: backend.Name, Weight: backend.Weight})
+			lane.TrafficSplit = append(lane.TrafficSplit, config.Share{Service: backend.Name, Weight: backend.Weight})
 		}
 	}
 	for i := range c.Upsert.VirtualHosts {
@@ -176,7 +176,7 @@
 			return nil
 		}
 	}
-	c.Upsert.VirtualHosts = append(c.Upsert.VirtualHosts, host{o.Spec.Host, []manifest.LaneSpec{lane}})
+	c.Upsert.VirtualHosts = append(c.Upsert.VirtualHosts, host{o.Spec.Host, []config.LaneSpec{lane}})
 	return nil
 }
 
@@ -185,9 +185,9 @@
 	if err := yaml.UnmarshalStrict(document, &o); err != nil {
 		return errors.Trace(err)
 	}
-	c.Upsert.Services = append(c.Upsert.Services, manifest.ServiceSpec{
+	c.Upsert.Services = append(c.Upsert.Services, config.ServiceSpec{
 		Name: o.Metadata.Name, HealthPath: o.Spec.HealthPath, MaxConnections: o.Spec.MaxConnections,
-		IdempotentDedup: o.Spec.IdempotentDedup, Revision: manifest.Version(o.Metadata.Generation),
+		IdempotentDedup: o.Spec.IdempotentDedup, Revision: config.Version(o.Metadata.Generation),
 	})
 	return nil
 }
@@ -200,9 +200,9 @@
 	if c.Upsert.Limits != nil {
 		return errors.AlreadyExistsf("another object of kind Limits")
 	}
-	c.Upsert.Limits = &manifest.LimitsSpec{
+	c.Upsert.Limits = &config.LimitsSpec{
 		MaxHeaderBytes: o.Spec.MaxHeaderBytes, MaxBodyBytes: o.Spec.MaxBodyBytes, HeaderTimeout: o.Spec.HeaderTimeout,
-		IdleTimeout: o.Spec.IdleTimeout, Revision: manifest.Version(o.Metadata.Generation),
+		IdleTimeout: o.Spec.IdleTimeout, Revision: config.Version(o.Metadata.Generation),
 	}
 	return nil
 }
--- a/internal/objects/objects_test.go
+++ b/internal/objects/objects_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ploverhitch/internal/manifest"
+	"ploverhitch/internal/config"
 	"ploverhitch/internal/objects"
 )
 
@@ -43,14 +43,14 @@
 	It("becomes the call that an operator would send", func() {
 		text, _, err := objects.Parse([]byte(file))
 		Expect(err).NotTo(HaveOccurred())
-		items, err := manifest.ParseModify(text)
+		items, err := config.ParseModify(text)
 		Expect(err).NotTo(HaveOccurred())
-		book := manifest.Book{}
+		book := config.Book{}
 		book.Merge(items)
 		Expect(book).To(HaveLen(3))
 		sheet := book.Compile()
 		lane := sheet.Find("h.example", "/fee/x")
-		Expect(lane.Revision).To(Equal(manifest.Version(4)))
+		Expect(lane.Revision).To(Equal(config.Version(4)))
 		Expect(lane.Services()).To(Equal([]string{"fees", "fees-next"}))
 		Expect(sheet.Limits.MaxBodyBytes).To(Equal(int64(1000)))
 		Expect(sheet.Services["fees"].MaxConnections).To(Equal(100))
--- a/internal/objects/own.go
+++ b/internal/objects/own.go
@@ -7,9 +7,9 @@
 	"sigs.k8s.io/yaml"
 
 	"ploverhitch/internal/branchline"
+	"ploverhitch/internal/config"
 	"ploverhitch/internal/loadgauge"
 	"ploverhitch/internal/loopline"
-	"ploverhitch/internal/manifest"
 )
 
 const (
@@ -19,8 +19,8 @@
 )
 
 // ownPaths is the table from the path of a call to the class of its items.
-var ownPaths = map[string]manifest.Class{
-	sitesPath: manifest.SiteItem, plansPath: manifest.PlanItem, mirrorsPath: manifest.MirrorItem,
+var ownPaths = map[string]config.Class{
+	sitesPath: config.SiteItem, plansPath: config.PlanItem, mirrorsPath: config.MirrorItem,
 }
 
 type siteObject struct {
@@ -65,15 +65,15 @@
 type (
 	siteCall struct {
 		branchline.Site
-		Revision manifest.Version `json:"Revision"`
+		Revision config.Version `json:"Revision"`
 	}
 	planCall struct {
 		loadgauge.Plan
-		Revision manifest.Version `json:"Revision"`
+		Revision config.Version `json:"Revision"`
 	}
 	mirrorCall struct {
 		loopline.Mirror
-		Revision manifest.Version `json:"Revision"`
+		Revision config.Version `json:"Revision"`
 	}
 )
 
@@ -83,7 +83,7 @@
 		return errors.Trace(err)
 	}
 	site := branchline.Site{Name: o.Metadata.Name, Parent: o.Spec.Parent, Cells: o.Spec.Cells, Servers: o.Spec.Servers, Capacity: o.Spec.Capacity}
-	c.own[sitesPath] = append(c.own[sitesPath], siteCall{site, manifest.Version(o.Metadata.Generation)})
+	c.own[sitesPath] = append(c.own[sitesPath], siteCall{site, config.Version(o.Metadata.Generation)})
 	return nil
 }
 
@@ -96,7 +96,7 @@
 	for _, tier := range o.Spec.Tiers {
 		plan.Tiers = append(plan.Tiers, loadgauge.PlanTier(tier))
 	}
-	c.own[plansPath] = append(c.own[plansPath], planCall{plan, manifest.Version(o.Metadata.Generation)})
+	c.own[plansPath] = append(c.own[plansPath], planCall{plan, config.Version(o.Metadata.Generation)})
 	return nil
 }
 
@@ -112,6 +112,6 @@
 	if err := mirror.Check(); err != nil {
 		return errors.Trace(err)
 	}
-	c.own[mirrorsPath] = append(c.own[mirrorsPath], mirrorCall{mirror, manifest.Version(o.Metadata.Generation)})
+	c.own[mirrorsPath] = append(c.own[mirrorsPath], mirrorCall{mirror, config.Version(o.Metadata.Generation)})
 	return nil
 }
--- a/internal/points/bulk.go
+++ b/internal/points/bulk.go
@@ -8,9 +8,9 @@
 
 	"github.com/go-kit/kit/endpoint"
 
+	"ploverhitch/internal/config"
 	"ploverhitch/internal/coupling"
 	"ploverhitch/internal/derail"
-	"ploverhitch/internal/manifest"
 )
 
 // turnShare is the part of the lane's aim that a download may wait for its turn.
@@ -22,7 +22,7 @@
 func (p *proxy) passing(next endpoint.Endpoint) endpoint.Endpoint {
 	return func(ctx context.Context, request any) (any, error) {
 		one := request.(*inquiry)
-		if one.lane.LaneType != manifest.Download {
+		if one.lane.LaneType != config.Download {
 			return next(ctx, request)
 		}
 		pace := p.paceOf(one.lane.Name)
--- a/internal/points/copy.go
+++ b/internal/points/copy.go
@@ -8,9 +8,9 @@
 
 	"github.com/juju/errors"
 
+	"ploverhitch/internal/config"
 	"ploverhitch/internal/coupling"
 	"ploverhitch/internal/loopline"
-	"ploverhitch/internal/manifest"
 	"ploverhitch/internal/shunt"
 	"ploverhitch/internal/timetable"
 )
@@ -35,7 +35,7 @@
 		return
 	}
 	buffer := int64(copyBytes)
-	if job.lane.LaneType == manifest.Download || !job.hasBody {
+	if job.lane.LaneType == config.Download || !job.hasBody {
 		buffer = 0
 	}
 	began := time.Now()
@@ -63,7 +63,7 @@
 // mayCopy looks again, immediately before the first byte is sent: the server must
 // still be listed, under this very address, as one of a shadow that no lane
 // delivers to, and the order must hold.
-func (p *proxy) mayCopy(m *manifest.Mirror, server *shunt.Siding) bool {
+func (p *proxy) mayCopy(m *config.Mirror, server *shunt.Siding) bool {
 	s := p.sight.Load()
 	now, isThere := s.yard.Find(server.ID)
 	if !isThere || now.Address != server.Address || now.Service != m.Shadow || !now.IsReady {
--- a/internal/points/deliver.go
+++ b/internal/points/deliver.go
@@ -10,11 +10,11 @@
 	"github.com/go-kit/kit/endpoint"
 	"github.com/juju/errors"
 
+	"ploverhitch/internal/config"
 	"ploverhitch/internal/coupling"
 	"ploverhitch/internal/derail"
 	"ploverhitch/internal/headway"
 	"ploverhitch/internal/hotbox"
-	"ploverhitch/internal/manifest"
 	"ploverhitch/internal/shunt"
 )
 
@@ -209,7 +209,7 @@
 		late, buffer = lateKeyed, max(buffer, d.one.sight.sheet.Limits.MaxBodyBytes)
 	}
 	passOn := int64(0)
-	if d.one.lane.LaneType == manifest.Download && d.in.IsNarrow() {
+	if d.one.lane.LaneType == config.Download && d.in.IsNarrow() {
 		// Checked whole first, it would take the link's time twice.
 		passOn = headway.BulkLeast
 	}
--- a/internal/points/inquiry.go
+++ b/internal/points/inquiry.go
@@ -11,18 +11,18 @@
 
 	"github.com/juju/errors"
 
+	"ploverhitch/internal/config"
 	"ploverhitch/internal/coupling"
 	"ploverhitch/internal/derail"
 	"ploverhitch/internal/ledger"
 	"ploverhitch/internal/loopline"
-	"ploverhitch/internal/manifest"
 	"ploverhitch/internal/shunt"
 )
 
 // inquiry is one client's inquiry on its way through the proxy.
 type inquiry struct {
 	*coupling.Inquiry
-	lane    *manifest.Lane
+	lane    *config.Lane
 	service string
 	sight   *sight
 	arrived time.Time
@@ -51,9 +51,9 @@
 // the short repeatable inquiries go wherever is best at the moment.
 func (i *inquiry) takePlace() {
 	switch i.lane.LaneType {
-	case manifest.Idempotent:
+	case config.Idempotent:
 		i.place, i.isPlaced = shunt.PlaceOf(i.lane.Host, i.Header.Get(coupling.HeaderKey)), true
-	case manifest.Download:
+	case config.Download:
 		i.place, i.isPlaced = shunt.PlaceOf(i.lane.Host, i.Target), true
 	}
 }
--- a/internal/points/mirror.go
+++ b/internal/points/mirror.go
@@ -7,10 +7,10 @@
 	"sync"
 	"time"
 
+	"ploverhitch/internal/config"
 	"ploverhitch/internal/coupling"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/loopline"
-	"ploverhitch/internal/manifest"
 	"ploverhitch/internal/shunt"
 	"ploverhitch/internal/telegram"
 )
@@ -26,10 +26,10 @@
 
 // copied is one original whose copy waits for its turn.
 type copied struct {
-	mirror  *manifest.Mirror
+	mirror  *config.Mirror
 	record  *loopline.Record
 	inquiry *coupling.Inquiry
-	lane    *manifest.Lane
+	lane    *config.Lane
 	hash    uint64
 	era     uint64
 	place   shunt.Place
@@ -153,7 +153,7 @@
 
 // mirrorGrant is the grant of a mirror that this node heard last, whether it holds
 // still or not.
-func (s *sight) mirrorGrant(m *manifest.Mirror) (grant loopline.Grant, isHeld bool) {
+func (s *sight) mirrorGrant(m *config.Mirror) (grant loopline.Grant, isHeld bool) {
 	for _, grant = range s.mirrors {
 		if grant.Name == m.Name && grant.Version == uint64(m.Version) {
 			return grant, true
--- a/internal/points/mirror_test.go
+++ b/internal/points/mirror_test.go
@@ -8,9 +8,9 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
+	"ploverhitch/internal/config"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/loopline"
-	"ploverhitch/internal/manifest"
 	"ploverhitch/internal/settings"
 	"ploverhitch/internal/shunt"
 	"ploverhitch/internal/timetable"
@@ -44,10 +44,10 @@
 	// sightOf is what a node knows: where x-1 is listed, under which service, the
 	// order granted, and which service the one lane delivers to.
 	sightOf := func(address, service string, isReady bool, version uint64, live string) *sight {
-		body, err := json.Marshal(manifest.LaneSpec{Name: "fee", PathPrefix: "/fee/", LaneType: manifest.Safe, Service: live, MaxAttempts: 1, Revision: 1})
+		body, err := json.Marshal(config.LaneSpec{Name: "fee", PathPrefix: "/fee/", LaneType: config.Safe, Service: live, MaxAttempts: 1, Revision: 1})
 		Expect(err).NotTo(HaveOccurred())
-		book := manifest.Book{}
-		book.Merge([]manifest.Item{{ID: manifest.ID{Class: manifest.LaneItem, Name: "fee"}, Version: 1, Host: "h", Body: body}})
+		book := config.Book{}
+		book.Merge([]config.Item{{ID: config.ID{Class: config.LaneItem, Name: "fee"}, Version: 1, Host: "h", Body: body}})
 		fleet := feed.Fleet{Term: 1, Count: 1, Servers: []feed.Server{{ID: "x-1", Service: service, Address: address, Capacity: 2, IsReady: isReady}}}
 		return &sight{
 			sheet: book.Compile(), yard: shunt.NewYard(shunt.Home{Node: "n"}).Lay(fleet), heard: timetable.Steady(time.Hour),
@@ -58,7 +58,7 @@
 	It("lets it go only to a listed server of a shadow that nothing live delivers to, under an order that holds", func() {
 		hand := &timetable.Hand{Now: time.Hour}
 		p := newProxy(&settings.Settings{}, hand, func(string, string, ...any) {})
-		mirror := &manifest.Mirror{Mirror: loopline.Mirror{Name: "build", Shadow: "next"}, Version: 3}
+		mirror := &config.Mirror{Mirror: loopline.Mirror{Name: "build", Shadow: "next"}, Version: 3}
 		server := &shunt.Siding{Server: feed.Server{ID: "x-1", Service: "next", Address: "a:1", IsReady: true}}
 		may := func(s *sight) bool { p.sight.Store(s); return p.mayCopy(mirror, server) }
 		Expect(may(sightOf("a:1", "next", true, 3, "fees"))).To(BeTrue())
--- a/internal/points/moves.go
+++ b/internal/points/moves.go
@@ -6,7 +6,7 @@
 
 	"github.com/juju/errors"
 
-	"ploverhitch/internal/manifest"
+	"ploverhitch/internal/config"
 	"ploverhitch/internal/settings"
 	"ploverhitch/internal/shunt"
 	"ploverhitch/internal/signal"
@@ -54,7 +54,7 @@
 		move := telegram.Move{
 			Lane: one.lane.Name, Tenant: one.lane.Host, From: home.ID, To: after(one.place), At: run.servers, Place: one.place,
 		}
-		if one.lane.LaneType == manifest.Idempotent {
+		if one.lane.LaneType == config.Idempotent {
 			move.Key = one.key.Key
 		} else {
 			move.Attempt, move.Target = one.Attempt, one.Target
--- a/internal/points/points.go
+++ b/internal/points/points.go
@@ -14,12 +14,12 @@
 	"github.com/juju/errors"
 
 	"ploverhitch/internal/branchline"
+	"ploverhitch/internal/config"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/headway"
 	"ploverhitch/internal/hotbox"
 	"ploverhitch/internal/loadgauge"
 	"ploverhitch/internal/loopline"
-	"ploverhitch/internal/manifest"
 	"ploverhitch/internal/membership"
 	"ploverhitch/internal/settings"
 	"ploverhitch/internal/shunt"
@@ -33,7 +33,7 @@
 
 // sight is what an inquiry reads: one immutable view of everything.
 type sight struct {
-	sheet *manifest.Sheet
+	sheet *config.Sheet
 	yard  *shunt.Yard
 	// tree is the sites, site this node's own.
 	tree    *branchline.Tree
@@ -170,7 +170,7 @@
 	p.in = headway.NewTrack(set.Platform.Limits.LinkMbps, clock)
 	p.out = headway.NewTrack(set.Platform.Limits.LinkMbps, clock)
 	p.bulk = headway.NewPassing(p.out)
-	p.sight.Store(&sight{sheet: manifest.Book{}.Compile(), yard: shunt.NewYard(home)})
+	p.sight.Store(&sight{sheet: config.Book{}.Compile(), yard: shunt.NewYard(home)})
 	p.serve = endpoint.Chain(p.admitting, p.passing, p.replaying)(p.delivering)
 	return p
 }
--- a/internal/points/replay.go
+++ b/internal/points/replay.go
@@ -8,10 +8,10 @@
 
 	"github.com/go-kit/kit/endpoint"
 
+	"ploverhitch/internal/config"
 	"ploverhitch/internal/coupling"
 	"ploverhitch/internal/derail"
 	"ploverhitch/internal/ledger"
-	"ploverhitch/internal/manifest"
 	"ploverhitch/internal/telegram"
 	"ploverhitch/internal/timetable"
 )
@@ -47,7 +47,7 @@
 func (p *proxy) replaying(next endpoint.Endpoint) endpoint.Endpoint {
 	return func(ctx context.Context, request any) (any, error) {
 		one := request.(*inquiry)
-		if one.lane.LaneType != manifest.Idempotent {
+		if one.lane.LaneType != config.Idempotent {
 			return next(ctx, request)
 		}
 		keys := one.Header.Values(coupling.HeaderKey)
--- a/internal/points/replay_test.go
+++ b/internal/points/replay_test.go
@@ -9,10 +9,10 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
+	"ploverhitch/internal/config"
 	"ploverhitch/internal/coupling"
 	"ploverhitch/internal/derail"
 	"ploverhitch/internal/ledger"
-	"ploverhitch/internal/manifest"
 	"ploverhitch/internal/settings"
 	"ploverhitch/internal/standin"
 	"ploverhitch/internal/timetable"
@@ -30,7 +30,7 @@
 		p := newProxy(&settings.Settings{}, hand, func(string, string, ...any) {})
 		one := &inquiry{
 			Inquiry: &coupling.Inquiry{Method: "POST", Target: "/fee/", Host: "h", Header: http.Header{coupling.HeaderAttempt: {"t"}}, Attempt: "t"},
-			lane:    &manifest.Lane{}, sight: p.sight.Load(),
+			lane:    &config.Lane{}, sight: p.sight.Load(),
 		}
 		a := &attempt{proxy: p, one: one, ungranted: map[string]bool{}}
 		a.intent = ledger.Intent{Key: ledger.Key{Tenant: "h", Key: "k"}, State: ledger.Reserved}
--- a/internal/points/stage.go
+++ b/internal/points/stage.go
@@ -7,11 +7,11 @@
 
 	"github.com/juju/errors"
 
+	"ploverhitch/internal/config"
 	"ploverhitch/internal/coupling"
 	"ploverhitch/internal/derail"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/hotbox"
-	"ploverhitch/internal/manifest"
 	"ploverhitch/internal/timetable"
 )
 
@@ -19,13 +19,13 @@
 // whether this node is to serve by it.
 type stage struct {
 	feed.Stage
-	sheet  *manifest.Sheet
+	sheet  *config.Sheet
 	isMine bool
 }
 
 // layStages makes ready the staged changes that the fleet's news bring. News that
 // only renew a change keep its manifest, unless the book has changed.
-func (s *sight) layStages(stages []feed.Stage, book manifest.Book, isNewBook bool, node string) {
+func (s *sight) layStages(stages []feed.Stage, book config.Book, isNewBook bool, node string) {
 	laid := s.stages
 	s.stages = nil
 	for _, told := range stages {
@@ -74,17 +74,17 @@
 			continue
 		}
 		one.stage.mark.Wave = staged.Wave
-		isKept := base != nil && base.LaneType == manifest.Idempotent
-		if one.lane = next; next != nil && isKeyed && isKept && next.LaneType != manifest.Idempotent {
+		isKept := base != nil && base.LaneType == config.Idempotent
+		if one.lane = next; next != nil && isKeyed && isKept && next.LaneType != config.Idempotent {
 			// Whatever the change says, the operation keeps its record.
 			kept := *next
-			kept.LaneType = manifest.Idempotent
+			kept.LaneType = config.Idempotent
 			one.lane, one.stage.isUnkept = &kept, true
 		}
 	}
 }
 
-func sameLane(a, z *manifest.Lane) bool {
+func sameLane(a, z *config.Lane) bool {
 	return a == nil && z == nil || a != nil && z != nil && a.Name == z.Name && a.Revision == z.Revision
 }
 
@@ -114,7 +114,7 @@
 }
 
 func stageOutcome(one *inquiry, reply *coupling.Reply, err error, took time.Duration) (outcome hotbox.Outcome, isCounted bool) {
-	isKeyed := one.lane != nil && one.lane.LaneType == manifest.Idempotent
+	isKeyed := one.lane != nil && one.lane.LaneType == config.Idempotent
 	var known *derail.Error
 	switch {
 	case err != nil && errors.As(err, &known):
--- a/internal/signalbox/control.go
+++ b/internal/signalbox/control.go
@@ -11,8 +11,8 @@
 	kithttp "github.com/go-kit/kit/transport/http"
 	"github.com/juju/errors"
 
+	"ploverhitch/internal/config"
 	"ploverhitch/internal/derail"
-	"ploverhitch/internal/manifest"
 )
 
 const callBytes = 32 << 20
@@ -27,15 +27,15 @@
 // table is the operators' interface, as api/control.yaml lays it down.
 func (b *box) table() map[string]call {
 	return map[string]call{
-		"POST /v1/manifest/modify":        {b.modifyPoint, decoding(manifest.ParseModify)},
+		"POST /v1/manifest/modify":        {b.modifyPoint, decoding(config.ParseModify)},
 		"GET /v1/manifest/read":           {b.readPoint, kithttp.NopRequestDecoder},
 		"POST /v1/rollouts/start":         {b.startPoint, decodeRollout},
 		"GET /v1/rollouts/{service}/read": {b.rolloutPoint, decodeSubject},
-		"POST /v1/sites/modify":           {b.modifyPoint, decoding(manifest.Parser(manifest.SiteItem))},
+		"POST /v1/sites/modify":           {b.modifyPoint, decoding(config.Parser(config.SiteItem))},
 		"GET /v1/sites":                   {b.sitesPoint, kithttp.NopRequestDecoder},
-		"POST /v1/plans/modify":           {b.modifyPoint, decoding(manifest.Parser(manifest.PlanItem))},
+		"POST /v1/plans/modify":           {b.modifyPoint, decoding(config.Parser(config.PlanItem))},
 		"GET /v1/load":                    {b.loadPoint, kithttp.NopRequestDecoder},
-		"POST /v1/mirrors/modify":         {b.modifyPoint, decoding(manifest.Parser(manifest.MirrorItem))},
+		"POST /v1/mirrors/modify":         {b.modifyPoint, decoding(config.Parser(config.MirrorItem))},
 		"GET /v1/mirrors":                 {b.mirrorsPoint, kithttp.NopRequestDecoder},
 		"POST /v1/staged/start":           {b.stagePoint, decodeStaged},
 		"GET /v1/staged/{name}/read":      {b.stagedPoint, decodeName},
@@ -54,7 +54,7 @@
 }
 
 // decoding reads a call that brings items.
-func decoding(parse func([]byte) ([]manifest.Item, error)) kithttp.DecodeRequestFunc {
+func decoding(parse func([]byte) ([]config.Item, error)) kithttp.DecodeRequestFunc {
 	return func(_ context.Context, r *http.Request) (any, error) {
 		text, err := io.ReadAll(http.MaxBytesReader(nil, r.Body, callBytes))
 		if err != nil {
@@ -80,7 +80,7 @@
 }
 
 func (b *box) modifyPoint(_ context.Context, request any) (any, error) {
-	return json.RawMessage("{}"), b.modify(request.([]manifest.Item))
+	return json.RawMessage("{}"), b.modify(request.([]config.Item))
 }
 
 func (b *box) readPoint(context.Context, any) (any, error) {
--- a/internal/signalbox/handlers.go
+++ b/internal/signalbox/handlers.go
@@ -4,9 +4,9 @@
 	"maps"
 	"slices"
 
+	"ploverhitch/internal/config"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/ledger"
-	"ploverhitch/internal/manifest"
 	"ploverhitch/internal/membership"
 	"ploverhitch/internal/signal"
 	"ploverhitch/internal/telegram"
@@ -108,8 +108,8 @@
 }
 
 // store merges items, keeps what was newer, publishes it, and then calls done.
-func (b *box) store(items []manifest.Item, done func()) {
-	var news []manifest.Item
+func (b *box) store(items []config.Item, done func()) {
+	var news []config.Item
 	b.keeper.put(func(t *tables) []record {
 		if news = t.merge(items); len(news) == 0 {
 			return nil
--- a/internal/signalbox/manifest.go
+++ b/internal/signalbox/manifest.go
@@ -3,15 +3,15 @@
 import (
 	"slices"
 
+	"ploverhitch/internal/config"
 	"ploverhitch/internal/derail"
-	"ploverhitch/internal/manifest"
 	"ploverhitch/internal/telegram"
 )
 
 // gather learns what a majority holds: the union of enough trusted members'
 // items, and those of them that this reading found not everywhere the same.
-func (b *box) gather() (book manifest.Book, isUneven bool, err error) {
-	book, digest := manifest.Book{}, ""
+func (b *box) gather() (book config.Book, isUneven bool, err error) {
+	book, digest := config.Book{}, ""
 	b.keeper.read(func(t *tables) { book, digest = t.book.Clone(), t.bookDigest() })
 	view, count := b.view(), 0
 	askAll(b, view.Members, telegram.KindBook, telegram.Book{Digest: digest}, askSpan,
@@ -33,7 +33,7 @@
 }
 
 // spread keeps items on a majority of the members.
-func (b *box) spread(items []manifest.Item) error {
+func (b *box) spread(items []config.Item) error {
 	view := b.view()
 	if !slices.Contains(view.Members, b.self) {
 		b.store(items, func() {})
@@ -46,7 +46,7 @@
 
 // modify takes an operator's call: it is checked against what a majority
 // holds, kept on a majority, and only then acknowledged.
-func (b *box) modify(items []manifest.Item) error {
+func (b *box) modify(items []config.Item) error {
 	b.modifyLock.Lock()
 	defer b.modifyLock.Unlock()
 	book, isUneven, err := b.gather()
@@ -75,7 +75,7 @@
 
 // read returns the manifest that a majority holds. Items that only some have
 // are first spread, so that no later reading goes back.
-func (b *box) read() (manifest.Book, error) {
+func (b *box) read() (config.Book, error) {
 	book, isUneven, err := b.gather()
 	if err == nil && isUneven {
 		err = b.spread(book.Items())
--- a/internal/signalbox/member_test.go
+++ b/internal/signalbox/member_test.go
@@ -9,10 +9,10 @@
 	. "github.com/onsi/gomega"
 
 	"ploverhitch/internal/ballast"
+	"ploverhitch/internal/config"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/ledger"
 	"ploverhitch/internal/loadgauge"
-	"ploverhitch/internal/manifest"
 	"ploverhitch/internal/membership"
 	"ploverhitch/internal/telegram"
 	"ploverhitch/internal/timetable"
@@ -90,9 +90,9 @@
 
 	It("is a new intent that the cutoff in force turns away, never one that it holds, and none once the cutoff lapsed", func() {
 		b.trust()
-		body, err := json.Marshal(manifest.LaneSpec{Name: "fee", PathPrefix: "/fee/", LaneType: manifest.Idempotent, Service: "fees", MaxAttempts: 1, Revision: 1})
+		body, err := json.Marshal(config.LaneSpec{Name: "fee", PathPrefix: "/fee/", LaneType: config.Idempotent, Service: "fees", MaxAttempts: 1, Revision: 1})
 		Expect(err).NotTo(HaveOccurred())
-		b.store([]manifest.Item{{ID: manifest.ID{Class: manifest.LaneItem, Name: "fee"}, Version: 1, Host: "h", Body: body}}, func() {})
+		b.store([]config.Item{{ID: config.ID{Class: config.LaneItem, Name: "fee"}, Version: 1, Host: "h", Body: body}}, func() {})
 		Expect(vote(3, "old")).To(Equal(ledger.Granted))
 		cutoff := loadgauge.Cutoff{Service: "fees", Number: 1, Seed: 5, Tier: 0, Part: 1}
 		Expect(tell(feed.Fleet{Term: 1, Count: 1, Cutoffs: []loadgauge.Cutoff{cutoff}})).To(BeTrue())
--- a/internal/signalbox/mirrors.go
+++ b/internal/signalbox/mirrors.go
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
+	"ploverhitch/internal/config"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/loopline"
-	"ploverhitch/internal/manifest"
 )
 
 const (
@@ -38,8 +38,8 @@
 // goes or starts anew, as what it saw of a conversation is known to nobody then.
 func (c *conductor) mirrors() (out []loopline.Grant) {
 	var mirrors []loopline.Mirror
-	var versions []manifest.Version
-	var sheet *manifest.Sheet
+	var versions []config.Version
+	var sheet *config.Sheet
 	c.keeper.read(func(t *tables) {
 		if mirrors, versions = t.mirrorsNow(); len(mirrors) > 0 {
 			sheet = t.compiled()
--- a/internal/signalbox/orders.go
+++ b/internal/signalbox/orders.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
+	"ploverhitch/internal/config"
 	"ploverhitch/internal/derail"
-	"ploverhitch/internal/manifest"
 	"ploverhitch/internal/telegram"
 	"ploverhitch/internal/timetable"
 	"ploverhitch/internal/trial"
@@ -36,7 +36,7 @@
 	if !isKnown {
 		isService := false
 		c.keeper.read(func(t *tables) {
-			item, isThere := t.book[manifest.ID{Class: manifest.ServiceItem, Name: in.Service}]
+			item, isThere := t.book[config.ID{Class: config.ServiceItem, Name: in.Service}]
 			isService = isThere && !item.Dropped
 		})
 		if !isService {
--- a/internal/signalbox/settle.go
+++ b/internal/signalbox/settle.go
@@ -6,7 +6,7 @@
 
 	"github.com/juju/errors"
 
-	"ploverhitch/internal/manifest"
+	"ploverhitch/internal/config"
 	"ploverhitch/internal/membership"
 	"ploverhitch/internal/signal"
 	"ploverhitch/internal/telegram"
@@ -110,7 +110,7 @@
 }
 
 func (t *tables) union(pages []telegram.Page) (out []record) {
-	var items []manifest.Item
+	var items []config.Item
 	for _, page := range pages {
 		for _, entry := range t.voter.Union(page.Entries) {
 			out = append(out, record{Entry: &entry})
--- a/internal/signalbox/sites.go
+++ b/internal/signalbox/sites.go
@@ -7,9 +7,9 @@
 	"github.com/juju/errors"
 
 	"ploverhitch/internal/branchline"
+	"ploverhitch/internal/config"
 	"ploverhitch/internal/derail"
 	"ploverhitch/internal/feed"
-	"ploverhitch/internal/manifest"
 	"ploverhitch/internal/telegram"
 )
 
@@ -100,7 +100,7 @@
 }
 
 // checkSites refuses a book whose sites make no tree.
-func (b *box) checkSites(book manifest.Book) error {
+func (b *box) checkSites(book config.Book) error {
 	_, err := book.Tree(b.set.Load().Platform.Cells)
 	if err != nil {
 		return derail.New(derail.BadManifest, errors.Cause(err).Error())
--- a/internal/signalbox/staged.go
+++ b/internal/signalbox/staged.go
@@ -7,9 +7,9 @@
 
 	validation "github.com/go-ozzo/ozzo-validation/v4"
 
+	"ploverhitch/internal/config"
 	"ploverhitch/internal/derail"
 	"ploverhitch/internal/hotbox"
-	"ploverhitch/internal/manifest"
 	"ploverhitch/internal/telegram"
 	"ploverhitch/internal/timetable"
 	"ploverhitch/internal/trial"
@@ -36,7 +36,7 @@
 	if err := readOrder(r, callBytes, &order); err != nil {
 		return nil, err
 	}
-	items, err := manifest.ParseModify(order.Change)
+	items, err := config.ParseModify(order.Change)
 	if err == nil && len(items) == 0 {
 		err = derail.New(derail.BadOrder, "the change has no items")
 	}
--- a/internal/signalbox/stages.go
+++ b/internal/signalbox/stages.go
@@ -5,9 +5,9 @@
 	"slices"
 	"time"
 
+	"ploverhitch/internal/config"
 	"ploverhitch/internal/derail"
 	"ploverhitch/internal/feed"
-	"ploverhitch/internal/manifest"
 	"ploverhitch/internal/telegram"
 	"ploverhitch/internal/timetable"
 	"ploverhitch/internal/trial"
@@ -92,8 +92,8 @@
 	return derail.None, ""
 }
 
-func sameItems(a, z []manifest.Item) bool {
-	return slices.EqualFunc(a, z, func(x, y manifest.Item) bool {
+func sameItems(a, z []config.Item) bool {
+	return slices.EqualFunc(a, z, func(x, y config.Item) bool {
 		return x.ID == y.ID && x.Version == y.Version && string(x.Body) == string(y.Body) && x.Host == y.Host && x.Dropped == y.Dropped
 	})
 }
@@ -125,7 +125,7 @@
 	}
 	d.finding = facts.Finding
 	doubled := 0
-	var newer []manifest.Item
+	var newer []config.Item
 	isHeld := true
 	c.keeper.read(func(t *tables) {
 		doubled, newer = t.voter.Doubles(), t.book.Newer(state.Items)
--- a/internal/signalbox/tables.go
+++ b/internal/signalbox/tables.go
@@ -3,10 +3,10 @@
 import (
 	"time"
 
+	"ploverhitch/internal/config"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/ledger"
 	"ploverhitch/internal/loopline"
-	"ploverhitch/internal/manifest"
 	"ploverhitch/internal/membership"
 	"ploverhitch/internal/timetable"
 	"ploverhitch/internal/trial"
@@ -15,7 +15,7 @@
 // record is one kept change; exactly one part is set.
 type record struct {
 	Entry    *ledger.Entry        `cbor:"1,keyasint,omitempty"`
-	Items    []manifest.Item      `cbor:"2,keyasint,omitempty"`
+	Items    []config.Item        `cbor:"2,keyasint,omitempty"`
 	Acceptor *membership.Acceptor `cbor:"3,keyasint,omitempty"`
 	View     *membership.View     `cbor:"4,keyasint,omitempty"`
 	Term     *membership.Term     `cbor:"5,keyasint,omitempty"`
@@ -27,7 +27,7 @@
 // tables is everything that is kept; the keeper alone touches it.
 type tables struct {
 	voter    *ledger.Voter
-	book     manifest.Book
+	book     config.Book
 	acceptor membership.Acceptor
 	view     membership.View
 	term     membership.Term
@@ -42,15 +42,15 @@
 	digest    string
 	// sheet is the compiled book of the digest sheetOf, mirrors and versions the
 	// orders to copy in that of mirrorsOf.
-	sheet     *manifest.Sheet
+	sheet     *config.Sheet
 	sheetOf   string
 	mirrors   []loopline.Mirror
-	versions  []manifest.Version
+	versions  []config.Version
 	mirrorsOf string
 }
 
 func newTables(policy ledger.Policy) *tables {
-	return &tables{voter: ledger.NewVoter(policy), book: manifest.Book{}, trials: map[string]trial.State{}, isEmpty: true}
+	return &tables{voter: ledger.NewVoter(policy), book: config.Book{}, trials: map[string]trial.State{}, isEmpty: true}
 }
 
 // apply puts one record into the tables, as it is made and at every start.
@@ -86,7 +86,7 @@
 
 // compiled is the book made ready for reading; it is made again only where an item is
 // new.
-func (t *tables) compiled() *manifest.Sheet {
+func (t *tables) compiled() *config.Sheet {
 	if digest := t.bookDigest(); t.sheet == nil || t.sheetOf != digest {
 		t.sheet, t.sheetOf = t.book.Compile(), digest
 	}
@@ -95,7 +95,7 @@
 
 // mirrorsNow are the orders to copy; the book is looked through only where an item is
 // new.
-func (t *tables) mirrorsNow() ([]loopline.Mirror, []manifest.Version) {
+func (t *tables) mirrorsNow() ([]loopline.Mirror, []config.Version) {
 	if digest := t.bookDigest(); t.mirrorsOf != digest {
 		t.mirrors, t.versions = t.book.Mirrors()
 		t.mirrorsOf = digest
@@ -103,7 +103,7 @@
 	return t.mirrors, t.versions
 }
 
-func (t *tables) merge(items []manifest.Item) (news []manifest.Item) {
+func (t *tables) merge(items []config.Item) (news []config.Item) {
 	if news = t.book.Merge(items); len(news) > 0 {
 		t.digest = ""
 	}
--- a/internal/telegram/telegram.go
+++ b/internal/telegram/telegram.go
@@ -3,8 +3,8 @@
 package telegram
 
 import (
+	"ploverhitch/internal/config"
 	"ploverhitch/internal/ledger"
-	"ploverhitch/internal/manifest"
 	"ploverhitch/internal/membership"
 	"ploverhitch/internal/signal"
 	"ploverhitch/internal/trial"
@@ -75,14 +75,14 @@
 
 // Items is the reply; it counts only from a trusted node.
 type Items struct {
-	IsTrusted bool            `cbor:"1,keyasint"`
-	IsSame    bool            `cbor:"2,keyasint"`
-	Items     []manifest.Item `cbor:"3,keyasint,omitempty"`
+	IsTrusted bool          `cbor:"1,keyasint"`
+	IsSame    bool          `cbor:"2,keyasint"`
+	Items     []config.Item `cbor:"3,keyasint,omitempty"`
 }
 
 // Store brings items to be merged and kept.
 type Store struct {
-	Items []manifest.Item `cbor:"1,keyasint"`
+	Items []config.Item `cbor:"1,keyasint"`
 }
 
 // Dump asks for all that a node holds; the node must be in the asker's epoch or
@@ -96,7 +96,7 @@
 	OK       bool                `cbor:"1,keyasint"`
 	Entries  []ledger.Entry      `cbor:"2,keyasint,omitempty"`
 	IsLast   bool                `cbor:"3,keyasint,omitempty"`
-	Items    []manifest.Item     `cbor:"4,keyasint,omitempty"`
+	Items    []config.Item       `cbor:"4,keyasint,omitempty"`
 	Acceptor membership.Acceptor `cbor:"5,keyasint"`
 	Term     membership.Term     `cbor:"6,keyasint"`
 	Trials   []trial.State       `cbor:"7,keyasint,omitempty"`
--- a/internal/telegram/trials.go
+++ b/internal/telegram/trials.go
@@ -1,9 +1,9 @@
 package telegram
 
 import (
+	"ploverhitch/internal/config"
 	"ploverhitch/internal/derail"
 	"ploverhitch/internal/hotbox"
-	"ploverhitch/internal/manifest"
 	"ploverhitch/internal/membership"
 	"ploverhitch/internal/trial"
 )
@@ -37,11 +37,11 @@
 // StageOrder passes an operator's order for a staged change on to the holder of
 // the duty, or the order to halt one.
 type StageOrder struct {
-	Name     string          `cbor:"1,keyasint"`
-	First    string          `cbor:"2,keyasint,omitempty"`
-	Duration int64           `cbor:"3,keyasint,omitempty"`
-	Items    []manifest.Item `cbor:"4,keyasint,omitempty"`
-	IsHalt   bool            `cbor:"5,keyasint,omitempty"`
+	Name     string        `cbor:"1,keyasint"`
+	First    string        `cbor:"2,keyasint,omitempty"`
+	Duration int64         `cbor:"3,keyasint,omitempty"`
+	Items    []config.Item `cbor:"4,keyasint,omitempty"`
+	IsHalt   bool          `cbor:"5,keyasint,omitempty"`
 }
 
 // Evidence asks the holder for what it knows of a trial, and is the reply.
--- a/internal/telegraph/telegraph.go
+++ b/internal/telegraph/telegraph.go
@@ -9,8 +9,8 @@
 
 	"github.com/juju/errors"
 
+	"ploverhitch/internal/config"
 	"ploverhitch/internal/feed"
-	"ploverhitch/internal/manifest"
 	"ploverhitch/internal/membership"
 	"ploverhitch/internal/settings"
 	"ploverhitch/internal/signal"
@@ -112,9 +112,9 @@
 // retell brings a core node the items that it lacks and this telegraph holds,
 // as after a loss that was larger than the core can mend by itself.
 func (d *desk) retell(t told) {
-	lacking := manifest.Book{}
+	lacking := config.Book{}
 	lacking.Merge(t.news.Items)
-	var items []manifest.Item
+	var items []config.Item
 	d.hub.Read(func(board *feed.Board) { items = lacking.Newer(board.Book.Items()) })
 	if line := d.lines[t.from]; line != nil && len(items) > 0 {
 		d.note("info", "retelling items", "to", t.from, "items", len(items))
--- a/internal/trial/stage.go
+++ b/internal/trial/stage.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
+	"ploverhitch/internal/config"
 	"ploverhitch/internal/hotbox"
-	"ploverhitch/internal/manifest"
 )
 
 // StagePrefix begins the subject of a staged change of lanes.
@@ -118,7 +118,7 @@
 // Example:
 //
 //	if name := ended.UsedUp(items); name != "" { refuse(name) }
-func (s State) UsedUp(items []manifest.Item) string {
+func (s State) UsedUp(items []config.Item) string {
 	if s.Phase != Reverted {
 		return ""
 	}
--- a/internal/trial/state.go
+++ b/internal/trial/state.go
@@ -6,7 +6,7 @@
 import (
 	"time"
 
-	"ploverhitch/internal/manifest"
+	"ploverhitch/internal/config"
 	"ploverhitch/internal/timetable"
 )
 
@@ -105,9 +105,9 @@
 	Count uint64 `cbor:"10,keyasint"`
 	// Items and Waves belong to a staged change: what it would make of the
 	// manifest, and the nodes that it reaches, wave by wave.
-	Items []manifest.Item `cbor:"11,keyasint,omitempty"`
-	Waves [][]string      `cbor:"12,keyasint,omitempty"`
-	Wave  int             `cbor:"13,keyasint,omitempty"`
+	Items []config.Item `cbor:"11,keyasint,omitempty"`
+	Waves [][]string    `cbor:"12,keyasint,omitempty"`
+	Wave  int           `cbor:"13,keyasint,omitempty"`
 }
 
 // Outranks tells whether this writing is newer than the other.
