--- a/cmd/gradient/measures.go
+++ b/cmd/gradient/measures.go
@@ -10,7 +10,7 @@
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/hotbox"
-	"ploverhitch/internal/ledger"
+	"ploverhitch/internal/idempotency"
 	"ploverhitch/internal/loadgauge"
 	"ploverhitch/internal/shunt"
 	"ploverhitch/internal/signal"
@@ -108,11 +108,11 @@
 
 func intents(size int) result {
 	body := make([]byte, 1500)
-	vote := func(voter *ledger.Voter, at int) {
+	vote := func(voter *idempotency.Voter, at int) {
 		name := fmt.Sprint("k-", at)
-		intent := ledger.Intent{Key: ledger.Key{Tenant: "h.example", Key: name}, Attempt: ledger.Attempt(name), Lane: "lane", Service: "fees", Reservation: name, CreatedMs: 1}
+		intent := idempotency.Intent{Key: idempotency.Key{Tenant: "h.example", Key: name}, Attempt: idempotency.Attempt(name), Lane: "lane", Service: "fees", Reservation: name, CreatedMs: 1}
 		voter.Reserve(intent)
-		intent.State, intent.Reply = ledger.Completed, &ledger.Reply{Status: 200, Seal: "3e1b.07.5a2.600.0.c9f2a4d1", Body: append([]byte(nil), body...)}
+		intent.State, intent.Reply = idempotency.Completed, &idempotency.Reply{Status: 200, Seal: "3e1b.07.5a2.600.0.c9f2a4d1", Body: append([]byte(nil), body...)}
 		entry, err := voter.Record(intent)
 		if err != nil {
 			panic(err)
@@ -120,8 +120,8 @@
 		written(entry)
 	}
 	var took time.Duration
-	bytes, _ := held(func() *ledger.Voter {
-		voter, began := ledger.NewVoter(ledger.Policy{KeyWindow: time.Minute}), time.Now()
+	bytes, _ := held(func() *idempotency.Voter {
+		voter, began := idempotency.NewVoter(idempotency.Policy{KeyWindow: time.Minute}), time.Now()
 		for at := range size {
 			vote(voter, at)
 		}
--- a/internal/ledger/intent.go
+++ b/internal/idempotency/intent.go
@@ -1,7 +1,7 @@
-// Package ledger is the paper's idempotent replay: one intent record a key, a
+// Package idempotency is the paper's idempotent replay: one intent record a key, a
 // table of its states, quota kept as events, and the vote by which a key's
 // first attempt becomes the only one that may be delivered.
-package ledger
+package idempotency
 
 import (
 	"crypto/sha256"
@@ -35,7 +35,7 @@
 //
 // Example:
 //
-//	ledger.Reserved.String() // "Reserved"
+//	idempotency.Reserved.String() // "Reserved"
 func (s State) String() string { return stateNames[s] }
 
 // IsOpen tells whether the outcome is still to be shown.
@@ -59,7 +59,7 @@
 //
 // Example:
 //
-//	ledger.MayFollow(ledger.Completed, ledger.Reserved) // false
+//	idempotency.MayFollow(idempotency.Completed, idempotency.Reserved) // false
 func MayFollow(from, to State) bool { return transitions[from][to] }
 
 // Key is a client's operation key within its tenant. The service is no part of
@@ -79,7 +79,7 @@
 //
 // Example:
 //
-//	hash := ledger.HashOf("POST", "/pay/1?x=2", body)
+//	hash := idempotency.HashOf("POST", "/pay/1?x=2", body)
 func HashOf(method, target string, body []byte) (out Hash) {
 	sum := sha256.New()
 	var size [8]byte
@@ -128,7 +128,7 @@
 //
 // Example:
 //
-//	done, err := intent.Step(ledger.Completed)
+//	done, err := intent.Step(idempotency.Completed)
 func (i Intent) Step(to State) (Intent, error) {
 	if !MayFollow(i.State, to) {
 		return i, errors.NotValidf("step from %s to %s", i.State, to)
--- a/internal/ledger/ledger_test.go
+++ b/internal/idempotency/ledger_test.go
@@ -1,4 +1,4 @@
-package ledger_test
+package idempotency_test
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ploverhitch/internal/ledger"
+	"ploverhitch/internal/idempotency"
 	"ploverhitch/internal/timetable"
 )
 
@@ -62,50 +62,50 @@
 	)
 
 	It("count nothing that came after the round's span", func() {
-		round := ledger.NewRound(ledger.Hash{}, 3, 0, timetable.Steady(100))
-		round.On(&ledger.Ballot{Verdict: ledger.Granted})
-		round.On(&ledger.Ballot{Verdict: ledger.Granted})
-		Expect(round.Standing(100)).To(Equal(ledger.Won))
-		Expect(round.Standing(101)).To(Equal(ledger.NoMajority))
+		round := idempotency.NewRound(idempotency.Hash{}, 3, 0, timetable.Steady(100))
+		round.On(&idempotency.Ballot{Verdict: idempotency.Granted})
+		round.On(&idempotency.Ballot{Verdict: idempotency.Granted})
+		Expect(round.Standing(100)).To(Equal(idempotency.Won))
+		Expect(round.Standing(101)).To(Equal(idempotency.NoMajority))
 	})
 
 	It("reject another inquiry under a used key", func() {
-		voter := ledger.NewVoter(policy())
-		one := ledger.Intent{Attempt: "a", Reservation: "a", Hash: ledger.HashOf("POST", "/x", []byte("1"))}
+		voter := idempotency.NewVoter(policy())
+		one := idempotency.Intent{Attempt: "a", Reservation: "a", Hash: idempotency.HashOf("POST", "/x", []byte("1"))}
 		ballot, _ := voter.Reserve(one)
-		Expect(ballot.Verdict).To(Equal(ledger.Granted))
-		other := ledger.Intent{Attempt: "b", Reservation: "b", Hash: ledger.HashOf("POST", "/x", []byte("2"))}
+		Expect(ballot.Verdict).To(Equal(idempotency.Granted))
+		other := idempotency.Intent{Attempt: "b", Reservation: "b", Hash: idempotency.HashOf("POST", "/x", []byte("2"))}
 		ballot, entry := voter.Reserve(other)
 		Expect(entry).To(BeNil())
-		round := ledger.NewRound(other.Hash, 1, 0, 1)
+		round := idempotency.NewRound(other.Hash, 1, 0, 1)
 		round.On(&ballot)
-		Expect(round.Standing(0)).To(Equal(ledger.Conflicting))
+		Expect(round.Standing(0)).To(Equal(idempotency.Conflicting))
 	})
 })
 
 var _ = Describe("quota", func() {
 	It("is what a plain count over the intents comes to, at every step", func() {
 		random := rand.New(rand.NewPCG(9, 9))
-		voter := ledger.NewVoter(policy())
-		state := map[string]ledger.State{}
+		voter := idempotency.NewVoter(policy())
+		state := map[string]idempotency.State{}
 		consumed := 0
 		for step := range 3000 {
 			key := fmt.Sprint(random.IntN(30))
-			intent := ledger.Intent{Key: ledger.Key{Key: key}, Attempt: ledger.Attempt(key), Reservation: fmt.Sprint(key, "/", step), Lane: "lane", CreatedMs: 5}
+			intent := idempotency.Intent{Key: idempotency.Key{Key: key}, Attempt: idempotency.Attempt(key), Reservation: fmt.Sprint(key, "/", step), Lane: "lane", CreatedMs: 5}
 			if held := voter.Find(intent.Key); held != nil {
 				intent.Reservation = held.Reservation
 			}
-			to := ledger.State(1 + random.IntN(5))
-			if to == ledger.Reserved {
-				if ballot, _ := voter.Reserve(intent); ballot.Verdict == ledger.Granted && state[key] == ledger.Absent {
-					state[key] = ledger.Reserved
+			to := idempotency.State(1 + random.IntN(5))
+			if to == idempotency.Reserved {
+				if ballot, _ := voter.Reserve(intent); ballot.Verdict == idempotency.Granted && state[key] == idempotency.Absent {
+					state[key] = idempotency.Reserved
 				}
-			} else if intent.State = to; ledger.MayFollow(state[key], to) && state[key] != ledger.Absent {
+			} else if intent.State = to; idempotency.MayFollow(state[key], to) && state[key] != idempotency.Absent {
 				_, err := voter.Record(intent)
 				Expect(err).NotTo(HaveOccurred())
-				if state[key] = to; to == ledger.Released {
+				if state[key] = to; to == idempotency.Released {
 					delete(state, key)
-				} else if to == ledger.Completed {
+				} else if to == idempotency.Completed {
 					consumed++
 				}
 			}
@@ -121,31 +121,31 @@
 	})
 
 	It("bounds the open intents of a lane, and frees what is released", func() {
-		voter := ledger.NewVoter(ledger.Policy{OpenLimit: 1, KeyWindow: time.Minute})
-		first := ledger.Intent{Key: ledger.Key{Key: "1"}, Attempt: "1", Reservation: "1", Lane: "lane"}
-		second := ledger.Intent{Key: ledger.Key{Key: "2"}, Attempt: "2", Reservation: "2", Lane: "lane"}
+		voter := idempotency.NewVoter(idempotency.Policy{OpenLimit: 1, KeyWindow: time.Minute})
+		first := idempotency.Intent{Key: idempotency.Key{Key: "1"}, Attempt: "1", Reservation: "1", Lane: "lane"}
+		second := idempotency.Intent{Key: idempotency.Key{Key: "2"}, Attempt: "2", Reservation: "2", Lane: "lane"}
 		ballot, _ := voter.Reserve(first)
-		Expect(ballot.Verdict).To(Equal(ledger.Granted))
+		Expect(ballot.Verdict).To(Equal(idempotency.Granted))
 		ballot, _ = voter.Reserve(second)
-		Expect(ballot.Verdict).To(Equal(ledger.OverLimit))
-		first.State = ledger.Released
+		Expect(ballot.Verdict).To(Equal(idempotency.OverLimit))
+		first.State = idempotency.Released
 		_, err := voter.Record(first)
 		Expect(err).NotTo(HaveOccurred())
 		ballot, _ = voter.Reserve(second)
-		Expect(ballot.Verdict).To(Equal(ledger.Granted))
+		Expect(ballot.Verdict).To(Equal(idempotency.Granted))
 	})
 })
 
 var _ = Describe("retention", func() {
 	It("forgets the oldest ends first, and nothing inside the key window", func() {
-		voter := ledger.NewVoter(ledger.Policy{Retention: time.Hour, KeyWindow: time.Minute, Bytes: 1})
+		voter := idempotency.NewVoter(idempotency.Policy{Retention: time.Hour, KeyWindow: time.Minute, Bytes: 1})
 		at := func(s int64) time.Time { return time.UnixMilli(s * 1000) }
 		for i := range int64(3) {
 			name := fmt.Sprint(i)
-			intent := ledger.Intent{Key: ledger.Key{Key: name}, Attempt: ledger.Attempt(name), Reservation: name, Lane: "lane", CreatedMs: i * 30_000}
+			intent := idempotency.Intent{Key: idempotency.Key{Key: name}, Attempt: idempotency.Attempt(name), Reservation: name, Lane: "lane", CreatedMs: i * 30_000}
 			voter.Reserve(intent)
 			if i != 1 {
-				intent.State, intent.Reply = ledger.Completed, &ledger.Reply{Status: 200}
+				intent.State, intent.Reply = idempotency.Completed, &idempotency.Reply{Status: 200}
 				_, err := voter.Record(intent)
 				Expect(err).NotTo(HaveOccurred())
 			}
@@ -153,11 +153,11 @@
 		Expect(voter.Tend(at(59))).To(BeEmpty())
 		Expect(voter.Entries()).To(HaveLen(3))
 		Expect(voter.Tend(at(61))).To(BeEmpty())
-		Expect(voter.Find(ledger.Key{Key: "0"})).To(BeNil())
+		Expect(voter.Find(idempotency.Key{Key: "0"})).To(BeNil())
 		entries := voter.Tend(at(91))
 		Expect(entries).To(HaveLen(1))
-		Expect(entries[0].Intent.State).To(Equal(ledger.Expired))
-		Expect(voter.Find(ledger.Key{Key: "2"})).NotTo(BeNil())
+		Expect(entries[0].Intent.State).To(Equal(idempotency.Expired))
+		Expect(voter.Find(idempotency.Key{Key: "2"})).NotTo(BeNil())
 		Expect(voter.Quota().Open("lane")).To(Equal(0))
 	})
 })
--- a/internal/ledger/quota.go
+++ b/internal/idempotency/quota.go
@@ -1,4 +1,4 @@
-package ledger
+package idempotency
 
 import "github.com/juju/errors"
 
--- a/internal/ledger/round.go
+++ b/internal/idempotency/round.go
@@ -1,4 +1,4 @@
-package ledger
+package idempotency
 
 import "ploverhitch/internal/timetable"
 
@@ -36,7 +36,7 @@
 //
 // Example:
 //
-//	round := ledger.NewRound(hash, 3, clock.Steady(), span)
+//	round := idempotency.NewRound(hash, 3, clock.Steady(), span)
 func NewRound(hash Hash, members int, began, span timetable.Steady) *Round {
 	return &Round{Hash: hash, members: members, began: began, span: span}
 }
@@ -71,7 +71,7 @@
 //
 // Example:
 //
-//	if round.Standing(clock.Steady()) == ledger.Won { deliver() }
+//	if round.Standing(clock.Steady()) == idempotency.Won { deliver() }
 func (r *Round) Standing(now timetable.Steady) Standing {
 	majority := r.members/2 + 1
 	isInTime := now-r.began <= r.span
--- a/internal/ledger/voter.go
+++ b/internal/idempotency/voter.go
@@ -1,4 +1,4 @@
-package ledger
+package idempotency
 
 import (
 	"time"
@@ -61,7 +61,7 @@
 //
 // Example:
 //
-//	voter := ledger.NewVoter(ledger.Policy{OpenLimit: 100, KeyWindow: time.Minute})
+//	voter := idempotency.NewVoter(idempotency.Policy{OpenLimit: 100, KeyWindow: time.Minute})
 func NewVoter(policy Policy) *Voter {
 	return &Voter{policy: policy, intents: map[Key]*Intent{}, quota: newQuota()}
 }
--- a/internal/ledger/world_test.go
+++ b/internal/idempotency/world_test.go
@@ -1,4 +1,4 @@
-package ledger_test
+package idempotency_test
 
 import (
 	"fmt"
@@ -7,30 +7,30 @@
 
 	. "github.com/onsi/gomega"
 
-	"ploverhitch/internal/ledger"
+	"ploverhitch/internal/idempotency"
 )
 
 // node is one core node of the simulation: what it tells came from its kept
 // entries, so a restart reads those again.
 type node struct {
-	voter     *ledger.Voter
-	kept      []ledger.Entry
+	voter     *idempotency.Voter
+	kept      []idempotency.Entry
 	isDown    bool
 	isTrusted bool
 }
 
-func policy() ledger.Policy {
-	return ledger.Policy{OpenLimit: 1000, Retention: time.Hour, KeyWindow: time.Minute, Margin: time.Second}
+func policy() idempotency.Policy {
+	return idempotency.Policy{OpenLimit: 1000, Retention: time.Hour, KeyWindow: time.Minute, Margin: time.Second}
 }
 
-func (n *node) keep(entry *ledger.Entry) {
+func (n *node) keep(entry *idempotency.Entry) {
 	if entry != nil {
 		n.kept = append(n.kept, *entry)
 	}
 }
 
 func (n *node) restart() {
-	n.voter = ledger.NewVoter(policy())
+	n.voter = idempotency.NewVoter(policy())
 	for _, entry := range n.kept {
 		_ = n.voter.Apply(entry)
 	}
@@ -48,8 +48,8 @@
 }
 
 type try struct {
-	intent  ledger.Intent
-	round   *ledger.Round
+	intent  idempotency.Intent
+	round   *idempotency.Round
 	unasked []int
 	isOver  bool
 }
@@ -58,11 +58,11 @@
 	w.tries++
 	name := fmt.Sprint("try", w.tries)
 	t := &try{unasked: w.random.Perm(len(w.nodes))}
-	t.intent = ledger.Intent{
-		Key: ledger.Key{Tenant: "host", Key: fmt.Sprint(w.random.IntN(8))}, Attempt: ledger.Attempt(name),
-		Lane: "lane", Reservation: name, State: ledger.Reserved, CreatedMs: 1_000_000_000,
+	t.intent = idempotency.Intent{
+		Key: idempotency.Key{Tenant: "host", Key: fmt.Sprint(w.random.IntN(8))}, Attempt: idempotency.Attempt(name),
+		Lane: "lane", Reservation: name, State: idempotency.Reserved, CreatedMs: 1_000_000_000,
 	}
-	t.round = ledger.NewRound(t.intent.Hash, len(w.nodes), 0, 100)
+	t.round = idempotency.NewRound(t.intent.Hash, len(w.nodes), 0, 100)
 	return t
 }
 
@@ -85,9 +85,9 @@
 	}
 	key := t.intent.Key.Key
 	switch t.round.Standing(50) {
-	case ledger.Undecided:
+	case idempotency.Undecided:
 		return
-	case ledger.Won:
+	case idempotency.Won:
 		w.runs[key]++
 		answer := fmt.Sprint("answer of ", t.intent.Attempt)
 		if w.first[key] == "" {
@@ -96,23 +96,23 @@
 		switch w.random.IntN(4) {
 		case 0: // the proxy dies: nothing is recorded
 		case 1:
-			t.intent.State = ledger.TimeoutUnresolved
+			t.intent.State = idempotency.TimeoutUnresolved
 			w.record(t.intent)
 		default:
-			t.intent.State, t.intent.Reply = ledger.Completed, &ledger.Reply{Status: 200, Seal: answer}
+			t.intent.State, t.intent.Reply = idempotency.Completed, &idempotency.Reply{Status: 200, Seal: answer}
 			w.record(t.intent)
 		}
-	case ledger.Replayable:
+	case idempotency.Replayable:
 		Expect(t.round.Terminal().Reply.Seal).To(Equal(w.first[key]))
 		fallthrough
 	default:
-		t.intent.State = ledger.Released
+		t.intent.State = idempotency.Released
 		w.record(t.intent)
 	}
 	t.isOver = true
 }
 
-func (w *world) record(intent ledger.Intent) {
+func (w *world) record(intent idempotency.Intent) {
 	for _, n := range w.nodes {
 		if !n.isDown && w.random.IntN(6) > 0 {
 			entry, err := n.voter.Record(intent)
--- a/internal/loadgauge/clients_test.go
+++ b/internal/loadgauge/clients_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"ploverhitch/internal/ledger"
+	"ploverhitch/internal/idempotency"
 	"ploverhitch/internal/loadgauge"
 	"ploverhitch/internal/timetable"
 )
@@ -70,20 +70,20 @@
 
 // secure asks the members for their votes, as a proxy does.
 func (w *world) secure(c *client) bool {
-	c.intent = ledger.Intent{Key: ledger.Key{Tenant: "h", Key: c.key}, Attempt: ledger.Attempt(fmt.Sprint(c.key, "-", c.tries)), Lane: c.lane, Reservation: fmt.Sprint(c.key, "-", c.tries)}
-	round := ledger.NewRound(c.intent.Hash, len(w.members), w.hand.Steady(), timetable.Steady(time.Second))
+	c.intent = idempotency.Intent{Key: idempotency.Key{Tenant: "h", Key: c.key}, Attempt: idempotency.Attempt(fmt.Sprint(c.key, "-", c.tries)), Lane: c.lane, Reservation: fmt.Sprint(c.key, "-", c.tries)}
+	round := idempotency.NewRound(c.intent.Hash, len(w.members), w.hand.Steady(), timetable.Steady(time.Second))
 	c.winners = nil
 	for _, m := range w.members {
-		ballot := ledger.Ballot{Verdict: ledger.Shed}
+		ballot := idempotency.Ballot{Verdict: idempotency.Shed}
 		if m.voter.Find(c.intent.Key) != nil || !w.sheds(m, c.key) {
 			ballot, _ = m.voter.Reserve(c.intent)
 		}
-		if ballot.Verdict == ledger.Granted {
+		if ballot.Verdict == idempotency.Granted {
 			c.winners = append(c.winners, m)
 		}
 		round.On(&ballot)
 	}
-	if round.Standing(w.hand.Steady()) == ledger.Won {
+	if round.Standing(w.hand.Steady()) == idempotency.Won {
 		return true
 	}
 	w.giveBack(c)
@@ -92,7 +92,7 @@
 
 func (w *world) giveBack(c *client) {
 	released := c.intent
-	released.State = ledger.Released
+	released.State = idempotency.Released
 	for _, m := range c.winners {
 		_, _ = m.voter.Record(released)
 	}
@@ -132,7 +132,7 @@
 			w.ran[j.c.key]++
 			w.kept[j.c.key] = true
 			done := j.c.intent
-			done.State, done.Reply = ledger.Completed, &ledger.Reply{Status: 200}
+			done.State, done.Reply = idempotency.Completed, &idempotency.Reply{Status: 200}
 			for _, m := range w.members {
 				_, _ = m.voter.Record(done)
 			}
--- a/internal/loadgauge/world_test.go
+++ b/internal/loadgauge/world_test.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"time"
 
-	"ploverhitch/internal/ledger"
+	"ploverhitch/internal/idempotency"
 	"ploverhitch/internal/loadgauge"
 	"ploverhitch/internal/timetable"
 )
@@ -57,7 +57,7 @@
 }
 
 type member struct {
-	voter   *ledger.Voter
+	voter   *idempotency.Voter
 	cutoffs []loadgauge.Cutoff
 	heardAt time.Duration
 	delay   time.Duration
@@ -79,7 +79,7 @@
 	lane, key string
 	born, at  time.Duration
 	tries     int
-	intent    ledger.Intent
+	intent    idempotency.Intent
 	winners   []*member
 }
 
@@ -99,7 +99,7 @@
 		w.nodes = append(w.nodes, w.newNode())
 	}
 	for range 5 {
-		w.members = append(w.members, &member{voter: ledger.NewVoter(ledger.Policy{KeyWindow: time.Minute}), delay: w.lateness()})
+		w.members = append(w.members, &member{voter: idempotency.NewVoter(idempotency.Policy{KeyWindow: time.Minute}), delay: w.lateness()})
 	}
 	for number := range 20 {
 		w.servers = append(w.servers, &server{id: fmt.Sprint("i-", number)})
--- a/internal/points/inquiry.go
+++ b/internal/points/inquiry.go
@@ -14,7 +14,7 @@
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/coupling"
 	"ploverhitch/internal/derail"
-	"ploverhitch/internal/ledger"
+	"ploverhitch/internal/idempotency"
 	"ploverhitch/internal/loopline"
 	"ploverhitch/internal/shunt"
 )
@@ -28,7 +28,7 @@
 	arrived time.Time
 	// due is when the client, or the lane, stops waiting.
 	due     time.Time
-	key     ledger.Key
+	key     idempotency.Key
 	maySend func() bool
 	// place is where the ring of the service puts a keyed operation or a
 	// download.
--- a/internal/points/replay.go
+++ b/internal/points/replay.go
@@ -11,7 +11,7 @@
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/coupling"
 	"ploverhitch/internal/derail"
-	"ploverhitch/internal/ledger"
+	"ploverhitch/internal/idempotency"
 	"ploverhitch/internal/telegram"
 	"ploverhitch/internal/timetable"
 )
@@ -20,22 +20,22 @@
 type attempt struct {
 	*proxy
 	one    *inquiry
-	intent ledger.Intent
-	round  *ledger.Round
+	intent idempotency.Intent
+	round  *idempotency.Round
 	// ungranted are the members whose vote is surely not ours to give back.
 	ungranted map[string]bool
 }
 
 // decisions is the paper's replay matrix: from what the vote round came to, to
 // what is done with the inquiry.
-var decisions = map[ledger.Standing]func(*attempt, context.Context, endpoint.Endpoint) (any, error){
-	ledger.Won:         (*attempt).forward,
-	ledger.Replayable:  (*attempt).replay,
-	ledger.InWork:      (*attempt).resume,
-	ledger.Conflicting: rejecting(derail.Conflict),
-	ledger.Limited:     rejecting(derail.OverLimit),
-	ledger.NoMajority:  rejecting(derail.NoQuorum),
-	ledger.TurnedAway:  (*attempt).turnAway,
+var decisions = map[idempotency.Standing]func(*attempt, context.Context, endpoint.Endpoint) (any, error){
+	idempotency.Won:         (*attempt).forward,
+	idempotency.Replayable:  (*attempt).replay,
+	idempotency.InWork:      (*attempt).resume,
+	idempotency.Conflicting: rejecting(derail.Conflict),
+	idempotency.Limited:     rejecting(derail.OverLimit),
+	idempotency.NoMajority:  rejecting(derail.NoQuorum),
+	idempotency.TurnedAway:  (*attempt).turnAway,
 }
 
 func rejecting(kind derail.Kind) func(*attempt, context.Context, endpoint.Endpoint) (any, error) {
@@ -54,16 +54,16 @@
 		if len(keys) != 1 || keys[0] == "" {
 			return nil, derail.New(derail.BadInquiry, "one operation key is needed")
 		}
-		one.key = ledger.Key{Tenant: one.lane.Host, Key: keys[0]}
+		one.key = idempotency.Key{Tenant: one.lane.Host, Key: keys[0]}
 		a := &attempt{proxy: p, one: one, ungranted: map[string]bool{}}
 		name := p.life + "-" + strconv.FormatUint(p.tries.Add(1), 36)
-		a.intent = ledger.Intent{
-			Key: one.key, Attempt: ledger.Attempt(name), Hash: ledger.HashOf(one.Method, one.Target, one.Body),
+		a.intent = idempotency.Intent{
+			Key: one.key, Attempt: idempotency.Attempt(name), Hash: idempotency.HashOf(one.Method, one.Target, one.Body),
 			Lane: one.lane.Name, Service: one.service, Manifest: uint64(one.lane.Revision), Reservation: name,
-			State: ledger.Reserved, CreatedMs: p.clock.Wall().UnixMilli(),
+			State: idempotency.Reserved, CreatedMs: p.clock.Wall().UnixMilli(),
 		}
 		standing := a.reserve()
-		if standing != ledger.Won {
+		if standing != idempotency.Won {
 			a.giveBack()
 		}
 		return decisions[standing](a, ctx, next)
@@ -79,8 +79,8 @@
 // forward delivers the inquiry of a won round, and records the outcome on a
 // majority before the client gets it.
 func (a *attempt) forward(ctx context.Context, next endpoint.Endpoint) (any, error) {
-	a.one.maySend = func() bool { return a.round.Standing(a.clock.Steady()) == ledger.Won }
-	a.step(ledger.AuthorizationPending)
+	a.one.maySend = func() bool { return a.round.Standing(a.clock.Steady()) == idempotency.Won }
+	a.step(idempotency.AuthorizationPending)
 	reply, err := next(ctx, a.one)
 	var open *openEnd
 	switch known := err.(type) {
@@ -95,7 +95,7 @@
 		a.giveBack()
 		return nil, err
 	}
-	a.step(ledger.TimeoutUnresolved)
+	a.step(idempotency.TimeoutUnresolved)
 	a.tell(a.intent, 0)
 	if open.late != nil {
 		// The first connection is kept: a late reply still shows the outcome.
@@ -111,7 +111,7 @@
 	return nil, derail.New(open.kind, "")
 }
 
-func (a *attempt) step(to ledger.State) {
+func (a *attempt) step(to idempotency.State) {
 	if next, err := a.intent.Step(to); err == nil {
 		a.intent = next
 		return
@@ -120,8 +120,8 @@
 }
 
 func (a *attempt) complete(reply *coupling.Reply) {
-	a.step(ledger.Completed)
-	a.intent.Reply = &ledger.Reply{
+	a.step(idempotency.Completed)
+	a.intent.Reply = &idempotency.Reply{
 		Status: reply.Status, Seal: reply.Header.Get(coupling.HeaderSeal),
 		ContentType: reply.Header.Get("Content-Type"), Body: reply.Body,
 	}
@@ -130,7 +130,7 @@
 
 // tell records the intent with every member, and waits until a majority has it
 // on disk, or the span ends.
-func (a *attempt) tell(intent ledger.Intent, wait time.Duration) {
+func (a *attempt) tell(intent idempotency.Intent, wait time.Duration) {
 	a.recent.add(intent, a.clock.Steady(), timetable.Steady(a.set.Load().Platform.Bounds.Sync))
 	view := a.sight.Load().view
 	kept, forget := askMembers[telegram.Done](a.proxy, view, telegram.KindRecord, telegram.Record{Intent: intent})
@@ -158,7 +158,7 @@
 	return replyOf(a.round.Terminal().Reply, a.one.Attempt), nil
 }
 
-func replyOf(recorded *ledger.Reply, attempt string) *coupling.Reply {
+func replyOf(recorded *idempotency.Reply, attempt string) *coupling.Reply {
 	header := http.Header{coupling.HeaderAttempt: {attempt}}
 	if recorded.Seal != "" {
 		header[coupling.HeaderSeal] = []string{recorded.Seal}
--- a/internal/points/replay_test.go
+++ b/internal/points/replay_test.go
@@ -12,7 +12,7 @@
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/coupling"
 	"ploverhitch/internal/derail"
-	"ploverhitch/internal/ledger"
+	"ploverhitch/internal/idempotency"
 	"ploverhitch/internal/settings"
 	"ploverhitch/internal/standin"
 	"ploverhitch/internal/timetable"
@@ -20,7 +20,7 @@
 
 var _ = Describe("a proxy that its machine froze", func() {
 	// try wins a round, stands still for so long after that, and then delivers.
-	try := func(frozen time.Duration) (runs int, state ledger.State, err error) {
+	try := func(frozen time.Duration) (runs int, state idempotency.State, err error) {
 		server, err := standin.NewServer("i-1", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		defer server.Close()
@@ -33,12 +33,12 @@
 			lane:    &config.Lane{}, sight: p.sight.Load(),
 		}
 		a := &attempt{proxy: p, one: one, ungranted: map[string]bool{}}
-		a.intent = ledger.Intent{Key: ledger.Key{Tenant: "h", Key: "k"}, State: ledger.Reserved}
-		a.round = ledger.NewRound(a.intent.Hash, 3, hand.Steady(), timetable.Steady(250*time.Millisecond))
+		a.intent = idempotency.Intent{Key: idempotency.Key{Tenant: "h", Key: "k"}, State: idempotency.Reserved}
+		a.round = idempotency.NewRound(a.intent.Hash, 3, hand.Steady(), timetable.Steady(250*time.Millisecond))
 		for range 2 {
-			a.round.On(&ledger.Ballot{Verdict: ledger.Granted})
+			a.round.On(&idempotency.Ballot{Verdict: idempotency.Granted})
 		}
-		Expect(a.round.Standing(hand.Steady())).To(Equal(ledger.Won))
+		Expect(a.round.Standing(hand.Steady())).To(Equal(idempotency.Won))
 		_, err = a.forward(context.Background(), func(context.Context, any) (any, error) {
 			hand.Now += frozen
 			due := time.Now().Add(5 * time.Second)
@@ -55,13 +55,13 @@
 		runs, state, err := try(250 * time.Millisecond)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(runs).To(Equal(1))
-		Expect(state).To(Equal(ledger.Completed))
+		Expect(state).To(Equal(idempotency.Completed))
 	})
 
 	It("delivers nothing once they lapsed, and gives them back", func() {
 		runs, state, err := try(251 * time.Millisecond)
 		Expect(err).To(HaveOccurred())
 		Expect(runs).To(BeZero())
-		Expect(state).To(Equal(ledger.Released))
+		Expect(state).To(Equal(idempotency.Released))
 	})
 })
--- a/internal/points/resume.go
+++ b/internal/points/resume.go
@@ -7,7 +7,7 @@
 	"github.com/go-kit/kit/endpoint"
 
 	"ploverhitch/internal/derail"
-	"ploverhitch/internal/ledger"
+	"ploverhitch/internal/idempotency"
 	"ploverhitch/internal/telegram"
 )
 
@@ -37,7 +37,7 @@
 
 // lookup asks every member for the key and returns an ended record, if one has
 // it, or else nil.
-func (a *attempt) lookup() *ledger.Intent {
+func (a *attempt) lookup() *idempotency.Intent {
 	view := a.sight.Load().view
 	got, forget := askMembers[telegram.Found](a.proxy, view, telegram.KindLookup, telegram.Lookup{Key: a.one.key})
 	defer forget()
--- a/internal/points/retell.go
+++ b/internal/points/retell.go
@@ -3,7 +3,7 @@
 import (
 	"sync"
 
-	"ploverhitch/internal/ledger"
+	"ploverhitch/internal/idempotency"
 	"ploverhitch/internal/signal"
 	"ploverhitch/internal/telegram"
 	"ploverhitch/internal/timetable"
@@ -17,10 +17,10 @@
 
 type toldIntent struct {
 	at     timetable.Steady
-	intent ledger.Intent
+	intent idempotency.Intent
 }
 
-func (r *recent) add(intent ledger.Intent, now, span timetable.Steady) {
+func (r *recent) add(intent idempotency.Intent, now, span timetable.Steady) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	old := 0
--- a/internal/points/vote.go
+++ b/internal/points/vote.go
@@ -4,16 +4,16 @@
 	"time"
 
 	"ploverhitch/internal/feed"
-	"ploverhitch/internal/ledger"
+	"ploverhitch/internal/idempotency"
 	"ploverhitch/internal/telegram"
 	"ploverhitch/internal/timetable"
 )
 
 // reserve asks every member of the core at once.
-func (a *attempt) reserve() ledger.Standing {
+func (a *attempt) reserve() idempotency.Standing {
 	view := a.sight.Load().view
 	began, span := a.clock.Steady(), a.set.Load().Tuning.VoteSpan
-	a.round = ledger.NewRound(a.intent.Hash, max(1, len(view.Members)), began, timetable.Steady(span))
+	a.round = idempotency.NewRound(a.intent.Hash, max(1, len(view.Members)), began, timetable.Steady(span))
 	votes, forget := askMembers[telegram.Vote](a.proxy, view, telegram.KindReserve, telegram.Reserve{Epoch: view.Epoch, Intent: a.intent})
 	defer forget()
 	alarm := time.NewTimer(min(span.Std(), time.Until(a.one.due), a.patience()))
@@ -25,7 +25,7 @@
 		case <-alarm.C:
 			return a.round.Standing(began + timetable.Steady(span) + 1)
 		}
-		if standing := a.round.Standing(a.clock.Steady()); standing != ledger.Undecided {
+		if standing := a.round.Standing(a.clock.Steady()); standing != idempotency.Undecided {
 			return standing
 		}
 	}
@@ -54,7 +54,7 @@
 		a.round.On(nil)
 		return
 	}
-	if got.reply.Ballot.Verdict != ledger.Granted {
+	if got.reply.Ballot.Verdict != idempotency.Granted {
 		a.ungranted[got.member] = true
 	}
 	if got.reply.View != nil {
@@ -66,7 +66,7 @@
 // giveBack frees the votes of an attempt that will never be delivered. Only
 // this proxy could have delivered it, so freeing them is safe.
 func (a *attempt) giveBack() {
-	a.intent.State = ledger.Released
+	a.intent.State = idempotency.Released
 	for _, member := range a.sight.Load().view.Members {
 		if !a.ungranted[member] {
 			a.line(member).Send(telegram.KindRecord, telegram.Record{Intent: a.intent}, nil)
--- a/internal/signal/frame.go
+++ b/internal/signal/frame.go
@@ -86,7 +86,7 @@
 //
 // Example:
 //
-//	var call ledger.Reserve
+//	var call idempotency.Reserve
 //	err := signal.Unpack(body, &call)
 func Unpack(body []byte, out any) error { return errors.Trace(cbor.Unmarshal(body, out)) }
 
--- a/internal/signalbox/box.go
+++ b/internal/signalbox/box.go
@@ -12,7 +12,7 @@
 
 	"ploverhitch/internal/ballast"
 	"ploverhitch/internal/feed"
-	"ploverhitch/internal/ledger"
+	"ploverhitch/internal/idempotency"
 	"ploverhitch/internal/membership"
 	"ploverhitch/internal/settings"
 	"ploverhitch/internal/signal"
@@ -111,7 +111,7 @@
 // open reads the disk.
 func (b *box) open(set *settings.Settings) error {
 	p, t := set.Platform, set.Tuning
-	policy := ledger.Policy{
+	policy := idempotency.Policy{
 		OpenLimit: t.OpenLimit, Retention: t.Retention.Std(), KeyWindow: p.Bounds.KeyWindow.Std(),
 		Margin: 10 * time.Second, Bytes: tableBytes(p.Limits),
 	}
--- a/internal/signalbox/gauge.go
+++ b/internal/signalbox/gauge.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"ploverhitch/internal/feed"
-	"ploverhitch/internal/ledger"
+	"ploverhitch/internal/idempotency"
 	"ploverhitch/internal/loadgauge"
 	"ploverhitch/internal/settings"
 	"ploverhitch/internal/timetable"
@@ -54,7 +54,7 @@
 // sheds tells whether this member refuses its vote for a new intent, as the
 // service is overloaded. An intent that exists is never asked about: its replay,
 // its resuming and its record go on.
-func (t *tables) sheds(wanted ledger.Intent, now timetable.Steady) bool {
+func (t *tables) sheds(wanted idempotency.Intent, now timetable.Steady) bool {
 	if len(t.fleet.Cutoffs) == 0 || !t.isHeard(now, feed.GrantSpan) || t.voter.Find(wanted.Key) != nil {
 		return false
 	}
--- a/internal/signalbox/handlers.go
+++ b/internal/signalbox/handlers.go
@@ -6,7 +6,7 @@
 
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/feed"
-	"ploverhitch/internal/ledger"
+	"ploverhitch/internal/idempotency"
 	"ploverhitch/internal/membership"
 	"ploverhitch/internal/signal"
 	"ploverhitch/internal/telegram"
@@ -53,7 +53,7 @@
 	var vote telegram.Vote
 	b.keeper.put(func(t *tables) []record {
 		if !t.isTrusted || in.Epoch != t.view.Epoch || !t.view.Has(b.self) {
-			vote.Ballot.Verdict = ledger.Refused
+			vote.Ballot.Verdict = idempotency.Refused
 			if t.view.Epoch > in.Epoch {
 				view := t.view
 				vote.View = &view
@@ -61,10 +61,10 @@
 			return nil
 		}
 		if t.sheds(in.Intent, b.clock.Steady()) {
-			vote.Ballot.Verdict = ledger.Shed
+			vote.Ballot.Verdict = idempotency.Shed
 			return nil
 		}
-		var entry *ledger.Entry
+		var entry *idempotency.Entry
 		if vote.Ballot, entry = t.voter.Reserve(in.Intent); entry == nil {
 			return nil
 		}
@@ -182,7 +182,7 @@
 // that nothing slips between two of them.
 func (b *box) onDump(in telegram.Dump, answer func(telegram.Page)) {
 	last := telegram.Page{IsLast: true}
-	var entries []ledger.Entry
+	var entries []idempotency.Entry
 	b.keeper.put(func(t *tables) []record {
 		if t.view.Epoch < in.Epoch {
 			return nil
--- a/internal/signalbox/keeper.go
+++ b/internal/signalbox/keeper.go
@@ -11,7 +11,7 @@
 	"github.com/juju/errors"
 
 	"ploverhitch/internal/ballast"
-	"ploverhitch/internal/ledger"
+	"ploverhitch/internal/idempotency"
 	"ploverhitch/internal/timetable"
 )
 
@@ -37,7 +37,7 @@
 	self string
 }
 
-func openKeeper(disk ballast.Disk, policy ledger.Policy, clock timetable.Clock, fail func(error)) (*keeper, error) {
+func openKeeper(disk ballast.Disk, policy idempotency.Policy, clock timetable.Clock, fail func(error)) (*keeper, error) {
 	k := &keeper{loop: timetable.NewLoop[command](4096), tables: newTables(policy), clock: clock, fail: fail}
 	log, err := ballast.Open(disk, func(text []byte) error {
 		var r record
--- a/internal/signalbox/member_test.go
+++ b/internal/signalbox/member_test.go
@@ -11,7 +11,7 @@
 	"ploverhitch/internal/ballast"
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/feed"
-	"ploverhitch/internal/ledger"
+	"ploverhitch/internal/idempotency"
 	"ploverhitch/internal/loadgauge"
 	"ploverhitch/internal/membership"
 	"ploverhitch/internal/telegram"
@@ -29,7 +29,7 @@
 		b = &box{self: "a", clock: hand, hub: feed.NewHub(), note: func(string, string, ...any) {}}
 		disk, err := ballast.Folder(GinkgoT().TempDir())
 		Expect(err).NotTo(HaveOccurred())
-		b.keeper, err = openKeeper(disk, ledger.Policy{OpenLimit: 10, KeyWindow: time.Minute}, hand, func(err error) { Expect(err).NotTo(HaveOccurred()) })
+		b.keeper, err = openKeeper(disk, idempotency.Policy{OpenLimit: 10, KeyWindow: time.Minute}, hand, func(err error) { Expect(err).NotTo(HaveOccurred()) })
 		Expect(err).NotTo(HaveOccurred())
 		ctx, cancel := context.WithCancel(context.Background())
 		DeferCleanup(cancel)
@@ -37,10 +37,10 @@
 		b.adopt(view)
 	})
 
-	vote := func(epoch membership.Epoch, key string) ledger.Verdict {
+	vote := func(epoch membership.Epoch, key string) idempotency.Verdict {
 		got := make(chan telegram.Vote, 1)
-		b.onReserve(telegram.Reserve{Epoch: epoch, Intent: ledger.Intent{
-			Key: ledger.Key{Tenant: "h", Key: key}, Attempt: ledger.Attempt("of " + key), Lane: "fee", Service: "fees", Reservation: key,
+		b.onReserve(telegram.Reserve{Epoch: epoch, Intent: idempotency.Intent{
+			Key: idempotency.Key{Tenant: "h", Key: key}, Attempt: idempotency.Attempt("of " + key), Lane: "fee", Service: "fees", Reservation: key,
 		}}, func(vote telegram.Vote) { got <- vote })
 		return (<-got).Ballot.Verdict
 	}
@@ -62,13 +62,13 @@
 	}
 
 	It("is any vote while it is not trusted, or under another epoch", func() {
-		Expect(vote(3, "k")).To(Equal(ledger.Refused))
+		Expect(vote(3, "k")).To(Equal(idempotency.Refused))
 		b.trust()
-		Expect(vote(2, "k")).To(Equal(ledger.Refused))
-		Expect(vote(4, "k")).To(Equal(ledger.Refused))
-		Expect(vote(3, "k")).To(Equal(ledger.Granted))
+		Expect(vote(2, "k")).To(Equal(idempotency.Refused))
+		Expect(vote(4, "k")).To(Equal(idempotency.Refused))
+		Expect(vote(3, "k")).To(Equal(idempotency.Granted))
 		b.distrust()
-		Expect(vote(3, "l")).To(Equal(ledger.Refused))
+		Expect(vote(3, "l")).To(Equal(idempotency.Refused))
 	})
 
 	It("is a claim that is no higher than its fence, and whatever an older holder still says", func() {
@@ -93,15 +93,15 @@
 		body, err := json.Marshal(config.LaneSpec{Name: "fee", PathPrefix: "/fee/", LaneType: config.Idempotent, Service: "fees", MaxAttempts: 1, Revision: 1})
 		Expect(err).NotTo(HaveOccurred())
 		b.store([]config.Item{{ID: config.ID{Class: config.LaneItem, Name: "fee"}, Version: 1, Host: "h", Body: body}}, func() {})
-		Expect(vote(3, "old")).To(Equal(ledger.Granted))
+		Expect(vote(3, "old")).To(Equal(idempotency.Granted))
 		cutoff := loadgauge.Cutoff{Service: "fees", Number: 1, Seed: 5, Tier: 0, Part: 1}
 		Expect(tell(feed.Fleet{Term: 1, Count: 1, Cutoffs: []loadgauge.Cutoff{cutoff}})).To(BeTrue())
-		Expect(vote(3, "new")).To(Equal(ledger.Shed))
-		Expect(vote(3, "old")).To(Equal(ledger.Granted), "the attempt's own vote stands")
-		var held *ledger.Intent
-		b.keeper.read(func(t *tables) { held = t.voter.Find(ledger.Key{Tenant: "h", Key: "new"}) })
+		Expect(vote(3, "new")).To(Equal(idempotency.Shed))
+		Expect(vote(3, "old")).To(Equal(idempotency.Granted), "the attempt's own vote stands")
+		var held *idempotency.Intent
+		b.keeper.read(func(t *tables) { held = t.voter.Find(idempotency.Key{Tenant: "h", Key: "new"}) })
 		Expect(held).To(BeNil(), "a refusal keeps nothing")
 		hand.Now += feed.GrantSpan + time.Millisecond
-		Expect(vote(3, "new")).To(Equal(ledger.Granted))
+		Expect(vote(3, "new")).To(Equal(idempotency.Granted))
 	})
 })
--- a/internal/signalbox/status.go
+++ b/internal/signalbox/status.go
@@ -4,7 +4,7 @@
 	"context"
 
 	"ploverhitch/internal/feed"
-	"ploverhitch/internal/ledger"
+	"ploverhitch/internal/idempotency"
 )
 
 // TrialStatus is one trial as this node keeps it.
@@ -30,9 +30,9 @@
 	Followers []string        `json:"Followers"`
 	Intents   map[string]int  `json:"Intents"`
 	// Quota is the open and consumed reservations of each lane.
-	Quota    map[string]ledger.Usage `json:"Quota"`
-	OldestMs int64                   `json:"OldestOpenMs"`
-	Versions map[string]string       `json:"Versions"`
+	Quota    map[string]idempotency.Usage `json:"Quota"`
+	OldestMs int64                        `json:"OldestOpenMs"`
+	Versions map[string]string            `json:"Versions"`
 	// Trials are the rollouts and staged changes, each with its phase.
 	Trials map[string]TrialStatus `json:"Trials"`
 }
--- a/internal/signalbox/tables.go
+++ b/internal/signalbox/tables.go
@@ -5,7 +5,7 @@
 
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/feed"
-	"ploverhitch/internal/ledger"
+	"ploverhitch/internal/idempotency"
 	"ploverhitch/internal/loopline"
 	"ploverhitch/internal/membership"
 	"ploverhitch/internal/timetable"
@@ -14,7 +14,7 @@
 
 // record is one kept change; exactly one part is set.
 type record struct {
-	Entry    *ledger.Entry        `cbor:"1,keyasint,omitempty"`
+	Entry    *idempotency.Entry   `cbor:"1,keyasint,omitempty"`
 	Items    []config.Item        `cbor:"2,keyasint,omitempty"`
 	Acceptor *membership.Acceptor `cbor:"3,keyasint,omitempty"`
 	View     *membership.View     `cbor:"4,keyasint,omitempty"`
@@ -26,7 +26,7 @@
 
 // tables is everything that is kept; the keeper alone touches it.
 type tables struct {
-	voter    *ledger.Voter
+	voter    *idempotency.Voter
 	book     config.Book
 	acceptor membership.Acceptor
 	view     membership.View
@@ -49,8 +49,8 @@
 	mirrorsOf string
 }
 
-func newTables(policy ledger.Policy) *tables {
-	return &tables{voter: ledger.NewVoter(policy), book: config.Book{}, trials: map[string]trial.State{}, isEmpty: true}
+func newTables(policy idempotency.Policy) *tables {
+	return &tables{voter: idempotency.NewVoter(policy), book: config.Book{}, trials: map[string]trial.State{}, isEmpty: true}
 }
 
 // apply puts one record into the tables, as it is made and at every start.
--- a/internal/telegram/telegram.go
+++ b/internal/telegram/telegram.go
@@ -4,7 +4,7 @@
 
 import (
 	"ploverhitch/internal/config"
-	"ploverhitch/internal/ledger"
+	"ploverhitch/internal/idempotency"
 	"ploverhitch/internal/membership"
 	"ploverhitch/internal/signal"
 	"ploverhitch/internal/trial"
@@ -38,19 +38,19 @@
 
 // Reserve asks a core node for its vote, under the view's epoch.
 type Reserve struct {
-	Epoch  membership.Epoch `cbor:"1,keyasint"`
-	Intent ledger.Intent    `cbor:"2,keyasint"`
+	Epoch  membership.Epoch   `cbor:"1,keyasint"`
+	Intent idempotency.Intent `cbor:"2,keyasint"`
 }
 
 // Vote is the reply; View stands where the asker's view is not the voter's.
 type Vote struct {
-	Ballot ledger.Ballot    `cbor:"1,keyasint"`
-	View   *membership.View `cbor:"2,keyasint,omitempty"`
+	Ballot idempotency.Ballot `cbor:"1,keyasint"`
+	View   *membership.View   `cbor:"2,keyasint,omitempty"`
 }
 
 // Record tells a core node what became of an intent.
 type Record struct {
-	Intent ledger.Intent `cbor:"1,keyasint"`
+	Intent idempotency.Intent `cbor:"1,keyasint"`
 }
 
 // Done says whether what was told is kept on disk.
@@ -60,12 +60,12 @@
 
 // Lookup asks for a key's record.
 type Lookup struct {
-	Key ledger.Key `cbor:"1,keyasint"`
+	Key idempotency.Key `cbor:"1,keyasint"`
 }
 
 // Found is the record, if there is one.
 type Found struct {
-	Intent *ledger.Intent `cbor:"1,keyasint,omitempty"`
+	Intent *idempotency.Intent `cbor:"1,keyasint,omitempty"`
 }
 
 // Book asks for the manifest, unless it is the same as the asker's.
@@ -94,7 +94,7 @@
 // Page is one of the pages that answer a dump.
 type Page struct {
 	OK       bool                `cbor:"1,keyasint"`
-	Entries  []ledger.Entry      `cbor:"2,keyasint,omitempty"`
+	Entries  []idempotency.Entry `cbor:"2,keyasint,omitempty"`
 	IsLast   bool                `cbor:"3,keyasint,omitempty"`
 	Items    []config.Item       `cbor:"4,keyasint,omitempty"`
 	Acceptor membership.Acceptor `cbor:"5,keyasint"`
