--- a/internal/signalbox/box.go
+++ b/internal/signalbox/box.go
@@ -10,12 +10,12 @@
 
 	"github.com/juju/errors"
 
-	"ploverhitch/internal/ballast"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/idempotency"
 	"ploverhitch/internal/membership"
 	"ploverhitch/internal/settings"
 	"ploverhitch/internal/signal"
+	"ploverhitch/internal/storage"
 	"ploverhitch/internal/timetable"
 )
 
@@ -116,7 +116,7 @@
 		Margin: 10 * time.Second, Bytes: tableBytes(p.Limits),
 	}
 	fail := func(err error) { b.note("error", "disk", "error", err) }
-	disk, err := ballast.Folder(p.DataDir)
+	disk, err := storage.Folder(p.DataDir)
 	if err != nil {
 		return err
 	}
--- a/internal/signalbox/keeper.go
+++ b/internal/signalbox/keeper.go
@@ -10,8 +10,8 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/juju/errors"
 
-	"ploverhitch/internal/ballast"
 	"ploverhitch/internal/idempotency"
+	"ploverhitch/internal/storage"
 	"ploverhitch/internal/timetable"
 )
 
@@ -26,7 +26,7 @@
 type keeper struct {
 	loop   *timetable.Loop[command]
 	tables *tables
-	log    *ballast.Log
+	log    *storage.Log
 	clock  timetable.Clock
 	// unsaved is what a failing disk has not taken yet; nothing is told before
 	// it is kept.
@@ -37,9 +37,9 @@
 	self string
 }
 
-func openKeeper(disk ballast.Disk, policy idempotency.Policy, clock timetable.Clock, fail func(error)) (*keeper, error) {
+func openKeeper(disk storage.Disk, policy idempotency.Policy, clock timetable.Clock, fail func(error)) (*keeper, error) {
 	k := &keeper{loop: timetable.NewLoop[command](4096), tables: newTables(policy), clock: clock, fail: fail}
-	log, err := ballast.Open(disk, func(text []byte) error {
+	log, err := storage.Open(disk, func(text []byte) error {
 		var r record
 		if err := cbor.Unmarshal(text, &r); err != nil {
 			return errors.Annotate(err, "a record of the log")
--- a/internal/signalbox/member_test.go
+++ b/internal/signalbox/member_test.go
@@ -8,12 +8,12 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ploverhitch/internal/ballast"
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/idempotency"
 	"ploverhitch/internal/loadgauge"
 	"ploverhitch/internal/membership"
+	"ploverhitch/internal/storage"
 	"ploverhitch/internal/telegram"
 	"ploverhitch/internal/timetable"
 	"ploverhitch/internal/trial"
@@ -27,7 +27,7 @@
 	BeforeEach(func() {
 		hand = &timetable.Hand{Now: time.Hour}
 		b = &box{self: "a", clock: hand, hub: feed.NewHub(), note: func(string, string, ...any) {}}
-		disk, err := ballast.Folder(GinkgoT().TempDir())
+		disk, err := storage.Folder(GinkgoT().TempDir())
 		Expect(err).NotTo(HaveOccurred())
 		b.keeper, err = openKeeper(disk, idempotency.Policy{OpenLimit: 10, KeyWindow: time.Minute}, hand, func(err error) { Expect(err).NotTo(HaveOccurred()) })
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/standin/disk.go
+++ b/internal/standin/disk.go
@@ -9,7 +9,7 @@
 
 	"github.com/juju/errors"
 
-	"ploverhitch/internal/ballast"
+	"ploverhitch/internal/storage"
 )
 
 // Disk is a disk in memory that can lose power and refuse writes. After a loss
@@ -112,7 +112,7 @@
 // Example:
 //
 //	file, err := disk.Create("segment-0000000000000001")
-func (d *Disk) Create(name string) (ballast.File, error) {
+func (d *Disk) Create(name string) (storage.File, error) {
 	if d.IsRefusing {
 		return nil, errRefused
 	}
--- a/internal/ballast/ballast_test.go
+++ b/internal/storage/ballast_test.go
@@ -1,4 +1,4 @@
-package ballast_test
+package storage_test
 
 import (
 	"math/rand/v2"
@@ -9,8 +9,8 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ploverhitch/internal/ballast"
 	"ploverhitch/internal/standin"
+	"ploverhitch/internal/storage"
 )
 
 func TestBallast(t *testing.T) {
@@ -18,9 +18,9 @@
 	RunSpecs(t, "ballast")
 }
 
-func open(disk ballast.Disk) (*ballast.Log, []string, error) {
+func open(disk storage.Disk) (*storage.Log, []string, error) {
 	var read []string
-	log, err := ballast.Open(disk, func(record []byte) error {
+	log, err := storage.Open(disk, func(record []byte) error {
 		read = append(read, string(record))
 		return nil
 	})
@@ -98,7 +98,7 @@
 	})
 
 	It("works on a real folder", func() {
-		disk, err := ballast.Folder(GinkgoT().TempDir())
+		disk, err := storage.Folder(GinkgoT().TempDir())
 		Expect(err).NotTo(HaveOccurred())
 		log, _, err := open(disk)
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/ballast/checkpoint.go
+++ b/internal/storage/checkpoint.go
@@ -1,4 +1,4 @@
-package ballast
+package storage
 
 import (
 	"iter"
--- a/internal/ballast/disk.go
+++ b/internal/storage/disk.go
@@ -1,6 +1,6 @@
-// Package ballast keeps a process's records on disk: a log in segments, with
+// Package storage keeps a process's records on disk: a log in segments, with
 // checkpoints beside it. A record is kept once Append has returned.
-package ballast
+package storage
 
 import (
 	"io"
@@ -34,7 +34,7 @@
 //
 // Example:
 //
-//	disk, err := ballast.Folder("/var/lib/ploverhitch")
+//	disk, err := storage.Folder("/var/lib/ploverhitch")
 func Folder(path string) (Disk, error) {
 	if err := os.MkdirAll(path, 0o755); err != nil {
 		return nil, errors.Annotate(err, "data folder")
--- a/internal/ballast/log.go
+++ b/internal/storage/log.go
@@ -1,4 +1,4 @@
-package ballast
+package storage
 
 import (
 	"encoding/binary"
@@ -45,7 +45,7 @@
 //
 // Example:
 //
-//	log, err := ballast.Open(disk, func(record []byte) error { return tables.Apply(record) })
+//	log, err := storage.Open(disk, func(record []byte) error { return tables.Apply(record) })
 func Open(disk Disk, replay func(record []byte) error) (*Log, error) {
 	names, err := disk.List()
 	if err != nil {
