--- a/cmd/modelrailway/main.go
+++ b/cmd/localcluster/main.go
@@ -1,4 +1,4 @@
-// Command modelrailway runs a whole small ploverhitch on loopback, with
+// Command localcluster runs a whole small ploverhitch on loopback, with
 // stand-ins for the platform and the servers, for trying it out.
 package main
 
@@ -25,14 +25,14 @@
 {"Name":"fee","PathPrefix":"/fee/","LaneType":"idempotent","Timeout":"1500ms","TargetLatency":"400ms","MaxAttempts":2,"Service":"fees","Revision":"r1"}]}]},"Remove":{"Lanes":[]}}`
 
 func main() {
-	app := kingpin.New("modelrailway", "A whole ploverhitch on loopback, against stand-ins. Example: modelrailway --folder /tmp/town")
+	app := kingpin.New("localcluster", "A whole ploverhitch on loopback, against stand-ins. Example: localcluster --folder /tmp/town")
 	folder := app.Flag("folder", "Where settings and disks are put.").Required().String()
 	port := app.Flag("port", "The first of its ports.").Default("17200").Int()
 	kingpin.MustParse(app.Parse(os.Args[1:]))
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	if err := run(ctx, *folder, *port); err != nil {
-		fmt.Fprintln(os.Stderr, "modelrailway:", err)
+		fmt.Fprintln(os.Stderr, "localcluster:", err)
 		os.Exit(1)
 	}
 }
@@ -74,7 +74,7 @@
 		"  curl -s -H 'Host: h.example' -H 'Ploverhitch-Attempt-Id: a2' -H 'Ploverhitch-Operation-Key: k1' -d seat=7 http://%[1]s/fee/enrol\n"+
 		"  curl -s http://%[2]s/v1/status\n"+
 		"  target/ploverhitch inspector --control %[2]s check\n"+
-		"  go run ./cmd/gradient --through %[1]s --direct %[3]s\n", edge.Front, town.Control(1), town.Servers["l-1"].Address())
+		"  go run ./cmd/measure --through %[1]s --direct %[3]s\n", edge.Front, town.Control(1), town.Servers["l-1"].Address())
 	<-ctx.Done()
 	return nil
 }
--- a/cmd/gradient/main.go
+++ b/cmd/measure/main.go
@@ -1,10 +1,10 @@
-// Command gradient measures, on the machine it runs on, how the state and the work
+// Command measure measures, on the machine it runs on, how the state and the work
 // of each role grow with the number of servers, lanes, proxies and keyed operations.
 // docs/CAPACITY.md is made from what it prints.
 //
 // Example:
 //
-//	go run ./cmd/gradient
+//	go run ./cmd/measure
 package main
 
 import (
@@ -64,10 +64,10 @@
 }
 
 func main() {
-	app := kingpin.New("gradient", "Measures how the state and work of each role grow with size.")
+	app := kingpin.New("measure", "Measures how the state and work of each role grow with size.")
 	app.HelpFlag.Short('h')
 	only := app.Flag("only", "Measure only what has this in its name.").String()
-	through := app.Flag("through", "Measure instead what this proxy's client address adds, as modelrailway prints it.").PlaceHolder("HOST:PORT").String()
+	through := app.Flag("through", "Measure instead what this proxy's client address adds, as localcluster prints it.").PlaceHolder("HOST:PORT").String()
 	direct := app.Flag("direct", "The address of a server behind it.").PlaceHolder("HOST:PORT").String()
 	count := app.Flag("count", "How many inquiries to send each way.").Default("5000").Int()
 	kingpin.MustParse(app.Parse(os.Args[1:]))
--- a/cmd/gradient/measures.go
+++ b/cmd/measure/measures.go
@@ -12,8 +12,8 @@
 	"ploverhitch/internal/hotbox"
 	"ploverhitch/internal/idempotency"
 	"ploverhitch/internal/loadgauge"
+	"ploverhitch/internal/rpc"
 	"ploverhitch/internal/shunt"
-	"ploverhitch/internal/signal"
 	"ploverhitch/internal/timetable"
 )
 
@@ -138,7 +138,7 @@
 	bytes := 0
 	follow, _ := cbor.Marshal(feed.Follow{Name: "edge"})
 	for range size {
-		hub.Handle(signal.Call{Body: follow, Ended: make(chan struct{}), Reply: func(news any) bool {
+		hub.Handle(rpc.Call{Body: follow, Ended: make(chan struct{}), Reply: func(news any) bool {
 			bytes += len(news.(feed.News).Packed())
 			return true
 		}})
--- a/internal/coupling/hook.go
+++ b/internal/coupling/hook.go
@@ -13,7 +13,7 @@
 	"github.com/juju/errors"
 	"golang.org/x/sys/unix"
 
-	"ploverhitch/internal/signal"
+	"ploverhitch/internal/rpc"
 )
 
 // Reply is a server's reply. Its body is whole, unless Rest is set: then Body
@@ -65,7 +65,7 @@
 )
 
 func dialHook(address string, wait time.Duration, window int) (*hook, error) {
-	conn, err := signal.DialWindow(address, wait, serverSilent, window)
+	conn, err := rpc.DialWindow(address, wait, serverSilent, window)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/feed/follower.go
+++ b/internal/feed/follower.go
@@ -6,14 +6,14 @@
 	"sync/atomic"
 	"time"
 
-	"ploverhitch/internal/signal"
+	"ploverhitch/internal/rpc"
 	"ploverhitch/internal/timetable"
 )
 
 // Follower follows one node's feed, again and again, until its context ends.
 type Follower struct {
 	Name string
-	Line *signal.Line
+	Line *rpc.Line
 	Take func(News)
 	// Pause is how long to wait after the feed broke.
 	Pause time.Duration
@@ -30,7 +30,7 @@
 // Example:
 //
 //	follower := feed.NewFollower(node, line, merge, 200*time.Millisecond)
-func NewFollower(name string, line *signal.Line, take func(News), pause time.Duration) *Follower {
+func NewFollower(name string, line *rpc.Line, take func(News), pause time.Duration) *Follower {
 	f := &Follower{Name: name, Line: line, Take: take, Pause: pause, afresh: make(chan struct{}, 1), clock: timetable.Real()}
 	f.brokeAt.Store(int64(f.clock.Steady()) + 1)
 	return f
@@ -77,7 +77,7 @@
 		forget := f.Line.Send(KindFollow, from, func(body []byte, err error) {
 			var news News
 			if err == nil {
-				err = signal.Unpack(body, &news)
+				err = rpc.Unpack(body, &news)
 			}
 			if err != nil {
 				f.brokeAt.CompareAndSwap(0, int64(f.clock.Steady())+1)
--- a/internal/feed/hub.go
+++ b/internal/feed/hub.go
@@ -5,11 +5,11 @@
 	"sync"
 	"time"
 
-	"ploverhitch/internal/signal"
+	"ploverhitch/internal/rpc"
 )
 
 // KindFollow is the frame with which a follower asks for a feed.
-const KindFollow signal.Kind = 1
+const KindFollow rpc.Kind = 1
 
 // Follow says from which place on a follower wants news.
 type Follow struct {
@@ -137,10 +137,10 @@
 //
 // Example:
 //
-//	signal.Serve(listener, signal.Handlers{feed.KindFollow: hub.Handle}, silence)
-func (h *Hub) Handle(call signal.Call) {
+//	rpc.Serve(listener, rpc.Handlers{feed.KindFollow: hub.Handle}, silence)
+func (h *Hub) Handle(call rpc.Call) {
 	var follow Follow
-	if signal.Unpack(call.Body, &follow) != nil {
+	if rpc.Unpack(call.Body, &follow) != nil {
 		return
 	}
 	h.lock.Lock()
--- a/internal/hotbox/box.go
+++ b/internal/hotbox/box.go
@@ -205,7 +205,7 @@
 //
 // Example:
 //
-//	line.Send(telegram.KindReport, box.Report(node, life), nil)
+//	line.Send(messages.KindReport, box.Report(node, life), nil)
 func (b *Box) Report(node, life string) Report {
 	b.lock.Lock()
 	defer b.lock.Unlock()
--- a/internal/inspector/check.go
+++ b/internal/inspector/check.go
@@ -9,8 +9,8 @@
 
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/feed"
+	"ploverhitch/internal/messages"
 	"ploverhitch/internal/signalbox"
-	"ploverhitch/internal/telegram"
 )
 
 // Finding is one thing that is not as it should be.
@@ -26,7 +26,7 @@
 	// Cores and Edges are what each node says of itself; a node that did not
 	// answer is named in Unheard.
 	Cores   []signalbox.Status
-	Edges   []telegram.Sight
+	Edges   []messages.Sight
 	Unheard []string
 }
 
--- a/internal/inspector/inspector_test.go
+++ b/internal/inspector/inspector_test.go
@@ -14,9 +14,9 @@
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/inspector"
+	"ploverhitch/internal/messages"
 	"ploverhitch/internal/shunt"
 	"ploverhitch/internal/signalbox"
-	"ploverhitch/internal/telegram"
 )
 
 func TestInspector(t *testing.T) {
@@ -41,7 +41,7 @@
 		Cores: []signalbox.Status{
 			{Node: "c1", Epoch: 2, Digest: "d", IsTrusted: true}, {Node: "c2", Epoch: 2, Digest: "d", IsTrusted: true}, {Node: "c3", Epoch: 2, Digest: "d", IsTrusted: true},
 		},
-		Edges: []telegram.Sight{{Node: "e1", Digest: "d", Epoch: 2, IsReady: true}},
+		Edges: []messages.Sight{{Node: "e1", Digest: "d", Epoch: 2, IsReady: true}},
 	}
 }
 
--- a/internal/inspector/load.go
+++ b/internal/inspector/load.go
@@ -7,8 +7,8 @@
 	"strings"
 
 	"ploverhitch/internal/loadgauge"
+	"ploverhitch/internal/messages"
 	"ploverhitch/internal/signalbox"
-	"ploverhitch/internal/telegram"
 )
 
 // Load is the order of tiers, what is turned away, and the nodes by the number of
@@ -43,7 +43,7 @@
 	return out, nil
 }
 
-func cutoffName(sight telegram.Sight) string {
+func cutoffName(sight messages.Sight) string {
 	switch {
 	case sight.IsFloor && sight.Cutoff > 0:
 		return "own floor"
--- a/internal/inspector/look.go
+++ b/internal/inspector/look.go
@@ -13,9 +13,9 @@
 
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/feed"
-	"ploverhitch/internal/signal"
+	"ploverhitch/internal/messages"
+	"ploverhitch/internal/rpc"
 	"ploverhitch/internal/signalbox"
-	"ploverhitch/internal/telegram"
 )
 
 const (
@@ -135,8 +135,8 @@
 		fleet.Cores = append(fleet.Cores, status)
 	}
 	for _, edge := range edgesOf(fleet.Cores) {
-		var sight telegram.Sight
-		if edge.line.Ask(telegram.KindSight, struct{}{}, &sight, lookSpan) != nil {
+		var sight messages.Sight
+		if edge.line.Ask(messages.KindSight, struct{}{}, &sight, lookSpan) != nil {
 			fleet.Unheard = append(fleet.Unheard, edge.name)
 			continue
 		}
@@ -148,7 +148,7 @@
 // edge is a proxy's machine, as the core knows it by the feed it follows.
 type edge struct {
 	name string
-	line *signal.Line
+	line *rpc.Line
 }
 
 func edgesOf(cores []signalbox.Status) (out []edge) {
@@ -158,7 +158,7 @@
 			name, address, isEdge := strings.Cut(follower, "@")
 			if isEdge && !seen[name] {
 				seen[name] = true
-				out = append(out, edge{name, signal.NewLine(address, time.Second, lookSpan)})
+				out = append(out, edge{name, rpc.NewLine(address, time.Second, lookSpan)})
 			}
 		}
 	}
--- a/internal/inspector/mirror.go
+++ b/internal/inspector/mirror.go
@@ -8,8 +8,8 @@
 	"strings"
 
 	"ploverhitch/internal/loopline"
+	"ploverhitch/internal/messages"
 	"ploverhitch/internal/signalbox"
-	"ploverhitch/internal/telegram"
 )
 
 // parityLeast is how many whole conversations without a difference it takes to
@@ -41,7 +41,7 @@
 // Example:
 //
 //	sum := inspector.Sum("east", grant, nodes)
-func Sum(name string, grant *loopline.Grant, nodes []telegram.Mirrored) Mirroring {
+func Sum(name string, grant *loopline.Grant, nodes []messages.Mirrored) Mirroring {
 	out := Mirroring{Name: name, Grant: grant, Counts: map[string]map[loopline.Outcome]uint64{}, Gaps: map[string]uint64{}, Examples: []loopline.Example{}}
 	talks, lives, isOneEra := map[uint64]loopline.Talk{}, uint64(0), true
 	for _, node := range nodes {
@@ -110,11 +110,11 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	var nodes []telegram.Mirrored
+	var nodes []messages.Mirrored
 	unheard = append(unheard, fleet.Unheard...)
 	for _, edge := range edgesOf(fleet.Cores) {
-		var node telegram.Mirrored
-		if edge.line.Ask(telegram.KindMirrored, struct{}{}, &node, lookSpan) != nil {
+		var node messages.Mirrored
+		if edge.line.Ask(messages.KindMirrored, struct{}{}, &node, lookSpan) != nil {
 			unheard = append(unheard, edge.name)
 			continue
 		}
--- a/internal/inspector/moves.go
+++ b/internal/inspector/moves.go
@@ -9,15 +9,15 @@
 	"github.com/juju/errors"
 
 	"ploverhitch/internal/feed"
+	"ploverhitch/internal/messages"
 	"ploverhitch/internal/shunt"
-	"ploverhitch/internal/telegram"
 	"ploverhitch/internal/timetable"
 )
 
 // Forecast is what every proxy says of a change before it is made.
 type Forecast struct {
 	Change  shunt.Change     `json:"Change"`
-	Nodes   []telegram.Moves `json:"Nodes"`
+	Nodes   []messages.Moves `json:"Nodes"`
 	Unheard []string         `json:"Unheard,omitempty"`
 	edges   []edge
 }
@@ -40,8 +40,8 @@
 	}
 	out := &Forecast{Change: change, Unheard: fleet.Unheard}
 	for _, edge := range edgesOf(fleet.Cores) {
-		var moves telegram.Moves
-		if edge.line.Ask(telegram.KindMoves, change, &moves, lookSpan) != nil {
+		var moves messages.Moves
+		if edge.line.Ask(messages.KindMoves, change, &moves, lookSpan) != nil {
 			if !slices.Contains(out.Unheard, edge.name) {
 				out.Unheard = append(out.Unheard, edge.name)
 			}
@@ -58,8 +58,8 @@
 // Example:
 //
 //	for node, moves := range forecast.Moving() { show(node, moves) }
-func (f *Forecast) Moving() map[string][]telegram.Move {
-	out := map[string][]telegram.Move{}
+func (f *Forecast) Moving() map[string][]messages.Move {
+	out := map[string][]messages.Move{}
 	for _, node := range f.Nodes {
 		for _, run := range node.Runs {
 			if run.IsMoving() {
@@ -73,7 +73,7 @@
 // Surprise is an operation whose home after the change is not the one forecast.
 type Surprise struct {
 	Node string        `json:"Node"`
-	Run  telegram.Move `json:"Run"`
+	Run  messages.Move `json:"Run"`
 	Home string        `json:"Home"`
 }
 
@@ -89,7 +89,7 @@
 func (f *Forecast) Confirm(clock timetable.Clock, wait time.Duration) (out []Surprise, err error) {
 	end := clock.Steady() + timetable.Steady(wait)
 	for _, edge := range f.edges {
-		node, isKnown := telegram.Moves{}, false
+		node, isKnown := messages.Moves{}, false
 		for _, one := range f.Nodes {
 			if one.Node == edge.name {
 				node, isKnown = one, true
@@ -98,13 +98,13 @@
 		if !isKnown {
 			return nil, errors.NotFoundf("forecast of %s", edge.name)
 		}
-		asked := telegram.Homes{Service: f.Change.Service}
+		asked := messages.Homes{Service: f.Change.Service}
 		for _, run := range node.Runs {
 			asked.Places = append(asked.Places, run.Place)
 		}
-		var now telegram.HomesNow
+		var now messages.HomesNow
 		for {
-			err = edge.line.Ask(telegram.KindHomes, asked, &now, lookSpan)
+			err = edge.line.Ask(messages.KindHomes, asked, &now, lookSpan)
 			if err == nil && f.isMade(now.Ring) {
 				break
 			}
--- a/internal/telegram/telegram.go
+++ b/internal/messages/telegram.go
@@ -1,18 +1,18 @@
-// Package telegram is the list of messages between ploverhitch's own
+// Package messages is the list of messages between ploverhitch's own
 // processes; docs/protocol.md tells what each is for.
-package telegram
+package messages
 
 import (
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/idempotency"
 	"ploverhitch/internal/membership"
-	"ploverhitch/internal/signal"
+	"ploverhitch/internal/rpc"
 	"ploverhitch/internal/trial"
 )
 
 // The kinds of frames; feed.KindFollow is the first.
 const (
-	KindReserve signal.Kind = iota + 2
+	KindReserve rpc.Kind = iota + 2
 	KindRecord
 	KindLookup
 	KindBook
--- a/internal/telegram/trials.go
+++ b/internal/messages/trials.go
@@ -1,4 +1,4 @@
-package telegram
+package messages
 
 import (
 	"ploverhitch/internal/config"
--- a/internal/points/mirror.go
+++ b/internal/points/mirror.go
@@ -11,8 +11,8 @@
 	"ploverhitch/internal/coupling"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/loopline"
+	"ploverhitch/internal/messages"
 	"ploverhitch/internal/shunt"
-	"ploverhitch/internal/telegram"
 )
 
 const (
@@ -163,8 +163,8 @@
 }
 
 // mirrored is what this node knows of its copies.
-func (p *proxy) mirrored(struct{}) telegram.Mirrored {
-	out := telegram.Mirrored{Node: p.set.Load().Platform.NodeName, Life: p.life, Pages: map[string]loopline.Page{}}
+func (p *proxy) mirrored(struct{}) messages.Mirrored {
+	out := messages.Mirrored{Node: p.set.Load().Platform.NodeName, Life: p.life, Pages: map[string]loopline.Page{}}
 	for name, record := range p.copier.all() {
 		out.Pages[name] = record.Page()
 	}
--- a/internal/points/moves.go
+++ b/internal/points/moves.go
@@ -7,10 +7,10 @@
 	"github.com/juju/errors"
 
 	"ploverhitch/internal/config"
+	"ploverhitch/internal/messages"
+	"ploverhitch/internal/rpc"
 	"ploverhitch/internal/settings"
 	"ploverhitch/internal/shunt"
-	"ploverhitch/internal/signal"
-	"ploverhitch/internal/telegram"
 )
 
 // placedRun is one placed operation that is running, or whose outcome is still
@@ -40,10 +40,10 @@
 // moves tells where the change would leave the running operations: their home
 // on the live ring, and on the ring after the change. It looks at one immutable
 // sight and shifts nothing.
-func (p *proxy) moves(change shunt.Change) telegram.Moves {
+func (p *proxy) moves(change shunt.Change) messages.Moves {
 	yard := p.sight.Load().yard
 	after := yard.Trial(change)
-	out := telegram.Moves{Node: p.set.Load().Platform.NodeName}
+	out := messages.Moves{Node: p.set.Load().Platform.NodeName}
 	p.runs.Range(func(_, value any) bool {
 		run := value.(*placedRun)
 		one := run.one
@@ -51,7 +51,7 @@
 		if one.service != change.Service || home == nil {
 			return true
 		}
-		move := telegram.Move{
+		move := messages.Move{
 			Lane: one.lane.Name, Tenant: one.lane.Host, From: home.ID, To: after(one.place), At: run.servers, Place: one.place,
 		}
 		if one.lane.LaneType == config.Idempotent {
@@ -69,7 +69,7 @@
 	return out
 }
 
-func (p *proxy) homes(asked telegram.Homes) (out telegram.HomesNow) {
+func (p *proxy) homes(asked messages.Homes) (out messages.HomesNow) {
 	yard := p.sight.Load().yard
 	for _, place := range asked.Places {
 		id := ""
@@ -82,9 +82,9 @@
 	return out
 }
 
-func (p *proxy) inForce(struct{}) telegram.Sight {
+func (p *proxy) inForce(struct{}) messages.Sight {
 	s := p.sight.Load()
-	out := telegram.Sight{
+	out := messages.Sight{
 		Node: p.set.Load().Platform.NodeName, Digest: s.digest, Epoch: uint64(s.view.Epoch), IsReady: p.isReady(), Servers: s.yard.Size(),
 	}
 	cutoffs, isFloor := p.cutoffs(s)
@@ -107,20 +107,20 @@
 	if err != nil {
 		return nil, errors.Annotate(err, "internal port")
 	}
-	go signal.Serve(listener, signal.Handlers{
-		telegram.KindMoves: answering(p.moves),
-		telegram.KindHomes: answering(p.homes),
-		telegram.KindSight: answering(p.inForce),
+	go rpc.Serve(listener, rpc.Handlers{
+		messages.KindMoves: answering(p.moves),
+		messages.KindHomes: answering(p.homes),
+		messages.KindSight: answering(p.inForce),
 
-		telegram.KindMirrored: answering(p.mirrored),
+		messages.KindMirrored: answering(p.mirrored),
 	}, coreSilence)
 	return listener, nil
 }
 
-func answering[T, R any](look func(T) R) func(signal.Call) {
-	return func(call signal.Call) {
+func answering[T, R any](look func(T) R) func(rpc.Call) {
+	return func(call rpc.Call) {
 		var in T
-		if len(call.Body) == 0 || signal.Unpack(call.Body, &in) == nil {
+		if len(call.Body) == 0 || rpc.Unpack(call.Body, &in) == nil {
 			call.Reply(look(in))
 		}
 	}
--- a/internal/points/points.go
+++ b/internal/points/points.go
@@ -21,9 +21,9 @@
 	"ploverhitch/internal/loadgauge"
 	"ploverhitch/internal/loopline"
 	"ploverhitch/internal/membership"
+	"ploverhitch/internal/rpc"
 	"ploverhitch/internal/settings"
 	"ploverhitch/internal/shunt"
-	"ploverhitch/internal/signal"
 	"ploverhitch/internal/telegraph"
 	"ploverhitch/internal/timetable"
 )
@@ -71,7 +71,7 @@
 	serve     endpoint.Endpoint
 
 	lock    sync.Mutex
-	lines   map[string]*signal.Line
+	lines   map[string]*rpc.Line
 	budgets map[string]*shunt.Budget
 	paces   sync.Map
 	// runs are the placed operations at work, by their inquiry.
@@ -125,7 +125,7 @@
 	defer stop()
 	go settings.Watch(inner, path, func(changed *settings.Settings) { p.set.Store(changed) }, func(err error) { note("warn", "settings", "error", err) })
 	go p.loop.Run(inner, p.learn, 0, nil)
-	near := signal.NewLine(telegraph.LoopbackAddress(set), coreConnect, coreSilence)
+	near := rpc.NewLine(telegraph.LoopbackAddress(set), coreConnect, coreSilence)
 	p.follower = feed.NewFollower("points", near, p.loop.Put, 50*time.Millisecond)
 	go p.follower.Run(inner)
 	go p.reportOn(inner)
@@ -162,7 +162,7 @@
 func newProxy(set *settings.Settings, clock timetable.Clock, note Note) *proxy {
 	p := &proxy{
 		clock: clock, note: note, loop: timetable.NewLoop[feed.News](256), board: feed.NewBoard(),
-		lines: map[string]*signal.Line{}, budgets: map[string]*shunt.Budget{}, life: newLife(), box: hotbox.NewBox(), purse: branchline.NewPurse(clock),
+		lines: map[string]*rpc.Line{}, budgets: map[string]*shunt.Budget{}, life: newLife(), box: hotbox.NewBox(), purse: branchline.NewPurse(clock),
 		gate: newGate(clock), copier: newCopier(),
 	}
 	p.set.Store(set)
@@ -224,12 +224,12 @@
 	return s.isWhole && s.sheet.Lanes > 0 && s.yard.Size() > 0 && !p.isLeaving.Load()
 }
 
-func (p *proxy) line(address string) *signal.Line {
+func (p *proxy) line(address string) *rpc.Line {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	line := p.lines[address]
 	if line == nil {
-		line = signal.NewLine(address, coreConnect, coreSilence)
+		line = rpc.NewLine(address, coreConnect, coreSilence)
 		line.Again, line.Sent = func() { p.retell(line) }, p.out.Note
 		p.lines[address] = line
 	}
--- a/internal/points/replay.go
+++ b/internal/points/replay.go
@@ -12,7 +12,7 @@
 	"ploverhitch/internal/coupling"
 	"ploverhitch/internal/derail"
 	"ploverhitch/internal/idempotency"
-	"ploverhitch/internal/telegram"
+	"ploverhitch/internal/messages"
 	"ploverhitch/internal/timetable"
 )
 
@@ -133,7 +133,7 @@
 func (a *attempt) tell(intent idempotency.Intent, wait time.Duration) {
 	a.recent.add(intent, a.clock.Steady(), timetable.Steady(a.set.Load().Platform.Bounds.Sync))
 	view := a.sight.Load().view
-	kept, forget := askMembers[telegram.Done](a.proxy, view, telegram.KindRecord, telegram.Record{Intent: intent})
+	kept, forget := askMembers[messages.Done](a.proxy, view, messages.KindRecord, messages.Record{Intent: intent})
 	defer forget()
 	if wait == 0 {
 		return
--- a/internal/points/retell.go
+++ b/internal/points/retell.go
@@ -4,8 +4,8 @@
 	"sync"
 
 	"ploverhitch/internal/idempotency"
-	"ploverhitch/internal/signal"
-	"ploverhitch/internal/telegram"
+	"ploverhitch/internal/messages"
+	"ploverhitch/internal/rpc"
 	"ploverhitch/internal/timetable"
 )
 
@@ -33,11 +33,11 @@
 // retell tells a core node again what it may have lost, once the line to it is
 // made anew: whoever told it first. A node that holds it takes no notice, and
 // what it did not hold is only added; no vote is granted by it.
-func (p *proxy) retell(line *signal.Line) {
+func (p *proxy) retell(line *rpc.Line) {
 	p.recent.lock.Lock()
 	intents := append([]toldIntent(nil), p.recent.intents...)
 	p.recent.lock.Unlock()
 	for _, told := range intents {
-		line.Send(telegram.KindRecord, telegram.Record{Intent: told.intent}, nil)
+		line.Send(messages.KindRecord, messages.Record{Intent: told.intent}, nil)
 	}
 }
--- a/internal/points/trial.go
+++ b/internal/points/trial.go
@@ -11,9 +11,9 @@
 	"ploverhitch/internal/coupling"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/hotbox"
+	"ploverhitch/internal/messages"
 	"ploverhitch/internal/settings"
 	"ploverhitch/internal/shunt"
-	"ploverhitch/internal/telegram"
 	"ploverhitch/internal/timetable"
 )
 
@@ -129,15 +129,15 @@
 		for _, share := range s.shares {
 			report.Works = append(report.Works, hotbox.Work{Subject: share.Service, AtWork: s.yard.AtWork(share.Service)})
 		}
-		out := telegram.Report{Evidence: report, Cell: set.Platform.Cell}
+		out := messages.Report{Evidence: report, Cell: set.Platform.Cell}
 		if set.Tuning.Branchline != settings.BranchOff {
 			out.Uses = p.purse.Uses()
 		}
 		out.Loads, out.Mirrored = p.loads(), p.copier.tallies()
 		line := p.line(s.holder)
 		go func() {
-			var told telegram.Lots
-			if line.Ask(telegram.KindReport, out, &told, reportSpan) == nil {
+			var told messages.Lots
+			if line.Ask(messages.KindReport, out, &told, reportSpan) == nil {
 				p.heard()
 				p.purse.Take(told.Lots, sentAt)
 			}
--- a/internal/points/vote.go
+++ b/internal/points/vote.go
@@ -5,7 +5,7 @@
 
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/idempotency"
-	"ploverhitch/internal/telegram"
+	"ploverhitch/internal/messages"
 	"ploverhitch/internal/timetable"
 )
 
@@ -14,7 +14,7 @@
 	view := a.sight.Load().view
 	began, span := a.clock.Steady(), a.set.Load().Tuning.VoteSpan
 	a.round = idempotency.NewRound(a.intent.Hash, max(1, len(view.Members)), began, timetable.Steady(span))
-	votes, forget := askMembers[telegram.Vote](a.proxy, view, telegram.KindReserve, telegram.Reserve{Epoch: view.Epoch, Intent: a.intent})
+	votes, forget := askMembers[messages.Vote](a.proxy, view, messages.KindReserve, messages.Reserve{Epoch: view.Epoch, Intent: a.intent})
 	defer forget()
 	alarm := time.NewTimer(min(span.Std(), time.Until(a.one.due), a.patience()))
 	defer alarm.Stop()
@@ -49,7 +49,7 @@
 	return max(voteLeast, aim/voteShare-time.Since(a.one.arrived)-voteMargin)
 }
 
-func (a *attempt) take(got said[telegram.Vote]) {
+func (a *attempt) take(got said[messages.Vote]) {
 	if got.reply == nil {
 		a.round.On(nil)
 		return
@@ -69,7 +69,7 @@
 	a.intent.State = idempotency.Released
 	for _, member := range a.sight.Load().view.Members {
 		if !a.ungranted[member] {
-			a.line(member).Send(telegram.KindRecord, telegram.Record{Intent: a.intent}, nil)
+			a.line(member).Send(messages.KindRecord, messages.Record{Intent: a.intent}, nil)
 		}
 	}
 }
--- a/internal/signal/frame.go
+++ b/internal/rpc/frame.go
@@ -1,7 +1,7 @@
-// Package signal carries cbor frames between ploverhitch's own processes: a
+// Package rpc carries cbor frames between ploverhitch's own processes: a
 // call and its replies share a number, several calls share one connection, and
 // a table says which handler answers which kind.
-package signal
+package rpc
 
 import (
 	"bufio"
@@ -87,7 +87,7 @@
 // Example:
 //
 //	var call idempotency.Reserve
-//	err := signal.Unpack(body, &call)
+//	err := rpc.Unpack(body, &call)
 func Unpack(body []byte, out any) error { return errors.Trace(cbor.Unmarshal(body, out)) }
 
 // Dial connects with bounds on silence: a dead machine says nothing, so the
@@ -95,7 +95,7 @@
 //
 // Example:
 //
-//	conn, err := signal.Dial("10.1.0.42:7200", time.Second, 2*time.Second)
+//	conn, err := rpc.Dial("10.1.0.42:7200", time.Second, 2*time.Second)
 func Dial(address string, connect, silence time.Duration) (net.Conn, error) {
 	return DialWindow(address, connect, silence, 0)
 }
@@ -105,7 +105,7 @@
 //
 // Example:
 //
-//	conn, err := signal.DialWindow("10.1.0.42:7200", time.Second, 2*time.Second, 4096)
+//	conn, err := rpc.DialWindow("10.1.0.42:7200", time.Second, 2*time.Second, 4096)
 func DialWindow(address string, connect, silence time.Duration, window int) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: connect, KeepAlive: -1, Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) {
--- a/internal/signal/line.go
+++ b/internal/rpc/line.go
@@ -1,4 +1,4 @@
-package signal
+package rpc
 
 import (
 	"bufio"
@@ -42,7 +42,7 @@
 //
 // Example:
 //
-//	line := signal.NewLine("10.1.0.42:7200", 500*time.Millisecond, 2*time.Second)
+//	line := rpc.NewLine("10.1.0.42:7200", 500*time.Millisecond, 2*time.Second)
 func NewLine(address string, connect, silence time.Duration) *Line {
 	return &Line{Address: address, connect: connect, silence: silence}
 }
--- a/internal/signal/server.go
+++ b/internal/rpc/server.go
@@ -1,4 +1,4 @@
-package signal
+package rpc
 
 import (
 	"bufio"
@@ -28,7 +28,7 @@
 //
 // Example:
 //
-//	go signal.Serve(listener, signal.Handlers{KindPing: answerPing}, 2*time.Second)
+//	go rpc.Serve(listener, rpc.Handlers{KindPing: answerPing}, 2*time.Second)
 func Serve(listener net.Listener, handlers Handlers, silence time.Duration) {
 	ending := make(chan struct{})
 	defer close(ending)
--- a/internal/signal/signal_test.go
+++ b/internal/rpc/signal_test.go
@@ -1,4 +1,4 @@
-package signal_test
+package rpc_test
 
 import (
 	"net"
@@ -9,7 +9,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ploverhitch/internal/signal"
+	"ploverhitch/internal/rpc"
 )
 
 func TestSignal(t *testing.T) {
@@ -18,7 +18,7 @@
 }
 
 const (
-	echo signal.Kind = 1 + iota
+	echo rpc.Kind = 1 + iota
 	count
 	mute
 )
@@ -26,19 +26,19 @@
 func serve(address string) net.Listener {
 	listener, err := net.Listen("tcp4", address)
 	Expect(err).NotTo(HaveOccurred())
-	go signal.Serve(listener, signal.Handlers{
-		echo: func(call signal.Call) {
+	go rpc.Serve(listener, rpc.Handlers{
+		echo: func(call rpc.Call) {
 			var text string
-			if signal.Unpack(call.Body, &text) == nil {
+			if rpc.Unpack(call.Body, &text) == nil {
 				call.Reply(text)
 			}
 		},
-		count: func(call signal.Call) {
+		count: func(call rpc.Call) {
 			for i := range 3 {
 				call.Reply(i)
 			}
 		},
-		mute: func(signal.Call) {},
+		mute: func(rpc.Call) {},
 	}, time.Second)
 	return listener
 }
@@ -47,7 +47,7 @@
 	It("carries many calls at once, each to its own reply", func() {
 		listener := serve("127.0.0.1:0")
 		defer listener.Close()
-		line := signal.NewLine(listener.Addr().String(), time.Second, time.Second)
+		line := rpc.NewLine(listener.Addr().String(), time.Second, time.Second)
 		var all sync.WaitGroup
 		for range 50 {
 			all.Go(func() {
@@ -63,7 +63,7 @@
 	It("gives every reply of a feed, and then the cut", func() {
 		listener := serve("127.0.0.1:0")
 		defer listener.Close()
-		line := signal.NewLine(listener.Addr().String(), time.Second, time.Second)
+		line := rpc.NewLine(listener.Addr().String(), time.Second, time.Second)
 		replies, cut := make(chan int, 3), make(chan error, 1)
 		line.Send(count, nil, func(body []byte, err error) {
 			if err != nil {
@@ -71,7 +71,7 @@
 				return
 			}
 			var i int
-			if signal.Unpack(body, &i) == nil {
+			if rpc.Unpack(body, &i) == nil {
 				replies <- i
 			}
 		})
@@ -79,15 +79,15 @@
 			Eventually(replies).Should(Receive(Equal(i)))
 		}
 		line.Close()
-		Eventually(cut).Should(Receive(MatchError(signal.ErrCut)))
+		Eventually(cut).Should(Receive(MatchError(rpc.ErrCut)))
 	})
 
 	It("fails fast where nobody listens, and works once somebody does", func() {
 		listener := serve("127.0.0.1:0")
 		address := listener.Addr().String()
 		listener.Close()
-		line := signal.NewLine(address, time.Second, time.Second)
-		Expect(line.Ask(echo, "x", nil, 5*time.Second)).To(MatchError(signal.ErrCut))
+		line := rpc.NewLine(address, time.Second, time.Second)
+		Expect(line.Ask(echo, "x", nil, 5*time.Second)).To(MatchError(rpc.ErrCut))
 		listener = serve(address)
 		defer listener.Close()
 		Eventually(func() error { return line.Ask(echo, "x", nil, time.Second) }).Should(Succeed())
@@ -96,7 +96,7 @@
 	It("waits no longer than it is told", func() {
 		listener := serve("127.0.0.1:0")
 		defer listener.Close()
-		line := signal.NewLine(listener.Addr().String(), time.Second, time.Second)
+		line := rpc.NewLine(listener.Addr().String(), time.Second, time.Second)
 		Expect(line.Ask(mute, nil, nil, 20*time.Millisecond)).To(MatchError(ContainSubstring("call to")))
 	})
 })
--- a/internal/signalbox/ask.go
+++ b/internal/signalbox/ask.go
@@ -8,23 +8,23 @@
 
 	"ploverhitch/internal/derail"
 	"ploverhitch/internal/membership"
-	"ploverhitch/internal/signal"
-	"ploverhitch/internal/telegram"
+	"ploverhitch/internal/messages"
+	"ploverhitch/internal/rpc"
 )
 
-func (b *box) line(address string) *signal.Line {
+func (b *box) line(address string) *rpc.Line {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	line := b.lines[address]
 	if line == nil {
-		line = signal.NewLine(address, connectSpan, silenceSpan)
+		line = rpc.NewLine(address, connectSpan, silenceSpan)
 		b.lines[address] = line
 	}
 	return line
 }
 
 // ask makes a call to a member, which may be this node itself.
-func (b *box) ask(member string, kind signal.Kind, in, out any, wait time.Duration) error {
+func (b *box) ask(member string, kind rpc.Kind, in, out any, wait time.Duration) error {
 	if member != b.self {
 		return b.line(member).Ask(kind, in, out, wait)
 	}
@@ -33,7 +33,7 @@
 		return errors.Trace(err)
 	}
 	got := make(chan any, 1)
-	b.calls[kind](signal.Call{Body: body, Reply: func(reply any) bool { got <- reply; return true }})
+	b.calls[kind](rpc.Call{Body: body, Reply: func(reply any) bool { got <- reply; return true }})
 	alarm := time.NewTimer(wait)
 	defer alarm.Stop()
 	select {
@@ -42,7 +42,7 @@
 		if err != nil {
 			return errors.Trace(err)
 		}
-		return signal.Unpack(text, out)
+		return rpc.Unpack(text, out)
 	case <-alarm.C:
 		return errors.Timeoutf("call to self")
 	}
@@ -50,7 +50,7 @@
 
 // askAll asks every member at once and gives the replies in the order in which
 // they come, until enough says so or the span ends.
-func askAll[T any](b *box, members []string, kind signal.Kind, in any, wait time.Duration, isEnough func(member string, reply T) bool) {
+func askAll[T any](b *box, members []string, kind rpc.Kind, in any, wait time.Duration, isEnough func(member string, reply T) bool) {
 	type one struct {
 		member string
 		reply  T
@@ -73,9 +73,9 @@
 
 // isDone asks every member and tells whether a majority of the view says that it
 // is done.
-func (b *box) isDone(view membership.View, kind signal.Kind, in any, wait time.Duration) bool {
+func (b *box) isDone(view membership.View, kind rpc.Kind, in any, wait time.Duration) bool {
 	count := 0
-	askAll(b, view.Members, kind, in, wait, func(_ string, done telegram.Done) bool {
+	askAll(b, view.Members, kind, in, wait, func(_ string, done messages.Done) bool {
 		if done.OK {
 			count++
 		}
@@ -92,9 +92,9 @@
 
 // order brings an operator's order to the holder of the duty, wherever it came
 // in.
-func (b *box) order(kind signal.Kind, order any) error {
+func (b *box) order(kind rpc.Kind, order any) error {
 	holder := b.holder()
-	var done telegram.Ordered
+	var done messages.Ordered
 	if holder == "" || b.ask(holder, kind, order, &done, orderSpan) != nil {
 		return derail.New(derail.Gone, "the holder of the duty")
 	}
--- a/internal/signalbox/box.go
+++ b/internal/signalbox/box.go
@@ -13,8 +13,8 @@
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/idempotency"
 	"ploverhitch/internal/membership"
+	"ploverhitch/internal/rpc"
 	"ploverhitch/internal/settings"
-	"ploverhitch/internal/signal"
 	"ploverhitch/internal/storage"
 	"ploverhitch/internal/timetable"
 )
@@ -34,10 +34,10 @@
 	note   func(level, text string, pairs ...any)
 	keeper *keeper
 	hub    *feed.Hub
-	calls  signal.Handlers
+	calls  rpc.Handlers
 
 	lock  sync.Mutex
-	lines map[string]*signal.Line
+	lines map[string]*rpc.Line
 
 	// watch and newcomers belong to the roster's loop.
 	watch     *membership.Watch
@@ -70,7 +70,7 @@
 func Run(ctx context.Context, set *settings.Settings, path string, note func(level, text string, pairs ...any)) error {
 	b := &box{
 		self: set.InternalAddress(set.Platform.Ip, 0), clock: timetable.Real(), note: note, hub: feed.NewHub(),
-		lines: map[string]*signal.Line{}, roll: timetable.NewLoop[func()](256), newcomers: map[string]timetable.Steady{},
+		lines: map[string]*rpc.Line{}, roll: timetable.NewLoop[func()](256), newcomers: map[string]timetable.Steady{},
 	}
 	b.set.Store(set)
 	b.began = b.clock.Steady()
@@ -92,7 +92,7 @@
 	go settings.Watch(ctx, path, func(changed *settings.Settings) { b.set.Store(changed) }, func(err error) { note("warn", "settings", "error", err) })
 	go b.keeper.run(ctx)
 	b.announce()
-	go signal.Serve(inner, b.calls, silenceSpan)
+	go rpc.Serve(inner, b.calls, silenceSpan)
 	go b.roll.Run(ctx, actAll, set.Tuning.Beat.Std(), b.beat)
 	go b.settle(ctx)
 	go b.conductor.run(ctx)
--- a/internal/signalbox/duty.go
+++ b/internal/signalbox/duty.go
@@ -5,7 +5,7 @@
 
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/membership"
-	"ploverhitch/internal/telegram"
+	"ploverhitch/internal/messages"
 	"ploverhitch/internal/timetable"
 )
 
@@ -52,7 +52,7 @@
 		fleet := b.fleet()
 		mine.FleetTerm, mine.FleetCount = fleet.Term, fleet.Count
 		for _, watcher := range membership.Watchers(view.Members, b.self, watcherCount) {
-			b.line(watcher).Send(telegram.KindBeat, mine, nil)
+			b.line(watcher).Send(messages.KindBeat, mine, nil)
 		}
 		b.roll.Offer(func() {
 			if !view.Has(b.self) || !isTrusted {
@@ -91,7 +91,7 @@
 		return
 	}
 	defer b.isClaiming.Store(false)
-	if !b.isDone(view, telegram.KindClaim, term, askSpan) {
+	if !b.isDone(view, messages.KindClaim, term, askSpan) {
 		b.clock.Sleep(claimPause)
 		return
 	}
@@ -101,7 +101,7 @@
 
 // onBeat hears a member, and takes from it what is newer: the view, the term,
 // and, where the digests differ, the items.
-func (b *box) onBeat(in membership.Beat, _ func(telegram.Done)) {
+func (b *box) onBeat(in membership.Beat, _ func(messages.Done)) {
 	b.roll.Offer(func() { b.watch.Hear(in) })
 	b.told.Store(in.From, feed.Reading{Term: in.FleetTerm, Count: in.FleetCount})
 	isBehind := false
@@ -129,8 +129,8 @@
 
 // pull merges another member's items; it may only add.
 func (b *box) pull(member string) {
-	var items telegram.Items
-	err := b.line(member).Ask(telegram.KindBook, telegram.Book{}, &items, askSpan)
+	var items messages.Items
+	err := b.line(member).Ask(messages.KindBook, messages.Book{}, &items, askSpan)
 	if err == nil && items.IsTrusted {
 		b.store(items.Items, func() {})
 	}
@@ -170,7 +170,7 @@
 	defer b.isProposing.Store(false)
 	ask := func(motion membership.Motion) (out []membership.Response) {
 		oks := 0
-		askAll(b, view.Members, telegram.KindMotion, motion, askSpan, func(_ string, r membership.Response) bool {
+		askAll(b, view.Members, messages.KindMotion, motion, askSpan, func(_ string, r membership.Response) bool {
 			out = append(out, r)
 			if r.OK {
 				oks++
@@ -188,6 +188,6 @@
 	}
 }
 
-func (b *box) onJoin(in telegram.Join, _ func(telegram.Done)) {
+func (b *box) onJoin(in messages.Join, _ func(messages.Done)) {
 	b.roll.Offer(func() { b.newcomers[in.Address] = b.clock.Steady() })
 }
--- a/internal/signalbox/fleet.go
+++ b/internal/signalbox/fleet.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"ploverhitch/internal/feed"
+	"ploverhitch/internal/messages"
 	"ploverhitch/internal/shunt"
-	"ploverhitch/internal/telegram"
 	"ploverhitch/internal/trial"
 )
 
@@ -127,8 +127,8 @@
 		}
 		go func() {
 			defer c.telling.Delete(member)
-			var done telegram.Done
-			switch err := c.ask(member, telegram.KindFleet, out, &done, askSpan); {
+			var done messages.Done
+			switch err := c.ask(member, messages.KindFleet, out, &done, askSpan); {
 			case err == nil && done.OK:
 				c.told.Store(member, fleet.Reading())
 			case err == nil:
--- a/internal/signalbox/handlers.go
+++ b/internal/signalbox/handlers.go
@@ -8,49 +8,49 @@
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/idempotency"
 	"ploverhitch/internal/membership"
-	"ploverhitch/internal/signal"
-	"ploverhitch/internal/telegram"
+	"ploverhitch/internal/messages"
+	"ploverhitch/internal/rpc"
 )
 
 // handlers is the table from a frame's kind to what the box does with it.
-func (b *box) handlers() signal.Handlers {
-	return signal.Handlers{
+func (b *box) handlers() rpc.Handlers {
+	return rpc.Handlers{
 		feed.KindFollow:       b.hub.Handle,
-		telegram.KindReserve:  answering(b.onReserve),
-		telegram.KindRecord:   answering(b.onRecord),
-		telegram.KindLookup:   answering(b.onLookup),
-		telegram.KindBook:     answering(b.onBook),
-		telegram.KindStore:    answering(b.onStore),
-		telegram.KindMotion:   answering(b.onMotion),
-		telegram.KindBeat:     answering(b.onBeat),
-		telegram.KindClaim:    answering(b.onClaim),
-		telegram.KindFleet:    answering(b.onFleet),
-		telegram.KindDump:     answering(b.onDump),
-		telegram.KindView:     answering(b.onView),
-		telegram.KindJoin:     answering(b.onJoin),
-		telegram.KindTrial:    answering(b.onTrial),
-		telegram.KindTrials:   answering(b.onTrials),
-		telegram.KindOrder:    answering(b.onOrder),
-		telegram.KindReport:   answering(b.onReport),
-		telegram.KindStage:    answering(b.onStage),
-		telegram.KindEvidence: answering(b.onEvidence),
+		messages.KindReserve:  answering(b.onReserve),
+		messages.KindRecord:   answering(b.onRecord),
+		messages.KindLookup:   answering(b.onLookup),
+		messages.KindBook:     answering(b.onBook),
+		messages.KindStore:    answering(b.onStore),
+		messages.KindMotion:   answering(b.onMotion),
+		messages.KindBeat:     answering(b.onBeat),
+		messages.KindClaim:    answering(b.onClaim),
+		messages.KindFleet:    answering(b.onFleet),
+		messages.KindDump:     answering(b.onDump),
+		messages.KindView:     answering(b.onView),
+		messages.KindJoin:     answering(b.onJoin),
+		messages.KindTrial:    answering(b.onTrial),
+		messages.KindTrials:   answering(b.onTrials),
+		messages.KindOrder:    answering(b.onOrder),
+		messages.KindReport:   answering(b.onReport),
+		messages.KindStage:    answering(b.onStage),
+		messages.KindEvidence: answering(b.onEvidence),
 	}
 }
 
 // answering reads the call's body as T and hands it over with the closure that
 // answers it.
-func answering[T, R any](handle func(in T, answer func(R))) func(signal.Call) {
-	return func(call signal.Call) {
+func answering[T, R any](handle func(in T, answer func(R))) func(rpc.Call) {
+	return func(call rpc.Call) {
 		var in T
-		if len(call.Body) > 0 && signal.Unpack(call.Body, &in) != nil {
+		if len(call.Body) > 0 && rpc.Unpack(call.Body, &in) != nil {
 			return
 		}
 		handle(in, func(out R) { call.Reply(out) })
 	}
 }
 
-func (b *box) onReserve(in telegram.Reserve, answer func(telegram.Vote)) {
-	var vote telegram.Vote
+func (b *box) onReserve(in messages.Reserve, answer func(messages.Vote)) {
+	var vote messages.Vote
 	b.keeper.put(func(t *tables) []record {
 		if !t.isTrusted || in.Epoch != t.view.Epoch || !t.view.Has(b.self) {
 			vote.Ballot.Verdict = idempotency.Refused
@@ -72,7 +72,7 @@
 	}, func() { answer(vote) })
 }
 
-func (b *box) onRecord(in telegram.Record, answer func(telegram.Done)) {
+func (b *box) onRecord(in messages.Record, answer func(messages.Done)) {
 	isTaken := false
 	b.keeper.put(func(t *tables) []record {
 		entry, err := t.voter.Record(in.Intent)
@@ -81,19 +81,19 @@
 			return nil
 		}
 		return []record{{Entry: entry}}
-	}, func() { answer(telegram.Done{OK: isTaken}) })
+	}, func() { answer(messages.Done{OK: isTaken}) })
 }
 
-func (b *box) onLookup(in telegram.Lookup, answer func(telegram.Found)) {
-	var found telegram.Found
+func (b *box) onLookup(in messages.Lookup, answer func(messages.Found)) {
+	var found messages.Found
 	b.keeper.put(func(t *tables) []record {
 		found.Intent = t.voter.Find(in.Key)
 		return nil
 	}, func() { answer(found) })
 }
 
-func (b *box) onBook(in telegram.Book, answer func(telegram.Items)) {
-	var out telegram.Items
+func (b *box) onBook(in messages.Book, answer func(messages.Items)) {
+	var out messages.Items
 	b.keeper.put(func(t *tables) []record {
 		out.IsTrusted = t.isTrusted
 		if out.IsSame = t.bookDigest() == in.Digest; !out.IsSame {
@@ -103,8 +103,8 @@
 	}, func() { answer(out) })
 }
 
-func (b *box) onStore(in telegram.Store, answer func(telegram.Done)) {
-	b.store(in.Items, func() { answer(telegram.Done{OK: true}) })
+func (b *box) onStore(in messages.Store, answer func(messages.Done)) {
+	b.store(in.Items, func() { answer(messages.Done{OK: true}) })
 }
 
 // store merges items, keeps what was newer, publishes it, and then calls done.
@@ -139,7 +139,7 @@
 	}, func() { answer(response) })
 }
 
-func (b *box) onClaim(in membership.Term, answer func(telegram.Done)) {
+func (b *box) onClaim(in membership.Term, answer func(messages.Done)) {
 	isGranted := false
 	b.keeper.put(func(t *tables) []record {
 		if !t.isTrusted || in.Number <= t.term.Number {
@@ -147,10 +147,10 @@
 		}
 		isGranted, t.term = true, in
 		return []record{{Term: &in}}
-	}, func() { answer(telegram.Done{OK: isGranted}) })
+	}, func() { answer(messages.Done{OK: isGranted}) })
 }
 
-func (b *box) onFleet(in feed.Fleet, answer func(telegram.Done)) {
+func (b *box) onFleet(in feed.Fleet, answer func(messages.Done)) {
 	isFresh := false
 	b.keeper.put(func(t *tables) []record {
 		if isFresh = in.Term >= t.term.Number; !isFresh || !in.Reading().Outranks(t.fleet.Reading()) {
@@ -172,7 +172,7 @@
 		if isFresh {
 			b.hub.Publish(feed.News{Fleet: &in})
 		}
-		answer(telegram.Done{OK: isFresh})
+		answer(messages.Done{OK: isFresh})
 	})
 }
 
@@ -180,8 +180,8 @@
 
 // onDump answers with pages that are cut from one reading of the tables, so
 // that nothing slips between two of them.
-func (b *box) onDump(in telegram.Dump, answer func(telegram.Page)) {
-	last := telegram.Page{IsLast: true}
+func (b *box) onDump(in messages.Dump, answer func(messages.Page)) {
+	last := messages.Page{IsLast: true}
 	var entries []idempotency.Entry
 	b.keeper.put(func(t *tables) []record {
 		if t.view.Epoch < in.Epoch {
@@ -196,7 +196,7 @@
 	}, func() {
 		for len(entries) > 0 {
 			size := min(pageEntries, len(entries))
-			answer(telegram.Page{OK: true, Entries: entries[:size]})
+			answer(messages.Page{OK: true, Entries: entries[:size]})
 			entries = entries[size:]
 		}
 		answer(last)
--- a/internal/signalbox/manifest.go
+++ b/internal/signalbox/manifest.go
@@ -5,7 +5,7 @@
 
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/derail"
-	"ploverhitch/internal/telegram"
+	"ploverhitch/internal/messages"
 )
 
 // gather learns what a majority holds: the union of enough trusted members'
@@ -14,8 +14,8 @@
 	book, digest := config.Book{}, ""
 	b.keeper.read(func(t *tables) { book, digest = t.book.Clone(), t.bookDigest() })
 	view, count := b.view(), 0
-	askAll(b, view.Members, telegram.KindBook, telegram.Book{Digest: digest}, askSpan,
-		func(_ string, items telegram.Items) bool {
+	askAll(b, view.Members, messages.KindBook, messages.Book{Digest: digest}, askSpan,
+		func(_ string, items messages.Items) bool {
 			if !items.IsTrusted {
 				return false
 			}
@@ -38,7 +38,7 @@
 	if !slices.Contains(view.Members, b.self) {
 		b.store(items, func() {})
 	}
-	if !b.isDone(view, telegram.KindStore, telegram.Store{Items: items}, keepSpan) {
+	if !b.isDone(view, messages.KindStore, messages.Store{Items: items}, keepSpan) {
 		return derail.New(derail.Gone, "keeping the manifest")
 	}
 	return nil
--- a/internal/signalbox/member_test.go
+++ b/internal/signalbox/member_test.go
@@ -13,8 +13,8 @@
 	"ploverhitch/internal/idempotency"
 	"ploverhitch/internal/loadgauge"
 	"ploverhitch/internal/membership"
+	"ploverhitch/internal/messages"
 	"ploverhitch/internal/storage"
-	"ploverhitch/internal/telegram"
 	"ploverhitch/internal/timetable"
 	"ploverhitch/internal/trial"
 )
@@ -38,26 +38,26 @@
 	})
 
 	vote := func(epoch membership.Epoch, key string) idempotency.Verdict {
-		got := make(chan telegram.Vote, 1)
-		b.onReserve(telegram.Reserve{Epoch: epoch, Intent: idempotency.Intent{
+		got := make(chan messages.Vote, 1)
+		b.onReserve(messages.Reserve{Epoch: epoch, Intent: idempotency.Intent{
 			Key: idempotency.Key{Tenant: "h", Key: key}, Attempt: idempotency.Attempt("of " + key), Lane: "fee", Service: "fees", Reservation: key,
-		}}, func(vote telegram.Vote) { got <- vote })
+		}}, func(vote messages.Vote) { got <- vote })
 		return (<-got).Ballot.Verdict
 	}
-	done := func(call func(func(telegram.Done))) bool {
-		got := make(chan telegram.Done, 1)
-		call(func(done telegram.Done) { got <- done })
+	done := func(call func(func(messages.Done))) bool {
+		got := make(chan messages.Done, 1)
+		call(func(done messages.Done) { got <- done })
 		return (<-got).OK
 	}
 	claim := func(number uint64) bool {
-		return done(func(answer func(telegram.Done)) { b.onClaim(membership.Term{Number: number, Holder: "b"}, answer) })
+		return done(func(answer func(messages.Done)) { b.onClaim(membership.Term{Number: number, Holder: "b"}, answer) })
 	}
 	tell := func(fleet feed.Fleet) bool {
-		return done(func(answer func(telegram.Done)) { b.onFleet(fleet, answer) })
+		return done(func(answer func(messages.Done)) { b.onFleet(fleet, answer) })
 	}
 	write := func(term uint64, epoch membership.Epoch) bool {
-		return done(func(answer func(telegram.Done)) {
-			b.onTrial(telegram.Trial{Epoch: epoch, State: trial.State{Subject: "fees", Number: 1, Term: term, Count: 1}}, answer)
+		return done(func(answer func(messages.Done)) {
+			b.onTrial(messages.Trial{Epoch: epoch, State: trial.State{Subject: "fees", Number: 1, Term: term, Count: 1}}, answer)
 		})
 	}
 
--- a/internal/signalbox/orders.go
+++ b/internal/signalbox/orders.go
@@ -5,33 +5,33 @@
 
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/derail"
-	"ploverhitch/internal/telegram"
+	"ploverhitch/internal/messages"
 	"ploverhitch/internal/timetable"
 	"ploverhitch/internal/trial"
 )
 
 // decide lets the holder's loop decide on an order, and answers what stands
 // against it.
-func (b *box) decide(answer func(telegram.Ordered), decide func(c *conductor) (derail.Kind, string)) {
+func (b *box) decide(answer func(messages.Ordered), decide func(c *conductor) (derail.Kind, string)) {
 	c := b.conductor
 	isTaken := c.loop.Offer(func() {
 		kind, detail := derail.Gone, "the duty is not here"
 		if c.isMaster() {
 			kind, detail = decide(c)
 		}
-		answer(telegram.Ordered{Kind: kind, Detail: detail})
+		answer(messages.Ordered{Kind: kind, Detail: detail})
 	})
 	if !isTaken {
-		answer(telegram.Ordered{Kind: derail.Gone})
+		answer(messages.Ordered{Kind: derail.Gone})
 	}
 }
 
-func (b *box) onOrder(in telegram.Order, answer func(telegram.Ordered)) {
+func (b *box) onOrder(in messages.Order, answer func(messages.Ordered)) {
 	b.decide(answer, func(c *conductor) (derail.Kind, string) { return c.rollOut(in) })
 }
 
 // rollOut takes an order for a service's version.
-func (c *conductor) rollOut(in telegram.Order) (kind derail.Kind, detail string) {
+func (c *conductor) rollOut(in messages.Order) (kind derail.Kind, detail string) {
 	state, isKnown := c.states[in.Service]
 	if !isKnown {
 		isService := false
--- a/internal/signalbox/rollouts.go
+++ b/internal/signalbox/rollouts.go
@@ -9,7 +9,7 @@
 	validation "github.com/go-ozzo/ozzo-validation/v4"
 
 	"ploverhitch/internal/derail"
-	"ploverhitch/internal/telegram"
+	"ploverhitch/internal/messages"
 	"ploverhitch/internal/timetable"
 )
 
@@ -50,8 +50,8 @@
 
 func (b *box) startPoint(_ context.Context, request any) (any, error) {
 	order := request.(rollout)
-	in := telegram.Order{Service: order.Service, Target: order.TargetVersion, Duration: int64(order.Duration)}
-	return struct{}{}, b.order(telegram.KindOrder, in)
+	in := messages.Order{Service: order.Service, Target: order.TargetVersion, Duration: int64(order.Duration)}
+	return struct{}{}, b.order(messages.KindOrder, in)
 }
 
 // RolloutState is how a rollout stands.
--- a/internal/signalbox/settle.go
+++ b/internal/signalbox/settle.go
@@ -8,8 +8,8 @@
 
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/membership"
-	"ploverhitch/internal/signal"
-	"ploverhitch/internal/telegram"
+	"ploverhitch/internal/messages"
+	"ploverhitch/internal/rpc"
 )
 
 const settlePause = 150 * time.Millisecond
@@ -46,7 +46,7 @@
 		case view.Epoch > 0:
 			b.distrust()
 			for _, member := range view.Members {
-				b.line(member).Send(telegram.KindJoin, telegram.Join{Address: b.self}, nil)
+				b.line(member).Send(messages.KindJoin, messages.Join{Address: b.self}, nil)
 			}
 		}
 		b.clock.Sleep(settlePause)
@@ -73,7 +73,7 @@
 
 func (b *box) findView() {
 	var best membership.View
-	askAll(b, b.known(), telegram.KindView, struct{}{}, askSpan, func(_ string, view membership.View) bool {
+	askAll(b, b.known(), messages.KindView, struct{}{}, askSpan, func(_ string, view membership.View) bool {
 		if view.Epoch > best.Epoch {
 			best = view
 		}
@@ -109,7 +109,7 @@
 	return b.view().Epoch == view.Epoch
 }
 
-func (t *tables) union(pages []telegram.Page) (out []record) {
+func (t *tables) union(pages []messages.Page) (out []record) {
 	var items []config.Item
 	for _, page := range pages {
 		for _, entry := range t.voter.Union(page.Entries) {
@@ -134,7 +134,7 @@
 	return out
 }
 
-func (b *box) dump(member string, epoch membership.Epoch) (pages []telegram.Page, err error) {
+func (b *box) dump(member string, epoch membership.Epoch) (pages []messages.Page, err error) {
 	ended := make(chan error, 1)
 	end := func(err error) {
 		select {
@@ -142,10 +142,10 @@
 		default:
 		}
 	}
-	forget := b.line(member).Send(telegram.KindDump, telegram.Dump{Epoch: epoch}, func(body []byte, err error) {
-		var page telegram.Page
+	forget := b.line(member).Send(messages.KindDump, messages.Dump{Epoch: epoch}, func(body []byte, err error) {
+		var page messages.Page
 		if err == nil {
-			err = signal.Unpack(body, &page)
+			err = rpc.Unpack(body, &page)
 		}
 		if err == nil && !page.OK {
 			err = errors.NotValidf("the member's epoch")
--- a/internal/signalbox/sites.go
+++ b/internal/signalbox/sites.go
@@ -10,14 +10,14 @@
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/derail"
 	"ploverhitch/internal/feed"
-	"ploverhitch/internal/telegram"
+	"ploverhitch/internal/messages"
 )
 
 // layPeriod is how often the room of the sites is laid where no news says so.
 const layPeriod = time.Second
 
 // onReport hears a proxy, and answers with its lots.
-func (b *box) onReport(in telegram.Report, answer func(telegram.Lots)) {
+func (b *box) onReport(in messages.Report, answer func(messages.Lots)) {
 	c := b.conductor
 	c.loop.Offer(func() {
 		c.court.Hear(in.Evidence)
@@ -27,7 +27,7 @@
 		}
 		c.hearCopies(in.Mirrored)
 		if c.isMaster() && c.tree != nil {
-			answer(telegram.Lots{Lots: c.office.Hear(in.Evidence.Node, c.tree.SiteOf("", in.Cell), in.Uses)})
+			answer(messages.Lots{Lots: c.office.Hear(in.Evidence.Node, c.tree.SiteOf("", in.Cell), in.Uses)})
 		}
 	})
 }
--- a/internal/signalbox/staged.go
+++ b/internal/signalbox/staged.go
@@ -10,7 +10,7 @@
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/derail"
 	"ploverhitch/internal/hotbox"
-	"ploverhitch/internal/telegram"
+	"ploverhitch/internal/messages"
 	"ploverhitch/internal/timetable"
 	"ploverhitch/internal/trial"
 )
@@ -40,17 +40,17 @@
 	if err == nil && len(items) == 0 {
 		err = derail.New(derail.BadOrder, "the change has no items")
 	}
-	return telegram.StageOrder{Name: order.Name, First: order.First, Duration: int64(order.Duration), Items: items}, err
+	return messages.StageOrder{Name: order.Name, First: order.First, Duration: int64(order.Duration), Items: items}, err
 }
 
 func decodeName(_ context.Context, r *http.Request) (any, error) { return r.PathValue("name"), nil }
 
 func (b *box) stagePoint(_ context.Context, request any) (any, error) {
-	return struct{}{}, b.order(telegram.KindStage, request)
+	return struct{}{}, b.order(messages.KindStage, request)
 }
 
 func (b *box) haltPoint(_ context.Context, request any) (any, error) {
-	return struct{}{}, b.order(telegram.KindStage, telegram.StageOrder{Name: request.(string), IsHalt: true})
+	return struct{}{}, b.order(messages.KindStage, messages.StageOrder{Name: request.(string), IsHalt: true})
 }
 
 // StagedState is how a staged change stands. Evidence is there where the holder
@@ -77,12 +77,12 @@
 
 // evidence asks the holder of the duty what it knows of a trial.
 func (b *box) evidence(subject string) []hotbox.Evidence {
-	told := telegram.Evidence{}
-	_ = b.ask(b.holder(), telegram.KindEvidence, telegram.Evidence{Subject: subject}, &told, askSpan)
+	told := messages.Evidence{}
+	_ = b.ask(b.holder(), messages.KindEvidence, messages.Evidence{Subject: subject}, &told, askSpan)
 	return append([]hotbox.Evidence{}, told.Lanes...)
 }
 
-func (b *box) onEvidence(in telegram.Evidence, answer func(telegram.Evidence)) {
+func (b *box) onEvidence(in messages.Evidence, answer func(messages.Evidence)) {
 	c := b.conductor
 	c.loop.Offer(func() {
 		if d := c.drives[in.Subject]; d != nil {
--- a/internal/signalbox/stages.go
+++ b/internal/signalbox/stages.go
@@ -8,7 +8,7 @@
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/derail"
 	"ploverhitch/internal/feed"
-	"ploverhitch/internal/telegram"
+	"ploverhitch/internal/messages"
 	"ploverhitch/internal/timetable"
 	"ploverhitch/internal/trial"
 )
@@ -20,7 +20,7 @@
 	heardSpan = time.Second
 )
 
-func (b *box) onStage(in telegram.StageOrder, answer func(telegram.Ordered)) {
+func (b *box) onStage(in messages.StageOrder, answer func(messages.Ordered)) {
 	b.decide(answer, func(c *conductor) (derail.Kind, string) {
 		if in.IsHalt {
 			return c.halt(in)
@@ -30,7 +30,7 @@
 }
 
 // stage takes an order for a staged change.
-func (c *conductor) stage(in telegram.StageOrder) (kind derail.Kind, detail string) {
+func (c *conductor) stage(in messages.StageOrder) (kind derail.Kind, detail string) {
 	subject := trial.StagePrefix + in.Name
 	state := c.states[subject]
 	if state.Phase.IsActive() && sameItems(state.Items, in.Items) {
@@ -76,7 +76,7 @@
 	return derail.None, ""
 }
 
-func (c *conductor) halt(in telegram.StageOrder) (kind derail.Kind, detail string) {
+func (c *conductor) halt(in messages.StageOrder) (kind derail.Kind, detail string) {
 	state, isKnown := c.states[trial.StagePrefix+in.Name]
 	if !isKnown {
 		return derail.UnknownSubject, in.Name
--- a/internal/signalbox/trials.go
+++ b/internal/signalbox/trials.go
@@ -2,7 +2,7 @@
 
 import (
 	"ploverhitch/internal/derail"
-	"ploverhitch/internal/telegram"
+	"ploverhitch/internal/messages"
 	"ploverhitch/internal/timetable"
 	"ploverhitch/internal/trial"
 )
@@ -15,7 +15,7 @@
 
 // onTrial keeps a writing of a trial, unless a higher term has fenced it off or
 // a newer writing is held.
-func (b *box) onTrial(in telegram.Trial, answer func(telegram.Done)) {
+func (b *box) onTrial(in messages.Trial, answer func(messages.Done)) {
 	isTaken := false
 	b.keeper.put(func(t *tables) []record {
 		state := in.State
@@ -29,7 +29,7 @@
 		b.hearTrial(state)
 		t.trials[state.Subject] = state
 		return []record{{Trial: &state}}
-	}, func() { answer(telegram.Done{OK: isTaken}) })
+	}, func() { answer(messages.Done{OK: isTaken}) })
 }
 
 func (b *box) hearTrial(state trial.State) {
@@ -52,8 +52,8 @@
 	return b.clock.Steady() - timetable.Steady(state.Elapsed)
 }
 
-func (b *box) onTrials(in telegram.Trials, answer func(telegram.TrialsTold)) {
-	var out telegram.TrialsTold
+func (b *box) onTrials(in messages.Trials, answer func(messages.TrialsTold)) {
+	var out messages.TrialsTold
 	b.keeper.put(func(t *tables) []record {
 		out.OK, out.Fence = t.isTrusted && in.Epoch == t.view.Epoch && t.view.Has(b.self), t.term.Number
 		for _, state := range t.trials {
@@ -63,7 +63,7 @@
 	}, func() { answer(out) })
 }
 
-func (t *tables) unionTrials(pages []telegram.Page) (out []record) {
+func (t *tables) unionTrials(pages []messages.Page) (out []record) {
 	for _, page := range pages {
 		for _, state := range page.Trials {
 			if state.Outranks(t.trials[state.Subject]) {
@@ -81,7 +81,7 @@
 	view, count := b.view(), 0
 	states, isEven = map[string]trial.State{}, true
 	held := map[string]int{}
-	askAll(b, view.Members, telegram.KindTrials, telegram.Trials{Epoch: view.Epoch}, askSpan, func(_ string, told telegram.TrialsTold) bool {
+	askAll(b, view.Members, messages.KindTrials, messages.Trials{Epoch: view.Epoch}, askSpan, func(_ string, told messages.TrialsTold) bool {
 		if !told.OK {
 			return false
 		}
@@ -113,7 +113,7 @@
 // writeTrial keeps a writing on a majority.
 func (b *box) writeTrial(state trial.State) error {
 	view := b.view()
-	if !b.isDone(view, telegram.KindTrial, telegram.Trial{Epoch: view.Epoch, State: state}, keepSpan) {
+	if !b.isDone(view, messages.KindTrial, messages.Trial{Epoch: view.Epoch, State: state}, keepSpan) {
 		return derail.New(derail.Gone, "keeping the trial")
 	}
 	return nil
--- a/internal/telegraph/choose_test.go
+++ b/internal/telegraph/choose_test.go
@@ -10,8 +10,8 @@
 
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/membership"
+	"ploverhitch/internal/rpc"
 	"ploverhitch/internal/settings"
-	"ploverhitch/internal/signal"
 	"ploverhitch/internal/timetable"
 )
 
@@ -67,7 +67,7 @@
 		d, hand := newDesk("edge-1", view)
 		order := membership.Followed(view.Members, "edge-1")
 		for _, member := range order[:3] {
-			d.followers[member] = feed.NewFollower("edge-1", signal.NewLine(member, time.Second, time.Second), func(feed.News) {}, time.Second)
+			d.followers[member] = feed.NewFollower("edge-1", rpc.NewLine(member, time.Second, time.Second), func(feed.News) {}, time.Second)
 		}
 		// Just begun, none of them counts as ailing yet.
 		Expect(d.wanted()).To(HaveLen(3))
--- a/internal/telegraph/telegraph.go
+++ b/internal/telegraph/telegraph.go
@@ -12,9 +12,9 @@
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/membership"
+	"ploverhitch/internal/messages"
+	"ploverhitch/internal/rpc"
 	"ploverhitch/internal/settings"
-	"ploverhitch/internal/signal"
-	"ploverhitch/internal/telegram"
 	"ploverhitch/internal/timetable"
 )
 
@@ -41,7 +41,7 @@
 	hub       *feed.Hub
 	loop      *timetable.Loop[told]
 	following map[string]context.CancelFunc
-	lines     map[string]*signal.Line
+	lines     map[string]*rpc.Line
 	followers map[string]*feed.Follower
 	// gaps are the readings that a node told changes of, and that did not fit.
 	gaps map[string]feed.Reading
@@ -75,7 +75,7 @@
 func Run(ctx context.Context, set *settings.Settings, path string, note Note) error {
 	d := &desk{
 		set: set, clock: timetable.Real(), hub: feed.NewHub(), loop: timetable.NewLoop[told](256),
-		note: note, following: map[string]context.CancelFunc{}, lines: map[string]*signal.Line{}, heard: map[string]bool{},
+		note: note, following: map[string]context.CancelFunc{}, lines: map[string]*rpc.Line{}, heard: map[string]bool{},
 		followers: map[string]*feed.Follower{}, gaps: map[string]feed.Reading{}, next: make(chan *settings.Settings, 1),
 	}
 	d.began = d.clock.Steady()
@@ -84,7 +84,7 @@
 		return errors.Annotate(err, "loopback")
 	}
 	defer listener.Close()
-	go signal.Serve(listener, signal.Handlers{feed.KindFollow: d.hub.Handle}, silenceSpan)
+	go rpc.Serve(listener, rpc.Handlers{feed.KindFollow: d.hub.Handle}, silenceSpan)
 	go settings.Watch(ctx, path, func(changed *settings.Settings) { d.next <- changed }, func(err error) { note("warn", "settings", "error", err) })
 	d.tend(ctx)
 	d.loop.Run(ctx, d.merge, lookPeriod, func() { d.tend(ctx) })
@@ -118,7 +118,7 @@
 	d.hub.Read(func(board *feed.Board) { items = lacking.Newer(board.Book.Items()) })
 	if line := d.lines[t.from]; line != nil && len(items) > 0 {
 		d.note("info", "retelling items", "to", t.from, "items", len(items))
-		line.Send(telegram.KindStore, telegram.Store{Items: items}, nil)
+		line.Send(messages.KindStore, messages.Store{Items: items}, nil)
 	}
 }
 
@@ -195,7 +195,7 @@
 func (d *desk) follow(ctx context.Context, address string) {
 	follow, cancel := context.WithCancel(ctx)
 	d.following[address] = cancel
-	line := signal.NewLine(address, connectSpan, silenceSpan)
+	line := rpc.NewLine(address, connectSpan, silenceSpan)
 	d.lines[address] = line
 	name := d.set.Platform.NodeName + "@" + d.set.InternalAddress(d.set.Platform.Ip, 1)
 	follower := feed.NewFollower(name, line, func(news feed.News) { d.loop.Put(told{address, news}) }, followPause)
