--- a/cmd/ploverhitch/main.go
+++ b/cmd/ploverhitch/main.go
@@ -13,13 +13,13 @@
 
 	"github.com/alecthomas/kingpin/v2"
 
+	"ploverhitch/internal/control"
 	"ploverhitch/internal/dispatcher"
 	"ploverhitch/internal/inspector"
 	"ploverhitch/internal/objects"
 	"ploverhitch/internal/points"
 	"ploverhitch/internal/roundhouse"
 	"ploverhitch/internal/settings"
-	"ploverhitch/internal/signalbox"
 	"ploverhitch/internal/telegraph"
 )
 
@@ -30,7 +30,7 @@
 
 var programs = map[string]program{
 	"points":    points.Run,
-	"signalbox": signalbox.Run,
+	"signalbox": control.Run,
 	"telegraph": func(ctx context.Context, set *settings.Settings, path string, note func(level, text string, pairs ...any)) error {
 		// The proxy beside it goes on serving for a part of its grace.
 		linger, cancel := context.WithCancel(context.Background())
--- a/internal/signalbox/box.go
+++ b/internal/control/box.go
@@ -1,4 +1,4 @@
-package signalbox
+package control
 
 import (
 	"context"
@@ -26,7 +26,7 @@
 	keepSpan    = 450 * time.Millisecond
 )
 
-// box is one signalbox process.
+// box is one control process.
 type box struct {
 	set    atomic.Pointer[settings.Settings]
 	self   string
@@ -62,11 +62,11 @@
 	modifyLock sync.Mutex
 }
 
-// Run runs a signalbox until the context ends.
+// Run runs a control node until the context ends.
 //
 // Example:
 //
-//	err := signalbox.Run(ctx, set, path, note)
+//	err := control.Run(ctx, set, path, note)
 func Run(ctx context.Context, set *settings.Settings, path string, note func(level, text string, pairs ...any)) error {
 	b := &box{
 		self: set.InternalAddress(set.Platform.Ip, 0), clock: timetable.Real(), note: note, hub: feed.NewHub(),
--- a/internal/signalbox/control_test.go
+++ b/internal/control/control_test.go
@@ -1,4 +1,4 @@
-package signalbox
+package control
 
 import (
 	"testing"
@@ -10,7 +10,7 @@
 
 func TestSignalbox(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "signalbox")
+	RunSpecs(t, "control")
 }
 
 var _ = Describe("the operators' interface", func() {
--- a/internal/signalbox/keeper.go
+++ b/internal/control/keeper.go
@@ -1,6 +1,6 @@
-// Package signalbox is the core program: it keeps manifest items, intents and
+// Package control is the core program: it keeps manifest items, intents and
 // views on disk, votes, agrees on membership, and holds duties.
-package signalbox
+package control
 
 import (
 	"context"
--- a/internal/signalbox/member_test.go
+++ b/internal/control/member_test.go
@@ -1,4 +1,4 @@
-package signalbox
+package control
 
 import (
 	"context"
--- a/internal/inspector/check.go
+++ b/internal/inspector/check.go
@@ -8,9 +8,9 @@
 	"sort"
 
 	"ploverhitch/internal/config"
+	"ploverhitch/internal/control"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/messages"
-	"ploverhitch/internal/signalbox"
 )
 
 // Finding is one thing that is not as it should be.
@@ -25,7 +25,7 @@
 	Servers []feed.Server
 	// Cores and Edges are what each node says of itself; a node that did not
 	// answer is named in Unheard.
-	Cores   []signalbox.Status
+	Cores   []control.Status
 	Edges   []messages.Sight
 	Unheard []string
 }
--- a/internal/inspector/inspector_test.go
+++ b/internal/inspector/inspector_test.go
@@ -12,11 +12,11 @@
 
 	"ploverhitch/internal/branchline"
 	"ploverhitch/internal/config"
+	"ploverhitch/internal/control"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/inspector"
 	"ploverhitch/internal/messages"
 	"ploverhitch/internal/shunt"
-	"ploverhitch/internal/signalbox"
 )
 
 func TestInspector(t *testing.T) {
@@ -38,7 +38,7 @@
 	book.Merge(items(inForce))
 	return book, inspector.Fleet{
 		Servers: []feed.Server{{ID: "i-1", Service: "fees", Capacity: 2, IsReady: true}, {ID: "i-2", Service: "packs", Capacity: 2}},
-		Cores: []signalbox.Status{
+		Cores: []control.Status{
 			{Node: "c1", Epoch: 2, Digest: "d", IsTrusted: true}, {Node: "c2", Epoch: 2, Digest: "d", IsTrusted: true}, {Node: "c3", Epoch: 2, Digest: "d", IsTrusted: true},
 		},
 		Edges: []messages.Sight{{Node: "e1", Digest: "d", Epoch: 2, IsReady: true}},
@@ -129,7 +129,7 @@
 
 var _ = Describe("the forecast for a lost site", func() {
 	It("names where its callers would go, nearest first, and what would not fit", func() {
-		page := signalbox.SitePage{Sites: []branchline.Site{{Name: "whole"}, {Name: "east", Parent: "whole"}, {Name: "a", Parent: "east"}, {Name: "b", Parent: "east"}, {Name: "c", Parent: "whole"}}}
+		page := control.SitePage{Sites: []branchline.Site{{Name: "whole"}, {Name: "east", Parent: "whole"}, {Name: "a", Parent: "east"}, {Name: "b", Parent: "east"}, {Name: "c", Parent: "whole"}}}
 		for site, own := range map[string]int{"a": 40, "b": 20, "c": 10} {
 			page.Accounts = append(page.Accounts, branchline.Account{Site: site, Service: "fees", Capacity: 40, Own: own})
 		}
--- a/internal/inspector/load.go
+++ b/internal/inspector/load.go
@@ -6,15 +6,15 @@
 	"strconv"
 	"strings"
 
+	"ploverhitch/internal/control"
 	"ploverhitch/internal/loadgauge"
 	"ploverhitch/internal/messages"
-	"ploverhitch/internal/signalbox"
 )
 
 // Load is the order of tiers, what is turned away, and the nodes by the number of
 // the cutoff that they work by.
 type Load struct {
-	signalbox.LoadPage
+	control.LoadPage
 	Nodes   map[string][]string `json:"Nodes"`
 	Unheard []string            `json:"Unheard"`
 }
--- a/internal/inspector/look.go
+++ b/internal/inspector/look.go
@@ -12,10 +12,10 @@
 	"github.com/juju/errors"
 
 	"ploverhitch/internal/config"
+	"ploverhitch/internal/control"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/messages"
 	"ploverhitch/internal/rpc"
-	"ploverhitch/internal/signalbox"
 )
 
 const (
@@ -108,7 +108,7 @@
 //
 //	fleet, err := control.Fleet()
 func (c *Control) Fleet() (fleet Fleet, err error) {
-	var first signalbox.Status
+	var first control.Status
 	if err = c.read("/v1/status", &first); err != nil {
 		return fleet, err
 	}
@@ -116,7 +116,7 @@
 	if err = c.read("/v1/fleet", &page); err != nil {
 		return fleet, err
 	}
-	fleet.Servers, fleet.Cores = page.Servers, []signalbox.Status{first}
+	fleet.Servers, fleet.Cores = page.Servers, []control.Status{first}
 	_, port, err := net.SplitHostPort(c.Address)
 	if err != nil {
 		return fleet, errors.Annotate(err, "control address")
@@ -127,7 +127,7 @@
 		}
 		// On all machines the ports are alike.
 		host, _, _ := net.SplitHostPort(member)
-		var status signalbox.Status
+		var status control.Status
 		if NewControl(net.JoinHostPort(host, port)).read("/v1/status", &status) != nil {
 			fleet.Unheard = append(fleet.Unheard, member)
 			continue
@@ -151,7 +151,7 @@
 	line *rpc.Line
 }
 
-func edgesOf(cores []signalbox.Status) (out []edge) {
+func edgesOf(cores []control.Status) (out []edge) {
 	seen := map[string]bool{}
 	for _, core := range cores {
 		for _, follower := range core.Followers {
--- a/internal/inspector/mirror.go
+++ b/internal/inspector/mirror.go
@@ -7,9 +7,9 @@
 	"strconv"
 	"strings"
 
+	"ploverhitch/internal/control"
 	"ploverhitch/internal/loopline"
 	"ploverhitch/internal/messages"
-	"ploverhitch/internal/signalbox"
 )
 
 // parityLeast is how many whole conversations without a difference it takes to
@@ -102,7 +102,7 @@
 //
 //	sums, err := control.Mirrors()
 func (c *Control) Mirrors() (out []Mirroring, unheard []string, err error) {
-	var page signalbox.MirrorPage
+	var page control.MirrorPage
 	if err = c.read("/v1/mirrors", &page); err != nil {
 		return nil, nil, err
 	}
--- a/internal/inspector/sites.go
+++ b/internal/inspector/sites.go
@@ -10,7 +10,7 @@
 	"github.com/juju/errors"
 
 	"ploverhitch/internal/branchline"
-	"ploverhitch/internal/signalbox"
+	"ploverhitch/internal/control"
 )
 
 // Sites asks the holder of the duty for the tree and what stands of its sites.
@@ -18,7 +18,7 @@
 // Example:
 //
 //	page, err := control.Sites()
-func (c *Control) Sites() (page signalbox.SitePage, err error) {
+func (c *Control) Sites() (page control.SitePage, err error) {
 	return page, c.readAtHolder("/v1/sites", &page, func() (bool, string) { return page.IsHolder, page.Holder })
 }
 
@@ -56,7 +56,7 @@
 // Example:
 //
 //	passages, err := inspector.Without(page, "tvm-a")
-func Without(page signalbox.SitePage, site string) (out []Passage, err error) {
+func Without(page control.SitePage, site string) (out []Passage, err error) {
 	tree, err := rebuild(page.Sites)
 	if err != nil {
 		return nil, err
--- a/internal/standin/process_test.go
+++ b/internal/standin/process_test.go
@@ -12,9 +12,9 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
+	"ploverhitch/internal/control"
 	"ploverhitch/internal/points"
 	"ploverhitch/internal/settings"
-	"ploverhitch/internal/signalbox"
 	"ploverhitch/internal/standin"
 	"ploverhitch/internal/telegraph"
 )
@@ -126,7 +126,7 @@
 func (s *system) core(number int, isFirst bool) *process {
 	machine, err := s.town.Core(number, isFirst)
 	Expect(err).NotTo(HaveOccurred())
-	return start(signalbox.Run, machine)
+	return start(control.Run, machine)
 }
 
 func (s *system) lastAttempt() string { return fmt.Sprint("try", s.attempts.Load()) }
