--- a/cmd/localcluster/main.go
+++ b/cmd/localcluster/main.go
@@ -21,8 +21,8 @@
 const firstManifest = `{"Upsert":{"Services":[{"Name":"lessons","MaxConnections":20,"Revision":"r1"},{"Name":"fees","MaxConnections":20,"Revision":"r1"}],
 "Limits":{"MaxHeaderBytes":16384,"MaxBodyBytes":1048576,"Revision":"r1"},
 "VirtualHosts":[{"Hostname":"h.example","PathTable":[
-{"Name":"read","PathPrefix":"/read/","LaneType":"safe","Timeout":"1200ms","TargetLatency":"300ms","MaxAttempts":2,"Service":"lessons","Revision":"r1"},
-{"Name":"fee","PathPrefix":"/fee/","LaneType":"idempotent","Timeout":"1500ms","TargetLatency":"400ms","MaxAttempts":2,"Service":"fees","Revision":"r1"}]}]},"Remove":{"Lanes":[]}}`
+{"Name":"read","PathPrefix":"/read/","RouteType":"safe","Timeout":"1200ms","TargetLatency":"300ms","MaxAttempts":2,"Service":"lessons","Revision":"r1"},
+{"Name":"fee","PathPrefix":"/fee/","RouteType":"idempotent","Timeout":"1500ms","TargetLatency":"400ms","MaxAttempts":2,"Service":"fees","Revision":"r1"}]}]},"Remove":{"Routes":[]}}`
 
 func main() {
 	app := kingpin.New("localcluster", "A whole ploverhitch on loopback, against stand-ins. Example: localcluster --folder /tmp/town")
@@ -54,14 +54,14 @@
 		if err != nil {
 			return errors.Trace(err)
 		}
-		if err = launch(ctx, "signalbox", machine); err != nil {
+		if err = launch(ctx, "control", machine); err != nil {
 			return err
 		}
 	}
 	if edge, err = town.Edge(1); err != nil {
 		return errors.Trace(err)
 	}
-	for _, program := range []string{"telegraph", "points"} {
+	for _, program := range []string{"agent", "proxy"} {
 		if err = launch(ctx, program, edge); err != nil {
 			return err
 		}
--- a/cmd/measure/measures.go
+++ b/cmd/measure/measures.go
@@ -20,14 +20,14 @@
 func measures() []measure {
 	servers, lanes := []int{500, 2000, 8000}, []int{200, 1000, 5000}
 	return []measure{
-		{"telegraph", "checkpoint of the fleet, by servers", servers, checkpoint},
-		{"telegraph", "change of all paces, by servers", servers, paces},
-		{"points", "yard laid, by servers (one in 100 new)", servers, yard},
-		{"points", "paces heard, by servers", servers, hear},
-		{"points", "manifest compiled, by lanes", lanes, compile},
-		{"signalbox", "manifest kept, by lanes", lanes, book},
-		{"signalbox", "intents kept for a keyed operation, by operations", []int{2000, 8000, 32000}, intents},
-		{"signalbox", "news written to followers, by followers", []int{100, 400, 1600}, followers},
+		{"agent", "checkpoint of the fleet, by servers", servers, checkpoint},
+		{"agent", "change of all paces, by servers", servers, paces},
+		{"proxy", "yard laid, by servers (one in 100 new)", servers, yard},
+		{"proxy", "paces heard, by servers", servers, hear},
+		{"proxy", "manifest compiled, by lanes", lanes, compile},
+		{"control", "manifest kept, by lanes", lanes, book},
+		{"control", "intents kept for a keyed operation, by operations", []int{2000, 8000, 32000}, intents},
+		{"control", "news written to followers, by followers", []int{100, 400, 1600}, followers},
 		{"holder", "reports heard, by proxies (12 servers each)", []int{100, 400, 1600}, reports},
 		{"holder", "cutoff decided, by proxies", []int{100, 400, 1600}, cutoff},
 	}
@@ -85,7 +85,7 @@
 	for at := range size {
 		name := fmt.Sprint("lane-", at)
 		body, _ := json.Marshal(config.LaneSpec{
-			Name: name, PathPrefix: "/" + name + "/", LaneType: config.Safe, Timeout: timetable.Span(time.Second), TargetLatency: timetable.Span(time.Second),
+			Name: name, PathPrefix: "/" + name + "/", RouteType: config.Safe, Timeout: timetable.Span(time.Second), TargetLatency: timetable.Span(time.Second),
 			Service: fmt.Sprint("service-", at%40), MaxAttempts: 2, Revision: 1,
 		})
 		items = append(items, config.Item{ID: config.ID{Class: config.LaneItem, Name: name}, Version: 1, Host: fmt.Sprint("h", at%400, ".example"), Body: body})
--- a/cmd/ploverhitch/main.go
+++ b/cmd/ploverhitch/main.go
@@ -29,9 +29,9 @@
 type program func(ctx context.Context, set *settings.Settings, path string, note func(level, text string, pairs ...any)) error
 
 var programs = map[string]program{
-	"points":    points.Run,
-	"signalbox": control.Run,
-	"telegraph": func(ctx context.Context, set *settings.Settings, path string, note func(level, text string, pairs ...any)) error {
+	"proxy":   points.Run,
+	"control": control.Run,
+	"agent": func(ctx context.Context, set *settings.Settings, path string, note func(level, text string, pairs ...any)) error {
 		// The proxy beside it goes on serving for a part of its grace.
 		linger, cancel := context.WithCancel(context.Background())
 		defer cancel()
@@ -56,9 +56,9 @@
 	app.HelpFlag.Short('h')
 	path := app.Flag("settings", "Path of the settings file.").Envar(settings.PathVariable).String()
 	isCheck := app.Flag("check-settings", "Read and check the settings, and end.").Bool()
-	app.Command("points", "The proxy: takes clients' inquiries. Example: ploverhitch points --settings local.yaml")
-	app.Command("telegraph", "The agent beside a proxy. Example: ploverhitch telegraph --settings local.yaml")
-	app.Command("signalbox", "A node of the core. Example: ploverhitch signalbox --settings local.yaml")
+	app.Command("proxy", "The proxy: takes clients' requests. Example: ploverhitch proxy --settings local.yaml")
+	app.Command("agent", "The agent beside a proxy. Example: ploverhitch agent --settings local.yaml")
+	app.Command("control", "A node of the core. Example: ploverhitch control --settings local.yaml")
 	inspect := inspector.Register(app, os.Stdout, os.Stderr)
 	apply := objects.Register(app, os.Stdout)
 	trials := dispatcher.Register(app, os.Stdout)
--- a/internal/branchline/tree.go
+++ b/internal/branchline/tree.go
@@ -17,7 +17,7 @@
 	Name   string `json:"Name"`
 	Parent string `json:"Parent"`
 	// Cells and Servers are what belongs to the site itself.
-	Cells   []string `json:"Cells,omitempty"`
+	Cells   []string `json:"Zones,omitempty"`
 	Servers []string `json:"Servers,omitempty"`
 	// Capacity is, by service, what the site may be loaded with, where that is
 	// less than its servers declare.
--- a/internal/config/manifest_test.go
+++ b/internal/config/manifest_test.go
@@ -19,13 +19,13 @@
 }
 
 func lane(name, prefix, service string, version int, more string) string {
-	return fmt.Sprintf(`{"Name":%q,"PathPrefix":%q,"LaneType":"safe","Timeout":"600ms","TargetLatency":"250ms","MaxAttempts":2,"Revision":"r%d","Service":%q%s}`,
+	return fmt.Sprintf(`{"Name":%q,"PathPrefix":%q,"RouteType":"safe","Timeout":"600ms","TargetLatency":"250ms","MaxAttempts":2,"Revision":"r%d","Service":%q%s}`,
 		name, prefix, version, service, more)
 }
 
 func call(lanes ...string) []byte {
 	return []byte(`{"Upsert":{"Services":[{"Name":"s","MaxConnections":9,"Revision":"r1"}],"VirtualHosts":[{"Hostname":"h","PathTable":[` +
-		strings.Join(lanes, ",") + `]}]},"Remove":{"Lanes":[]}}`)
+		strings.Join(lanes, ",") + `]}]},"Remove":{"Routes":[]}}`)
 }
 
 // accept is what a node does with a call, short of keeping it.
@@ -73,7 +73,7 @@
 	It("may move a place from one lane to another in one call", func() {
 		book := config.Book{}
 		Expect(accept(book, call(lane("a", "/a/", "s", 2, "")))).To(Succeed())
-		text := strings.Replace(string(call(lane("b", "/a/", "s", 3, ""))), `"Lanes":[]`, `"Lanes":[{"Name":"a","Revision":"r3"}]`, 1)
+		text := strings.Replace(string(call(lane("b", "/a/", "s", 3, ""))), `"Routes":[]`, `"Routes":[{"Name":"a","Revision":"r3"}]`, 1)
 		Expect(accept(book, []byte(text))).To(Succeed())
 		Expect(book.Compile().Find("h", "/a/x").Name).To(Equal("b"))
 		Expect(accept(book, call(lane("a", "/q/", "s", 2, "")))).To(Succeed())
--- a/internal/config/own.go
+++ b/internal/config/own.go
@@ -106,7 +106,7 @@
 
 // gaugeLane is what the order of tiers knows of a lane.
 func (l *LaneSpec) gaugeLane(host string) loadgauge.Lane {
-	return loadgauge.Lane{Name: l.Name, Host: host, Priority: l.Priority, Kind: gaugeKinds[l.LaneType]}
+	return loadgauge.Lane{Name: l.Name, Host: host, Priority: l.Priority, Kind: gaugeKinds[l.RouteType]}
 }
 
 func (b Book) gaugeLanes() (out []loadgauge.Lane) {
--- a/internal/config/sheet.go
+++ b/internal/config/sheet.go
@@ -31,7 +31,7 @@
 // Example:
 //
 //	if lane.IsRepeatable() { tryAgain() }
-func (l *Lane) IsRepeatable() bool { return l.LaneType == Safe || l.LaneType == Download }
+func (l *Lane) IsRepeatable() bool { return l.RouteType == Safe || l.RouteType == Download }
 
 // Pick chooses the lane's service for a draw between 0 and 1.
 //
--- a/internal/config/spec.go
+++ b/internal/config/spec.go
@@ -31,7 +31,7 @@
 type LaneSpec struct {
 	Name          string         `json:"Name"`
 	PathPrefix    string         `json:"PathPrefix"`
-	LaneType      LaneKind       `json:"LaneType"`
+	RouteType      LaneKind       `json:"RouteType"`
 	Timeout       timetable.Span `json:"Timeout"`
 	TargetLatency timetable.Span `json:"TargetLatency"`
 	Priority      int            `json:"Priority"`
@@ -73,7 +73,7 @@
 	return validation.ValidateStruct(l,
 		validation.Field(&l.Name, validation.Required),
 		validation.Field(&l.PathPrefix, validation.Required, validation.By(isPrefix)),
-		validation.Field(&l.LaneType, validation.Required, validation.In(Safe, Unsafe, Idempotent, Download)),
+		validation.Field(&l.RouteType, validation.Required, validation.In(Safe, Unsafe, Idempotent, Download)),
 		validation.Field(&l.Timeout, validation.Required),
 		validation.Field(&l.MaxAttempts, validation.Min(0)),
 		validation.Field(&l.Service, validation.When(len(l.TrafficSplit) == 0, validation.Required)),
--- a/internal/config/wire.go
+++ b/internal/config/wire.go
@@ -27,7 +27,7 @@
 type modify struct {
 	Upsert *set `json:"Upsert"`
 	Remove struct {
-		Lanes    []mark `json:"Lanes"`
+		Lanes    []mark `json:"Routes"`
 		Services []mark `json:"Services"`
 	} `json:"Remove"`
 }
--- a/internal/control/member_test.go
+++ b/internal/control/member_test.go
@@ -90,7 +90,7 @@
 
 	It("is a new intent that the cutoff in force turns away, never one that it holds, and none once the cutoff lapsed", func() {
 		b.trust()
-		body, err := json.Marshal(config.LaneSpec{Name: "fee", PathPrefix: "/fee/", LaneType: config.Idempotent, Service: "fees", MaxAttempts: 1, Revision: 1})
+		body, err := json.Marshal(config.LaneSpec{Name: "fee", PathPrefix: "/fee/", RouteType: config.Idempotent, Service: "fees", MaxAttempts: 1, Revision: 1})
 		Expect(err).NotTo(HaveOccurred())
 		b.store([]config.Item{{ID: config.ID{Class: config.LaneItem, Name: "fee"}, Version: 1, Host: "h", Body: body}}, func() {})
 		Expect(vote(3, "old")).To(Equal(idempotency.Granted))
--- a/internal/control/platform.go
+++ b/internal/control/platform.go
@@ -18,7 +18,7 @@
 	InstanceId string         `json:"InstanceId"`
 	Service    string         `json:"Service"`
 	Address    string         `json:"Address"`
-	Cell       string         `json:"Cell"`
+	Cell       string         `json:"Zone"`
 	Revision   string         `json:"Revision"`
 	Capacity   int            `json:"Capacity"`
 	State      string         `json:"State"`
--- a/internal/hotbox/hearing.go
+++ b/internal/hotbox/hearing.go
@@ -9,7 +9,7 @@
 
 // Evidence is one lane's counts on both sides, for operators to read.
 type Evidence struct {
-	Lane    string `json:"Lane"`
+	Lane    string `json:"Route"`
 	OnTrial Tally  `json:"OnTrial"`
 	InForce Tally  `json:"InForce"`
 	Verdict string `json:"Verdict"`
--- a/internal/inspector/inspector_test.go
+++ b/internal/inspector/inspector_test.go
@@ -31,7 +31,7 @@
 }
 
 const inForce = `{"Upsert":{"Services":[{"Name":"fees","MaxConnections":9,"Revision":"r4"},{"Name":"packs","MaxConnections":9,"Revision":"r4"}],
-"VirtualHosts":[{"Hostname":"h","PathTable":[{"Name":"fee","PathPrefix":"/fee/","LaneType":"idempotent","Timeout":"1s","MaxAttempts":2,"Service":"fees","Revision":"r4"}]}]}}`
+"VirtualHosts":[{"Hostname":"h","PathTable":[{"Name":"fee","PathPrefix":"/fee/","RouteType":"idempotent","Timeout":"1s","MaxAttempts":2,"Service":"fees","Revision":"r4"}]}]}}`
 
 func healthy() (config.Book, inspector.Fleet) {
 	book := config.Book{}
@@ -71,10 +71,10 @@
 		book, fleet := healthy()
 		sent := items(`{"Upsert":{"Services":[{"Name":"fees","MaxConnections":1,"Revision":"r5"},{"Name":"packs","MaxConnections":8,"Revision":"r4"}],
 "VirtualHosts":[{"Hostname":"h","PathTable":[
-{"Name":"pack","PathPrefix":"/pack/","LaneType":"download","Timeout":"1s","MaxAttempts":2,"TrafficSplit":[{"Service":"fees","Weight":9},{"Service":"packs","Weight":1}],"Revision":"r5"}]}]}}`)
+{"Name":"pack","PathPrefix":"/pack/","RouteType":"download","Timeout":"1s","MaxAttempts":2,"TrafficSplit":[{"Service":"fees","Weight":9},{"Service":"packs","Weight":1}],"Revision":"r5"}]}]}}`)
 		Expect(whats(inspector.Check(book, sent, fleet))).To(ConsistOf(
 			"superseded: packs", "no server: lane pack", "connections: service fees"))
-		clash := items(`{"Upsert":{"VirtualHosts":[{"Hostname":"h","PathTable":[{"Name":"other","PathPrefix":"/fee/","LaneType":"safe","Timeout":"1s","Service":"none","Revision":"r5"}]}]}}`)
+		clash := items(`{"Upsert":{"VirtualHosts":[{"Hostname":"h","PathTable":[{"Name":"other","PathPrefix":"/fee/","RouteType":"safe","Timeout":"1s","Service":"none","Revision":"r5"}]}]}}`)
 		Expect(whats(inspector.Check(book, clash, fleet))).To(ContainElement("invalid: manifest"))
 	})
 
--- a/internal/inspector/look.go
+++ b/internal/inspector/look.go
@@ -65,7 +65,7 @@
 //
 //	book, err := control.Book()
 func (c *Control) Book() (config.Book, error) {
-	text, err := c.get("/v1/manifest/read")
+	text, err := c.get("/v1/config/read")
 	if err != nil {
 		return nil, err
 	}
--- a/internal/loadgauge/order.go
+++ b/internal/loadgauge/order.go
@@ -58,7 +58,7 @@
 	Plan     string   `json:"Plan,omitempty"`
 	Priority int      `json:"Priority"`
 	Kind     string   `json:"Kind"`
-	Lanes    []string `json:"Lanes"`
+	Lanes    []string `json:"Routes"`
 }
 
 // Order is the tiers of all lanes. It never changes once made.
--- a/internal/loadgauge/plan.go
+++ b/internal/loadgauge/plan.go
@@ -14,7 +14,7 @@
 	Name  string   `json:"Name"`
 	Order int      `json:"Order"`
 	Hosts []string `json:"Hosts,omitempty"`
-	Lanes []string `json:"Lanes,omitempty"`
+	Lanes []string `json:"Routes,omitempty"`
 }
 
 // Plan is the operator's tiers. A lane counts for the tier that names it, or else
--- a/internal/loopline/mirror.go
+++ b/internal/loopline/mirror.go
@@ -24,7 +24,7 @@
 // servers of a shadow service.
 type Mirror struct {
 	Name   string   `json:"Name"`
-	Lanes  []string `json:"Lanes,omitempty"`
+	Lanes  []string `json:"Routes,omitempty"`
 	Hosts  []string `json:"Hosts,omitempty"`
 	Shadow string   `json:"Shadow"`
 	// Share is the part of all conversations that is copied.
--- a/internal/loopline/record.go
+++ b/internal/loopline/record.go
@@ -63,7 +63,7 @@
 
 // Example is a difference for operators to look at, without its bodies.
 type Example struct {
-	Lane    string  `cbor:"1,keyasint" json:"Lane"`
+	Lane    string  `cbor:"1,keyasint" json:"Route"`
 	Attempt string  `cbor:"2,keyasint" json:"Attempt"`
 	Outcome Outcome `cbor:"3,keyasint" json:"Outcome"`
 	Live    int     `cbor:"4,keyasint" json:"Live"`
--- a/internal/messages/operator.go
+++ b/internal/messages/operator.go
@@ -16,7 +16,7 @@
 // attempt and target. At names the servers that it runs on now: there it ends,
 // whatever the change.
 type Move struct {
-	Lane    string      `cbor:"1,keyasint" json:"Lane"`
+	Lane    string      `cbor:"1,keyasint" json:"Route"`
 	Tenant  string      `cbor:"2,keyasint" json:"Tenant"`
 	Key     string      `cbor:"3,keyasint,omitempty" json:"Key,omitempty"`
 	Attempt string      `cbor:"4,keyasint,omitempty" json:"Attempt,omitempty"`
--- a/internal/objects/command.go
+++ b/internal/objects/command.go
@@ -59,7 +59,7 @@
 	if err != nil {
 		return errors.Annotate(err, *c.file)
 	}
-	path := "/v1/manifest/modify"
+	path := "/v1/config/modify"
 	if *c.staged != "" {
 		order := map[string]any{"Name": *c.staged, "First": *c.first, "Duration": timetable.Span(*c.duration), "Change": json.RawMessage(text)}
 		if path = "/v1/staged/start"; len(own) > 0 {
--- a/internal/objects/objects.go
+++ b/internal/objects/objects.go
@@ -87,7 +87,7 @@
 
 // readers is the table from a kind to how an object of it is taken.
 var readers = map[string]func(*call, []byte) error{
-	"Lane": (*call).lane, "Service": (*call).service, "Limits": (*call).limits, "Site": (*call).site,
+	"Route": (*call).lane, "Service": (*call).service, "Limits": (*call).limits, "Site": (*call).site,
 	"Plan": (*call).plan, "Mirror": (*call).mirror,
 }
 
@@ -160,7 +160,7 @@
 		return errors.Trace(err)
 	}
 	lane := config.LaneSpec{
-		Name: o.Metadata.Name, PathPrefix: o.Spec.PathPrefix, LaneType: o.Spec.Type, Timeout: o.Spec.Timeout, TargetLatency: o.Spec.TargetLatency,
+		Name: o.Metadata.Name, PathPrefix: o.Spec.PathPrefix, RouteType: o.Spec.Type, Timeout: o.Spec.Timeout, TargetLatency: o.Spec.TargetLatency,
 		Priority: o.Spec.Priority, MaxAttempts: o.Spec.MaxAttempts, Revision: config.Version(o.Metadata.Generation),
 	}
 	if len(o.Spec.BackendRefs) == 1 {
--- a/internal/objects/objects_test.go
+++ b/internal/objects/objects_test.go
@@ -22,7 +22,7 @@
 spec: {maxConnections: 100, healthPath: /health}
 ---
 apiVersion: ploverhitch/v1
-kind: Lane
+kind: Route
 metadata: {name: fee, generation: 4}
 spec:
   host: h.example
@@ -62,7 +62,7 @@
 			Expect(err).To(MatchError(ContainSubstring(reason)))
 		},
 		Entry("a field", "  maxAttempts: 2", "  filters: []", `"filters"`),
-		Entry("a kind", "kind: Lane", "kind: HTTPRoute", `"HTTPRoute"`),
+		Entry("a kind", "kind: Route", "kind: HTTPRoute", `"HTTPRoute"`),
 		Entry("a version of the interface", "ploverhitch/v1", "gateway.networking.k8s.io/v1", "gateway.networking.k8s.io/v1"),
 		Entry("no generation", ", generation: 3", "", "metadata.generation"),
 		Entry("an invalid span", "1500ms", "soon", "soon"),
--- a/internal/objects/own_test.go
+++ b/internal/objects/own_test.go
@@ -26,9 +26,9 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(own).To(HaveLen(2))
 		Expect(own[0].Path).To(Equal("/v1/mirrors/modify"))
-		Expect(string(own[0].Text)).To(MatchJSON(`{"Upsert":[{"Name":"build","Lanes":["fee"],"Shadow":"next","Share":0.1,"Header":"X-Learner","Until":"2026-12-20T06:00:00Z","Revision":"r2"}]}`))
+		Expect(string(own[0].Text)).To(MatchJSON(`{"Upsert":[{"Name":"build","Routes":["fee"],"Shadow":"next","Share":0.1,"Header":"X-Learner","Until":"2026-12-20T06:00:00Z","Revision":"r2"}]}`))
 		Expect(own[1].Path).To(Equal("/v1/plans/modify"))
-		Expect(string(own[1].Text)).To(MatchJSON(`{"Upsert":[{"Name":"tenants","Conversation":"X-Learner","Tiers":[{"Name":"gold","Order":1,"Hosts":["h.example"]},{"Name":"rest","Order":2,"Lanes":["packs"]}],"Revision":"r3"}]}`))
+		Expect(string(own[1].Text)).To(MatchJSON(`{"Upsert":[{"Name":"tenants","Conversation":"X-Learner","Tiers":[{"Name":"gold","Order":1,"Hosts":["h.example"]},{"Name":"rest","Order":2,"Routes":["packs"]}],"Revision":"r3"}]}`))
 	})
 
 	DescribeTable("are refused by name where they are wrong",
--- a/internal/points/bulk.go
+++ b/internal/points/bulk.go
@@ -22,7 +22,7 @@
 func (p *proxy) passing(next endpoint.Endpoint) endpoint.Endpoint {
 	return func(ctx context.Context, request any) (any, error) {
 		one := request.(*inquiry)
-		if one.lane.LaneType != config.Download {
+		if one.lane.RouteType != config.Download {
 			return next(ctx, request)
 		}
 		pace := p.paceOf(one.lane.Name)
--- a/internal/points/copy.go
+++ b/internal/points/copy.go
@@ -35,7 +35,7 @@
 		return
 	}
 	buffer := int64(copyBytes)
-	if job.lane.LaneType == config.Download || !job.hasBody {
+	if job.lane.RouteType == config.Download || !job.hasBody {
 		buffer = 0
 	}
 	began := time.Now()
--- a/internal/points/deliver.go
+++ b/internal/points/deliver.go
@@ -209,7 +209,7 @@
 		late, buffer = lateKeyed, max(buffer, d.one.sight.sheet.Limits.MaxBodyBytes)
 	}
 	passOn := int64(0)
-	if d.one.lane.LaneType == config.Download && d.in.IsNarrow() {
+	if d.one.lane.RouteType == config.Download && d.in.IsNarrow() {
 		// Checked whole first, it would take the link's time twice.
 		passOn = headway.BulkLeast
 	}
--- a/internal/points/inquiry.go
+++ b/internal/points/inquiry.go
@@ -50,7 +50,7 @@
 // takePlace places keyed operations by their key and downloads by their path;
 // the short repeatable inquiries go wherever is best at the moment.
 func (i *inquiry) takePlace() {
-	switch i.lane.LaneType {
+	switch i.lane.RouteType {
 	case config.Idempotent:
 		i.place, i.isPlaced = shunt.PlaceOf(i.lane.Host, i.Header.Get(coupling.HeaderKey)), true
 	case config.Download:
--- a/internal/points/mirror_test.go
+++ b/internal/points/mirror_test.go
@@ -44,7 +44,7 @@
 	// sightOf is what a node knows: where x-1 is listed, under which service, the
 	// order granted, and which service the one lane delivers to.
 	sightOf := func(address, service string, isReady bool, version uint64, live string) *sight {
-		body, err := json.Marshal(config.LaneSpec{Name: "fee", PathPrefix: "/fee/", LaneType: config.Safe, Service: live, MaxAttempts: 1, Revision: 1})
+		body, err := json.Marshal(config.LaneSpec{Name: "fee", PathPrefix: "/fee/", RouteType: config.Safe, Service: live, MaxAttempts: 1, Revision: 1})
 		Expect(err).NotTo(HaveOccurred())
 		book := config.Book{}
 		book.Merge([]config.Item{{ID: config.ID{Class: config.LaneItem, Name: "fee"}, Version: 1, Host: "h", Body: body}})
--- a/internal/points/moves.go
+++ b/internal/points/moves.go
@@ -54,7 +54,7 @@
 		move := messages.Move{
 			Lane: one.lane.Name, Tenant: one.lane.Host, From: home.ID, To: after(one.place), At: run.servers, Place: one.place,
 		}
-		if one.lane.LaneType == config.Idempotent {
+		if one.lane.RouteType == config.Idempotent {
 			move.Key = one.key.Key
 		} else {
 			move.Attempt, move.Target = one.Attempt, one.Target
--- a/internal/points/replay.go
+++ b/internal/points/replay.go
@@ -47,7 +47,7 @@
 func (p *proxy) replaying(next endpoint.Endpoint) endpoint.Endpoint {
 	return func(ctx context.Context, request any) (any, error) {
 		one := request.(*inquiry)
-		if one.lane.LaneType != config.Idempotent {
+		if one.lane.RouteType != config.Idempotent {
 			return next(ctx, request)
 		}
 		keys := one.Header.Values(coupling.HeaderKey)
--- a/internal/points/shed.go
+++ b/internal/points/shed.go
@@ -61,13 +61,13 @@
 		return nil
 	}
 	tier, isShed := one.lane.Tier, false
-	if one.lane.LaneType != config.Idempotent {
+	if one.lane.RouteType != config.Idempotent {
 		cutoffs, _ := p.cutoffs(one.sight)
 		for _, cutoff := range cutoffs {
 			isShed = isShed || cutoff.Service == one.service && cutoff.Sheds(tier, one.names()...)
 		}
 	}
-	p.gate.counter.Offer(one.service, tier, one.lane.LaneType == config.Idempotent, isShed)
+	p.gate.counter.Offer(one.service, tier, one.lane.RouteType == config.Idempotent, isShed)
 	if isShed {
 		return one.comeBack()
 	}
@@ -116,7 +116,7 @@
 	switch {
 	case reply.IsNotExecuted():
 		outcome = loadgauge.Turned
-	case lane.LaneType == config.Download:
+	case lane.RouteType == config.Download:
 		// How long bulk takes says more of this node's link than of the service.
 	case lane.TargetLatency > 0 && took > max(lane.TargetLatency.Std(), lateTimes*d.pace.least()):
 		outcome = loadgauge.Late
--- a/internal/points/stage.go
+++ b/internal/points/stage.go
@@ -74,11 +74,11 @@
 			continue
 		}
 		one.stage.mark.Wave = staged.Wave
-		isKept := base != nil && base.LaneType == config.Idempotent
-		if one.lane = next; next != nil && isKeyed && isKept && next.LaneType != config.Idempotent {
+		isKept := base != nil && base.RouteType == config.Idempotent
+		if one.lane = next; next != nil && isKeyed && isKept && next.RouteType != config.Idempotent {
 			// Whatever the change says, the operation keeps its record.
 			kept := *next
-			kept.LaneType = config.Idempotent
+			kept.RouteType = config.Idempotent
 			one.lane, one.stage.isUnkept = &kept, true
 		}
 	}
@@ -114,7 +114,7 @@
 }
 
 func stageOutcome(one *inquiry, reply *coupling.Reply, err error, took time.Duration) (outcome hotbox.Outcome, isCounted bool) {
-	isKeyed := one.lane != nil && one.lane.LaneType == config.Idempotent
+	isKeyed := one.lane != nil && one.lane.RouteType == config.Idempotent
 	var known *derail.Error
 	switch {
 	case err != nil && errors.As(err, &known):
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -27,9 +27,9 @@
 type Platform struct {
 	NodeName string `yaml:"NodeName"`
 	Ip       string `yaml:"Ip"`
-	Cell     string `yaml:"Cell"`
+	Cell     string `yaml:"Zone"`
 	// Cells names all cells, each with its region.
-	Cells          map[string]string `yaml:"Cells"`
+	Cells          map[string]string `yaml:"Zones"`
 	Bind           Bind              `yaml:"Bind"`
 	InternalPorts  []int             `yaml:"InternalPorts"`
 	SeedNodes      []string          `yaml:"SeedNodes"`
--- a/internal/standin/mirror_test.go
+++ b/internal/standin/mirror_test.go
@@ -19,7 +19,7 @@
 const shadowText = `{"Upsert":{"Services":[{"Name":"next","MaxConnections":400,"Revision":"r1"}]}}`
 
 func mirrorText(version int, share float64) string {
-	return fmt.Sprintf(`{"Upsert":[{"Name":"build","Lanes":["fee","read"],"Shadow":"next","Share":%g,"Header":"X-Learner","Until":%q,"Revision":"r%d"}]}`,
+	return fmt.Sprintf(`{"Upsert":[{"Name":"build","Routes":["fee","read"],"Shadow":"next","Share":%g,"Header":"X-Learner","Until":%q,"Revision":"r%d"}]}`,
 		share, time.Now().Add(time.Hour).Format(time.RFC3339), version)
 }
 
@@ -205,7 +205,7 @@
 		Expect(header.Get("Retry-After")).To(BeEmpty())
 		Expect(s.runs("back")).To(BeZero())
 		// Nor may a lane come to deliver to the shadow.
-		status, reason := s.post(1, "/v1/manifest/modify", `{"Upsert":{"VirtualHosts":[{"Hostname":"h.example","PathTable":[{"Name":"late","PathPrefix":"/late/","LaneType":"safe","Timeout":"3s","Service":"next","Revision":"r1"}]}]}}`)
+		status, reason := s.post(1, "/v1/config/modify", `{"Upsert":{"VirtualHosts":[{"Hostname":"h.example","PathTable":[{"Name":"late","PathPrefix":"/late/","RouteType":"safe","Timeout":"3s","Service":"next","Revision":"r1"}]}]}}`)
 		Expect(status).To(Equal(400))
 		Expect(reason).To(And(ContainSubstring("mirror build"), ContainSubstring("late")))
 	})
--- a/internal/standin/overload_test.go
+++ b/internal/standin/overload_test.go
@@ -17,10 +17,10 @@
 )
 
 const overloadText = `{"Upsert":{"VirtualHosts":[{"Hostname":"h.example","PathTable":[
-{"Name":"fee","PathPrefix":"/fee/","LaneType":"idempotent","Timeout":"9s","TargetLatency":"2s","MaxAttempts":2,"Priority":1,"Service":"fees","Revision":"r2"},
-{"Name":"pack","PathPrefix":"/pack/","LaneType":"download","Timeout":"9s","TargetLatency":"2s","MaxAttempts":2,"Priority":2,"Service":"fees","Revision":"r2"},
-{"Name":"urgent","PathPrefix":"/urgent/","LaneType":"safe","Timeout":"9s","TargetLatency":"2s","MaxAttempts":2,"Priority":1,"Service":"fees","Revision":"r2"},
-{"Name":"page","PathPrefix":"/page/","LaneType":"safe","Timeout":"9s","TargetLatency":"2s","MaxAttempts":2,"Priority":2,"Service":"fees","Revision":"r2"}]}]}}`
+{"Name":"fee","PathPrefix":"/fee/","RouteType":"idempotent","Timeout":"9s","TargetLatency":"2s","MaxAttempts":2,"Priority":1,"Service":"fees","Revision":"r2"},
+{"Name":"pack","PathPrefix":"/pack/","RouteType":"download","Timeout":"9s","TargetLatency":"2s","MaxAttempts":2,"Priority":2,"Service":"fees","Revision":"r2"},
+{"Name":"urgent","PathPrefix":"/urgent/","RouteType":"safe","Timeout":"9s","TargetLatency":"2s","MaxAttempts":2,"Priority":1,"Service":"fees","Revision":"r2"},
+{"Name":"page","PathPrefix":"/page/","RouteType":"safe","Timeout":"9s","TargetLatency":"2s","MaxAttempts":2,"Priority":2,"Service":"fees","Revision":"r2"}]}]}}`
 
 // crowd is clients that press without a pause and come back when refused.
 type crowd struct {
@@ -164,13 +164,13 @@
 
 	It("takes a plan from the operator, and refuses by name what is wrong", func() {
 		s := start(19200, "on")
-		status, reason := s.post(1, "/v1/plans/modify", `{"Upsert":[{"Name":"p","Tiers":[{"Name":"gold","Order":1,"Lanes":["pack"]}],"Revision":"r1"}]}`)
+		status, reason := s.post(1, "/v1/plans/modify", `{"Upsert":[{"Name":"p","Tiers":[{"Name":"gold","Order":1,"Routes":["pack"]}],"Revision":"r1"}]}`)
 		Expect(status).To(Equal(400))
 		Expect(reason).To(ContainSubstring("keyed lane"))
-		status, reason = s.post(1, "/v1/plans/modify", `{"Upsert":[{"Name":"p","Tiers":[{"Name":"gold","Order":1,"Lanes":["fee","seat","page"]}],"Revision":"r2"}]}`)
+		status, reason = s.post(1, "/v1/plans/modify", `{"Upsert":[{"Name":"p","Tiers":[{"Name":"gold","Order":1,"Routes":["fee","seat","page"]}],"Revision":"r2"}]}`)
 		Expect(status).To(Equal(200), reason)
 		Eventually(func() string { return s.state("/v1/load") }).Should(ContainSubstring(`"Plan":"gold"`))
-		_, text, _ := s.town.Read(1, "/v1/manifest/read")
+		_, text, _ := s.town.Read(1, "/v1/config/read")
 		Expect(text).NotTo(ContainSubstring("gold"))
 		status, reason = s.post(1, "/v1/plans/modify", `{"Upsert":[{"Name":"q","Tiers":[{"Name":"a","Order":1,"Hosts":["h.example"]}],"Revision":"r1"}]}`)
 		Expect(status).To(Equal(400))
--- a/internal/standin/process_test.go
+++ b/internal/standin/process_test.go
@@ -45,11 +45,11 @@
 {"Name":"seats","MaxConnections":400,"IdempotentDedup":true,"Revision":"r1"}],
 "Limits":{"MaxHeaderBytes":2000,"MaxBodyBytes":1000,"Revision":"r1"},
 "VirtualHosts":[{"Hostname":"h.example","PathTable":[
-{"Name":"read","PathPrefix":"/read/","LaneType":"safe","Timeout":"3s","TargetLatency":"2s","MaxAttempts":3,"Service":"lessons","Revision":"r1"},
-{"Name":"once","PathPrefix":"/once/","LaneType":"unsafe","Timeout":"3s","TargetLatency":"2s","MaxAttempts":3,"Service":"lessons","Revision":"r1"},
-{"Name":"pack","PathPrefix":"/pack/","LaneType":"download","Timeout":"9s","TargetLatency":"8s","MaxAttempts":2,"Service":"fees","Revision":"r1"},
-{"Name":"seat","PathPrefix":"/seat/","LaneType":"idempotent","Timeout":"3s","TargetLatency":"2s","MaxAttempts":3,"Service":"seats","Revision":"r1"},
-{"Name":"fee","PathPrefix":"/fee/","LaneType":"idempotent","Timeout":"9s","TargetLatency":"2s","MaxAttempts":2,"Service":"fees","Revision":"r1"}]}]},"Remove":{"Lanes":[]}}`
+{"Name":"read","PathPrefix":"/read/","RouteType":"safe","Timeout":"3s","TargetLatency":"2s","MaxAttempts":3,"Service":"lessons","Revision":"r1"},
+{"Name":"once","PathPrefix":"/once/","RouteType":"unsafe","Timeout":"3s","TargetLatency":"2s","MaxAttempts":3,"Service":"lessons","Revision":"r1"},
+{"Name":"pack","PathPrefix":"/pack/","RouteType":"download","Timeout":"9s","TargetLatency":"8s","MaxAttempts":2,"Service":"fees","Revision":"r1"},
+{"Name":"seat","PathPrefix":"/seat/","RouteType":"idempotent","Timeout":"3s","TargetLatency":"2s","MaxAttempts":3,"Service":"seats","Revision":"r1"},
+{"Name":"fee","PathPrefix":"/fee/","RouteType":"idempotent","Timeout":"9s","TargetLatency":"2s","MaxAttempts":2,"Service":"fees","Revision":"r1"}]}]},"Remove":{"Routes":[]}}`
 
 // system is a whole town with its programs running in this test.
 type system struct {
--- a/internal/standin/sites_test.go
+++ b/internal/standin/sites_test.go
@@ -128,7 +128,7 @@
 		status, reason = s.post(2, "/v1/sites/modify", `{"Upsert":[{"Name":"hall","Parent":"a","Servers":["f-1"],"Capacity":{"fees":1},"Revision":"r1"}]}`)
 		Expect(status).To(Equal(200), reason)
 		Eventually(func() string { return s.state("/v1/sites") }).Should(ContainSubstring(`"Site":"hall"`))
-		_, text, _ := s.town.Read(1, "/v1/manifest/read")
+		_, text, _ := s.town.Read(1, "/v1/config/read")
 		Expect(text).NotTo(ContainSubstring("hall"))
 	})
 })
--- a/internal/standin/staged_test.go
+++ b/internal/standin/staged_test.go
@@ -26,8 +26,8 @@
 		return fmt.Sprintf(`{"Name":%q,"First":"edge-2","Duration":"60s","Change":{"Upsert":{"VirtualHosts":[{"Hostname":"h.example","PathTable":[%s]}]}}}`,
 			name, strings.ReplaceAll(lane, "r1", fmt.Sprint("r", version)))
 	}
-	const feeToSeats = `{"Name":"fee","PathPrefix":"/fee/","LaneType":"idempotent","Timeout":"9s","TargetLatency":"2s","MaxAttempts":2,"Service":"seats","Revision":"r1"}`
-	const feeUnkept = `{"Name":"fee","PathPrefix":"/fee/","LaneType":"safe","Timeout":"9s","TargetLatency":"2s","MaxAttempts":2,"Service":"seats","Revision":"r1"}`
+	const feeToSeats = `{"Name":"fee","PathPrefix":"/fee/","RouteType":"idempotent","Timeout":"9s","TargetLatency":"2s","MaxAttempts":2,"Service":"seats","Revision":"r1"}`
+	const feeUnkept = `{"Name":"fee","PathPrefix":"/fee/","RouteType":"safe","Timeout":"9s","TargetLatency":"2s","MaxAttempts":2,"Service":"seats","Revision":"r1"}`
 	read := func(name string) string { return s.state("/v1/staged/" + name + "/read") }
 	// ran counts what the servers ran.
 	ran := func(ids ...string) (count int) {
@@ -96,7 +96,7 @@
 	It("gives way to an ordinary change of the same item", func() {
 		status, reason := s.post(1, "/v1/staged/start", order("passed", feeToSeats, 50))
 		Expect(status).To(Equal(200), reason)
-		status, _ = s.post(2, "/v1/manifest/modify", `{"Upsert":{"VirtualHosts":[{"Hostname":"h.example","PathTable":[`+
+		status, _ = s.post(2, "/v1/config/modify", `{"Upsert":{"VirtualHosts":[{"Hostname":"h.example","PathTable":[`+
 			strings.Replace(strings.Replace(feeToSeats, "seats", "fees", 1), "r1", "r51", 1)+`]}]}}`)
 		Expect(status).To(Equal(200))
 		Eventually(func() string { return read("passed") }).Should(ContainSubstring("an ordinary change"))
@@ -107,7 +107,7 @@
 		Eventually(func() int { status, _ := s.post(1, "/v1/staged/start", order("good", feeToSeats, 60)); return status }).Should(Equal(200))
 		Expect(read("good")).To(ContainSubstring(`[["edge-2"],["edge-1"],["edge-3","edge-4"]]`))
 		Eventually(func() string { return read("good") }, "40s").Should(ContainSubstring(`"State":"complete"`))
-		Expect(s.state("/v1/manifest/read")).To(ContainSubstring(`"r60"`))
+		Expect(s.state("/v1/config/read")).To(ContainSubstring(`"r60"`))
 		before := ran("f-1", "f-2")
 		for edge := range s.edges {
 			s.send(edge, "POST", "/fee/x", "x", map[string]string{"Ploverhitch-Operation-Key": fmt.Sprint("after", edge)})
--- a/internal/standin/town.go
+++ b/internal/standin/town.go
@@ -166,7 +166,7 @@
 //
 //	status, err := town.Modify(1, text)
 func (t *Town) Modify(number int, text string) (int, error) {
-	response, err := http.Post("http://"+t.Control(number)+"/v1/manifest/modify", "application/json", strings.NewReader(text))
+	response, err := http.Post("http://"+t.Control(number)+"/v1/config/modify", "application/json", strings.NewReader(text))
 	if err != nil {
 		return 0, err
 	}
@@ -179,7 +179,7 @@
 //
 // Example:
 //
-//	status, text, err := town.Read(1, "/v1/manifest/read")
+//	status, text, err := town.Read(1, "/v1/config/read")
 func (t *Town) Read(number int, path string) (int, string, error) {
 	response, err := http.Get("http://" + t.Control(number) + path)
 	if err != nil {
--- a/internal/standin/town_test.go
+++ b/internal/standin/town_test.go
@@ -210,7 +210,7 @@
 		s.cores[0].end()
 		Eventually(func() int { status, _, _ := fee("k1", "seat 7"); return status }).Should(Equal(200))
 		Expect(runs("k1")).To(Equal(1))
-		status, text, err := town.Read(2, "/v1/manifest/read")
+		status, text, err := town.Read(2, "/v1/config/read")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(status).To(Equal(200))
 		Expect(text).To(ContainSubstring(`"PathPrefix":"/fee/"`))
@@ -233,7 +233,7 @@
 		for number := 1; number <= 3; number++ {
 			s.cores[number-1] = s.core(number, true)
 		}
-		Eventually(func() string { _, text, _ := town.Read(1, "/v1/manifest/read"); return text }).Should(ContainSubstring(`"PathPrefix":"/fee/"`))
+		Eventually(func() string { _, text, _ := town.Read(1, "/v1/config/read"); return text }).Should(ContainSubstring(`"PathPrefix":"/fee/"`))
 		Eventually(func() int { status, _, _ := fee("k7", "x"); return status }).Should(Equal(200))
 	})
 
