--- a/internal/config/item.go
+++ b/internal/config/item.go
@@ -3,6 +3,7 @@
 package config
 
 import (
+	"bytes"
 	"crypto/sha256"
 	"encoding/hex"
 	"encoding/json"
@@ -79,6 +80,28 @@
 	return string(sum[:])
 }
 
+// fingerprintBytes is how much of the content's hash tells two contents of one
+// version apart.
+const fingerprintBytes = 16
+
+// Fingerprint is the same for two items exactly if they have the same content;
+// white space and the order of fields in the body do not count.
+//
+// Example:
+//
+//	isRepeat := sent.Fingerprint() == held.Fingerprint()
+func (i Item) Fingerprint() string {
+	decoder := json.NewDecoder(bytes.NewReader(i.Body))
+	decoder.UseNumber()
+	var body any
+	if decoder.Decode(&body) == nil {
+		if text, err := json.Marshal(body); err == nil {
+			i.Body = text
+		}
+	}
+	return hex.EncodeToString([]byte(i.content())[:fingerprintBytes])
+}
+
 // Outranks tells whether the item holds against the other: the higher version
 // does; of two that raced under one version, the one whose content's hash is
 // the greater, so that every copy comes to the same.
--- a/internal/config/spec.go
+++ b/internal/config/spec.go
@@ -31,7 +31,7 @@
 type LaneSpec struct {
 	Name          string         `json:"Name"`
 	PathPrefix    string         `json:"PathPrefix"`
-	RouteType      LaneKind       `json:"RouteType"`
+	RouteType     LaneKind       `json:"RouteType"`
 	Timeout       timetable.Span `json:"Timeout"`
 	TargetLatency timetable.Span `json:"TargetLatency"`
 	Priority      int            `json:"Priority"`
--- /dev/null
+++ b/internal/control/registry/set.go
@@ -0,0 +1,91 @@
+package registry
+
+import (
+	"slices"
+
+	"ploverhitch/internal/config"
+)
+
+// historyLength is how many accepted versions of an item are remembered, the
+// one in force included.
+const historyLength = 8
+
+// Acceptance of a version: its number and what its content was.
+type acceptedVersion struct {
+	Version     config.Version `cbor:"1,keyasint"`
+	Fingerprint string         `cbor:"2,keyasint"`
+}
+
+// History is the versions of one item that were accepted last, oldest first.
+type History struct {
+	ID       config.ID         `cbor:"1,keyasint"`
+	Accepted []acceptedVersion `cbor:"2,keyasint"`
+}
+
+// Set is the item set after the change numbered Index.
+type Set struct {
+	Index   Index
+	Items   config.Book
+	history map[config.ID][]acceptedVersion
+	bytes   int
+}
+
+// sizeOf is about how much room an item takes, on the wire and in memory.
+func sizeOf(item config.Item) int {
+	return len(item.Body) + len(item.Host) + len(item.ID.Name) + 64
+}
+
+// put replaces the item of that id.
+func (s *Set) put(item config.Item) {
+	if held, isHeld := s.Items[item.ID]; isHeld {
+		s.bytes -= sizeOf(held)
+	}
+	s.Items[item.ID] = item
+	s.bytes += sizeOf(item)
+}
+
+// NewSet makes the empty set.
+//
+// Example:
+//
+//	set := registry.NewSet()
+func NewSet() *Set {
+	return &Set{Items: config.Book{}, history: map[config.ID][]acceptedVersion{}}
+}
+
+// apply makes the set that follows; the change must be the next one.
+func (s *Set) apply(change Change) {
+	if change.IsWhole {
+		s.Items, s.bytes = config.Book{}, 0
+	}
+	for _, item := range change.Items {
+		s.put(item)
+		s.remember(item)
+	}
+	s.Index = change.Index
+}
+
+// remember notes that the item's version was accepted.
+func (s *Set) remember(item config.Item) {
+	accepted := acceptedVersion{item.Version, item.Fingerprint()}
+	list := s.history[item.ID]
+	if slices.Contains(list, accepted) {
+		return
+	}
+	list = append(slices.Clone(list), accepted)
+	s.history[item.ID] = list[max(0, len(list)-historyLength):]
+}
+
+// fingerprintOf is the content that was accepted under a version of the item.
+func (s *Set) fingerprintOf(id config.ID, version config.Version) (fingerprint string, isKnown bool) {
+	for _, accepted := range s.history[id] {
+		if accepted.Version == version {
+			return accepted.Fingerprint, true
+		}
+	}
+	held, isHeld := s.Items[id]
+	if isHeld && held.Version == version {
+		return held.Fingerprint(), true
+	}
+	return "", false
+}
--- a/internal/membership/accord.go
+++ b/internal/membership/accord.go
@@ -7,7 +7,12 @@
 	Node  string `cbor:"2,keyasint"`
 }
 
-func (n Number) below(other Number) bool {
+// Below tells whether the number comes before the other.
+//
+// Example:
+//
+//	if motion.Number.Below(acceptor.Promised) { refuse() }
+func (n Number) Below(other Number) bool {
 	return n.Round < other.Round || n.Round == other.Round && n.Node < other.Node
 }
 
@@ -45,7 +50,7 @@
 //	response, isChanged := acceptor.On(view, motion)
 func (a *Acceptor) On(view View, motion Motion) (response Response, isChanged bool) {
 	response = Response{Promised: a.Promised, Number: a.Number, Value: a.Value, View: view}
-	if motion.Epoch != view.Epoch || motion.Number.below(a.Promised) {
+	if motion.Epoch != view.Epoch || motion.Number.Below(a.Promised) {
 		return response, false
 	}
 	a.Promised = motion.Number
@@ -73,7 +78,7 @@
 			if r.OK {
 				oks++
 			}
-			if highest.below(r.Promised) {
+			if highest.Below(r.Promised) {
 				highest = r.Promised
 			}
 		}
@@ -85,7 +90,7 @@
 	}
 	value, best := wanted, Number{}
 	for _, r := range promises {
-		if r.OK && r.Value != nil && best.below(r.Number) {
+		if r.OK && r.Value != nil && best.Below(r.Number) {
 			value, best = *r.Value, r.Number
 		}
 	}
@@ -102,7 +107,7 @@
 //
 //	if lost.Behind(told) { lost = lost.Join(told) }
 func (a Acceptor) Behind(other Acceptor) bool {
-	return a.Promised.below(other.Promised) || a.Number.below(other.Number)
+	return a.Promised.Below(other.Promised) || a.Number.Below(other.Number)
 }
 
 // Join is what a member that lost its acceptor takes from another's: the later
@@ -112,10 +117,10 @@
 //
 //	lost = lost.Join(told)
 func (a Acceptor) Join(other Acceptor) Acceptor {
-	if a.Promised.below(other.Promised) {
+	if a.Promised.Below(other.Promised) {
 		a.Promised = other.Promised
 	}
-	if a.Number.below(other.Number) {
+	if a.Number.Below(other.Number) {
 		a.Number, a.Value = other.Number, other.Value
 	}
 	return a
