--- a/internal/config/spec.go
+++ b/internal/config/spec.go
@@ -126,11 +126,15 @@
 // Example:
 //
 //	err := trial.Check()
-func (b Book) Check() error { return b.checkLanes(b.Items()) }
+func (b Book) Check() error { return b.CheckRoutes(b.Items()) }
 
-// checkLanes checks the lanes among the items against the book's services and
+// CheckRoutes checks the routes among the items against the book's services and
 // against each other.
-func (b Book) checkLanes(items []Item) error {
+//
+// Example:
+//
+//	err := book.CheckRoutes(call.Items)
+func (b Book) CheckRoutes(items []Item) error {
 	places := map[string]string{}
 	for _, item := range items {
 		if item.ID.Class != LaneItem || item.Dropped {
@@ -165,7 +169,7 @@
 	newer, whole = b.Newer(items), b.Clone()
 	whole.Merge(newer)
 	if err = whole.Check(); err == nil {
-		err = whole.checkLanes(items)
+		err = whole.CheckRoutes(items)
 	}
 	return newer, whole, err
 }
--- a/internal/control/box.go
+++ b/internal/control/box.go
@@ -50,7 +50,9 @@
 	myTerm      atomic.Uint64
 	isClaiming  atomic.Bool
 	isProposing atomic.Bool
-	round       atomic.Uint64
+	// isTakingOffer keeps the offers of many agents from being taken side by side.
+	isTakingOffer atomic.Bool
+	round         atomic.Uint64
 	// heard is when each trial began.
 	heard     sync.Map
 	conductor *conductor
@@ -59,7 +61,10 @@
 	// telling marks the members that a reading is on its way to.
 	telling sync.Map
 
-	modifyLock sync.Mutex
+	registrar *registrar
+	// proposer names this life of the process in ballots: a round number that is
+	// used again after a restart must not make the same ballot.
+	proposer string
 }
 
 // Run runs a control node until the context ends.
@@ -73,11 +78,13 @@
 		lines: map[string]*rpc.Line{}, roll: timetable.NewLoop[func()](256), newcomers: map[string]timetable.Steady{},
 	}
 	b.set.Store(set)
+	b.proposer = ballotName(b.self)
 	b.began = b.clock.Steady()
 	b.watch = membership.NewWatch(b.clock, set.Tuning.SilentAfter.Std())
 	if err := b.open(set); err != nil {
 		return err
 	}
+	b.registrar = newRegistrar(b)
 	b.conductor = newConductor(b)
 	b.calls = b.handlers()
 	inner, err := net.Listen("tcp4", b.self)
@@ -95,6 +102,7 @@
 	go rpc.Serve(inner, b.calls, silenceSpan)
 	go b.roll.Run(ctx, actAll, set.Tuning.Beat.Std(), b.beat)
 	go b.settle(ctx)
+	go b.registrar.run(ctx)
 	go b.conductor.run(ctx)
 	go b.pollPlatform(ctx)
 	server := &http.Server{Handler: b.control(), ReadHeaderTimeout: 5 * time.Second, IdleTimeout: 30 * time.Second}
@@ -141,7 +149,7 @@
 func (b *box) announce() {
 	b.keeper.read(func(t *tables) {
 		view, fleet := t.view, t.fleet
-		b.hub.Publish(feed.News{Items: t.book.Items(), View: &view, Fleet: &fleet})
+		b.hub.Publish(feed.News{Items: t.book().Items(), View: &view, Fleet: &fleet})
 	})
 }
 
--- /dev/null
+++ b/internal/control/catchup.go
@@ -0,0 +1,178 @@
+package control
+
+import (
+	"time"
+
+	"ploverhitch/internal/config"
+	"ploverhitch/internal/control/registry"
+	"ploverhitch/internal/derail"
+	"ploverhitch/internal/feed"
+	"ploverhitch/internal/messages"
+)
+
+const (
+	// pageBytes is about how much of the item set, or of the changes of it, one
+	// frame or record carries.
+	pageBytes = 64 << 10
+	// catchUpPages bounds how many frames one catching up may take.
+	catchUpPages = 4096
+)
+
+// learn takes decided changes, keeps them, and publishes them once they are kept;
+// it tells whether some do not follow what this node holds.
+func (b *box) learn(changes []registry.Change) (isGap bool) {
+	var items []config.Item
+	b.keeper.keep(func(t *tables) (out []record) {
+		for _, change := range changes {
+			isGap = isGap || change.Index > t.registry.Next()
+			r := record{Change: &change}
+			if change.Index != t.registry.Next() {
+				continue
+			}
+			t.apply(r)
+			items, out = append(items, change.Items...), append(out, r)
+		}
+		return out
+	}, 2*time.Second)
+	if len(items) > 0 {
+		b.hub.Publish(feed.News{Items: items})
+	}
+	return isGap
+}
+
+func (b *box) onLearn(in messages.Learn, _ func(messages.Done)) {
+	go func() {
+		if b.learn(in.Changes) {
+			b.registrar.catchUpWith(in.From)
+		}
+	}()
+}
+
+func (b *box) onState(in messages.State, answer func(registry.State)) {
+	var state registry.State
+	b.keeper.put(func(t *tables) []record {
+		if t.view.Epoch != in.Epoch || !t.view.Has(b.self) {
+			state.View = newerView(t, in.Epoch)
+			return nil
+		}
+		state = t.registry.State()
+		state.OK, state.IsRebuilding = t.isTrusted, !t.isTrusted
+		return nil
+	}, func() { answer(state) })
+}
+
+func (b *box) onCatchUp(in messages.CatchUp, answer func(messages.Missed)) {
+	var missed messages.Missed
+	b.keeper.put(func(t *tables) []record {
+		missed.Index = t.registry.Index
+		if in.IsPages {
+			page := t.registry.PageAfter(in.After, pageBytes)
+			missed.Page = &page
+			return nil
+		}
+		changes, isKept, isCheaper := t.registry.Since(in.From, pageBytes)
+		if missed.IsPaged = !isKept || !isCheaper && !in.IsTail; !missed.IsPaged {
+			missed.Changes = changes
+		}
+		return nil
+	}, func() { answer(missed) })
+}
+
+// catchUpWith brings this node's set up to another's; while it does so already,
+// there is nothing to do.
+func (r *registrar) catchUpWith(member string) {
+	if member == "" || member == r.box.self {
+		return
+	}
+	select {
+	case r.catching <- struct{}{}:
+	default:
+		return
+	}
+	defer func() { <-r.catching }()
+	if err := r.box.catchUp(member); err != nil {
+		r.box.note("info", "catching up", "with", member, "error", err)
+	}
+}
+
+// catchUp reads what this node lacks from another, as changes or, where that is
+// cheaper or the only way, as the whole set.
+func (b *box) catchUp(member string) error {
+	for range catchUpPages {
+		var from registry.Index
+		b.keeper.read(func(t *tables) { from = t.registry.Index })
+		var missed messages.Missed
+		if err := b.ask(member, messages.KindCatchUp, messages.CatchUp{From: from}, &missed, askSpan); err != nil {
+			return err
+		}
+		switch {
+		case missed.IsPaged:
+			if err := b.catchUpByPages(member); err != nil {
+				return err
+			}
+		case len(missed.Changes) == 0:
+			return nil
+		default:
+			b.learn(missed.Changes)
+		}
+	}
+	return derail.New(derail.Gone, "the changes come faster than they are read")
+}
+
+// catchUpByPages reads the whole set, and the changes made meanwhile.
+func (b *box) catchUpByPages(member string) error {
+	var assembly registry.Assembly
+	var changes []registry.Change
+	var after *config.ID
+	first := registry.Index(0)
+	for number := range catchUpPages {
+		var missed messages.Missed
+		if err := b.ask(member, messages.KindCatchUp, messages.CatchUp{IsPages: true, After: after}, &missed, askSpan); err != nil {
+			return err
+		}
+		if missed.Page == nil {
+			return derail.New(derail.Gone, "a page of the configuration")
+		}
+		if assembly.Add(*missed.Page); number == 0 {
+			first = missed.Page.Index
+		}
+		if after = missed.Page.After(); missed.Page.IsLast {
+			break
+		}
+	}
+	for reached := first; ; {
+		var missed messages.Missed
+		if err := b.ask(member, messages.KindCatchUp, messages.CatchUp{From: reached, IsTail: true}, &missed, askSpan); err != nil {
+			return err
+		}
+		if missed.IsPaged || len(missed.Changes) == 0 {
+			break
+		}
+		changes = append(changes, missed.Changes...)
+		reached = changes[len(changes)-1].Index
+	}
+	set, isWhole := assembly.Finish(changes)
+	if !isWhole {
+		return derail.New(derail.Gone, "the changes made while the configuration was read")
+	}
+	b.install(set)
+	return nil
+}
+
+// install replaces this node's set, keeps it and publishes it.
+func (b *box) install(set *registry.Set) {
+	isInstalled := false
+	b.keeper.keep(func(t *tables) (out []record) {
+		if isInstalled = t.registry.Install(set); !isInstalled {
+			return nil
+		}
+		t.digest = ""
+		for page := range set.Pages(pageBytes) {
+			out = append(out, record{Page: &page})
+		}
+		return out
+	}, 10*time.Second)
+	if isInstalled {
+		b.announce()
+	}
+}
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -111,7 +111,11 @@
 		kind = known.Kind
 	}
 	text, _ := json.Marshal(map[string]string{"Error": err.Error()})
+	answer := derail.AnswerOf(kind)
 	w.Header().Set("Content-Type", "application/json")
-	w.WriteHeader(derail.AnswerOf(kind).Status)
+	if answer.RetryAfter > 0 {
+		w.Header().Set("Retry-After", strconv.FormatFloat(answer.RetryAfter.Seconds(), 'f', -1, 64))
+	}
+	w.WriteHeader(answer.Status)
 	_, _ = w.Write(text)
 }
--- a/internal/control/duty.go
+++ b/internal/control/duty.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"ploverhitch/internal/control/registry"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/membership"
 	"ploverhitch/internal/messages"
@@ -38,17 +39,17 @@
 func (b *box) beat() {
 	var view membership.View
 	var term membership.Term
-	var digest string
+	var index registry.Index
 	var isTrusted bool
 	seen := b.watch.Direct()
 	isFit := b.isFit.Load()
 	first := ""
 	b.keeper.put(func(t *tables) []record {
-		view, term, digest, isTrusted = t.view, t.term, t.bookDigest(), t.isTrusted
+		view, term, index, isTrusted = t.view, t.term, t.registry.Index, t.isTrusted
 		return nil
 	}, func() {
 		isFit = isFit && isTrusted
-		mine := membership.Beat{From: b.self, View: view, Term: term, Digest: digest, Seen: seen, IsFit: isFit}
+		mine := membership.Beat{From: b.self, View: view, Term: term, Index: uint64(index), Seen: seen, IsFit: isFit}
 		fleet := b.fleet()
 		mine.FleetTerm, mine.FleetCount = fleet.Term, fleet.Count
 		for _, watcher := range membership.Watchers(view.Members, b.self, watcherCount) {
@@ -100,13 +101,13 @@
 }
 
 // onBeat hears a member, and takes from it what is newer: the view, the term,
-// and, where the digests differ, the items.
+// and, where its item set is ahead, the changes.
 func (b *box) onBeat(in membership.Beat, _ func(messages.Done)) {
 	b.roll.Offer(func() { b.watch.Hear(in) })
 	b.told.Store(in.From, feed.Reading{Term: in.FleetTerm, Count: in.FleetCount})
 	isBehind := false
 	b.keeper.put(func(t *tables) (out []record) {
-		isBehind = in.Digest != t.bookDigest()
+		isBehind = registry.Index(in.Index) > t.registry.Index
 		if in.View.Epoch > t.view.Epoch {
 			view := in.View
 			r := record{View: &view}
@@ -122,20 +123,11 @@
 		return out
 	}, func() {
 		if isBehind {
-			go b.pull(in.From)
+			go b.registrar.catchUpWith(in.From)
 		}
 	})
 }
 
-// pull merges another member's items; it may only add.
-func (b *box) pull(member string) {
-	var items messages.Items
-	err := b.line(member).Ask(messages.KindBook, messages.Book{}, &items, askSpan)
-	if err == nil && items.IsTrusted {
-		b.store(items.Items, func() {})
-	}
-}
-
 // tendView gives a member that is lost up for a node that waits, or takes a
 // node in while there are fewer members than the tolerance asks for.
 func (b *box) tendView(view membership.View) {
@@ -179,7 +171,7 @@
 		})
 		return out
 	}
-	number := membership.Number{Round: b.round.Add(1), Node: b.self}
+	number := membership.Number{Round: b.round.Add(1), Node: b.proposer}
 	decided, highest, isDecided := membership.Propose(view, wanted, number, ask)
 	b.round.Store(max(b.round.Load(), highest.Round))
 	if isDecided {
--- a/internal/control/handlers.go
+++ b/internal/control/handlers.go
@@ -4,7 +4,6 @@
 	"maps"
 	"slices"
 
-	"ploverhitch/internal/config"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/idempotency"
 	"ploverhitch/internal/membership"
@@ -19,8 +18,13 @@
 		messages.KindReserve:  answering(b.onReserve),
 		messages.KindRecord:   answering(b.onRecord),
 		messages.KindLookup:   answering(b.onLookup),
-		messages.KindBook:     answering(b.onBook),
-		messages.KindStore:    answering(b.onStore),
+		messages.KindPrepare:  answering(b.onPrepare),
+		messages.KindAccept:   answering(b.onAccept),
+		messages.KindLearn:    answering(b.onLearn),
+		messages.KindState:    answering(b.onState),
+		messages.KindCatchUp:  answering(b.onCatchUp),
+		messages.KindPropose:  answering(b.onPropose),
+		messages.KindOffer:    answering(b.onOffer),
 		messages.KindMotion:   answering(b.onMotion),
 		messages.KindBeat:     answering(b.onBeat),
 		messages.KindClaim:    answering(b.onClaim),
@@ -92,37 +96,6 @@
 	}, func() { answer(found) })
 }
 
-func (b *box) onBook(in messages.Book, answer func(messages.Items)) {
-	var out messages.Items
-	b.keeper.put(func(t *tables) []record {
-		out.IsTrusted = t.isTrusted
-		if out.IsSame = t.bookDigest() == in.Digest; !out.IsSame {
-			out.Items = t.book.Items()
-		}
-		return nil
-	}, func() { answer(out) })
-}
-
-func (b *box) onStore(in messages.Store, answer func(messages.Done)) {
-	b.store(in.Items, func() { answer(messages.Done{OK: true}) })
-}
-
-// store merges items, keeps what was newer, publishes it, and then calls done.
-func (b *box) store(items []config.Item, done func()) {
-	var news []config.Item
-	b.keeper.put(func(t *tables) []record {
-		if news = t.merge(items); len(news) == 0 {
-			return nil
-		}
-		return []record{{Items: news}}
-	}, func() {
-		if len(news) > 0 {
-			b.hub.Publish(feed.News{Items: news})
-		}
-		done()
-	})
-}
-
 func (b *box) onMotion(in membership.Motion, answer func(membership.Response)) {
 	var response membership.Response
 	b.keeper.put(func(t *tables) []record {
@@ -188,7 +161,7 @@
 			return nil
 		}
 		entries = t.voter.Entries()
-		last.OK, last.Term, last.Items, last.Trials = true, t.term, t.book.Items(), slices.Collect(maps.Values(t.trials))
+		last.OK, last.Term, last.Trials = true, t.term, slices.Collect(maps.Values(t.trials))
 		if t.view.Epoch == in.Epoch {
 			last.Acceptor = t.acceptor
 		}
--- /dev/null
+++ b/internal/control/modify.go
@@ -0,0 +1,71 @@
+package control
+
+import (
+	"time"
+
+	"ploverhitch/internal/config"
+	"ploverhitch/internal/control/registry"
+	"ploverhitch/internal/derail"
+	"ploverhitch/internal/membership"
+	"ploverhitch/internal/messages"
+)
+
+// forwardSpan bounds how long another member may take over an order before this
+// node proposes it itself.
+const forwardSpan = 350 * time.Millisecond
+
+// errNoDecision says that an order may or may not come to hold.
+var errNoDecision = derail.New(derail.Gone, "keeping the configuration")
+
+// modify takes an operator's call: it is acknowledged once a majority has
+// accepted the change that holds it, or has shown that it holds already.
+func (b *box) modify(items []config.Item) error {
+	_, err := b.commit(items)
+	return err
+}
+
+// commit is modify; it also tells the index of the set in which the order holds.
+func (b *box) commit(items []config.Item) (registry.Index, error) {
+	for _, member := range b.proposers() {
+		if member == b.self {
+			return b.registrar.submit(items)
+		}
+		var done messages.Ordered
+		if b.ask(member, messages.KindPropose, messages.Propose{Items: items}, &done, forwardSpan) != nil {
+			continue
+		}
+		if done.Kind != derail.Gone {
+			return registry.Index(done.Index), orderError(done)
+		}
+	}
+	return 0, errNoDecision
+}
+
+func orderError(done messages.Ordered) error {
+	if done.Kind == derail.None {
+		return nil
+	}
+	return derail.New(done.Kind, done.Detail)
+}
+
+// proposers are the members to offer an order to, in turn: the live holder of the
+// duty first, as proposals from one node don't compete; then this node, if it is
+// a member, and else the others.
+func (b *box) proposers() (out []string) {
+	view, holder, isServing := membership.View{}, "", false
+	b.keeper.read(func(t *tables) { view, holder, isServing = t.view, t.term.Holder, b.isServing(t, t.view.Epoch) })
+	isLive := false
+	b.onRoll(func() { isLive = b.watch.IsLive(holder) })
+	if holder != b.self && view.Has(holder) && (isLive || !isServing) {
+		out = append(out, holder)
+	}
+	if isServing {
+		return append(out, b.self)
+	}
+	for _, member := range membership.Followed(view.Members, b.self) {
+		if member != holder && member != b.self {
+			out = append(out, member)
+		}
+	}
+	return out
+}
--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -36,7 +36,7 @@
 	if !isKnown {
 		isService := false
 		c.keeper.read(func(t *tables) {
-			item, isThere := t.book[config.ID{Class: config.ServiceItem, Name: in.Service}]
+			item, isThere := t.book()[config.ID{Class: config.ServiceItem, Name: in.Service}]
 			isService = isThere && !item.Dropped
 		})
 		if !isService {
--- /dev/null
+++ b/internal/control/peers.go
@@ -0,0 +1,141 @@
+package control
+
+import (
+	"errors"
+	"time"
+
+	"ploverhitch/internal/control/registry"
+	"ploverhitch/internal/derail"
+	"ploverhitch/internal/membership"
+	"ploverhitch/internal/messages"
+	"ploverhitch/internal/timetable"
+)
+
+// peers carries the messages of one round. Answers count only within a vote span
+// of the sending, on the steady clock: a member that lost its disk waits twice
+// that span before it takes part again, so that none of its old answers can
+// still be counted by then.
+type peers struct {
+	box   *box
+	view  membership.View
+	began timetable.Steady
+}
+
+func (p *peers) span() time.Duration { return p.box.set.Load().Tuning.VoteSpan.Std() }
+
+func (p *peers) isOver(began timetable.Steady) bool {
+	return time.Duration(p.box.clock.Steady()-began) > p.span()
+}
+
+// Prepare asks all members, and returns once a majority has promised.
+func (p *peers) Prepare(prepare registry.Prepare) (out []registry.Promise) {
+	count := 0
+	askAll(p.box, p.view.Members, messages.KindPrepare, prepare, p.span(), func(_ string, promise registry.Promise) bool {
+		out = append(out, promise)
+		if promise.OK {
+			count++
+		}
+		return count >= p.view.Majority()
+	})
+	if p.isOver(p.began) {
+		return nil
+	}
+	return out
+}
+
+// Accept asks all members, and returns once a majority has accepted.
+func (p *peers) Accept(accept registry.Accept) (out []registry.Acceptance) {
+	began, count := p.box.clock.Steady(), 0
+	if p.isOver(p.began) {
+		return nil
+	}
+	askAll(p.box, p.view.Members, messages.KindAccept, accept, p.span(), func(_ string, acceptance registry.Acceptance) bool {
+		out = append(out, acceptance)
+		if acceptance.OK {
+			count++
+		}
+		return count >= p.view.Majority()
+	})
+	if p.isOver(began) {
+		return nil
+	}
+	return out
+}
+
+func (b *box) onPrepare(in registry.Prepare, answer func(registry.Promise)) {
+	var promise registry.Promise
+	b.keeper.put(func(t *tables) []record {
+		if !b.isServing(t, in.Epoch) {
+			promise = registry.Promise{View: newerView(t, in.Epoch)}
+			return nil
+		}
+		var isChanged bool
+		promise, isChanged = t.registry.Promise(in)
+		return durableRecord(t, isChanged)
+	}, func() {
+		promise.Member = b.self
+		answer(promise)
+	})
+}
+
+func (b *box) onAccept(in registry.Accept, answer func(registry.Acceptance)) {
+	var acceptance registry.Acceptance
+	b.keeper.put(func(t *tables) []record {
+		if !b.isServing(t, in.Epoch) {
+			return nil
+		}
+		var isChanged bool
+		acceptance, isChanged = t.registry.Accept(b.self, in)
+		return durableRecord(t, isChanged)
+	}, func() { answer(acceptance) })
+}
+
+// onPropose has this node propose another's order.
+func (b *box) onPropose(in messages.Propose, answer func(messages.Ordered)) {
+	go func() {
+		index, err := b.registrar.submit(in.Items)
+		out := messages.Ordered{Index: uint64(index)}
+		var known *derail.Error
+		if errors.As(err, &known) {
+			out.Kind, out.Detail = known.Kind, known.Detail
+		}
+		answer(out)
+	}()
+}
+
+// onOffer takes items that an agent holds and the configuration lacks.
+func (b *box) onOffer(in messages.Offer, answer func(messages.Done)) {
+	if !b.isTakingOffer.CompareAndSwap(false, true) {
+		return
+	}
+	go func() {
+		defer b.isTakingOffer.Store(false)
+		book, err := b.read()
+		if err != nil {
+			return
+		}
+		lacking := book.Newer(in.Items)
+		if len(lacking) > 0 {
+			err = b.modify(lacking)
+			b.note("warn", "items that only an agent held", "items", len(lacking), "error", err)
+		}
+		answer(messages.Done{OK: err == nil})
+	}()
+}
+
+func durableRecord(t *tables, isChanged bool) []record {
+	if !isChanged {
+		return nil
+	}
+	durable := t.registry.Durable()
+	return []record{{Durable: &durable}}
+}
+
+// newerView is the node's view, where it is newer than the asker's.
+func newerView(t *tables, epoch membership.Epoch) *membership.View {
+	if t.view.Epoch <= epoch {
+		return nil
+	}
+	view := t.view
+	return &view
+}
--- /dev/null
+++ b/internal/control/reading.go
@@ -0,0 +1,117 @@
+package control
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"time"
+
+	"ploverhitch/internal/config"
+	"ploverhitch/internal/control/registry"
+	"ploverhitch/internal/derail"
+	"ploverhitch/internal/membership"
+	"ploverhitch/internal/messages"
+)
+
+// readAttempts is how often a reading is tried again while the view or the set
+// move under it.
+const readAttempts = 3
+
+// read returns the configuration as a majority of the view holds it: this node
+// has every change that was acknowledged before the call.
+func (b *box) read() (book config.Book, err error) {
+	for range readAttempts {
+		if book, err = b.readOnce(); err == nil {
+			return book, nil
+		}
+	}
+	return nil, err
+}
+
+func (b *box) readOnce() (config.Book, error) {
+	view, count := b.view(), 0
+	highest, furthest := registry.State{}, ""
+	var newer *membership.View
+	isUndecided := false
+	askAll(b, view.Members, messages.KindState, messages.State{Epoch: view.Epoch}, askSpan, func(member string, state registry.State) bool {
+		if state.View != nil && (newer == nil || state.View.Epoch > newer.Epoch) {
+			newer = state.View
+		}
+		if !state.OK {
+			return false
+		}
+		if count++; furthest == "" || state.Index > highest.Index {
+			highest, furthest, isUndecided = state, member, false
+		}
+		isUndecided = isUndecided || state.Index == highest.Index && state.Acceptor.Change != nil
+		return count >= view.Majority()
+	})
+	if newer != nil {
+		b.adopt(*newer)
+	}
+	if count < view.Majority() || count == 0 {
+		return nil, derail.New(derail.Gone, "reading the configuration")
+	}
+	if isUndecided {
+		// What some have accepted may be decided and acknowledged already.
+		index, err := b.commit(nil)
+		if err != nil {
+			return nil, err
+		}
+		highest.Index = max(highest.Index, index)
+	}
+	return b.bookAt(highest.Index, furthest)
+}
+
+// bookAt is a copy of the set once this node has reached the index; the member
+// asked first may be behind where the change was decided meanwhile.
+func (b *box) bookAt(index registry.Index, member string) (book config.Book, err error) {
+	sources := append([]string{member}, b.view().Members...)
+	for _, source := range sources {
+		held := registry.Index(0)
+		b.keeper.read(func(t *tables) { held, book = t.registry.Index, t.book().Clone() })
+		if held >= index {
+			return book, nil
+		}
+		if source != b.self {
+			err = b.catchUp(source)
+		}
+	}
+	return nil, derail.New(derail.Gone, fmt.Sprintf("reading change %d of the configuration: %v", index, err))
+}
+
+// rebuild makes this replica whole after its memory was lost or grew old: it has
+// every change that a majority decided, and knows what a majority promised or
+// accepted for the next.
+func (r *registrar) rebuild(view membership.View) bool {
+	b := r.box
+	var states []registry.State
+	var sources []string
+	whole := 0
+	askAll(b, view.Members, messages.KindState, messages.State{Epoch: view.Epoch}, askSpan, func(member string, state registry.State) bool {
+		if member == b.self || !state.OK && !state.IsRebuilding {
+			return false
+		}
+		if states, sources = append(states, state), append(sources, member); state.OK {
+			whole++
+		}
+		return false
+	})
+	// Where all others have been read, nobody is left who could know more.
+	if isAll := len(states) == len(view.Members)-1; whole < view.ReadSet() && !isAll {
+		return false
+	}
+	for _, member := range sources {
+		if err := b.catchUp(member); err != nil {
+			return false
+		}
+	}
+	isRebuilt := false
+	b.keeper.keep(func(t *tables) []record {
+		if t.view.Epoch != view.Epoch {
+			return nil
+		}
+		isRebuilt = t.registry.Rebuilt(states, rand.Uint64())
+		return durableRecord(t, isRebuilt)
+	}, 5*time.Second)
+	return isRebuilt
+}
--- a/internal/control/registry/acceptor.go
+++ b/internal/control/registry/acceptor.go
@@ -80,8 +80,11 @@
 
 // State is what a replica tells about its place, for a quorum read or a rebuild.
 type State struct {
-	OK       bool             `cbor:"1,keyasint"`
-	Index    Index            `cbor:"2,keyasint"`
-	Acceptor Acceptor         `cbor:"3,keyasint"`
-	View     *membership.View `cbor:"4,keyasint,omitempty"`
+	// OK says that the replica takes part in decisions of the asker's epoch,
+	// IsRebuilding that it is in the epoch and not whole yet.
+	OK           bool             `cbor:"1,keyasint"`
+	IsRebuilding bool             `cbor:"5,keyasint,omitempty"`
+	Index        Index            `cbor:"2,keyasint"`
+	Acceptor     Acceptor         `cbor:"3,keyasint"`
+	View         *membership.View `cbor:"4,keyasint,omitempty"`
 }
--- a/internal/control/registry/proposer.go
+++ b/internal/control/registry/proposer.go
@@ -33,10 +33,12 @@
 	// Highest is the highest ballot met, Ahead the highest index of a member.
 	Highest membership.Number
 	Ahead   Index
+	// AheadOf is the member of that index.
+	AheadOf string
+	// Heard is how many members answered the Prepare, whatever they said.
+	Heard int
 	// View is a member's newer view.
 	View *membership.View
-	// Behind are members whose set lacks changes before the number.
-	Behind []string
 }
 
 // Run plays the round. Without a Decided change nothing is known: a change that
@@ -52,7 +54,7 @@
 	var accepted Acceptor
 	var legacy []config.Item
 	for _, promise := range promises {
-		outcome.hear(r.Index, promise)
+		outcome.hear(promise)
 		if !promise.OK {
 			continue
 		}
@@ -83,7 +85,6 @@
 		if outcome.Highest.Below(acceptance.Promised) {
 			outcome.Highest = acceptance.Promised
 		}
-		outcome.Ahead = max(outcome.Ahead, acceptance.Index)
 	}
 	if count >= r.Majority {
 		outcome.Decided = &accept.Change
@@ -92,15 +93,15 @@
 }
 
 // hear notes what a promise, or its refusal, tells beside the promise itself.
-func (o *Outcome) hear(index Index, promise Promise) {
+func (o *Outcome) hear(promise Promise) {
+	o.Heard++
 	if o.Highest.Below(promise.Acceptor.Promised) {
 		o.Highest = promise.Acceptor.Promised
 	}
-	o.Ahead = max(o.Ahead, promise.Index)
+	if promise.Index > o.Ahead {
+		o.Ahead, o.AheadOf = promise.Index, promise.Member
+	}
 	if promise.View != nil && (o.View == nil || promise.View.Epoch > o.View.Epoch) {
 		o.View = promise.View
 	}
-	if promise.Index+1 < index {
-		o.Behind = append(o.Behind, promise.Member)
-	}
 }
--- a/internal/control/registry/replica.go
+++ b/internal/control/registry/replica.go
@@ -2,7 +2,6 @@
 
 import (
 	"ploverhitch/internal/config"
-	"ploverhitch/internal/membership"
 )
 
 const (
@@ -113,18 +112,18 @@
 }
 
 // Since are the changes that follow an index, at most about so many bytes of them.
-// isCheaper is false where some are no longer kept, or where the whole set takes
-// less than what is missing: the asker then reads the set in pages.
+// isKept is false where some are no longer kept; isCheaper, where the whole set
+// would take less than all that are missing.
 //
 // Example:
 //
-//	changes, isCheaper := replica.Since(request.From, pageBytes)
-func (r *Replica) Since(from Index, bytes int) (changes []Change, isCheaper bool) {
+//	changes, isKept, isCheaper := replica.Since(request.From, pageBytes)
+func (r *Replica) Since(from Index, bytes int) (changes []Change, isKept, isCheaper bool) {
 	if from >= r.Index {
-		return nil, true
+		return nil, true, true
 	}
 	if len(r.recent) == 0 || r.recent[0].change.Index > from+1 {
-		return nil, false
+		return nil, false, false
 	}
 	missing, sum := r.recent[from+1-r.recent[0].change.Index:], 0
 	for _, recent := range missing {
@@ -132,8 +131,7 @@
 			changes = append(changes, recent.change)
 		}
 	}
-	isCheaper = len(missing) == 1 || sum <= r.bytes
-	return changes, isCheaper
+	return changes, true, sum <= r.bytes
 }
 
 // Rebuilt begins a new life of the replica's memory: it takes from the others'
@@ -199,14 +197,9 @@
 	r.Acceptor, r.Incarnation = durable.Acceptor, durable.Incarnation
 }
 
-// StateFor answers a quorum read.
+// State is the replica's place, for a quorum read or a rebuild.
 //
 // Example:
 //
-//	state := replica.StateFor(isServing)
-func (r *Replica) StateFor(isServing bool, view *membership.View) State {
-	if !isServing {
-		return State{View: view}
-	}
-	return State{OK: true, Index: r.Index, Acceptor: r.Acceptor}
-}
+//	state := replica.State()
+func (r *Replica) State() State { return State{Index: r.Index, Acceptor: r.Acceptor} }
--- a/internal/control/settle.go
+++ b/internal/control/settle.go
@@ -6,7 +6,6 @@
 
 	"github.com/juju/errors"
 
-	"ploverhitch/internal/config"
 	"ploverhitch/internal/membership"
 	"ploverhitch/internal/messages"
 	"ploverhitch/internal/rpc"
@@ -102,7 +101,7 @@
 		}
 		read++
 	}
-	if read < view.ReadSet() {
+	if read < view.ReadSet() || !b.registrar.rebuild(view) {
 		return false
 	}
 	b.announce()
@@ -110,12 +109,10 @@
 }
 
 func (t *tables) union(pages []messages.Page) (out []record) {
-	var items []config.Item
 	for _, page := range pages {
 		for _, entry := range t.voter.Union(page.Entries) {
 			out = append(out, record{Entry: &entry})
 		}
-		items = append(items, page.Items...)
 		if page.Term.Number > t.term.Number {
 			term := page.Term
 			t.term = term
@@ -128,9 +125,6 @@
 		}
 	}
 	out = append(out, t.unionTrials(pages)...)
-	if news := t.merge(items); len(news) > 0 {
-		out = append(out, record{Items: news})
-	}
 	return out
 }
 
--- a/internal/control/sites.go
+++ b/internal/control/sites.go
@@ -42,7 +42,7 @@
 		if digest != c.treeOf {
 			// What was kept was checked; if cells have gone since, the old
 			// tree goes on.
-			if built, err := t.book.Tree(c.set.Load().Platform.Cells); err == nil {
+			if built, err := t.book().Tree(c.set.Load().Platform.Cells); err == nil {
 				tree = built
 			}
 			c.treeOf = digest
--- a/internal/control/stages.go
+++ b/internal/control/stages.go
@@ -44,7 +44,7 @@
 			return derail.OtherOrder, "the version of " + name + " fell back before and is used up"
 		}
 	}
-	book, _, err := c.gather()
+	book, err := c.read()
 	if err != nil {
 		return derail.Gone, ""
 	}
@@ -128,9 +128,9 @@
 	var newer []config.Item
 	isHeld := true
 	c.keeper.read(func(t *tables) {
-		doubled, newer = t.voter.Doubles(), t.book.Newer(state.Items)
+		doubled, newer = t.voter.Doubles(), t.book().Newer(state.Items)
 		for _, item := range state.Items {
-			held := t.book[item.ID]
+			held := t.book()[item.ID]
 			isHeld = isHeld && held.Version == item.Version && string(held.Body) == string(item.Body)
 		}
 	})
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -41,8 +41,8 @@
 	out := Status{Node: b.self, Followers: b.hub.Followers(), Members: map[string]bool{}, Versions: map[string]string{}, Trials: map[string]TrialStatus{}}
 	b.keeper.read(func(t *tables) {
 		out.Epoch, out.IsTrusted, out.Term, out.Holder = uint64(t.view.Epoch), t.isTrusted, t.term.Number, t.term.Holder
-		out.Items, out.Digest = len(t.book), t.bookDigest()
-		for _, item := range t.book.Items() {
+		out.Items, out.Digest = len(t.book()), t.bookDigest()
+		for _, item := range t.book().Items() {
 			if text, err := item.Version.MarshalText(); err == nil {
 				out.Versions[item.ID.Name] = string(text)
 			}
--- a/internal/control/tables.go
+++ b/internal/control/tables.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"ploverhitch/internal/config"
+	"ploverhitch/internal/control/registry"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/idempotency"
 	"ploverhitch/internal/loopline"
@@ -22,12 +23,20 @@
 	Trusted  *bool                `cbor:"6,keyasint,omitempty"`
 	Fleet    *feed.Fleet          `cbor:"7,keyasint,omitempty"`
 	Trial    *trial.State         `cbor:"8,keyasint,omitempty"`
+	// Change is a decided change of the item set, Page a part of a whole set, and
+	// Durable the registry's acceptor. Items stand in the logs of older builds.
+	Change  *registry.Change  `cbor:"9,keyasint,omitempty"`
+	Page    *registry.Page    `cbor:"10,keyasint,omitempty"`
+	Durable *registry.Durable `cbor:"11,keyasint,omitempty"`
 }
 
 // tables is everything that is kept; the keeper alone touches it.
 type tables struct {
-	voter    *idempotency.Voter
-	book     config.Book
+	voter *idempotency.Voter
+	// registry is this node's replica of the item set, loading the pages of a set
+	// that is being read from the disk.
+	registry *registry.Replica
+	loading  registry.Assembly
 	acceptor membership.Acceptor
 	view     membership.View
 	term     membership.Term
@@ -50,7 +59,7 @@
 }
 
 func newTables(policy idempotency.Policy) *tables {
-	return &tables{voter: idempotency.NewVoter(policy), book: config.Book{}, trials: map[string]trial.State{}, isEmpty: true}
+	return &tables{voter: idempotency.NewVoter(policy), registry: registry.NewReplica(), trials: map[string]trial.State{}, isEmpty: true}
 }
 
 // apply puts one record into the tables, as it is made and at every start.
@@ -60,7 +69,8 @@
 	case r.Entry != nil:
 		_ = t.voter.Apply(*r.Entry)
 	case r.Items != nil:
-		t.merge(r.Items)
+		t.registry.MergeLegacy(r.Items)
+		t.digest = ""
 	case r.Acceptor != nil:
 		t.acceptor = *r.Acceptor
 	case r.View != nil:
@@ -75,9 +85,32 @@
 		t.trials[r.Trial.Subject] = *r.Trial
 	case r.Trusted != nil:
 		t.isTrusted = *r.Trusted
+	case r.Change != nil:
+		t.registry.Learn(*r.Change)
+		t.digest = ""
+	case r.Page != nil:
+		t.load(*r.Page)
+	case r.Durable != nil:
+		t.registry.Restore(*r.Durable)
+	}
+}
+
+// load takes a page of a set; the set counts once its last page was read.
+func (t *tables) load(page registry.Page) {
+	t.loading.Add(page)
+	if !page.IsLast {
+		return
+	}
+	if set, isWhole := t.loading.Finish(nil); isWhole {
+		t.registry.Install(set)
+		t.digest = ""
 	}
+	t.loading = registry.Assembly{}
 }
 
+// book is the item set; who looks at it must not change or keep it.
+func (t *tables) book() config.Book { return t.registry.Items }
+
 // isHeard tells whether the fleet was heard within the span; one that was read from
 // the disk was not.
 func (t *tables) isHeard(now timetable.Steady, span time.Duration) bool {
@@ -88,7 +121,7 @@
 // new.
 func (t *tables) compiled() *config.Sheet {
 	if digest := t.bookDigest(); t.sheet == nil || t.sheetOf != digest {
-		t.sheet, t.sheetOf = t.book.Compile(), digest
+		t.sheet, t.sheetOf = t.book().Compile(), digest
 	}
 	return t.sheet
 }
@@ -97,22 +130,15 @@
 // new.
 func (t *tables) mirrorsNow() ([]loopline.Mirror, []config.Version) {
 	if digest := t.bookDigest(); t.mirrorsOf != digest {
-		t.mirrors, t.versions = t.book.Mirrors()
+		t.mirrors, t.versions = t.book().Mirrors()
 		t.mirrorsOf = digest
 	}
 	return t.mirrors, t.versions
 }
 
-func (t *tables) merge(items []config.Item) (news []config.Item) {
-	if news = t.book.Merge(items); len(news) > 0 {
-		t.digest = ""
-	}
-	return news
-}
-
 func (t *tables) bookDigest() string {
 	if t.digest == "" {
-		t.digest = t.book.Digest()
+		t.digest = t.book().Digest()
 	}
 	return t.digest
 }
@@ -122,9 +148,11 @@
 	view, term, acceptor, isTrusted := t.view, t.term, t.acceptor, t.isTrusted
 	fleet := t.fleet
 	out = append(out, record{View: &view}, record{Term: &term}, record{Acceptor: &acceptor}, record{Trusted: &isTrusted}, record{Fleet: &fleet})
-	if len(t.book) > 0 {
-		out = append(out, record{Items: t.book.Items()})
+	for page := range t.registry.Pages(pageBytes) {
+		out = append(out, record{Page: &page})
 	}
+	durable := t.registry.Durable()
+	out = append(out, record{Durable: &durable})
 	for _, state := range t.trials {
 		out = append(out, record{Trial: &state})
 	}
--- a/internal/derail/kinds.go
+++ b/internal/derail/kinds.go
@@ -30,6 +30,8 @@
 	BadOrder
 	Shed
 	Shadowed
+	// VersionTaken says that an item's version was accepted with another content.
+	VersionTaken
 )
 
 // Answer is how a kind is told to the caller.
@@ -65,6 +67,7 @@
 	BadOrder:       {Status: 400, Reason: "the order is invalid"},
 	Shed:           {Status: 503, Reason: "the service is overloaded; inquiries of this tier wait", Promise: true, RetryAfter: 500 * time.Millisecond},
 	Shadowed:       {Status: 403, Reason: "an inquiry of a shadow reaches no live service"},
+	VersionTaken:   {Status: 409, Reason: "the version of an item has another content"},
 	Gone:           {Status: 503, Reason: "no majority of the core can be reached", Promise: true, RetryAfter: 200 * time.Millisecond},
 }
 
--- a/internal/membership/watch.go
+++ b/internal/membership/watch.go
@@ -16,10 +16,11 @@
 // Beat is a heartbeat: what a member tells its watchers about itself and about
 // those that it heard itself.
 type Beat struct {
-	From   string `cbor:"1,keyasint"`
-	View   View   `cbor:"2,keyasint"`
-	Term   Term   `cbor:"3,keyasint"`
-	Digest string `cbor:"4,keyasint"`
+	From string `cbor:"1,keyasint"`
+	View View   `cbor:"2,keyasint"`
+	Term Term   `cbor:"3,keyasint"`
+	// Index is that of the sender's item set.
+	Index uint64 `cbor:"4,keyasint"`
 	// Seen lists those that the sender heard itself, and whether each is fit.
 	Seen map[string]bool `cbor:"5,keyasint"`
 	// IsFit says that the member is repaired and reaches what the duty needs.
--- a/internal/messages/telegram.go
+++ b/internal/messages/telegram.go
@@ -15,8 +15,8 @@
 	KindReserve rpc.Kind = iota + 2
 	KindRecord
 	KindLookup
-	KindBook
-	KindStore
+	KindPrepare
+	KindOffer
 	KindMotion
 	KindBeat
 	KindClaim
@@ -34,6 +34,11 @@
 	KindStage
 	KindEvidence
 	KindMirrored
+	KindAccept
+	KindLearn
+	KindState
+	KindCatchUp
+	KindPropose
 )
 
 // Reserve asks a core node for its vote, under the view's epoch.
@@ -68,20 +73,9 @@
 	Intent *idempotency.Intent `cbor:"1,keyasint,omitempty"`
 }
 
-// Book asks for the manifest, unless it is the same as the asker's.
-type Book struct {
-	Digest string `cbor:"1,keyasint"`
-}
-
-// Items is the reply; it counts only from a trusted node.
-type Items struct {
-	IsTrusted bool          `cbor:"1,keyasint"`
-	IsSame    bool          `cbor:"2,keyasint"`
-	Items     []config.Item `cbor:"3,keyasint,omitempty"`
-}
-
-// Store brings items to be merged and kept.
-type Store struct {
+// Offer brings a core node items that an agent holds and the node lacks, as after
+// a loss that was larger than the core can mend by itself.
+type Offer struct {
 	Items []config.Item `cbor:"1,keyasint"`
 }
 
--- a/internal/messages/trials.go
+++ b/internal/messages/trials.go
@@ -54,4 +54,6 @@
 type Ordered struct {
 	Kind   derail.Kind `cbor:"1,keyasint"`
 	Detail string      `cbor:"2,keyasint,omitempty"`
+	// Index is the index of the configuration in which an order for it holds.
+	Index uint64 `cbor:"3,keyasint,omitempty"`
 }
