--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -57,6 +57,10 @@
 func decoding(parse func([]byte) ([]config.Item, error)) kithttp.DecodeRequestFunc {
 	return func(_ context.Context, r *http.Request) (any, error) {
 		text, err := io.ReadAll(http.MaxBytesReader(nil, r.Body, callBytes))
+		var tooLarge *http.MaxBytesError
+		if errors.As(err, &tooLarge) {
+			return nil, derail.New(derail.TooLarge, err.Error())
+		}
 		if err != nil {
 			return nil, derail.New(derail.BadManifest, err.Error())
 		}
--- a/internal/control/registry/registry_test.go
+++ b/internal/control/registry/registry_test.go
@@ -170,9 +170,9 @@
 		}
 		Expect(pages).To(BeNumerically(">", 5))
 		missed, _, _ := source.Since(first, 1<<30)
-		set, isWhole := assembly.Finish(missed[:len(missed)-2])
-		Expect(isWhole).To(BeFalse(), "the changes made while it was read must all be there")
-		set, isWhole = assembly.Finish(missed)
+		_, isComplete := assembly.Finish(missed[:len(missed)-2])
+		Expect(isComplete).To(BeFalse(), "the changes made while it was read must all be there")
+		set, isWhole := assembly.Finish(missed)
 		Expect(isWhole).To(BeTrue())
 		copied := registry.NewReplica()
 		Expect(copied.Install(set)).To(BeTrue())
--- /dev/null
+++ b/internal/doccheck/testdata/bare.go
@@ -0,0 +1,8 @@
+package bare
+
+type Bare struct{}
+
+func (Bare) Method() {}
+
+// Documented has a comment.
+func Documented() {}
--- a/internal/standin/trials_test.go
+++ b/internal/standin/trials_test.go
@@ -21,7 +21,6 @@
 	done sync.WaitGroup
 	lock sync.Mutex
 	keys []string
-	late int
 }
 
 func (s *system) rush() *rush {
