--- a/internal/control/registrar.go
+++ b/internal/control/registrar.go
@@ -29,9 +29,9 @@
 	rankStep       = 80 * time.Millisecond
 	orderQueue     = 256
 	batchMost      = 64
-	// isolatedRounds is after how many rounds that no majority answered an order
-	// is given up.
-	isolatedRounds = 2
+	// isolatedSpan is for how long no majority may answer before an order is
+	// given up: longer than it takes to make broken connections again.
+	isolatedSpan = 400 * time.Millisecond
 )
 
 // order is an operator's order that waits for a decision.
@@ -115,8 +115,8 @@
 
 // settle proposes until the orders are decided on, or their time is over.
 func (r *registrar) settle(orders []*order) {
-	isolated := 0
-	for attempt := 1; isolated < isolatedRounds; attempt++ {
+	heardAt := r.box.clock.Steady()
+	for attempt := 1; time.Duration(r.box.clock.Steady()-heardAt) < isolatedSpan; attempt++ {
 		now := r.box.clock.Steady()
 		orders = slices.DeleteFunc(orders, func(o *order) bool { return o.until <= now })
 		if len(orders) == 0 {
@@ -126,8 +126,8 @@
 		if isDecided {
 			return
 		}
-		if isolated++; isHeard {
-			isolated = 0
+		if isHeard {
+			heardAt = r.box.clock.Steady()
 		}
 		r.box.clock.Sleep(rand.N(backoffStep * time.Duration(min(attempt, 8))))
 	}
--- a/internal/feed/fleet.go
+++ b/internal/feed/fleet.go
@@ -28,7 +28,7 @@
 	ID       string `cbor:"1,keyasint"`
 	Service  string `cbor:"2,keyasint"`
 	Address  string `cbor:"3,keyasint"`
-	Cell     string `cbor:"4,keyasint"`
+	Cell     string `cbor:"4,keyasint" json:"Zone"`
 	Capacity int    `cbor:"5,keyasint"`
 	IsReady  bool   `cbor:"6,keyasint"`
 	// WarmMs is when the server stops being slow, as wall time.
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -10,7 +10,7 @@
 
 // Listed is one entry of the platform's list.
 type Listed struct {
-	InstanceId, Service, Address, Cell, Revision, State, WarmupLeft string
+	InstanceId, Service, Address, Zone, Revision, State, WarmupLeft string
 	Capacity                                                        int
 }
 
--- a/internal/standin/town.go
+++ b/internal/standin/town.go
@@ -85,7 +85,7 @@
 			state = "ready"
 		}
 		if state != "gone" {
-			list = append(list, Listed{InstanceId: id, Service: t.services[id], Address: server.Address(), Cell: or(t.Cells[id], "a"), Revision: or(t.Revisions[id], "v1"), State: state, WarmupLeft: "0ms", Capacity: max(2, t.Capacity[id])})
+			list = append(list, Listed{InstanceId: id, Service: t.services[id], Address: server.Address(), Zone: or(t.Cells[id], "a"), Revision: or(t.Revisions[id], "v1"), State: state, WarmupLeft: "0ms", Capacity: max(2, t.Capacity[id])})
 		}
 	}
 	t.Platform.Set(0, list...)
@@ -143,8 +143,8 @@
 	text := fmt.Sprintf(`platform:
   NodeName: %q
   Ip: %q
-  Cell: %q
-  Cells: {a: land, b: land}
+  Zone: %q
+  Zones: {a: land, b: land}
   Bind: {%s}
   InternalPorts: [%d, %d]
   SeedNodes: [%q, %q, %q]
