--- a/internal/control/registry/draft.go
+++ b/internal/control/registry/draft.go
@@ -1,6 +1,7 @@
 package registry
 
 import (
+	"cmp"
 	"fmt"
 
 	"ploverhitch/internal/config"
@@ -58,16 +59,13 @@
 
 // Add takes an order whole or not at all. An item at or below the version held
 // has no effect; under a version that was accepted with another content it is a
-// ConflictError.
+// ConflictError, unless the order is invalid all the same.
 //
 // Example:
 //
 //	if err := draft.Add(items); err != nil { refuse(err) }
 func (d *Draft) Add(order []config.Item) error {
-	newer, unseen, err := d.sort(order)
-	if err != nil {
-		return err
-	}
+	newer, unseen, conflict := d.sort(order)
 	if len(unseen) == 0 {
 		return nil
 	}
@@ -80,7 +78,11 @@
 		}
 		d.whole[item.ID] = item
 	}
-	if err := d.check(d.whole, newer, unseen); err != nil {
+	err := d.check(d.whole, newer, unseen)
+	if err == nil && conflict != nil {
+		err = conflict
+	}
+	if err != nil {
 		for _, item := range newer {
 			delete(d.whole, item.ID)
 		}
@@ -94,13 +96,13 @@
 }
 
 // sort tells an order's items apart: those that have an effect, and those that
-// were not accepted before.
-func (d *Draft) sort(order []config.Item) (newer, unseen []config.Item, err error) {
+// were not accepted before with this content. It returns the first conflict.
+func (d *Draft) sort(order []config.Item) (newer, unseen []config.Item, conflict *ConflictError) {
 	highest := map[config.ID]config.Item{}
 	for _, item := range order {
 		other, isTwice := highest[item.ID]
 		if isTwice && other.Version == item.Version && other.Fingerprint() != item.Fingerprint() {
-			return nil, nil, d.conflict(item, other.Fingerprint())
+			conflict = cmp.Or(conflict, d.conflict(item, other.Fingerprint()))
 		}
 		if !isTwice || other.Version < item.Version {
 			highest[item.ID] = item
@@ -108,19 +110,20 @@
 	}
 	for _, item := range order {
 		accepted, isAccepted := d.fingerprintOf(item)
-		if isAccepted && accepted != item.Fingerprint() {
-			return nil, nil, d.conflict(item, accepted)
+		if isAccepted && accepted == item.Fingerprint() {
+			continue
 		}
+		unseen = append(unseen, item)
 		if isAccepted {
+			conflict = cmp.Or(conflict, d.conflict(item, accepted))
 			continue
 		}
-		unseen = append(unseen, item)
 		held, isHeld := d.whole[item.ID]
 		if highest[item.ID].Version == item.Version && (!isHeld || item.Version > held.Version) {
 			newer = append(newer, item)
 		}
 	}
-	return newer, unseen, nil
+	return newer, unseen, conflict
 }
 
 // fingerprintOf is the content accepted under the item's version, by the set or
@@ -133,7 +136,7 @@
 	return d.set.fingerprintOf(item.ID, item.Version)
 }
 
-func (d *Draft) conflict(item config.Item, accepted string) error {
+func (d *Draft) conflict(item config.Item, accepted string) *ConflictError {
 	return &ConflictError{ID: item.ID, Version: item.Version, Accepted: accepted, Offered: item.Fingerprint()}
 }
 
--- a/internal/control/registry/history_test.go
+++ b/internal/control/registry/history_test.go
@@ -73,7 +73,7 @@
 			Expect(submit(source, itemOf(version, "any"))).To(Succeed())
 		}
 		assembly.Add(source.PageAfter(page.After(), 1<<20))
-		changes, _ := source.Since(began, 1<<20)
+		changes, _, _ := source.Since(began, 1<<20)
 		set, isWhole := assembly.Finish(changes)
 		Expect(isWhole).To(BeTrue())
 		Expect(historyOf(set)).To(Equal(historyOf(source.Set)))
--- a/internal/control/registry/registry_test.go
+++ b/internal/control/registry/registry_test.go
@@ -44,6 +44,7 @@
 		Expect(conflict.Version).To(BeEquivalentTo(5))
 		Expect(err.Error()).To(And(ContainSubstring("item a"), ContainSubstring("r5"), ContainSubstring(conflict.Accepted), ContainSubstring(conflict.Offered)))
 		Expect(conflict.Accepted).NotTo(Equal(conflict.Offered))
+		Expect(errors.As(take(route("a", 5, "/a/", "nobody")), &conflict)).To(BeFalse(), "an invalid order is told what is invalid")
 		index := set.Index
 		Expect(take(route("a", 5, "/a/", "s"))).To(Succeed())
 		Expect(set.Index).To(Equal(index), "a repeat changes nothing")
