--- a/internal/control/box.go
+++ b/internal/control/box.go
@@ -10,6 +10,7 @@
 
 	"github.com/juju/errors"
 
+	"ploverhitch/internal/control/lease"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/idempotency"
 	"ploverhitch/internal/membership"
@@ -49,6 +50,8 @@
 	// myTerm is the term that this life of the process claimed.
 	myTerm      atomic.Uint64
 	isClaiming  atomic.Bool
+	lease       *dutyLease
+	contact     contact
 	isProposing atomic.Bool
 	// isTakingOffer keeps the offers of many agents from being taken side by side.
 	isTakingOffer atomic.Bool
@@ -81,6 +84,7 @@
 	b.proposer = ballotName(b.self)
 	b.began = b.clock.Steady()
 	b.watch = membership.NewWatch(b.clock, set.Tuning.SilentAfter.Std())
+	b.lease = newDutyLease(leaseSpan(set.Tuning))
 	if err := b.open(set); err != nil {
 		return err
 	}
@@ -100,6 +104,7 @@
 	go b.keeper.run(ctx)
 	b.announce()
 	go rpc.Serve(inner, b.calls, silenceSpan)
+	go timetable.Every(ctx, set.Tuning.Beat.Std(), b.touch)
 	go b.roll.Run(ctx, actAll, set.Tuning.Beat.Std(), b.beat)
 	go b.settle(ctx)
 	go b.registrar.run(ctx)
@@ -108,6 +113,7 @@
 	server := &http.Server{Handler: b.control(), ReadHeaderTimeout: 5 * time.Second, IdleTimeout: 30 * time.Second}
 	go func() {
 		<-ctx.Done()
+		b.handOver()
 		_ = server.Close()
 	}()
 	if err := server.Serve(outer); err != http.ErrServerClosed {
@@ -132,6 +138,10 @@
 		return errors.Annotate(err, "data folder")
 	}
 	b.keeper.self = b.self
+	b.keeper.tables.grantor = lease.NewGrantor(leaseSpan(t))
+	if isNew := p.Bootstrap && b.keeper.tables.isEmpty; !isNew {
+		b.keeper.tables.grantor.Wait(b.clock.Steady())
+	}
 	return nil
 }
 
--- a/internal/control/conductor.go
+++ b/internal/control/conductor.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"ploverhitch/internal/branchline"
+	"ploverhitch/internal/derail"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/hotbox"
 	"ploverhitch/internal/loadgauge"
@@ -100,6 +101,9 @@
 	}
 	for _, state := range c.states {
 		switch {
+		case !c.holdsLease(c.term):
+			// Each step takes time in which the lease may end.
+			return
 		case !state.Phase.IsActive():
 		case state.IsStaged():
 			c.driveStage(state)
@@ -117,14 +121,19 @@
 	c.layTree()
 }
 
-// isMaster tells whether this node holds the duty and has read, under its term,
-// what a majority keeps.
+// isMaster tells whether this node holds the duty by a lease that is valid now, and
+// has read, under its term, what a majority keeps. What is known of the term stays
+// while the lease is interrupted: if it becomes valid again under the same term,
+// nobody else held the duty meanwhile.
 func (c *conductor) isMaster() bool {
 	term := c.myTerm.Load()
 	if !c.isHolder.Load() || term == 0 {
 		c.term = 0
 		return false
 	}
+	if !c.holdsLease(term) {
+		return false
+	}
 	if c.term == term {
 		return true
 	}
@@ -150,12 +159,15 @@
 	if c.last = held; len(c.listed) == 0 {
 		c.listed = held.Servers
 	}
-	return true
+	return c.holdsLease(term)
 }
 
 // write keeps the next state of a subject on a majority, and only then goes by
 // it.
 func (c *conductor) write(state trial.State) error {
+	if !c.holdsLease(c.term) {
+		return derail.New(derail.Gone, "the lease has ended")
+	}
 	c.written++
 	state.Term, state.Count = c.term, c.written
 	if err := c.writeTrial(state); err != nil {
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -32,16 +32,16 @@
 		"POST /v1/rollouts/start":         {b.startPoint, decodeRollout},
 		"GET /v1/rollouts/{service}/read": {b.rolloutPoint, decodeSubject},
 		"POST /v1/sites/modify":           {b.modifyPoint, decoding(config.Parser(config.SiteItem))},
-		"GET /v1/sites":                   {b.sitesPoint, kithttp.NopRequestDecoder},
+		"GET /v1/sites":                   {b.inContact(b.sitesPoint), kithttp.NopRequestDecoder},
 		"POST /v1/plans/modify":           {b.modifyPoint, decoding(config.Parser(config.PlanItem))},
-		"GET /v1/load":                    {b.loadPoint, kithttp.NopRequestDecoder},
+		"GET /v1/load":                    {b.inContact(b.loadPoint), kithttp.NopRequestDecoder},
 		"POST /v1/mirrors/modify":         {b.modifyPoint, decoding(config.Parser(config.MirrorItem))},
-		"GET /v1/mirrors":                 {b.mirrorsPoint, kithttp.NopRequestDecoder},
+		"GET /v1/mirrors":                 {b.inContact(b.mirrorsPoint), kithttp.NopRequestDecoder},
 		"POST /v1/staged/start":           {b.stagePoint, decodeStaged},
 		"GET /v1/staged/{name}/read":      {b.stagedPoint, decodeName},
 		"POST /v1/staged/{name}/halt":     {b.haltPoint, decodeName},
 		"GET /v1/status":                  {b.statusPoint, kithttp.NopRequestDecoder},
-		"GET /v1/fleet":                   {b.fleetPoint, kithttp.NopRequestDecoder},
+		"GET /v1/fleet":                   {b.inContact(b.fleetPoint), kithttp.NopRequestDecoder},
 	}
 }
 
--- a/internal/control/duty.go
+++ b/internal/control/duty.go
@@ -48,7 +48,7 @@
 		view, term, index, isTrusted = t.view, t.term, t.registry.Index, t.isTrusted
 		return nil
 	}, func() {
-		isFit = isFit && isTrusted
+		isFit = isFit && isTrusted && b.isInContact()
 		mine := membership.Beat{From: b.self, View: view, Term: term, Index: uint64(index), Seen: seen, IsFit: isFit}
 		fleet := b.fleet()
 		mine.FleetTerm, mine.FleetCount = fleet.Term, fleet.Count
@@ -57,7 +57,7 @@
 		}
 		b.roll.Offer(func() {
 			if !view.Has(b.self) || !isTrusted {
-				b.isHolder.Store(false)
+				b.stepDown()
 				return
 			}
 			first = b.watch.First(view, b.self, isFit)
@@ -73,8 +73,9 @@
 	switch {
 	case term.Holder == b.self && term.Number == b.myTerm.Load() && first == b.self:
 		b.isHolder.Store(true)
+		go b.renew(view, term)
 	case first != b.self:
-		b.isHolder.Store(false)
+		b.stepDown()
 	default:
 		b.isHolder.Store(false)
 		// At a start, only the first in the order need not wait until it
@@ -86,13 +87,14 @@
 	}
 }
 
-// claim asks a majority to fence off every lower term.
+// claim asks a majority to fence off every lower term and to grant the duty.
 func (b *box) claim(view membership.View, term membership.Term) {
 	if !b.isClaiming.CompareAndSwap(false, true) {
 		return
 	}
 	defer b.isClaiming.Store(false)
-	if !b.isDone(view, messages.KindClaim, term, askSpan) {
+	round := b.lease.start(term.Number, view, b.clock.Steady())
+	if !b.askLease(view, messages.KindClaim, messages.Claim{Epoch: view.Epoch, Term: term}, round) {
 		b.clock.Sleep(claimPause)
 		return
 	}
--- /dev/null
+++ b/internal/control/duty_test.go
@@ -0,0 +1,228 @@
+package control
+
+import (
+	"context"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"time"
+
+	. "github.com/onsi/ginkgo/v2"
+	. "github.com/onsi/gomega"
+
+	"ploverhitch/internal/control/lease"
+	"ploverhitch/internal/derail"
+	"ploverhitch/internal/feed"
+	"ploverhitch/internal/idempotency"
+	"ploverhitch/internal/membership"
+	"ploverhitch/internal/messages"
+	"ploverhitch/internal/rpc"
+	"ploverhitch/internal/settings"
+	"ploverhitch/internal/storage"
+	"ploverhitch/internal/timetable"
+	"ploverhitch/internal/trial"
+)
+
+// newMember is a trusted member of a view whose other members can't be reached, but
+// for those that answer.
+func newMember(hand *timetable.Hand, view membership.View) *box {
+	b := &box{
+		self: "a", clock: hand, hub: feed.NewHub(), note: func(string, string, ...any) {}, lines: map[string]*rpc.Line{},
+		roll: timetable.NewLoop[func()](256), watch: membership.NewWatch(hand, time.Second), lease: newDutyLease(testSpan),
+	}
+	b.set.Store(&settings.Settings{Tuning: settings.Defaults()})
+	disk, err := storage.Folder(GinkgoT().TempDir())
+	Expect(err).NotTo(HaveOccurred())
+	b.keeper, err = openKeeper(disk, idempotency.Policy{OpenLimit: 10, KeyWindow: time.Minute}, hand, func(err error) { Expect(err).NotTo(HaveOccurred()) })
+	Expect(err).NotTo(HaveOccurred())
+	b.keeper.tables.grantor = lease.NewGrantor(testSpan)
+	b.calls = b.handlers()
+	b.conductor = newConductor(b)
+	ctx, cancel := context.WithCancel(context.Background())
+	DeferCleanup(cancel)
+	go b.keeper.run(ctx)
+	b.adopt(view)
+	b.trust()
+	return b
+}
+
+const testSpan = 900 * time.Millisecond
+
+var _ = Describe("the lease of the duty at a member", func() {
+	var b *box
+	var hand *timetable.Hand
+	view := membership.View{Epoch: 1, Members: []string{"a", "b", "c"}}
+	termOf := func(holder string, number uint64) membership.Term {
+		return membership.Term{Number: number, Holder: holder}
+	}
+	done := func(call func(func(messages.Done))) bool {
+		got := make(chan messages.Done, 1)
+		call(func(done messages.Done) { got <- done })
+		return (<-got).OK
+	}
+	claim := func(epoch membership.Epoch, term membership.Term) bool {
+		return done(func(answer func(messages.Done)) { b.onClaim(messages.Claim{Epoch: epoch, Term: term}, answer) })
+	}
+	renew := func(epoch membership.Epoch, term membership.Term) bool {
+		return done(func(answer func(messages.Done)) { b.onRenew(messages.Renew{Epoch: epoch, Term: term}, answer) })
+	}
+
+	BeforeEach(func() {
+		hand = &timetable.Hand{Now: time.Hour}
+		b = newMember(hand, view)
+	})
+
+	It("is refused to another while the holder renews it, and granted once the last promise has ended", func() {
+		Expect(claim(1, termOf("b", 1))).To(BeTrue())
+		hand.Now += testSpan - time.Millisecond
+		Expect(claim(1, termOf("c", 2))).To(BeFalse())
+		Expect(renew(1, termOf("b", 1))).To(BeTrue())
+		hand.Now += testSpan - time.Millisecond
+		Expect(claim(1, termOf("c", 2))).To(BeFalse())
+		hand.Now += time.Millisecond
+		Expect(claim(1, termOf("c", 2))).To(BeTrue())
+		Expect(renew(1, termOf("b", 1))).To(BeFalse(), "the older holder is fenced off")
+	})
+
+	It("is neither granted nor renewed in another epoch, or by a member that isn't trusted", func() {
+		Expect(claim(2, termOf("b", 1))).To(BeFalse())
+		Expect(claim(1, termOf("b", 1))).To(BeTrue())
+		Expect(renew(2, termOf("b", 1))).To(BeFalse())
+		b.distrust()
+		Expect(renew(1, termOf("b", 1))).To(BeFalse())
+		hand.Now += testSpan
+		Expect(claim(1, termOf("c", 2))).To(BeFalse())
+	})
+
+	It("passes on at once when its holder gives it up", func() {
+		Expect(claim(1, termOf("b", 1))).To(BeTrue())
+		Expect(done(func(answer func(messages.Done)) { b.onRelease(messages.Release{Term: termOf("b", 1)}, answer) })).To(BeTrue())
+		Expect(claim(1, termOf("c", 2))).To(BeTrue())
+	})
+
+	Describe("that this node holds", func() {
+		// hold wins the lease from this member and one more.
+		hold := func(number uint64) {
+			round := b.lease.start(number, view, hand.Steady())
+			b.lease.acknowledge(round, "a")
+			Expect(b.lease.acknowledge(round, "b")).To(BeTrue())
+			b.myTerm.Store(number)
+			b.isHolder.Store(true)
+			b.conductor.term = number
+		}
+		published := func() []feed.Reading { return []feed.Reading{b.conductor.last.Reading(), b.fleet().Reading()} }
+
+		BeforeEach(func() {
+			Expect(claim(1, termOf("a", 1))).To(BeTrue())
+			hold(1)
+			b.conductor.listed = []feed.Server{{ID: "i-1", Service: "fees", IsReady: true}}
+		})
+
+		It("lets it publish and write while it is valid", func() {
+			Expect(b.conductor.isMaster()).To(BeTrue())
+			b.conductor.publish()
+			Eventually(func() uint64 { return b.fleet().Term }).Should(BeEquivalentTo(1))
+		})
+
+		It("stops all publishing when it ends by the steady clock, though nobody was heard of", func() {
+			hand.Now += testSpan
+			Expect(b.conductor.isMaster()).To(BeFalse())
+			before := published()
+			b.conductor.publish()
+			b.conductor.list([]feed.Server{{ID: "i-2", Service: "fees", IsReady: true}})
+			b.conductor.tell(feed.Fleet{Term: 1, Count: 9})
+			Consistently(func() []feed.Reading { return published() }, "100ms").Should(Equal(before))
+			Expect(b.conductor.write(trial.State{Subject: "fees"})).NotTo(Succeed())
+			Expect(b.conductor.states).To(BeEmpty())
+			ordered := make(chan messages.Ordered, 1)
+			b.decide(func(answer messages.Ordered) { ordered <- answer }, func(*conductor) (derail.Kind, string) { panic("decided without a lease") })
+			go b.conductor.run(GinkgoT().Context())
+			Eventually(ordered).Should(Receive(HaveField("Kind", derail.Gone)))
+		})
+
+		It("goes on under its term once a majority has renewed it, with what it knew", func() {
+			hand.Now += testSpan
+			Expect(b.conductor.isMaster()).To(BeFalse())
+			hold(1)
+			Expect(b.conductor.isMaster()).To(BeTrue())
+			Expect(b.conductor.listed).To(HaveLen(1))
+		})
+
+		It("ends at once when it steps down, and a late round doesn't bring it back", func() {
+			b.stepDown()
+			Eventually(func() bool { return b.holdsLease(1) }).Should(BeFalse())
+			Expect(b.lease.start(1, view, hand.Steady())).To(BeZero())
+			Expect(b.conductor.isMaster()).To(BeFalse())
+		})
+
+		It("is not changed by a step of the time of day", func() {
+			// The clock of the lease has no time of day to read: Wall isn't asked.
+			b.clock = steadyOnly{hand}
+			Expect(b.holdsLease(1)).To(BeTrue())
+			Expect(renew(1, termOf("a", 1))).To(BeTrue())
+			b.touch()
+			_ = b.isInContact()
+		})
+	})
+})
+
+// steadyOnly is a clock whose time of day must not be asked for.
+type steadyOnly struct{ timetable.Clock }
+
+// Wall fails the test.
+func (steadyOnly) Wall() time.Time { panic("the time of day decides nothing here") }
+
+var _ = Describe("a reading from a node's own state", func() {
+	view := membership.View{Epoch: 1, Members: []string{"a", "127.0.0.1:1", "127.0.0.1:2"}}
+
+	It("needs a contact with a majority of the view that is no older than the bound; the status needs none", func() {
+		hand := &timetable.Hand{Now: time.Hour}
+		b := newMember(hand, view)
+		go b.roll.Run(GinkgoT().Context(), actAll, 0, nil)
+		go b.conductor.loop.Run(GinkgoT().Context(), actAll, 0, nil)
+		get := func(path string) *httptest.ResponseRecorder {
+			out := httptest.NewRecorder()
+			b.control().ServeHTTP(out, httptest.NewRequest(http.MethodGet, path, strings.NewReader("")))
+			return out
+		}
+		local := []string{"/v1/fleet", "/v1/load"}
+		for _, path := range append(local, "/v1/mirrors", "/v1/sites") {
+			out := get(path)
+			Expect(out.Code).To(Equal(http.StatusServiceUnavailable), path)
+			Expect(out.Header().Get("Retry-After")).NotTo(BeEmpty())
+		}
+		Expect(get("/v1/status").Code).To(Equal(http.StatusOK))
+		b.contact.note(hand.Steady(), feed.Reading{})
+		hand.Now += contactSpan
+		for _, path := range local {
+			Expect(get(path).Code).To(Equal(http.StatusOK), path)
+		}
+		hand.Now += time.Millisecond
+		for _, path := range local {
+			Expect(get(path).Code).To(Equal(http.StatusServiceUnavailable), path)
+		}
+		// In contact, but the majority has a fleet that this node hasn't heard of yet.
+		b.contact.note(hand.Steady(), feed.Reading{Term: 2, Count: 1})
+		Expect(get("/v1/fleet").Code).To(Equal(http.StatusServiceUnavailable))
+		b.onFleet(feed.Fleet{Term: 2, Count: 1}, func(messages.Done) {})
+		Expect(get("/v1/fleet").Code).To(Equal(http.StatusOK))
+	})
+
+	It("counts the members that answer in the same epoch, and no others", func() {
+		hand := &timetable.Hand{Now: time.Hour}
+		b := newMember(hand, membership.View{Epoch: 1, Members: []string{"a"}})
+		other := httptest.NewUnstartedServer(nil)
+		address := other.Listener.Addr().String()
+		go rpc.Serve(other.Listener, rpc.Handlers{messages.KindContact: answering(func(in messages.Contact, answer func(messages.ContactTold)) {
+			answer(messages.ContactTold{OK: in.Epoch == 2})
+		})}, time.Second)
+		DeferCleanup(other.Listener.Close)
+		b.adopt(membership.View{Epoch: 2, Members: []string{"a", address, "127.0.0.1:1"}})
+		b.touch()
+		Expect(b.isInContact()).To(BeTrue())
+		hand.Now += 2 * contactSpan
+		b.adopt(membership.View{Epoch: 3, Members: []string{"a", address, "127.0.0.1:1"}})
+		b.touch()
+		Expect(b.isInContact()).To(BeFalse())
+	})
+})
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -62,6 +62,9 @@
 // publish lays the fleet as it is to be used, and tells every member that has
 // not confirmed it; while shares are granted, it renews them.
 func (c *conductor) publish() {
+	if !c.holdsLease(c.term) {
+		return
+	}
 	now := c.clock.Steady()
 	c.laidOutAt = now
 	next := feed.Fleet{Term: c.term, Count: c.last.Count, Servers: slices.Clone(c.listed), Holder: c.self}
@@ -90,12 +93,6 @@
 	c.tell(c.last)
 }
 
-func sameStages(a, z []feed.Stage) bool {
-	return slices.EqualFunc(a, z, func(x, y feed.Stage) bool {
-		return x.Subject == y.Subject && x.Number == y.Number && x.Wave == y.Wave && len(x.Nodes) == len(y.Nodes)
-	})
-}
-
 // proxies is how many share the servers' connections: those that report, which
 // in this term, and at its beginning by the last holder's word, were never fewer.
 func (c *conductor) proxies() int {
@@ -127,6 +124,9 @@
 		}
 		go func() {
 			defer c.telling.Delete(member)
+			if !c.holdsLease(fleet.Term) {
+				return
+			}
 			var done messages.Done
 			switch err := c.ask(member, messages.KindFleet, out, &done, askSpan); {
 			case err == nil && done.OK:
--- a/internal/control/handlers.go
+++ b/internal/control/handlers.go
@@ -38,6 +38,9 @@
 		messages.KindReport:   answering(b.onReport),
 		messages.KindStage:    answering(b.onStage),
 		messages.KindEvidence: answering(b.onEvidence),
+		messages.KindRenew:    answering(b.onRenew),
+		messages.KindRelease:  answering(b.onRelease),
+		messages.KindContact:  answering(b.onContact),
 	}
 }
 
@@ -112,17 +115,6 @@
 	}, func() { answer(response) })
 }
 
-func (b *box) onClaim(in membership.Term, answer func(messages.Done)) {
-	isGranted := false
-	b.keeper.put(func(t *tables) []record {
-		if !t.isTrusted || in.Number <= t.term.Number {
-			return nil
-		}
-		isGranted, t.term = true, in
-		return []record{{Term: &in}}
-	}, func() { answer(messages.Done{OK: isGranted}) })
-}
-
 func (b *box) onFleet(in feed.Fleet, answer func(messages.Done)) {
 	isFresh := false
 	b.keeper.put(func(t *tables) []record {
--- a/internal/control/member_test.go
+++ b/internal/control/member_test.go
@@ -9,6 +9,7 @@
 	. "github.com/onsi/gomega"
 
 	"ploverhitch/internal/config"
+	"ploverhitch/internal/control/lease"
 	"ploverhitch/internal/control/registry"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/idempotency"
@@ -23,6 +24,7 @@
 var _ = Describe("what a member of the core refuses", func() {
 	var b *box
 	var hand *timetable.Hand
+	const promised = 900 * time.Millisecond
 	view := membership.View{Epoch: 3, Members: []string{"a", "b", "c"}}
 
 	BeforeEach(func() {
@@ -34,6 +36,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		ctx, cancel := context.WithCancel(context.Background())
 		DeferCleanup(cancel)
+		b.keeper.tables.grantor = lease.NewGrantor(promised)
 		go b.keeper.run(ctx)
 		b.adopt(view)
 	})
@@ -51,7 +54,9 @@
 		return (<-got).OK
 	}
 	claim := func(number uint64) bool {
-		return done(func(answer func(messages.Done)) { b.onClaim(membership.Term{Number: number, Holder: "b"}, answer) })
+		return done(func(answer func(messages.Done)) {
+			b.onClaim(messages.Claim{Epoch: 3, Term: membership.Term{Number: number, Holder: "b"}}, answer)
+		})
 	}
 	tell := func(fleet feed.Fleet) bool {
 		return done(func(answer func(messages.Done)) { b.onFleet(fleet, answer) })
@@ -75,6 +80,8 @@
 	It("is a claim that is no higher than its fence, and whatever an older holder still says", func() {
 		Expect(claim(7)).To(BeFalse(), "it is not trusted yet")
 		b.trust()
+		Expect(claim(7)).To(BeFalse(), "it is new in the view, and others may have promised the duty")
+		hand.Now += promised
 		Expect(claim(7)).To(BeTrue())
 		Expect(claim(7)).To(BeFalse())
 		Expect(claim(6)).To(BeFalse())
--- a/internal/control/settle.go
+++ b/internal/control/settle.go
@@ -66,6 +66,7 @@
 		}
 		r := record{Trusted: &isTrusted}
 		t.apply(r)
+		b.awaitPromises(t)
 		return []record{r}
 	}, 5*time.Second)
 }
--- a/internal/control/stages.go
+++ b/internal/control/stages.go
@@ -172,3 +172,9 @@
 	}
 	return out
 }
+
+func sameStages(a, z []feed.Stage) bool {
+	return slices.EqualFunc(a, z, func(x, y feed.Stage) bool {
+		return x.Subject == y.Subject && x.Number == y.Number && x.Wave == y.Wave && len(x.Nodes) == len(y.Nodes)
+	})
+}
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -35,6 +35,18 @@
 	Versions map[string]string            `json:"Versions"`
 	// Trials are the rollouts and staged changes, each with its phase.
 	Trials map[string]TrialStatus `json:"Trials"`
+	// QuorumAgeMs is how long ago this node last reached a majority of its view, -1
+	// if it hasn't yet.
+	QuorumAgeMs int64       `json:"QuorumAgeMs"`
+	Lease       LeaseStatus `json:"Lease"`
+}
+
+// LeaseStatus is the lease of the duty as this node knows it. RemainingMs is 0 but
+// at the holder.
+type LeaseStatus struct {
+	Holder      string `json:"Holder"`
+	Term        uint64 `json:"Term"`
+	RemainingMs int64  `json:"RemainingMs"`
 }
 
 func (b *box) statusPoint(context.Context, any) (any, error) {
@@ -63,9 +75,26 @@
 		}
 	})
 	out.Servers = len(b.fleet().Servers)
+	out.QuorumAgeMs, out.Lease = b.quorumAgeMs(), b.leaseStatus(out)
 	return out, nil
 }
 
+func (b *box) quorumAgeMs() int64 {
+	age, ok := b.contact.age(b.clock.Steady())
+	if !ok {
+		return -1
+	}
+	return age.Milliseconds()
+}
+
+func (b *box) leaseStatus(status Status) LeaseStatus {
+	out := LeaseStatus{Holder: status.Holder, Term: status.Term}
+	if status.Holder == b.self {
+		out.RemainingMs = b.lease.remaining(status.Term, b.clock.Steady()).Milliseconds()
+	}
+	return out
+}
+
 // FleetPage is the servers as the holder of the duty last read them.
 type FleetPage struct {
 	Term    uint64        `json:"Term"`
--- a/internal/control/tables.go
+++ b/internal/control/tables.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"ploverhitch/internal/config"
+	"ploverhitch/internal/control/lease"
 	"ploverhitch/internal/control/registry"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/idempotency"
@@ -40,6 +41,8 @@
 	acceptor membership.Acceptor
 	view     membership.View
 	term     membership.Term
+	// grantor is what this member has promised of the duty; it isn't kept.
+	grantor *lease.Grantor
 	// fleet is kept so that a core that lost its power can tell at once which
 	// servers there were.
 	fleet feed.Fleet
--- a/internal/messages/telegram.go
+++ b/internal/messages/telegram.go
@@ -39,6 +39,9 @@
 	KindState
 	KindCatchUp
 	KindPropose
+	KindRenew
+	KindRelease
+	KindContact
 )
 
 // Reserve asks a core node for its vote, under the view's epoch.
--- a/internal/telegraph/choose_test.go
+++ b/internal/telegraph/choose_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"math/bits"
 	"testing"
 	"time"
 
@@ -80,4 +81,37 @@
 		hand.Now += wellSpan + time.Second
 		Expect(d.wanted()).To(HaveLen(3))
 	})
+
+	It("has a well member among them whichever minority is cut off from the rest of the core", func() {
+		// A member that is cut off goes on feeding its followers, and tells them
+		// nothing new: no broken feed shows it, so a well one must be followed already.
+		for count := 1; count <= 7; count++ {
+			view := membership.View{Epoch: 1, Members: members(count)}
+			for number := range 20 {
+				d, _ := newDesk(fmt.Sprint("edge-", number), view)
+				wanted := d.wanted()
+				for cut := range 1 << count {
+					if bits.OnesCount(uint(cut)) >= view.Majority() {
+						continue
+					}
+					isWell := false
+					for place, member := range view.Members {
+						isWell = isWell || wanted[member] && cut>>place&1 == 0
+					}
+					Expect(isWell).To(BeTrue(), "edge-%d of %d members, cut %b", number, count, cut)
+				}
+			}
+		}
+	})
+
+	It("gets a spare for a member that doesn't answer well inside the time for a change", func() {
+		const changeSpan = 2 * time.Second
+		view := membership.View{Epoch: 1, Members: members(5)}
+		d, _ := newDesk("edge-1", view)
+		dead := membership.Followed(view.Members, "edge-1")[0]
+		d.followers[dead] = feed.NewFollower("edge-1", rpc.NewLine(dead, time.Second, time.Second), func(feed.News) {}, time.Second)
+		Eventually(func() int { return len(d.wanted()) }, ailingSpan+lookPeriod).Should(Equal(4))
+		// It is seen at the next look, and connected within the bound of a call.
+		Expect(ailingSpan + lookPeriod + connectSpan).To(BeNumerically("<", changeSpan))
+	})
 })
