--- a/internal/control/staged.go
+++ b/internal/control/staged.go
@@ -85,7 +85,7 @@
 func (b *box) onEvidence(in messages.Evidence, answer func(messages.Evidence)) {
 	c := b.conductor
 	c.loop.Offer(func() {
-		if d := c.drives[in.Subject]; d != nil {
+		if d := c.drives[in.Subject]; d != nil && c.isMaster() {
 			in.Lanes = d.finding.Evidence
 		}
 		answer(in)
