--- a/internal/rpc/frame.go
+++ b/internal/rpc/frame.go
@@ -8,12 +8,15 @@
 	"encoding/binary"
 	"io"
 	"net"
+	"sync/atomic"
 	"syscall"
 	"time"
 
 	"github.com/fxamacker/cbor/v2"
 	"github.com/juju/errors"
 	"golang.org/x/sys/unix"
+
+	"ploverhitch/internal/bounded"
 )
 
 // Kind names what a frame asks for.
@@ -36,8 +39,8 @@
 	if size > frameLimit {
 		return f, errors.NotValidf("frame of %d bytes", size)
 	}
-	text := make([]byte, size)
-	if _, err = io.ReadFull(r, text); err != nil {
+	text, err := bounded.Read(r, int(size))
+	if err != nil {
 		return f, err
 	}
 	return f, cbor.Unmarshal(text, &f)
@@ -48,7 +51,11 @@
 
 // packet is a frame on its way: its head, which is its own, and its body, which
 // other frames may share.
-type packet struct{ head, body []byte }
+type packet struct {
+	head, body []byte
+	// isRevoked: its caller has given up, and it must not be sent any more.
+	isRevoked atomic.Bool
+}
 
 func (p *packet) size() int { return len(p.head) + len(p.body) }
 
@@ -76,7 +83,7 @@
 	}
 	out := make([]byte, 4, 4+len(text))
 	binary.BigEndian.PutUint32(out, uint32(len(text)+len(shared)))
-	return &packet{append(out, text...), shared}, nil
+	return &packet{head: append(out, text...), body: shared}, nil
 }
 
 // bodyKey is the frame's key for its body, as cbor writes it.
@@ -166,6 +173,9 @@
 }
 
 func (p *packet) write(to io.Writer) error {
+	if p.isRevoked.Load() {
+		return nil
+	}
 	_, err := to.Write(p.head)
 	if err == nil && len(p.body) > 0 {
 		_, err = to.Write(p.body)
--- a/internal/rpc/line.go
+++ b/internal/rpc/line.go
@@ -31,11 +31,19 @@
 	conn    net.Conn
 	box     *outbox
 	last    uint64
-	waiting map[uint64]func([]byte, error)
+	waiting map[uint64]pending
 	// retryAt keeps a dead address from being dialled by every call.
 	retryAt time.Time
 	dialing bool
-	queued  []func()
+	// isClosing: Close came while the connection was being made.
+	isClosing bool
+	queued    []func()
+}
+
+// pending is a call that waits for its replies, which are of its own kind.
+type pending struct {
+	kind Kind
+	take func([]byte, error)
 }
 
 // NewLine makes a line; nothing is dialled yet.
@@ -49,12 +57,30 @@
 
 // Send makes a call and gives each of its replies to the closure, from the
 // line's own goroutine; an error is the last thing given. It does not wait. The
-// closure stays until it is forgotten; without one, replies are passed over.
+// closure stays until it is forgotten; without one, replies are passed over. A call
+// that is forgotten is sent all the same.
 //
 // Example:
 //
 //	line.Send(KindPing, nil, func(body []byte, err error) { got <- err })
 func (l *Line) Send(kind Kind, body any, take func([]byte, error)) (forget func()) {
+	forget, _ = l.send(kind, body, take)
+	return forget
+}
+
+// SendRevocable makes a call as Send does. Once it is revoked, it is forgotten, and
+// never sent if that has not begun: what has a bound is not to come after it.
+//
+// Example:
+//
+//	revoke := line.SendRevocable(KindReserve, intent, take)
+//	defer revoke()
+func (l *Line) SendRevocable(kind Kind, body any, take func([]byte, error)) (revoke func()) {
+	_, revoke = l.send(kind, body, take)
+	return revoke
+}
+
+func (l *Line) send(kind Kind, body any, take func([]byte, error)) (forget, revoke func()) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	l.last++
@@ -69,13 +95,17 @@
 		if take != nil {
 			go take(nil, err)
 		}
-		return forget
+		return forget, forget
+	}
+	revoke = func() {
+		text.isRevoked.Store(true)
+		forget()
 	}
 	if l.waiting == nil {
-		l.waiting = map[uint64]func([]byte, error){}
+		l.waiting = map[uint64]pending{}
 	}
 	if take != nil {
-		l.waiting[number] = take
+		l.waiting[number] = pending{kind, take}
 	}
 	drop := func() {
 		if delete(l.waiting, number); take != nil {
@@ -102,41 +132,11 @@
 		l.queued = append(l.queued, put)
 		go l.dial()
 	}
-	return forget
+	return forget, revoke
 }
 
-// Ask makes a call and waits for its one reply, at most the given span.
-//
-// Example:
-//
-//	err := line.Ask(KindView, nil, &view, time.Second)
-func (l *Line) Ask(kind Kind, body, out any, wait time.Duration) error {
-	type result struct {
-		body []byte
-		err  error
-	}
-	got := make(chan result, 1)
-	forget := l.Send(kind, body, func(body []byte, err error) {
-		select {
-		case got <- result{body, err}:
-		default:
-		}
-	})
-	defer forget()
-	alarm := time.NewTimer(wait)
-	defer alarm.Stop()
-	select {
-	case r := <-got:
-		if r.err != nil || out == nil {
-			return r.err
-		}
-		return Unpack(r.body, out)
-	case <-alarm.C:
-		return errors.Timeoutf("call to %s", l.Address)
-	}
-}
-
-// Close ends the connection; the next call makes a new one.
+// Close ends the connection, also one that is being made; calls that wait for it
+// get their error, and a later call makes a new one.
 //
 // Example:
 //
@@ -147,13 +147,15 @@
 	if l.conn != nil {
 		_ = l.conn.Close()
 	}
+	l.isClosing = l.dialing
 }
 
 func (l *Line) dial() {
 	conn, err := Dial(l.Address, l.connect, l.silence)
 	l.lock.Lock()
 	defer l.lock.Unlock()
-	l.dialing = false
+	isClosing := l.isClosing
+	l.dialing, l.isClosing = false, false
 	queued := l.queued
 	l.queued = nil
 	if err != nil {
@@ -161,6 +163,11 @@
 		l.fail()
 		return
 	}
+	if isClosing {
+		_ = conn.Close()
+		l.fail()
+		return
+	}
 	l.conn, l.box = conn, newOutbox(conn, 4096)
 	for _, put := range queued {
 		put()
@@ -177,8 +184,8 @@
 	waiting := l.waiting
 	l.waiting = nil
 	go func() {
-		for _, take := range waiting {
-			take(nil, ErrCut)
+		for _, call := range waiting {
+			call.take(nil, ErrCut)
 		}
 	}()
 }
@@ -191,11 +198,16 @@
 			break
 		}
 		l.lock.Lock()
-		take := l.waiting[f.Number]
+		call, isWaiting := l.waiting[f.Number]
 		l.lock.Unlock()
-		if take != nil {
-			take(f.Body, nil)
+		if !isWaiting {
+			continue
+		}
+		if call.kind != f.Kind {
+			// It answers no call of this line: nothing that follows can be trusted.
+			break
 		}
+		call.take(f.Body, nil)
 	}
 	_ = conn.Close()
 	close(box.done)
