--- a/internal/points/replay.go
+++ b/internal/points/replay.go
@@ -133,7 +133,7 @@
 func (a *attempt) tell(intent idempotency.Intent, wait time.Duration) {
 	a.recent.add(intent, a.clock.Steady(), timetable.Steady(a.set.Load().Platform.Bounds.Sync))
 	view := a.sight.Load().view
-	kept, forget := askMembers[messages.Done](a.proxy, view, messages.KindRecord, messages.Record{Intent: intent})
+	kept, forget := tellMembers[messages.Done](a.proxy, view, messages.KindRecord, messages.Record{Intent: intent})
 	defer forget()
 	if wait == 0 {
 		return
--- a/internal/points/resume.go
+++ b/internal/points/resume.go
@@ -46,8 +46,11 @@
 	for range view.Members {
 		select {
 		case found := <-got:
-			if found.reply != nil && found.reply.Intent != nil && found.reply.Intent.Reply != nil {
-				return found.reply.Intent
+			if found.reply == nil || found.reply.Intent == nil {
+				continue
+			}
+			if held := found.reply.Intent; held.Key == a.one.key && held.Reply != nil {
+				return held
 			}
 		case <-alarm.C:
 			return nil
--- a/internal/points/vote.go
+++ b/internal/points/vote.go
@@ -50,7 +50,8 @@
 }
 
 func (a *attempt) take(got said[messages.Vote]) {
-	if got.reply == nil {
+	if got.reply == nil || got.reply.Ballot.Held != nil && got.reply.Ballot.Held.Key != a.intent.Key {
+		// A ballot on another key is none.
 		a.round.On(nil)
 		return
 	}
@@ -64,10 +65,16 @@
 }
 
 // giveBack frees the votes of an attempt that will never be delivered. Only
-// this proxy could have delivered it, so freeing them is safe.
+// this proxy could have delivered it, so freeing them is safe. A member whose line
+// broke on the way is told again once the line is made anew: its vote would
+// otherwise hold the key.
 func (a *attempt) giveBack() {
 	a.intent.State = idempotency.Released
-	for _, member := range a.sight.Load().view.Members {
+	view := a.sight.Load().view
+	if len(a.ungranted) < len(view.Members) {
+		a.recent.add(a.intent, a.clock.Steady(), timetable.Steady(a.set.Load().Platform.Bounds.Sync))
+	}
+	for _, member := range view.Members {
 		if !a.ungranted[member] {
 			a.line(member).Send(messages.KindRecord, messages.Record{Intent: a.intent}, nil)
 		}
