--- a/internal/coupling/hook.go
+++ b/internal/coupling/hook.go
@@ -5,8 +5,6 @@
 	"io"
 	"net"
 	"net/http"
-	"strconv"
-	"strings"
 	"syscall"
 	"time"
 
@@ -52,13 +50,17 @@
 type hook struct {
 	conn   net.Conn
 	reader *bufio.Reader
+	// head bounds how long a reply's header may be.
+	head *headLimit
 	// until is when the server may close it for idleness.
 	until  time.Time
 	isDone bool
+	// isUsed: an earlier inquiry was sent over it; hasHead: one of them was a HEAD,
+	// whose reply has no body whatever its header says.
+	isUsed, hasHead bool
 }
 
 const (
-	surplusLimit = 8
 	idleDefault  = 4 * time.Second
 	idleMargin   = 700 * time.Millisecond
 	serverSilent = 2 * time.Second
@@ -69,7 +71,8 @@
 	if err != nil {
 		return nil, err
 	}
-	return &hook{conn: conn, reader: bufio.NewReaderSize(conn, 4096)}, nil
+	head := &headLimit{from: conn}
+	return &hook{conn: conn, head: head, reader: bufio.NewReaderSize(head, 4096)}, nil
 }
 
 // window is how much the server may have on its way at once.
@@ -105,110 +108,13 @@
 	return err == nil && isQuiet
 }
 
-func (h *hook) send(order Order, left time.Duration, instance string) error {
+// send writes the inquiry and tells how much of it went out.
+func (h *hook) send(order Order, left time.Duration, instance string) (count int, err error) {
 	inquiry := order.Inquiry
 	text := inquiry.appendHead(make([]byte, 0, 512+len(inquiry.Body)), left, instance)
 	text = append(text, inquiry.Body...)
 	order.Out.Note(len(text))
-	_, err := h.conn.Write(text)
-	return err
-}
-
-// receive reads the reply that carries the inquiry's id. A reply with another
-// id belongs to an earlier inquiry: it is passed over, never handed on.
-func (h *hook) receive(order Order) (*Reply, error) {
-	inquiry := order.Inquiry
-	method := &http.Request{Method: inquiry.Method}
-	for range surplusLimit {
-		response, err := http.ReadResponse(h.reader, method)
-		if err != nil {
-			return nil, errors.Trace(err)
-		}
-		if response.StatusCode < 200 {
-			continue
-		}
-		isOurs := response.Header.Get(HeaderAttempt) == inquiry.Attempt
-		isFramed := response.ContentLength >= 0 || len(response.TransferEncoding) > 0
-		if !isOurs || !isFramed {
-			h.isDone = true
-			// A server that turns an inquiry away may do so before it has
-			// read the id.
-			isTurnedAway := response.Header.Get(HeaderNotExecuted) != "" || response.StatusCode == http.StatusMisdirectedRequest
-			isOurs = isOurs || isTurnedAway && response.Header.Get(HeaderAttempt) == ""
-			if !isFramed {
-				return nil, errors.NotValidf("reply without an end")
-			}
-		}
-		if !isOurs {
-			if _, err = io.Copy(io.Discard, io.LimitReader(response.Body, 64<<20)); err != nil {
-				return nil, errors.Trace(err)
-			}
-			continue
-		}
-		return h.take(response, order)
-	}
-	return nil, errors.NotValidf("so many replies to other inquiries")
-}
-
-func (h *hook) take(response *http.Response, order Order) (*Reply, error) {
-	reply := &Reply{Status: response.StatusCode, Header: response.Header, Length: response.ContentLength}
-	h.isDone = h.isDone || response.Close
-	h.until = time.Now().Add(idleSpan(response.Header.Get("Keep-Alive")))
-	isSuccess := reply.Status/100 == 2
-	if isSuccess && reply.Header.Get(HeaderSeal) == "" {
-		return nil, errors.NotValidf("success without a seal")
-	}
-	if response.Body == http.NoBody {
-		return reply, nil
-	}
-	from := order.In.Reader(response.Body, reply.Length, h.window())
-	isPassedOn := isSuccess && order.PassOn > 0 && reply.Length >= order.PassOn
-	if reply.Length > order.Buffer || isPassedOn {
-		reply.Rest = from
-		return reply, nil
-	}
-	body, err := readAll(from, reply.Length, order.Buffer)
-	if err != nil {
-		return nil, errors.Trace(err)
-	}
-	if reply.Body = body; int64(len(body)) > order.Buffer {
-		reply.Rest = from
-	} else {
-		reply.Length = int64(len(body))
-	}
-	return reply, nil
-}
-
-func readAll(from io.Reader, length, buffer int64) ([]byte, error) {
-	if length >= 0 {
-		body := make([]byte, length)
-		if _, err := io.ReadFull(from, body); err != nil {
-			return nil, err
-		}
-		return body, nil
-	}
-	return io.ReadAll(io.LimitReader(from, buffer+1))
-}
-
-func idleSpan(keepAlive string) time.Duration {
-	for _, part := range strings.Split(keepAlive, ",") {
-		if text, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout="); ok {
-			if seconds, err := strconv.Atoi(text); err == nil {
-				return max(0, time.Duration(seconds)*time.Second-idleMargin)
-			}
-		}
-	}
-	return idleDefault
-}
-
-// IsNotExecuted tells whether the server showed that it did not run the
-// inquiry.
-//
-// Example:
-//
-//	if reply.IsNotExecuted() { tryAnother() }
-func (r *Reply) IsNotExecuted() bool {
-	return r.Header.Get(HeaderNotExecuted) != "" || r.Status == http.StatusMisdirectedRequest
+	return h.conn.Write(text)
 }
 
 // mayReuse tells whether the next inquiry may travel on the connection.
--- a/internal/coupling/rack.go
+++ b/internal/coupling/rack.go
@@ -1,6 +1,7 @@
 package coupling
 
 import (
+	"context"
 	"sync"
 	"time"
 
@@ -37,6 +38,9 @@
 	PassOn int64
 	// In and Out are the directions of the machine's link.
 	In, Out *headway.Track
+	// Left, if set, ends when nobody waits for the reply any more: then the
+	// connection is broken, so that the server may stop.
+	Left context.Context
 	// MaySend is asked immediately before the first byte is sent.
 	MaySend func() bool
 }
@@ -63,26 +67,54 @@
 		return nil, errors.WithType(errors.Timeoutf("the time to send"), ErrNotSent)
 	}
 	_ = h.conn.SetDeadline(order.Last)
-	if err := h.send(order, left, r.Instance); err != nil {
-		_ = h.conn.Close()
-		return nil, errors.WithType(err, ErrUnknown)
+	stop := h.breakOn(order.Left)
+	if count, err := h.send(order, left, r.Instance); err != nil {
+		defer stop()
+		return h.unsent(order, count, err)
 	}
 	reply, err := h.receive(order)
 	if err != nil {
+		stop()
 		_ = h.conn.Close()
 		return nil, errors.WithType(err, ErrUnknown)
 	}
+	finish := func(isWhole bool) {
+		stop()
+		h.isDone = h.isDone || !isWhole
+		r.push(h)
+	}
 	if reply.Rest != nil {
-		reply.finish = func(isWhole bool) {
-			h.isDone = h.isDone || !isWhole
-			r.push(h)
-		}
+		reply.finish = finish
 		return reply, nil
 	}
-	r.push(h)
+	finish(true)
 	return reply, nil
 }
 
+// unsent ends a delivery whose inquiry did not go out whole. Of what none was
+// written, nothing can have run. A server that answers before it has read all and
+// closes then has left its reply, which is as good as any.
+func (h *hook) unsent(order Order, count int, err error) (*Reply, error) {
+	defer h.conn.Close()
+	if count == 0 {
+		return nil, errors.WithType(err, ErrNotSent)
+	}
+	if reply, replyErr := h.receive(order); replyErr == nil && reply.Rest == nil {
+		return reply, nil
+	}
+	return nil, errors.WithType(err, ErrUnknown)
+}
+
+// breakOn breaks the connection once the context ends, until it is told to stop. A
+// connection that may be breaking just then is not used again.
+func (h *hook) breakOn(left context.Context) (stop func()) {
+	if left == nil {
+		return func() {}
+	}
+	end := context.AfterFunc(left, func() { _ = h.conn.Close() })
+	return func() { h.isDone = !end() || h.isDone }
+}
+
 func (r *Rack) pop() *hook {
 	now := time.Now()
 	for {
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -213,7 +213,8 @@
 			write(conn, "503 Service Unavailable", id, "Ploverhitch-Not-Executed: 1\r\n", "")
 			continue
 		case Misdirect:
-			_, _ = fmt.Fprintf(conn, "HTTP/1.1 421 Misdirected Request\r\nPloverhitch-Instance-Id: %s\r\nContent-Length: 0\r\n\r\n", s.ID)
+			// In every answer a server echoes the id, also where it turns away.
+			write(conn, "421 Misdirected Request", id, "Ploverhitch-Instance-Id: "+s.ID+"\r\n", "")
 			continue
 		case Fail500:
 			write(conn, "500 Internal Server Error", id, seal, "")
