--- a/internal/points/deliver.go
+++ b/internal/points/deliver.go
@@ -33,6 +33,8 @@
 	lateSafe      = 200 * time.Millisecond
 	lateKeyed     = 2 * time.Second
 	unsentLimit   = 3
+	// recordedMost is how long a reply may be to be kept in an operation's record.
+	recordedMost = 32 << 20
 )
 
 // admitting picks the lane's service and refuses at once what nobody can serve.
@@ -79,13 +81,15 @@
 	leave func()
 	// places are the places taken at the tries' sites.
 	places *sync.Map
+	// left ends when nobody waits any more.
+	left context.Context
 }
 
 // delivering sends the inquiry to a server, and to another where the lane, the
 // budget and what is known of the first allow it.
-func (p *proxy) delivering(_ context.Context, request any) (any, error) {
+func (p *proxy) delivering(ctx context.Context, request any) (any, error) {
 	one := request.(*inquiry)
-	d := &delivery{proxy: p, one: one, pace: p.paceOf(one.lane.Name), leave: p.enter(one), places: &sync.Map{}}
+	d := &delivery{proxy: p, one: one, pace: p.paceOf(one.lane.Name), leave: p.enter(one), places: &sync.Map{}, left: leaving(ctx, one)}
 	d.results = make(chan result, one.lane.MaxAttempts+unsentLimit+1)
 	defer d.sweep()
 	if !d.launch() {
@@ -109,6 +113,8 @@
 		case <-hedge:
 			hedge = nil
 			d.again()
+		case <-d.left.Done():
+			return nil, errLeft
 		case <-due.C:
 			return nil, d.late()
 		}
@@ -136,10 +142,11 @@
 	case got.reply.IsNotExecuted():
 		kind = derail.NotExecuted
 		got.reply.Finish(false)
-	case got.reply.Status/100 != 5 || !isRepeatable && !isPromise(got.reply.Status):
-		return got.reply, nil, true
-	case !isRepeatable:
+	case !isRepeatable && isPromise(got.reply.Status):
+		// Without Not-Executed it may have run, and the status would say it did not.
 		return nil, &openEnd{kind: derail.Broken}, true
+	case !isRepeatable || got.reply.Status/100 != 5:
+		return got.reply, nil, true
 	default:
 		d.fallback = got.reply
 	}
@@ -156,13 +163,6 @@
 	return nil, derail.New(kind, ""), true
 }
 
-// isPromise tells whether a status says that the inquiry did not run; only a
-// server's Not-Executed may be told to a client that way.
-func isPromise(status int) bool {
-	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests ||
-		status == http.StatusRequestTimeout || status == http.StatusMisdirectedRequest
-}
-
 func (d *delivery) dedupes() bool {
 	return d.one.sight.sheet.Services[d.one.service].IdempotentDedup && d.one.key.Key != ""
 }
@@ -208,6 +208,9 @@
 	if !d.one.lane.IsRepeatable() {
 		late, buffer = lateKeyed, max(buffer, d.one.sight.sheet.Limits.MaxBodyBytes)
 	}
+	if d.one.lane.RouteType == config.Idempotent {
+		buffer = max(buffer, recordedMost)
+	}
 	passOn := int64(0)
 	if d.one.lane.RouteType == config.Download && d.in.IsNarrow() {
 		// Checked whole first, it would take the link's time twice.
@@ -215,15 +218,19 @@
 	}
 	began := d.clock.Steady()
 	reply, err := siding.Rack.Deliver(coupling.Order{
-		Inquiry: d.one.Inquiry, Due: d.one.due, Last: d.one.due.Add(late), Connect: serverConnect, Buffer: buffer, PassOn: passOn, MaySend: d.one.maySend, In: d.in, Out: d.out,
+		Inquiry: d.one.Inquiry, Left: d.breaking(), Due: d.one.due, Last: d.one.due.Add(late), Connect: serverConnect, Buffer: buffer, PassOn: passOn, MaySend: d.one.maySend, In: d.in, Out: d.out,
 	})
 	now := d.clock.Steady()
 	took := time.Duration(now - began)
 	usual := d.pace.mean()
-	d.testify(siding, mark, reply, err, took, usual)
-	d.strainOf(siding, reply, err, took)
+	if !d.isBrokenOff(err) {
+		d.testify(siding, mark, reply, err, took, usual)
+		d.strainOf(siding, reply, err, took)
+	}
 	outcome := shunt.Served
 	switch {
+	case d.isBrokenOff(err):
+		outcome = shunt.Unasked
 	case err != nil && errors.Is(err, coupling.ErrNotSent) && errors.Is(err, errors.Timeout):
 		outcome = shunt.Unasked
 	case err != nil:
--- a/internal/points/ending.go
+++ b/internal/points/ending.go
@@ -1,6 +1,8 @@
 package points
 
 import (
+	"net/http"
+
 	"github.com/juju/errors"
 
 	"ploverhitch/internal/coupling"
@@ -60,3 +62,10 @@
 		}
 	}()
 }
+
+// isPromise tells whether a status says that the inquiry did not run; only a
+// server's Not-Executed may be told to a client that way.
+func isPromise(status int) bool {
+	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests ||
+		status == http.StatusRequestTimeout || status == http.StatusMisdirectedRequest
+}
--- a/internal/points/inquiry.go
+++ b/internal/points/inquiry.go
@@ -193,7 +193,7 @@
 // mayHaveRun tells whether an inquiry that ended without a reply may have run.
 func mayHaveRun(err error) bool {
 	var known *derail.Error
-	return errors.As(err, &known) && (known.Kind == derail.Broken || known.Kind == derail.Late)
+	return errors.Is(err, errLeft) || errors.As(err, &known) && (known.Kind == derail.Broken || known.Kind == derail.Late)
 }
 
 // answer passes a server's reply on. isBroken tells that the server broke off.
--- /dev/null
+++ b/internal/points/left_test.go
@@ -0,0 +1,107 @@
+package points
+
+import (
+	"context"
+	"io"
+	"net/http"
+	"strings"
+	"time"
+
+	"github.com/juju/errors"
+	. "github.com/onsi/ginkgo/v2"
+	. "github.com/onsi/gomega"
+
+	"ploverhitch/internal/config"
+	"ploverhitch/internal/coupling"
+	"ploverhitch/internal/derail"
+	"ploverhitch/internal/feed"
+	"ploverhitch/internal/idempotency"
+	"ploverhitch/internal/settings"
+	"ploverhitch/internal/shunt"
+	"ploverhitch/internal/standin"
+	"ploverhitch/internal/timetable"
+)
+
+var _ = Describe("a delivery", func() {
+	var server *standin.Server
+	BeforeEach(func() {
+		var err error
+		server, err = standin.NewServer("i-1", "127.0.0.1:0")
+		Expect(err).NotTo(HaveOccurred())
+		DeferCleanup(server.Close)
+	})
+	// inquiryOn is an inquiry that the one server there is may get.
+	inquiryOn := func(routeType config.LaneKind) (*proxy, *inquiry) {
+		set := &settings.Settings{}
+		set.Tuning.BufferBytes = 1 << 20
+		p := newProxy(set, timetable.Real(), func(string, string, ...any) {})
+		yard := shunt.NewYard(shunt.Home{Node: "n", Set: 8})
+		listed := feed.Server{ID: "i-1", Service: "s", Address: server.Address(), Capacity: 4, IsReady: true, Revision: "v1"}
+		yard = yard.Lay(feed.Fleet{Term: 1, Count: 1, Proxies: 1, Servers: []feed.Server{listed}})
+		p.sight.Store(&sight{sheet: p.sight.Load().sheet, yard: yard, proxies: 1})
+		return p, &inquiry{
+			Inquiry: &coupling.Inquiry{Method: "POST", Target: "/a", Host: "h", Header: http.Header{coupling.HeaderAttempt: {"t"}}, Attempt: "t"},
+			lane:    &config.Lane{LaneSpec: config.LaneSpec{Name: "r", RouteType: routeType, MaxAttempts: 3}}, sight: p.sight.Load(), service: "s",
+			arrived: time.Now(), due: time.Now().Add(600 * time.Millisecond), leave: func() {},
+		}
+	}
+
+	It("ends with its client, but a keyed one with its operation", func() {
+		for routeType, isEnded := range map[config.LaneKind]bool{config.Safe: true, config.Unsafe: true, config.Idempotent: false} {
+			server.Next(standin.Silent)
+			p, one := inquiryOn(routeType)
+			ctx, leave := context.WithCancel(context.Background())
+			time.AfterFunc(50*time.Millisecond, leave)
+			before, _ := server.Counts()
+			began := time.Now()
+			_, err := p.delivering(ctx, one)
+			Expect(errors.Is(err, errLeft)).To(Equal(isEnded), "%v: %v", routeType, err)
+			Expect(time.Since(began) < 400*time.Millisecond).To(Equal(isEnded), "%v", routeType)
+			after, _ := server.Counts()
+			Expect(after - before).To(Equal(1))
+			server.Free()
+		}
+	})
+
+	It("counts a client that left for nothing against the server", func() {
+		server.Next(standin.Silent)
+		p, one := inquiryOn(config.Safe)
+		one.due = time.Now().Add(10 * time.Second)
+		ctx, leave := context.WithCancel(context.Background())
+		time.AfterFunc(50*time.Millisecond, leave)
+		_, err := p.delivering(ctx, one)
+		Expect(errors.Is(err, errLeft)).To(BeTrue())
+		siding, isThere := p.sight.Load().yard.Find("i-1")
+		Expect(isThere).To(BeTrue())
+		Eventually(func() int { return p.sight.Load().yard.AtWork("s") }).Should(BeZero())
+		Expect(siding.IsSound()).To(BeTrue())
+		outcome, isCounted := stageOutcome(one, nil, err, 0)
+		Expect(isCounted).To(BeFalse(), "%v", outcome)
+		Expect(mayHaveRun(err)).To(BeTrue())
+	})
+
+	It("passes no status on that promises what nobody knows", func() {
+		for _, status := range []int{408, 429, 503} {
+			_, one := inquiryOn(config.Unsafe)
+			d := &delivery{one: one}
+			_, err, isEnd := d.judge(result{reply: &coupling.Reply{Status: status, Header: http.Header{}}})
+			var open *openEnd
+			Expect(errors.As(err, &open)).To(BeTrue(), "%d: %v", status, err)
+			Expect(open.kind).To(Equal(derail.Broken))
+			Expect(isEnd).To(BeTrue())
+		}
+	})
+
+	It("records no part of a reply as the whole", func() {
+		p, one := inquiryOn(config.Idempotent)
+		a := &attempt{proxy: p, one: one, ungranted: map[string]bool{}}
+		a.intent = idempotency.Intent{Key: idempotency.Key{Tenant: "h", Key: "k"}, State: idempotency.Reserved}
+		a.round = idempotency.NewRound(a.intent.Hash, 1, p.clock.Steady(), timetable.Steady(time.Second))
+		long := &coupling.Reply{Status: 200, Header: http.Header{}, Body: []byte("part"), Rest: io.NopCloser(strings.NewReader("rest"))}
+		reply, err := a.forward(context.Background(), func(context.Context, any) (any, error) { return long, nil })
+		Expect(err).NotTo(HaveOccurred())
+		Expect(reply).To(BeIdenticalTo(long))
+		Expect(a.intent.State).To(Equal(idempotency.TimeoutUnresolved))
+		Expect(a.intent.Reply).To(BeNil())
+	})
+})
--- a/internal/points/replay.go
+++ b/internal/points/replay.go
@@ -103,6 +103,7 @@
 			switch late := <-open.late; {
 			case late.reply != nil:
 				a.complete(late.reply)
+				late.reply.Finish(false)
 			case late.isFree:
 				a.giveBack()
 			}
@@ -119,7 +120,16 @@
 	a.note("error", "intent step", "from", a.intent.State, "to", to)
 }
 
+// complete records the reply. One that is not at hand whole is not recorded: a part
+// would be replayed as if it were all, so the outcome stays open.
 func (a *attempt) complete(reply *coupling.Reply) {
+	if reply.Rest != nil {
+		if a.intent.State != idempotency.TimeoutUnresolved {
+			a.step(idempotency.TimeoutUnresolved)
+			a.tell(a.intent, 0)
+		}
+		return
+	}
 	a.step(idempotency.Completed)
 	a.intent.Reply = &idempotency.Reply{
 		Status: reply.Status, Seal: reply.Header.Get(coupling.HeaderSeal),
--- a/internal/points/stage.go
+++ b/internal/points/stage.go
@@ -124,6 +124,8 @@
 			outcome = hotbox.Missing
 		}
 		return outcome, isCounted
+	case errors.Is(err, errLeft):
+		return outcome, false
 	case err != nil:
 		return hotbox.Failed, true
 	case reply.Status >= http.StatusInternalServerError:
