--- a/internal/control/conductor.go
+++ b/internal/control/conductor.go
@@ -54,6 +54,8 @@
 	eras    uint64
 	// doubled is how many keys with two runs were known as a stage began.
 	doubled int
+	// repeats are the orders that came again, by their subject.
+	repeats map[string]repeat
 }
 
 // drive is what the holder alone knows of an active trial.
@@ -85,7 +87,7 @@
 	return &conductor{
 		box: b, loop: timetable.NewLoop[func()](1024), court: hotbox.NewCourt(b.clock),
 		states: map[string]trial.State{}, drives: map[string]*drive{}, cells: map[string]string{},
-		copying: map[string]*copying{}, gauge: loadgauge.NewGauge(b.clock, rand.Uint64),
+		copying: map[string]*copying{}, gauge: loadgauge.NewGauge(b.clock, rand.Uint64), repeats: map[string]repeat{},
 	}
 }
 
--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -11,12 +11,16 @@
 )
 
 // decide lets the holder's loop decide on an order, and answers what stands
-// against it.
+// against it. An order that waited longer than its caller does has no effect: the
+// operator was told so, and may have sent another since.
 func (b *box) decide(answer func(messages.Ordered), decide func(c *conductor) (derail.Kind, string)) {
-	c := b.conductor
+	c, cameAt := b.conductor, b.clock.Steady()
 	isTaken := c.loop.Offer(func() {
 		kind, detail := derail.Gone, "the duty is not here"
-		if c.isMaster() {
+		switch {
+		case time.Duration(c.clock.Steady()-cameAt) >= orderSpan:
+			detail = "the order waited too long"
+		case c.isMaster():
 			kind, detail = decide(c)
 		}
 		answer(messages.Ordered{Kind: kind, Detail: detail})
@@ -44,9 +48,9 @@
 		}
 		state.Subject = in.Service
 	}
-	since := time.Duration(c.clock.Steady() - c.beganAt(state))
 	switch {
-	case state.IsRepeat(in.Target, timetable.Span(in.Duration), since, c.plan()):
+	case state.IsRepeat(in.Target, timetable.Span(in.Duration), c.sinceOrder(state), c.plan()):
+		c.noteRepeat(state)
 		return derail.None, ""
 	case state.Phase.IsActive():
 		return derail.OtherOrder, "version " + state.Target + " is on trial"
@@ -71,3 +75,23 @@
 	bounds := c.set.Load().Platform.Bounds
 	return trial.Plan{CanaryShare: bounds.CanaryShare, Ack: bounds.Ack.Std()}
 }
+
+// repeat is when an order that was taken last came again.
+type repeat struct {
+	number uint64
+	at     timetable.Steady
+}
+
+// sinceOrder is how long ago the order of a trial came last. An operator whose
+// acknowledgements are lost sends it on, also past the end of what it began.
+func (c *conductor) sinceOrder(state trial.State) time.Duration {
+	last := c.beganAt(state)
+	if known := c.repeats[state.Subject]; known.number == state.Number {
+		last = max(last, known.at)
+	}
+	return time.Duration(c.clock.Steady() - last)
+}
+
+func (c *conductor) noteRepeat(state trial.State) {
+	c.repeats[state.Subject] = repeat{state.Number, c.clock.Steady()}
+}
--- /dev/null
+++ b/internal/control/orders_test.go
@@ -0,0 +1,80 @@
+package control
+
+import (
+	"context"
+	"testing"
+	"time"
+
+	"ploverhitch/internal/config"
+	"ploverhitch/internal/derail"
+	"ploverhitch/internal/messages"
+	"ploverhitch/internal/settings"
+	"ploverhitch/internal/timetable"
+	"ploverhitch/internal/trial"
+)
+
+// ordering is a holder that took an order long ago: the trial has ended.
+func ordering(state trial.State) (*conductor, *timetable.Hand) {
+	hand := &timetable.Hand{Now: time.Hour}
+	b := &box{self: "self", clock: hand, note: func(string, string, ...any) {}}
+	set := &settings.Settings{}
+	set.Platform.Bounds.Ack = timetable.Span(10 * time.Second)
+	b.set.Store(set)
+	b.conductor = newConductor(b)
+	b.conductor.states[state.Subject] = state
+	b.heard.Store(state.Subject, heardTrial{state.Number, hand.Steady()})
+	return b.conductor, hand
+}
+
+func TestOrderThatComesAgainAndAgainStartsNoSecondRollout(t *testing.T) {
+	duration := timetable.Span(9 * time.Second)
+	c, hand := ordering(trial.State{Subject: "s", Number: 1, Target: "v2", Duration: duration, Phase: trial.Reverted})
+	for range 5 {
+		hand.Now += 15 * time.Second
+		kind, detail := c.rollOut(messages.Order{Service: "s", Target: "v2", Duration: int64(duration)})
+		if kind != derail.None || c.states["s"].Number != 1 {
+			t.Fatalf("got %v %q, number %d", kind, detail, c.states["s"].Number)
+		}
+	}
+	hand.Now += 20 * time.Second
+	if state := c.states["s"]; state.IsRepeat("v2", duration, c.sinceOrder(state), c.plan()) {
+		t.Fatal("an order that rested for twice the span of acknowledgements is a new one")
+	}
+}
+
+func TestStageAndHaltThatComeAgainAreTakenAgain(t *testing.T) {
+	items := []config.Item{{ID: config.ID{Class: config.LaneItem, Name: "l"}, Version: 2}}
+	subject := trial.StagePrefix + "change"
+	c, hand := ordering(trial.State{Subject: subject, Number: 1, Items: items, Phase: trial.Reverted, Reason: haltedReason})
+	for range 3 {
+		hand.Now += 15 * time.Second
+		if kind, detail := c.stage(messages.StageOrder{Name: "change", Items: items}); kind != derail.None {
+			t.Fatalf("stage: got %v %q", kind, detail)
+		}
+		if kind, detail := c.halt(messages.StageOrder{Name: "change", IsHalt: true}); kind != derail.None {
+			t.Fatalf("halt: got %v %q", kind, detail)
+		}
+	}
+}
+
+func TestOrderThatWaitedLongerThanItsCallerHasNoEffect(t *testing.T) {
+	for wait, isLate := range map[time.Duration]bool{orderSpan - time.Millisecond: false, orderSpan: true} {
+		c, hand := ordering(trial.State{Subject: "s"})
+		c.isHolder.Store(true)
+		answered := make(chan messages.Ordered, 1)
+		isDecided := false
+		c.decide(func(ordered messages.Ordered) { answered <- ordered }, func(*conductor) (derail.Kind, string) {
+			isDecided = true
+			return derail.None, ""
+		})
+		hand.Now += wait
+		ctx, stop := context.WithCancel(context.Background())
+		go c.loop.Run(ctx, actAll, 0, nil)
+		ordered := <-answered
+		stop()
+		isRefused := ordered.Detail == "the order waited too long"
+		if isRefused != isLate || isLate && (isDecided || ordered.Kind != derail.Gone) {
+			t.Fatalf("after %v: got %+v, decided: %v", wait, ordered, isDecided)
+		}
+	}
+}
--- a/internal/control/stages.go
+++ b/internal/control/stages.go
@@ -18,6 +18,8 @@
 	silentSpan = 2500 * time.Millisecond
 	// heardSpan is how old its last report may be for a wave to go on.
 	heardSpan = time.Second
+	// haltedReason is why a change that was halted ended.
+	haltedReason = "halted by the operator"
 )
 
 func (b *box) onStage(in messages.StageOrder, answer func(messages.Ordered)) {
@@ -33,7 +35,9 @@
 func (c *conductor) stage(in messages.StageOrder) (kind derail.Kind, detail string) {
 	subject := trial.StagePrefix + in.Name
 	state := c.states[subject]
-	if state.Phase.IsActive() && sameItems(state.Items, in.Items) {
+	isSame := state.Number > 0 && sameItems(state.Items, in.Items)
+	if isSame && (state.Phase.IsActive() || c.sinceOrder(state) < 2*c.plan().Ack) {
+		c.noteRepeat(state)
 		return derail.None, ""
 	}
 	for _, other := range c.states {
@@ -81,7 +85,10 @@
 	if !isKnown {
 		return derail.UnknownSubject, in.Name
 	}
-	next, isDone := state.Step(trial.Halted, "halted by the operator", time.Duration(c.clock.Steady()-c.beganAt(state)))
+	if !state.Phase.IsActive() && state.Reason == haltedReason {
+		return derail.None, ""
+	}
+	next, isDone := state.Step(trial.Halted, haltedReason, time.Duration(c.clock.Steady()-c.beganAt(state)))
 	if !isDone {
 		return derail.OtherOrder, "it has ended"
 	}
