--- a/internal/feed/follower.go
+++ b/internal/feed/follower.go
@@ -2,10 +2,11 @@
 
 import (
 	"context"
-	"sync"
 	"sync/atomic"
 	"time"
 
+	"github.com/juju/errors"
+
 	"ploverhitch/internal/rpc"
 	"ploverhitch/internal/timetable"
 )
@@ -67,49 +68,43 @@
 //
 //	go follower.Run(ctx)
 func (f *Follower) Run(ctx context.Context) {
-	var lock sync.Mutex
-	reached := Follow{Name: f.Name}
+	reached := &reached{Follow: Follow{Name: f.Name}}
 	for ctx.Err() == nil {
-		broke := make(chan struct{}, 1)
-		lock.Lock()
-		from := reached
-		lock.Unlock()
-		forget := f.Line.Send(KindFollow, from, func(body []byte, err error) {
+		broke := make(chan error, 1)
+		from, number := reached.begin()
+		revoke := f.Line.SendRevocable(KindFollow, from, func(body []byte, err error) {
 			var news News
 			if err == nil {
 				err = rpc.Unpack(body, &news)
 			}
+			if !reached.isCurrent(number) {
+				return
+			}
 			if err != nil {
+				reached.end()
 				f.brokeAt.CompareAndSwap(0, int64(f.clock.Steady())+1)
-				select {
-				case broke <- struct{}{}:
-				default:
-				}
+				broke <- err
 				return
 			}
 			f.brokeAt.Store(0)
 			f.Take(news)
-			lock.Lock()
-			defer lock.Unlock()
-			reached.Life, reached.Place = news.Life, news.Place
+			reached.note(number, news)
 		})
-		isAfresh := false
+		var err error
 		select {
 		case <-ctx.Done():
-			f.Line.Close()
 		case <-f.afresh:
+			reached.reset()
+		case err = <-broke:
+		}
+		reached.end()
+		revoke()
+		if !errors.Is(err, rpc.ErrCut) {
 			// The line ends, so that its other end stops the old feed.
-			isAfresh = true
 			f.Line.Close()
-			f.wait(ctx)
-		case <-broke:
-			f.wait(ctx)
 		}
-		forget()
-		if isAfresh {
-			lock.Lock()
-			reached.Life, reached.Place = 0, 0
-			lock.Unlock()
+		if ctx.Err() == nil {
+			f.wait(ctx)
 		}
 	}
 }
