--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -29,6 +29,7 @@
 	return map[string]call{
 		"POST /v1/config/modify":          {b.modifyPoint, decoding(config.ParseModify)},
 		"GET /v1/config/read":             {b.readPoint, kithttp.NopRequestDecoder},
+		"GET /v1/config/accepted/{name}":  {b.acceptedPoint, decodeItemName},
 		"POST /v1/rollouts/start":         {b.startPoint, decodeRollout},
 		"GET /v1/rollouts/{service}/read": {b.rolloutPoint, decodeSubject},
 		"POST /v1/sites/modify":           {b.modifyPoint, decoding(config.Parser(config.SiteItem))},
--- a/internal/control/registry/set.go
+++ b/internal/control/registry/set.go
@@ -11,8 +11,9 @@
 // highest ones, the one in force included.
 const historyLength = 8
 
-// Acceptance of a version: its number and what its content was.
-type acceptedVersion struct {
+// AcceptedVersion is a version that was accepted: its number, and the fingerprint
+// of its content.
+type AcceptedVersion struct {
 	Version     config.Version `cbor:"1,keyasint"`
 	Fingerprint string         `cbor:"2,keyasint"`
 }
@@ -20,14 +21,14 @@
 // History is the highest versions of one item that were accepted, lowest first.
 type History struct {
 	ID       config.ID         `cbor:"1,keyasint"`
-	Accepted []acceptedVersion `cbor:"2,keyasint"`
+	Accepted []AcceptedVersion `cbor:"2,keyasint"`
 }
 
 // Set is the item set after the change numbered Index.
 type Set struct {
 	Index   Index
 	Items   config.Book
-	history map[config.ID][]acceptedVersion
+	history map[config.ID][]AcceptedVersion
 	bytes   int
 }
 
@@ -51,7 +52,7 @@
 //
 //	set := registry.NewSet()
 func NewSet() *Set {
-	return &Set{Items: config.Book{}, history: map[config.ID][]acceptedVersion{}}
+	return &Set{Items: config.Book{}, history: map[config.ID][]AcceptedVersion{}}
 }
 
 // apply makes the set that follows; the change must be the next one. A version
@@ -59,7 +60,7 @@
 func (s *Set) apply(change Change) {
 	if change.IsWhole {
 		s.Items, s.bytes = config.Book{}, 0
-		s.history = map[config.ID][]acceptedVersion{}
+		s.history = map[config.ID][]AcceptedVersion{}
 	}
 	for _, item := range change.Items {
 		if held, isHeld := s.Items[item.ID]; !isHeld || item.Version > held.Version {
@@ -73,7 +74,7 @@
 // remember notes that the item's version was accepted. What is remembered does
 // not depend on the order, so that applying a change twice leaves it the same.
 func (s *Set) remember(item config.Item) {
-	accepted := acceptedVersion{item.Version, item.Fingerprint()}
+	accepted := AcceptedVersion{item.Version, item.Fingerprint()}
 	list := slices.Clone(s.history[item.ID])
 	at, isThere := slices.BinarySearchFunc(list, accepted, compareVersions)
 	if isThere {
@@ -84,7 +85,7 @@
 	s.history[item.ID] = list[max(0, len(list)-historyLength):]
 }
 
-func compareVersions(a, z acceptedVersion) int { return cmp.Compare(a.Version, z.Version) }
+func compareVersions(a, z AcceptedVersion) int { return cmp.Compare(a.Version, z.Version) }
 
 // isForgotten tells whether the version is below all that can be remembered of
 // the item: whether it was accepted, and with what content, is not known then.
@@ -93,6 +94,13 @@
 	return len(list) == historyLength && version < list[0].Version
 }
 
+// Accepted are the versions of an item that are remembered, the oldest first.
+//
+// Example:
+//
+//	for _, accepted := range set.Accepted(id) { show(accepted) }
+func (s *Set) Accepted(id config.ID) []AcceptedVersion { return slices.Clone(s.history[id]) }
+
 // fingerprintOf is the content that was accepted under a version of the item.
 func (s *Set) fingerprintOf(id config.ID, version config.Version) (fingerprint string, isKnown bool) {
 	for _, accepted := range s.history[id] {
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -25,10 +25,14 @@
 	Term      uint64          `json:"Term"`
 	Holder    string          `json:"Holder"`
 	Items     int             `json:"Items"`
-	Digest    string          `json:"Digest"`
-	Servers   int             `json:"Servers"`
-	Followers []string        `json:"Followers"`
-	Intents   map[string]int  `json:"Intents"`
+	// Index numbers the last change of the configuration that this node has;
+	// IsUndecided says that it accepted another whose decision it does not know.
+	Index       uint64         `json:"Index"`
+	IsUndecided bool           `json:"IsUndecided"`
+	Digest      string         `json:"Digest"`
+	Servers     int            `json:"Servers"`
+	Followers   []string       `json:"Followers"`
+	Intents     map[string]int `json:"Intents"`
 	// Quota is the open and consumed reservations of each lane.
 	Quota    map[string]idempotency.Usage `json:"Quota"`
 	OldestMs int64                        `json:"OldestOpenMs"`
@@ -53,6 +57,7 @@
 	out := Status{Node: b.self, Followers: b.hub.Followers(), Members: map[string]bool{}, Versions: map[string]string{}, Trials: map[string]TrialStatus{}}
 	b.keeper.read(func(t *tables) {
 		out.Epoch, out.IsTrusted, out.Term, out.Holder = uint64(t.view.Epoch), t.isTrusted, t.term.Number, t.term.Holder
+		out.Index, out.IsUndecided = uint64(t.registry.Index), t.registry.Acceptor.Change != nil
 		out.Items, out.Digest = len(t.book()), t.bookDigest()
 		for _, item := range t.book().Items() {
 			if text, err := item.Version.MarshalText(); err == nil {
--- a/internal/inspector/command.go
+++ b/internal/inspector/command.go
@@ -28,7 +28,7 @@
 	add, retire            *[]string
 	isJSON                 *bool
 	confirm                *time.Duration
-	without                *string
+	without, item          *string
 	out, errs              io.Writer
 }
 
@@ -53,6 +53,8 @@
 	c.without = sites.Flag("without", "Forecast where this site's callers would go, and whether they fit.").PlaceHolder("SITE").String()
 	group.Command("load", "Tells the order in which lanes are turned away under overload, what is turned away now and why, and the nodes by cutoff. Example: ploverhitch inspector --control 10.1.0.42:8382 load")
 	group.Command("mirror", "Tells what came of the copies that a mirror sends to its shadow, and what may be claimed of it. Example: ploverhitch inspector --control 10.1.0.42:8382 mirror")
+	core := group.Command("control", "Tells the members of the core: view, lease, contact with a majority, who lacks which changes, and what was accepted of an item. Example: ploverhitch inspector --control 10.1.0.42:8382 control --item r-fees")
+	c.item = core.Flag("item", "Tell the accepted versions of the items of this name too.").PlaceHolder("NAME").String()
 	return c
 }
 
@@ -63,7 +65,7 @@
 //	os.Exit(commands.Run("inspector check"))
 func (c *Commands) Run(name string) int {
 	look := map[string]func(*Control) (int, error){
-		"inspector check": c.check, "inspector moves": c.moves, "inspector sites": c.sites, "inspector load": c.load, "inspector mirror": c.mirror,
+		"inspector check": c.check, "inspector moves": c.moves, "inspector sites": c.sites, "inspector load": c.load, "inspector mirror": c.mirror, "inspector control": c.core,
 	}[name]
 	if look == nil || *c.control == "" {
 		return c.unlooked(fmt.Errorf("--control is needed"))
--- /dev/null
+++ b/internal/inspector/core.go
@@ -0,0 +1,141 @@
+package inspector
+
+import (
+	"fmt"
+	"net/url"
+	"slices"
+	"strconv"
+	"strings"
+
+	"ploverhitch/internal/control"
+)
+
+// Core is the control side as its members tell it.
+type Core struct {
+	Members []control.Status `json:"Members"`
+	Unheard []string         `json:"Unheard"`
+	// Accepted is what each member remembers of the item that was asked for.
+	Accepted map[string]control.AcceptedPage `json:"Accepted,omitempty"`
+	Findings []string                        `json:"Findings"`
+}
+
+// Core asks every member of the view for its status, and for what it remembers of
+// an item where a name is given.
+//
+// Example:
+//
+//	core, err := control.Core("r-fees")
+func (c *Control) Core(item string) (core Core, err error) {
+	var first control.Status
+	if err = c.read("/v1/status", &first); err != nil {
+		return core, err
+	}
+	core.Accepted, core.Unheard = map[string]control.AcceptedPage{}, []string{}
+	for _, member := range sortedKeys(first.Members) {
+		at, err := c.at(member)
+		if err != nil {
+			return core, err
+		}
+		var status control.Status
+		if at.read("/v1/status", &status) != nil {
+			core.Unheard = append(core.Unheard, member)
+			continue
+		}
+		core.Members = append(core.Members, status)
+		var page control.AcceptedPage
+		if item != "" && at.read("/v1/config/accepted/"+url.PathEscape(item), &page) == nil {
+			core.Accepted[member] = page
+		}
+	}
+	core.Findings = core.findings()
+	return core, nil
+}
+
+// findings is what is not as it should be.
+func (core Core) findings() []string {
+	out := []string{}
+	newest := control.Status{}
+	for _, status := range core.Members {
+		newest.Epoch, newest.Index = max(newest.Epoch, status.Epoch), max(newest.Index, status.Index)
+	}
+	holders := []string{}
+	for _, status := range core.Members {
+		if status.Lease.RemainingMs > 0 {
+			holders = append(holders, status.Node)
+		}
+		if status.Epoch < newest.Epoch {
+			out = append(out, fmt.Sprintf("%s is in epoch %d of %d", status.Node, status.Epoch, newest.Epoch))
+		}
+		if !status.IsTrusted {
+			out = append(out, status.Node+" is not whole: it neither votes nor answers readings")
+		}
+		if status.Index < newest.Index {
+			out = append(out, fmt.Sprintf("%s lacks %d changes of the configuration", status.Node, newest.Index-status.Index))
+		}
+		if status.QuorumAgeMs < 0 || status.QuorumAgeMs > staleContactMs {
+			out = append(out, fmt.Sprintf("%s reached a majority: %s", status.Node, age(status.QuorumAgeMs)))
+		}
+	}
+	if len(holders) != 1 {
+		out = append(out, fmt.Sprintf("%d members hold the lease of the duty: %s", len(holders), strings.Join(holders, ", ")))
+	}
+	for _, member := range core.Unheard {
+		out = append(out, member+" does not answer")
+	}
+	return out
+}
+
+// staleContactMs is how old a member's contact with a majority may be before it is
+// a finding.
+const staleContactMs = 2000
+
+func age(ms int64) string {
+	if ms < 0 {
+		return "never"
+	}
+	return fmt.Sprintf("%d ms ago", ms)
+}
+
+func (c *Commands) core(at *Control) (int, error) {
+	core, err := at.Core(*c.item)
+	if err != nil {
+		return Unlooked, err
+	}
+	rows := [][]string{{"MEMBER", "EPOCH", "WHOLE", "INDEX", "BEHIND", "QUORUM", "TERM", "LEASE"}}
+	newest := uint64(0)
+	for _, status := range core.Members {
+		newest = max(newest, status.Index)
+	}
+	for _, status := range core.Members {
+		lease := "-"
+		if status.Lease.RemainingMs > 0 {
+			lease = fmt.Sprintf("holds, %d ms left", status.Lease.RemainingMs)
+		}
+		rows = append(rows, []string{
+			status.Node, strconv.FormatUint(status.Epoch, 10), strconv.FormatBool(status.IsTrusted), strconv.FormatUint(status.Index, 10),
+			strconv.FormatUint(newest-status.Index, 10), age(status.QuorumAgeMs), strconv.FormatUint(status.Term, 10), lease,
+		})
+	}
+	if len(core.Accepted) > 0 {
+		rows = append(rows, nil, []string{"MEMBER", "ITEM", "REVISION", "CONTENT"})
+	}
+	for _, member := range sortedKeys(core.Accepted) {
+		for _, item := range core.Accepted[member].Items {
+			for _, accepted := range slices.Backward(item.Accepted) {
+				text, _ := accepted.Revision.MarshalText()
+				rows = append(rows, []string{member, item.Class + " " + item.Name, string(text), accepted.Content})
+			}
+		}
+	}
+	for _, finding := range core.Findings {
+		rows = append(rows, []string{finding})
+	}
+	c.print(core, rows)
+	switch {
+	case len(core.Unheard) > 0:
+		return Unlooked, fmt.Errorf("no answer from %s", strings.Join(core.Unheard, ", "))
+	case len(core.Findings) > 0:
+		return Found, nil
+	}
+	return Clean, nil
+}
--- a/internal/inspector/look.go
+++ b/internal/inspector/look.go
@@ -102,6 +102,20 @@
 	return items, errors.Annotate(err, path)
 }
 
+// at is the operators' interface of a member, which is named by its internal
+// address; on all machines the ports are alike.
+func (c *Control) at(member string) (*Control, error) {
+	_, port, err := net.SplitHostPort(c.Address)
+	if err != nil {
+		return nil, errors.Annotate(err, "control address")
+	}
+	host, _, err := net.SplitHostPort(member)
+	if err != nil {
+		return nil, errors.Annotate(err, "address of a member")
+	}
+	return NewControl(net.JoinHostPort(host, port)), nil
+}
+
 // Fleet asks the core nodes and the proxies what they have in force.
 //
 // Example:
@@ -117,18 +131,16 @@
 		return fleet, err
 	}
 	fleet.Servers, fleet.Cores = page.Servers, []control.Status{first}
-	_, port, err := net.SplitHostPort(c.Address)
-	if err != nil {
-		return fleet, errors.Annotate(err, "control address")
-	}
 	for member := range first.Members {
 		if member == first.Node {
 			continue
 		}
-		// On all machines the ports are alike.
-		host, _, _ := net.SplitHostPort(member)
+		at, err := c.at(member)
+		if err != nil {
+			return fleet, err
+		}
 		var status control.Status
-		if NewControl(net.JoinHostPort(host, port)).read("/v1/status", &status) != nil {
+		if at.read("/v1/status", &status) != nil {
 			fleet.Unheard = append(fleet.Unheard, member)
 			continue
 		}
--- a/internal/inspector/sites.go
+++ b/internal/inspector/sites.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"maps"
-	"net"
 	"slices"
 	"strconv"
 
@@ -23,8 +22,7 @@
 }
 
 // readAtHolder reads a page, and reads it again at the holder of the duty where the
-// first answer, which says who that is, came from another node. On all machines the
-// ports are alike.
+// first answer, which says who that is, came from another node.
 func (c *Control) readAtHolder(path string, out any, holder func() (isHolder bool, address string)) error {
 	if err := c.read(path, out); err != nil {
 		return err
@@ -33,12 +31,11 @@
 	if isHolder || address == "" {
 		return nil
 	}
-	_, port, err := net.SplitHostPort(c.Address)
+	at, err := c.at(address)
 	if err != nil {
-		return errors.Annotate(err, "control address")
+		return err
 	}
-	host, _, _ := net.SplitHostPort(address)
-	return NewControl(net.JoinHostPort(host, port)).read(path, out)
+	return at.read(path, out)
 }
 
 // Passage is where a part of a lost site's callers would go.
--- a/internal/standin/openapi_test.go
+++ b/internal/standin/openapi_test.go
@@ -23,7 +23,7 @@
 	It("sends and takes what api/control.yaml says", func() {
 		s := startSystem(17400, 1)
 		matchSchema("Modify", manifestText)
-		for path, schema := range map[string]string{"/v1/config/read": "Set", "/v1/status": "Status", "/v1/fleet": "Fleet"} {
+		for path, schema := range map[string]string{"/v1/config/read": "Set", "/v1/status": "Status", "/v1/fleet": "Fleet", "/v1/config/accepted/fee": "Accepted"} {
 			status, text, err := s.town.Read(1, path)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(status).To(Equal(200))
