--- a/cmd/measure/main.go
+++ b/cmd/measure/main.go
@@ -70,7 +70,13 @@
 	through := app.Flag("through", "Measure instead what this proxy's client address adds, as localcluster prints it.").PlaceHolder("HOST:PORT").String()
 	direct := app.Flag("direct", "The address of a server behind it.").PlaceHolder("HOST:PORT").String()
 	count := app.Flag("count", "How many inquiries to send each way.").Default("5000").Int()
+	orders := app.Flag("orders", "Measure instead how long orders to this control address take until they are acknowledged; may be repeated.").PlaceHolder("HOST:PORT").Strings()
+	operators := app.Flag("operators", "How many operators send orders at once.").Default("1").Int()
 	kingpin.MustParse(app.Parse(os.Args[1:]))
+	if len(*orders) > 0 {
+		app.FatalIfError(orderDelays(*orders, max(1, *count), max(1, *operators)), "orders")
+		return
+	}
 	if *through != "" {
 		app.FatalIfError(addedDelay(*through, *direct, max(100, *count)), "the added delay")
 		return
--- /dev/null
+++ b/cmd/measure/orders.go
@@ -0,0 +1,98 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"net/http"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+	"github.com/juju/errors"
+)
+
+const (
+	// orderSilence is after how long an operator goes on to another node.
+	orderSilence = time.Second
+	// orderLongest bounds how long one order is tried.
+	orderLongest = 30 * time.Second
+	histogramMax = int64(time.Minute / time.Microsecond)
+)
+
+// operator sends orders to one control node, and goes on to the next node after a
+// failure, a 5xx or a second of silence.
+type operator struct {
+	addresses []string
+	client    *http.Client
+	next      int
+}
+
+func newOperator(addresses []string) *operator {
+	return &operator{addresses, &http.Client{Timeout: orderSilence}, rand.IntN(len(addresses))}
+}
+
+// send tries an order until it is acknowledged and tells how often it was tried.
+func (o *operator) send(order string) (tries int, err error) {
+	until := time.Now().Add(orderLongest)
+	for tries = 1; time.Now().Before(until); tries++ {
+		address := o.addresses[o.next%len(o.addresses)]
+		response, err := o.client.Post("http://"+address+"/v1/config/modify", "application/json", strings.NewReader(order))
+		if err != nil {
+			o.next++
+			continue
+		}
+		text, _ := io.ReadAll(response.Body)
+		_ = response.Body.Close()
+		switch {
+		case response.StatusCode == http.StatusOK:
+			return tries, nil
+		case response.StatusCode < http.StatusInternalServerError:
+			return tries, errors.Errorf("%s answered %d: %s", address, response.StatusCode, text)
+		}
+		o.next++
+		time.Sleep(5 * time.Millisecond)
+	}
+	return tries, errors.Timeoutf("an order")
+}
+
+// orderDelays sends orders from several operators at once and prints how long each
+// took until it was acknowledged.
+func orderDelays(addresses []string, count, operators int) error {
+	histogram, lock := hdrhistogram.New(1, histogramMax, 3), sync.Mutex{}
+	var all sync.WaitGroup
+	var sent, retried atomic.Int64
+	failed := make(chan error, operators)
+	began := time.Now()
+	revision := began.UnixMilli()
+	for number := range operators {
+		all.Go(func() {
+			o := newOperator(addresses)
+			for sent.Add(1) <= int64(count) {
+				revision := revision + sent.Load()
+				order := fmt.Sprintf(`{"Upsert":{"VirtualHosts":[{"Hostname":"orders.example","PathTable":[{"Name":"orders-%d","PathPrefix":"/orders/%d/","RouteType":"safe","Timeout":"1s","Service":"lessons","Revision":"r%d"}]}]}}`, number, number, revision)
+				at := time.Now()
+				tries, err := o.send(order)
+				if err != nil {
+					failed <- err
+					return
+				}
+				retried.Add(int64(tries - 1))
+				lock.Lock()
+				_ = histogram.RecordValue(max(1, time.Since(at).Microseconds()))
+				lock.Unlock()
+			}
+		})
+	}
+	all.Wait()
+	close(failed)
+	fmt.Printf("%d orders acknowledged in %v by %d operators, %d sent again; p50 %.1f ms, p99 %.1f ms, max %.1f ms\n", histogram.TotalCount(),
+		time.Since(began).Round(time.Millisecond), operators, retried.Load(), milliseconds(histogram, 50), milliseconds(histogram, 99), milliseconds(histogram, 100))
+	return errors.Annotate(<-failed, "an order")
+}
+
+func milliseconds(histogram *hdrhistogram.Histogram, percentile float64) float64 {
+	return float64(histogram.ValueAtPercentile(percentile)) / 1000
+}
--- a/internal/control/catchup.go
+++ b/internal/control/catchup.go
@@ -16,13 +16,17 @@
 	pageBytes = 64 << 10
 	// catchUpPages bounds how many frames one catching up may take.
 	catchUpPages = 4096
+	// learnSpan bounds how long a catching up waits for its own disk.
+	learnSpan = 2 * time.Second
 )
 
-// learn takes decided changes, keeps them, and publishes them once they are kept;
-// it tells whether some do not follow what this node holds.
-func (b *box) learn(changes []registry.Change) (isGap bool) {
+// learn takes decided changes in the order of its calls, and publishes them once
+// they are kept. Then it calls done with whether some do not follow what this node
+// holds.
+func (b *box) learn(changes []registry.Change, done func(isGap bool)) {
 	var items []config.Item
-	b.keeper.keep(func(t *tables) (out []record) {
+	isGap := false
+	b.keeper.put(func(t *tables) (out []record) {
 		for _, change := range changes {
 			isGap = isGap || change.Index > t.registry.Next()
 			r := record{Change: &change}
@@ -33,19 +37,34 @@
 			items, out = append(items, change.Items...), append(out, r)
 		}
 		return out
-	}, 2*time.Second)
-	if len(items) > 0 {
-		b.hub.Publish(feed.News{Items: items})
+	}, func() {
+		if len(items) > 0 {
+			b.hub.Publish(feed.News{Items: items})
+		}
+		done(isGap)
+	})
+}
+
+// learnNow is learn; it waits until the changes are kept, or the span ends.
+func (b *box) learnNow(changes []registry.Change) {
+	ended := make(chan struct{})
+	b.learn(changes, func(bool) { close(ended) })
+	timeout := time.NewTimer(learnSpan)
+	defer timeout.Stop()
+	select {
+	case <-ended:
+	case <-timeout.C:
 	}
-	return isGap
 }
 
+// onLearn takes changes before it returns, so that a Prepare for the next one, which
+// comes after them on the same connection, finds them here.
 func (b *box) onLearn(in messages.Learn, _ func(messages.Done)) {
-	go func() {
-		if b.learn(in.Changes) {
-			b.registrar.catchUpWith(in.From)
+	b.learn(in.Changes, func(isGap bool) {
+		if isGap {
+			go b.registrar.catchUpWith(in.From)
 		}
-	}()
+	})
 }
 
 func (b *box) onState(in messages.State, answer func(registry.State)) {
@@ -113,7 +132,7 @@
 		case len(missed.Changes) == 0:
 			return nil
 		default:
-			b.learn(missed.Changes)
+			b.learnNow(missed.Changes)
 		}
 	}
 	return derail.New(derail.Gone, "the changes come faster than they are read")
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -66,6 +66,7 @@
 	var promise registry.Promise
 	b.keeper.put(func(t *tables) []record {
 		if !b.isServing(t, in.Epoch) {
+			// It has no part in the round, and no index that the proposer may go by.
 			promise = registry.Promise{View: newerView(t, in.Epoch)}
 			return nil
 		}
@@ -73,7 +74,9 @@
 		promise, isChanged = t.registry.Promise(in)
 		return durableRecord(t, isChanged)
 	}, func() {
-		promise.Member = b.self
+		if promise.OK || promise.View == nil && promise.Index > 0 {
+			promise.Member = b.self
+		}
 		answer(promise)
 	})
 }
--- a/internal/control/registrar.go
+++ b/internal/control/registrar.go
@@ -160,6 +160,7 @@
 	if outcome.Decided != nil {
 		r.tell(*outcome.Decided)
 	}
+	r.bringUp(outcome.Behind)
 	if outcome.Ahead >= round.Index {
 		r.catchUpWith(outcome.AheadOf)
 	}
@@ -174,7 +175,7 @@
 // tell brings a decided change to every member, this one first.
 func (r *registrar) tell(change registry.Change) {
 	b := r.box
-	b.learn([]registry.Change{change})
+	b.learn([]registry.Change{change}, func(bool) {})
 	in := messages.Learn{From: b.self, Changes: []registry.Change{change}}
 	for _, member := range b.view().Members {
 		if member != b.self {
@@ -183,6 +184,16 @@
 	}
 }
 
+// bringUp sends members that could not take part in a round what they lack, so that
+// they can in the next. One that lacks more than is kept catches up by itself.
+func (r *registrar) bringUp(behind map[string]registry.Index) {
+	for member, index := range behind {
+		in := messages.Learn{From: r.box.self}
+		r.box.keeper.read(func(t *tables) { in.Changes, _, _ = t.registry.Since(index, pageBytes) })
+		r.box.line(member).Send(messages.KindLearn, in, nil)
+	}
+}
+
 // maintain finishes what a proposer left: a change that this replica accepted but
 // whose decision it was not told, and a set of an older build without a number.
 func (r *registrar) maintain() {
--- a/internal/control/registry/proposer.go
+++ b/internal/control/registry/proposer.go
@@ -39,6 +39,8 @@
 	Heard int
 	// View is a member's newer view.
 	View *membership.View
+	// Behind are the indexes of members whose set lacks changes before the number.
+	Behind map[string]Index
 }
 
 // Run plays the round. Without a Decided change nothing is known: a change that
@@ -54,7 +56,7 @@
 	var accepted Acceptor
 	var legacy []config.Item
 	for _, promise := range promises {
-		outcome.hear(promise)
+		outcome.hear(r.Index, promise)
 		if !promise.OK {
 			continue
 		}
@@ -93,11 +95,17 @@
 }
 
 // hear notes what a promise, or its refusal, tells beside the promise itself.
-func (o *Outcome) hear(promise Promise) {
+func (o *Outcome) hear(index Index, promise Promise) {
 	o.Heard++
 	if o.Highest.Below(promise.Acceptor.Promised) {
 		o.Highest = promise.Acceptor.Promised
 	}
+	if promise.Index+1 < index && promise.Member != "" {
+		if o.Behind == nil {
+			o.Behind = map[string]Index{}
+		}
+		o.Behind[promise.Member] = promise.Index
+	}
 	if promise.Index > o.Ahead {
 		o.Ahead, o.AheadOf = promise.Index, promise.Member
 	}
