--- a/internal/control/handlers.go
+++ b/internal/control/handlers.go
@@ -30,6 +30,9 @@
 		messages.KindClaim:    answering(b.onClaim),
 		messages.KindFleet:    answering(b.onFleet),
 		messages.KindDump:     answering(b.onDump),
+		messages.KindDigests:  answering(b.onDigests),
+		messages.KindBriefs:   answering(b.onBriefs),
+		messages.KindEntries:  answering(b.onEntries),
 		messages.KindView:     answering(b.onView),
 		messages.KindJoin:     answering(b.onJoin),
 		messages.KindTrial:    answering(b.onTrial),
@@ -141,31 +144,19 @@
 	})
 }
 
-const pageEntries = 400
-
-// onDump answers with pages that are cut from one reading of the tables, so
-// that nothing slips between two of them.
+// onDump answers with all that this member keeps beside the intents.
 func (b *box) onDump(in messages.Dump, answer func(messages.Page)) {
-	last := messages.Page{IsLast: true}
-	var entries []idempotency.Entry
+	var page messages.Page
 	b.keeper.put(func(t *tables) []record {
 		if t.view.Epoch < in.Epoch {
 			return nil
 		}
-		entries = t.voter.Entries()
-		last.OK, last.Term, last.Trials = true, t.term, slices.Collect(maps.Values(t.trials))
+		page.OK, page.IsTrusted, page.Term, page.Trials = true, t.isTrusted, t.term, slices.Collect(maps.Values(t.trials))
 		if t.view.Epoch == in.Epoch {
-			last.Acceptor = t.acceptor
+			page.Acceptor = t.acceptor
 		}
 		return nil
-	}, func() {
-		for len(entries) > 0 {
-			size := min(pageEntries, len(entries))
-			answer(messages.Page{OK: true, Entries: entries[:size]})
-			entries = entries[size:]
-		}
-		answer(last)
-	})
+	}, func() { answer(page) })
 }
 
 func (b *box) onView(_ struct{}, answer func(membership.View)) {
--- a/internal/control/keeper.go
+++ b/internal/control/keeper.go
@@ -5,6 +5,7 @@
 import (
 	"context"
 	"slices"
+	"sync/atomic"
 	"time"
 
 	"github.com/fxamacker/cbor/v2"
@@ -33,6 +34,8 @@
 	unsaved [][]byte
 	pending []func()
 	fail    func(error)
+	// isWriting says that a checkpoint is being written; there is one at a time.
+	isWriting atomic.Bool
 	// self is this node's name among the members.
 	self string
 }
@@ -154,22 +157,27 @@
 }
 
 // checkpoint begins a new segment and writes, beside the loop, all that came
-// before it.
+// before it, unless the last checkpoint is still being written.
 func (k *keeper) checkpoint() {
+	if !k.isWriting.CompareAndSwap(false, true) {
+		return
+	}
 	write, err := k.log.Roll()
 	if err != nil {
+		k.isWriting.Store(false)
 		k.fail(err)
 		return
 	}
-	records := k.tables.records()
+	records := k.tables.snapshot()
 	texts := func(yield func([]byte) bool) {
-		for _, r := range records {
+		for r := range records {
 			if text, err := cbor.Marshal(r); err == nil && !yield(text) {
 				return
 			}
 		}
 	}
 	go func() {
+		defer k.isWriting.Store(false)
 		if err := write(texts); err != nil {
 			k.fail(err)
 		}
--- a/internal/control/settle.go
+++ b/internal/control/settle.go
@@ -4,11 +4,8 @@
 	"context"
 	"time"
 
-	"github.com/juju/errors"
-
 	"ploverhitch/internal/membership"
 	"ploverhitch/internal/messages"
-	"ploverhitch/internal/rpc"
 )
 
 const settlePause = 150 * time.Millisecond
@@ -84,82 +81,79 @@
 	}
 }
 
-// rebuild reads all that enough of the other members hold and keeps the union.
+// rebuild reads what the other members hold and keeps the union. It tells whether
+// enough of them were read.
 func (b *box) rebuild(view membership.View) bool {
-	read := 0
+	var readings readings
 	for _, member := range view.Members {
 		if member == b.self {
 			continue
 		}
-		pages, err := b.dump(member, view.Epoch)
+		isTrusted, err := b.readMember(member, view.Epoch)
 		if err != nil {
 			b.note("info", "rebuild", "member", member, "error", err)
 			continue
 		}
-		isKept := b.keeper.keep(func(t *tables) []record { return t.union(pages) }, 10*time.Second)
-		if !isKept {
-			return false
-		}
-		read++
+		readings.add(isTrusted)
 	}
-	if read < view.ReadSet() || !b.registrar.rebuild(view) {
+	if !readings.suffice(view) || !b.registrar.rebuild(view) {
 		return false
 	}
+	if readings.trusted < view.ReadSet() {
+		b.note("error", "more members lost their disks than the view bears: going on with what is left", "trusted", readings.trusted, "needed", view.ReadSet())
+	}
 	b.announce()
 	return b.view().Epoch == view.Epoch
 }
 
-func (t *tables) union(pages []messages.Page) (out []record) {
-	for _, page := range pages {
-		for _, entry := range t.voter.Union(page.Entries) {
-			out = append(out, record{Entry: &entry})
-		}
-		if page.Term.Number > t.term.Number {
-			term := page.Term
-			t.term = term
-			out = append(out, record{Term: &term})
-		}
-		if a := page.Acceptor; t.acceptor.Behind(a) {
-			t.acceptor = t.acceptor.Join(a)
-			joined := t.acceptor
-			out = append(out, record{Acceptor: &joined})
-		}
+// readings counts the members that were read whole.
+type readings struct{ whole, trusted int }
+
+func (r *readings) add(isTrusted bool) {
+	r.whole++
+	if isTrusted {
+		r.trusted++
 	}
-	out = append(out, t.unionTrials(pages)...)
-	return out
 }
 
-func (b *box) dump(member string, epoch membership.Epoch) (pages []messages.Page, err error) {
-	ended := make(chan error, 1)
-	end := func(err error) {
-		select {
-		case ended <- err:
-		default:
-		}
+// suffice tells whether whatever a majority held was seen. Only trusted members
+// count: another that lost its disk has forgotten its part in a majority. Where all
+// other members were read and still too few are trusted, nobody is left who could
+// teach more, and waiting would only keep the system down.
+func (r *readings) suffice(view membership.View) bool {
+	return r.trusted >= view.ReadSet() || r.whole >= len(view.Members)-1
+}
+
+// readMember reads all that a member holds, and tells whether it is trusted.
+func (b *box) readMember(member string, epoch membership.Epoch) (isTrusted bool, err error) {
+	if _, err = b.copyIntents(member, epoch, copyAtOnce); err != nil {
+		return false, err
 	}
-	forget := b.line(member).Send(messages.KindDump, messages.Dump{Epoch: epoch}, func(body []byte, err error) {
-		var page messages.Page
-		if err == nil {
-			err = rpc.Unpack(body, &page)
-		}
-		if err == nil && !page.OK {
-			err = errors.NotValidf("the member's epoch")
-		}
-		if err != nil {
-			end(err)
-			return
-		}
-		if pages = append(pages, page); page.IsLast {
-			end(nil)
-		}
-	})
-	defer forget()
-	alarm := time.NewTimer(3 * time.Second)
-	defer alarm.Stop()
-	select {
-	case err = <-ended:
-		return pages, err
-	case <-alarm.C:
-		return nil, errors.Timeoutf("dump of %s", member)
+	var page messages.Page
+	if err = b.line(member).Ask(messages.KindDump, messages.Dump{Epoch: epoch}, &page, repairSpan); err != nil {
+		return false, err
+	}
+	if !page.OK {
+		return false, errOtherEpoch
 	}
+	if !b.keeper.keep(func(t *tables) []record { return t.union(page) }, keepLongest) {
+		return false, errNotKept
+	}
+	return page.IsTrusted, nil
+}
+
+// union takes what another member holds beside the intents.
+func (t *tables) union(page messages.Page) (out []record) {
+	if page.Term.Number > t.term.Number {
+		term := page.Term
+		t.term = term
+		out = append(out, record{Term: &term})
+	}
+	if a := page.Acceptor; t.acceptor.Behind(a) {
+		t.acceptor = t.acceptor.Join(a)
+		joined := t.acceptor
+		out = append(out, record{Acceptor: &joined})
+	}
+	out = append(out, t.unionTrials(page)...)
+	return out
 }
--- a/internal/control/tables.go
+++ b/internal/control/tables.go
@@ -1,6 +1,7 @@
 package control
 
 import (
+	"iter"
 	"time"
 
 	"ploverhitch/internal/config"
@@ -146,8 +147,26 @@
 	return t.digest
 }
 
-// records is enough to make the tables again.
-func (t *tables) records() (out []record) {
+// snapshot lists enough to make the tables again, as they stand now. The entries
+// are made one by one as it is read, which may be beside the keeper.
+func (t *tables) snapshot() iter.Seq[record] {
+	head, entries := t.heads(), t.voter.Snapshot()
+	return func(yield func(record) bool) {
+		for _, r := range head {
+			if !yield(r) {
+				return
+			}
+		}
+		for entry := range entries {
+			if !yield(record{Entry: &entry}) {
+				return
+			}
+		}
+	}
+}
+
+// heads are the records of all but the intents.
+func (t *tables) heads() (out []record) {
 	view, term, acceptor, isTrusted := t.view, t.term, t.acceptor, t.isTrusted
 	fleet := t.fleet
 	out = append(out, record{View: &view}, record{Term: &term}, record{Acceptor: &acceptor}, record{Trusted: &isTrusted}, record{Fleet: &fleet})
@@ -159,8 +178,5 @@
 	for _, state := range t.trials {
 		out = append(out, record{Trial: &state})
 	}
-	for _, entry := range t.voter.Entries() {
-		out = append(out, record{Entry: &entry})
-	}
 	return out
 }
--- a/internal/control/trials.go
+++ b/internal/control/trials.go
@@ -63,13 +63,11 @@
 	}, func() { answer(out) })
 }
 
-func (t *tables) unionTrials(pages []messages.Page) (out []record) {
-	for _, page := range pages {
-		for _, state := range page.Trials {
-			if state.Outranks(t.trials[state.Subject]) {
-				t.trials[state.Subject] = state
-				out = append(out, record{Trial: &state})
-			}
+func (t *tables) unionTrials(page messages.Page) (out []record) {
+	for _, state := range page.Trials {
+		if state.Outranks(t.trials[state.Subject]) {
+			t.trials[state.Subject] = state
+			out = append(out, record{Trial: &state})
 		}
 	}
 	return out
--- /dev/null
+++ b/internal/idempotency/compare.go
@@ -0,0 +1,177 @@
+package idempotency
+
+import (
+	"iter"
+	"slices"
+	"sort"
+)
+
+// Cursor says which entries of a voter are still to be read. The zero cursor has
+// nothing left. It belongs to the reader: the voter keeps nothing of it.
+type Cursor struct {
+	// Ranges are the ranges left to read, in order.
+	Ranges []Range `cbor:"1,keyasint,omitempty"`
+	// After is the last key of the first range that was read already.
+	After *Key `cbor:"2,keyasint,omitempty"`
+	// Only are the hashes of the keys that are wanted; empty means all.
+	Only []uint64 `cbor:"3,keyasint,omitempty"`
+}
+
+// Digests lists the digest of every range.
+//
+// Example:
+//
+//	ranges := idempotency.Differing(mine.Digests(), theirs)
+func (v *Voter) Digests() []Digest {
+	out := make([]Digest, RangeCount)
+	for number := range v.table.ranges {
+		out[number] = v.table.ranges[number].digest
+	}
+	return out
+}
+
+// Differing lists the ranges in which two lists of digests are not the same.
+//
+// Example:
+//
+//	ranges := idempotency.Differing(mine.Digests(), theirs)
+func Differing(mine, theirs []Digest) (out []Range) {
+	for number := range min(len(mine), len(theirs), RangeCount) {
+		if mine[number] != theirs[number] {
+			out = append(out, Range(number))
+		}
+	}
+	return out
+}
+
+// Briefs identifies the intents of the given ranges.
+//
+// Example:
+//
+//	briefs := voter.Briefs(ranges)
+func (v *Voter) Briefs(ranges []Range) (out []Brief) {
+	for _, number := range ranges {
+		if number >= RangeCount {
+			continue
+		}
+		for _, intent := range v.table.ranges[number].intents {
+			out = append(out, intent.brief())
+		}
+	}
+	return out
+}
+
+// Lacking lists the hashes of the keys of which another voter, by its briefs of
+// the given ranges, holds what this one lacks: an intent under a key that this one
+// does not know, or an outcome that this one has not been told.
+//
+// Example:
+//
+//	cursor.Only = mine.Lacking(ranges, theirs)
+func (v *Voter) Lacking(ranges []Range, theirs []Brief) (out []uint64) {
+	mine := map[uint64]uint64{}
+	for _, brief := range v.Briefs(ranges) {
+		mine[brief.Key] = brief.Attempt
+	}
+	for _, brief := range theirs {
+		attempt, isHeld := mine[brief.Key]
+		if !isHeld || attempt != 0 && brief.Attempt == 0 {
+			out = append(out, brief.Key)
+		}
+	}
+	return out
+}
+
+// Read lists entries from the cursor on, up to about so many bytes and one entry at
+// least, and returns the cursor of the rest.
+//
+// Example:
+//
+//	entries, rest := voter.Read(cursor, 256<<10)
+func (v *Voter) Read(cursor Cursor, bytes int) (entries []Entry, rest Cursor) {
+	wanted := map[uint64]bool{}
+	for _, hash := range cursor.Only {
+		wanted[hash] = true
+	}
+	for at, number := range cursor.Ranges {
+		if number >= RangeCount {
+			continue
+		}
+		for _, intent := range v.table.sorted(number) {
+			isRead := at == 0 && cursor.After != nil && intent.Key.compare(*cursor.After) <= 0
+			if isRead || len(wanted) > 0 && !wanted[intent.Key.hash()] {
+				continue
+			}
+			if bytes <= 0 && len(entries) > 0 {
+				after := entries[len(entries)-1].Intent.Key
+				return entries, Cursor{Ranges: cursor.Ranges[at:], After: afterIn(number, after), Only: cursor.Only}
+			}
+			entries = append(entries, entryOf(intent))
+			bytes -= intent.size()
+		}
+	}
+	return entries, Cursor{}
+}
+
+// afterIn is the key as the place reached in a range, nil if it is of another.
+func afterIn(number Range, key Key) *Key {
+	if rangeOf(key) != number {
+		return nil
+	}
+	return &key
+}
+
+// entryOf is the intent with the reservation that it holds.
+func entryOf(intent *Intent) Entry {
+	entry := Entry{Intent: *intent}
+	if intent.State.IsOpen() {
+		entry.Quota = &QuotaEvent{QuotaReserve, intent.Reservation, intent.Lane}
+	}
+	return entry
+}
+
+// Snapshot lists the table as it stands now, in the order in which it came about:
+// enough to make the table again. It holds no copy of the intents, which are never
+// changed in place, and may be read beside the voter's owner.
+//
+// Example:
+//
+//	for entry := range voter.Snapshot() { write(entry) }
+func (v *Voter) Snapshot() iter.Seq[Entry] {
+	intents := make([]*Intent, 0, v.table.count)
+	for _, place := range v.order {
+		if intent := v.table.find(place.key); intent != nil && intent.Attempt == place.attempt {
+			intents = append(intents, intent)
+		}
+	}
+	return func(yield func(Entry) bool) {
+		for _, intent := range intents {
+			if !yield(entryOf(intent)) {
+				return
+			}
+		}
+	}
+}
+
+// Entries lists the snapshot.
+//
+// Example:
+//
+//	for _, entry := range voter.Entries() { write(entry) }
+func (v *Voter) Entries() []Entry { return slices.Collect(v.Snapshot()) }
+
+// sortByAge brings the order back to that of the intents' creation, after a union or
+// a start: what another voter held came in the order of ranges.
+func (v *Voter) sortByAge() {
+	if !v.isUnsorted {
+		return
+	}
+	v.isUnsorted = false
+	created := func(at int) int64 {
+		if intent := v.table.find(v.order[at].key); intent != nil {
+			return intent.CreatedMs
+		}
+		return 0
+	}
+	sort.SliceStable(v.order, func(a, b int) bool { return created(a) < created(b) })
+}
--- a/internal/idempotency/keep.go
+++ b/internal/idempotency/keep.go
@@ -11,10 +11,11 @@
 //
 //	entries := voter.Tend(clock.Wall())
 func (v *Voter) Tend(now time.Time) (entries []Entry) {
+	v.sortByAge()
 	window := v.policy.KeyWindow + v.policy.Margin
 	kept := v.order[:0]
 	for at, place := range v.order {
-		intent := v.intents[place.key]
+		intent := v.table.find(place.key)
 		if intent == nil || intent.Attempt != place.attempt {
 			continue
 		}
@@ -30,8 +31,8 @@
 			entries = append(entries, entry)
 		}
 		if age > v.policy.Retention || v.policy.Bytes > 0 && v.bytes > v.policy.Bytes {
-			v.bytes -= v.intents[place.key].size()
-			delete(v.intents, place.key)
+			v.bytes -= v.table.find(place.key).size()
+			v.table.remove(place.key)
 			continue
 		}
 		kept = append(kept, place)
@@ -40,28 +41,6 @@
 	return entries
 }
 
-// Entries lists the table in the order in which it came about, each with the
-// reservation it holds: enough to make the table again.
-//
-// Example:
-//
-//	for _, entry := range voter.Entries() { write(entry) }
-func (v *Voter) Entries() []Entry {
-	out := make([]Entry, 0, len(v.intents))
-	for _, place := range v.order {
-		intent := v.intents[place.key]
-		if intent == nil || intent.Attempt != place.attempt {
-			continue
-		}
-		entry := Entry{Intent: *intent}
-		if intent.State.IsOpen() {
-			entry.Quota = &QuotaEvent{QuotaReserve, intent.Reservation, intent.Lane}
-		}
-		out = append(out, entry)
-	}
-	return out
-}
-
 // Union adds what another voter holds to a table that is being rebuilt. It may
 // only add: it never grants, and an outcome that was shown stands.
 //
@@ -69,8 +48,9 @@
 //
 //	entries := voter.Union(told)
 func (v *Voter) Union(told []Entry) (entries []Entry) {
+	v.isUnsorted = true
 	for _, entry := range told {
-		held := v.intents[entry.Intent.Key]
+		held := v.table.find(entry.Intent.Key)
 		isBetter := held == nil || held.State != Completed && entry.Intent.State == Completed
 		if !isBetter {
 			continue
@@ -96,10 +76,12 @@
 //	counts, oldest := voter.Count(clock.Wall())
 func (v *Voter) Count(now time.Time) (counts map[string]int, oldest time.Duration) {
 	counts = map[string]int{}
-	for _, intent := range v.intents {
-		counts[intent.State.String()]++
-		if age := intent.age(now); intent.State.IsOpen() && age > oldest {
-			oldest = age
+	for number := range v.table.ranges {
+		for _, intent := range v.table.ranges[number].intents {
+			counts[intent.State.String()]++
+			if age := intent.age(now); intent.State.IsOpen() && age > oldest {
+				oldest = age
+			}
 		}
 	}
 	return counts, oldest
--- /dev/null
+++ b/internal/idempotency/table.go
@@ -0,0 +1,114 @@
+package idempotency
+
+import (
+	"cmp"
+	"crypto/sha256"
+	"encoding/binary"
+	"slices"
+)
+
+// RangeCount is how many ranges the keys are divided into. Members compare their
+// tables by one digest a range.
+const RangeCount = 1024
+
+// Range numbers one of the ranges of keys.
+type Range uint16
+
+// Digest sums up the intents of one range: two members with the same digest lack
+// nothing of each other in that range.
+type Digest uint64
+
+// Brief identifies one intent in a comparison of two tables. Attempt is 0 for a
+// completed intent: its outcome stands whatever attempt it came from.
+type Brief struct {
+	_       struct{} `cbor:",toarray"`
+	Key     uint64
+	Attempt uint64
+}
+
+// keyRange holds the intents of one range of keys.
+type keyRange struct {
+	intents map[Key]*Intent
+	digest  Digest
+}
+
+// table holds the intents by range, and the digest of each range.
+type table struct {
+	ranges [RangeCount]keyRange
+	count  int
+}
+
+func (t *table) at(key Key) *keyRange { return &t.ranges[rangeOf(key)] }
+
+func (t *table) find(key Key) *Intent { return t.at(key).intents[key] }
+
+// put stores an intent in place of the one of the same key.
+func (t *table) put(intent *Intent) {
+	t.remove(intent.Key)
+	r := t.at(intent.Key)
+	if r.intents == nil {
+		r.intents = map[Key]*Intent{}
+	}
+	r.intents[intent.Key] = intent
+	r.digest ^= intent.brief().digest()
+	t.count++
+}
+
+func (t *table) remove(key Key) {
+	r := t.at(key)
+	held := r.intents[key]
+	if held == nil {
+		return
+	}
+	delete(r.intents, key)
+	r.digest ^= held.brief().digest()
+	t.count--
+}
+
+// sorted lists the intents of a range in the order of their keys.
+func (t *table) sorted(number Range) []*Intent {
+	out := make([]*Intent, 0, len(t.ranges[number].intents))
+	for _, intent := range t.ranges[number].intents {
+		out = append(out, intent)
+	}
+	slices.SortFunc(out, func(a, b *Intent) int { return a.Key.compare(b.Key) })
+	return out
+}
+
+// compare orders keys: by tenant, then by key.
+func (k Key) compare(other Key) int {
+	return cmp.Or(cmp.Compare(k.Tenant, other.Tenant), cmp.Compare(k.Key, other.Key))
+}
+
+func (k Key) hash() uint64 { return hashOf(k.Tenant, k.Key) }
+
+func rangeOf(key Key) Range { return Range(key.hash() % RangeCount) }
+
+// brief is the intent as it stands in a comparison.
+func (i *Intent) brief() Brief {
+	out := Brief{Key: i.Key.hash()}
+	if i.State != Completed {
+		out.Attempt = hashOf(string(i.Attempt))
+	}
+	return out
+}
+
+// digest is the intent's part in the digest of its range.
+func (b Brief) digest() Digest {
+	var text [16]byte
+	binary.BigEndian.PutUint64(text[:], b.Key)
+	binary.BigEndian.PutUint64(text[8:], b.Attempt)
+	sum := sha256.Sum256(text[:])
+	return Digest(binary.BigEndian.Uint64(sum[:]))
+}
+
+// hashOf digests strings, each with its length, so that no two lists are alike.
+func hashOf(parts ...string) uint64 {
+	text := make([]byte, 0, 128)
+	for _, part := range parts {
+		text = binary.BigEndian.AppendUint32(text, uint32(len(part)))
+		text = append(text, part...)
+	}
+	sum := sha256.Sum256(text)
+	return binary.BigEndian.Uint64(sum[:])
+}
--- a/internal/idempotency/voter.go
+++ b/internal/idempotency/voter.go
@@ -44,12 +44,14 @@
 
 // Voter is one core node's table of intents. It has one owner.
 type Voter struct {
-	policy  Policy
-	intents map[Key]*Intent
-	order   []placed
-	bytes   int
-	quota   *Quota
-	doubles int
+	policy Policy
+	table  table
+	order  []placed
+	// isUnsorted says that the order is not that of creation.
+	isUnsorted bool
+	bytes      int
+	quota      *Quota
+	doubles    int
 }
 
 type placed struct {
@@ -63,7 +65,7 @@
 //
 //	voter := idempotency.NewVoter(idempotency.Policy{OpenLimit: 100, KeyWindow: time.Minute})
 func NewVoter(policy Policy) *Voter {
-	return &Voter{policy: policy, intents: map[Key]*Intent{}, quota: newQuota()}
+	return &Voter{policy: policy, isUnsorted: true, quota: newQuota()}
 }
 
 // Find returns the record of a key, or nil.
@@ -71,7 +73,7 @@
 // Example:
 //
 //	if held := voter.Find(key); held != nil { show(held) }
-func (v *Voter) Find(key Key) *Intent { return v.intents[key] }
+func (v *Voter) Find(key Key) *Intent { return v.table.find(key) }
 
 // Doubles is how many keys were seen with the runs of two attempts.
 //
@@ -94,7 +96,7 @@
 //
 //	ballot, entry := voter.Reserve(intent)
 func (v *Voter) Reserve(wanted Intent) (Ballot, *Entry) {
-	held := v.intents[wanted.Key]
+	held := v.table.find(wanted.Key)
 	switch {
 	case held != nil && held.Attempt == wanted.Attempt && held.State == Reserved:
 		return Ballot{Verdict: Granted}, nil
@@ -117,7 +119,7 @@
 //
 //	entry, err := voter.Record(completed)
 func (v *Voter) Record(told Intent) (*Entry, error) {
-	held := v.intents[told.Key]
+	held := v.table.find(told.Key)
 	isOther := held != nil && held.Attempt != told.Attempt
 	switch {
 	case held == nil && (told.State == Released || told.State == Reserved):
@@ -152,7 +154,7 @@
 //	err := voter.Apply(entry)
 func (v *Voter) Apply(entry Entry) error {
 	intent := entry.Intent
-	held := v.intents[intent.Key]
+	held := v.table.find(intent.Key)
 	if held != nil {
 		v.bytes -= held.size()
 		if held.Attempt != intent.Attempt && held.State.IsOpen() {
@@ -160,9 +162,9 @@
 		}
 	}
 	if intent.State == Released {
-		delete(v.intents, intent.Key)
+		v.table.remove(intent.Key)
 	} else {
-		v.intents[intent.Key] = &intent
+		v.table.put(&intent)
 		v.bytes += intent.size()
 		if held == nil || held.Attempt != intent.Attempt {
 			v.order = append(v.order, placed{intent.Key, intent.Attempt})
--- a/internal/messages/telegram.go
+++ b/internal/messages/telegram.go
@@ -7,7 +7,6 @@
 	"ploverhitch/internal/idempotency"
 	"ploverhitch/internal/membership"
 	"ploverhitch/internal/rpc"
-	"ploverhitch/internal/trial"
 )
 
 // The kinds of frames; feed.KindFollow is the first.
@@ -42,6 +41,10 @@
 	KindRenew
 	KindRelease
 	KindContact
+	// A source keeps nothing of the reader between two of these.
+	KindDigests
+	KindBriefs
+	KindEntries
 )
 
 // Reserve asks a core node for its vote, under the view's epoch.
@@ -82,23 +85,6 @@
 	Items []config.Item `cbor:"1,keyasint"`
 }
 
-// Dump asks for all that a node holds; the node must be in the asker's epoch or
-// a later one.
-type Dump struct {
-	Epoch membership.Epoch `cbor:"1,keyasint"`
-}
-
-// Page is one of the pages that answer a dump.
-type Page struct {
-	OK       bool                `cbor:"1,keyasint"`
-	Entries  []idempotency.Entry `cbor:"2,keyasint,omitempty"`
-	IsLast   bool                `cbor:"3,keyasint,omitempty"`
-	Items    []config.Item       `cbor:"4,keyasint,omitempty"`
-	Acceptor membership.Acceptor `cbor:"5,keyasint"`
-	Term     membership.Term     `cbor:"6,keyasint"`
-	Trials   []trial.State       `cbor:"7,keyasint,omitempty"`
-}
-
 // Join says that a node with an empty place waits to become a member.
 type Join struct {
 	Address string `cbor:"1,keyasint"`
