--- a/internal/rpc/frame.go
+++ b/internal/rpc/frame.go
@@ -133,10 +133,17 @@
 	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_KEEPCNT, max(1, int(silence/time.Second)))
 }
 
-// outbox writes frames from a bounded inbox, many in one write.
+// queuedBytes bounds what waits for a peer that reads slowly or not at all. A single
+// frame may be larger.
+const queuedBytes = 4 << 20
+
+// outbox writes frames from an inbox that is bounded in frames and bytes, many in one
+// write.
 type outbox struct {
 	frames chan *packet
 	done   chan struct{}
+	// queued is how many bytes wait.
+	queued atomic.Int64
 }
 
 func newOutbox(conn net.Conn, size int) *outbox {
@@ -152,11 +159,11 @@
 		case <-b.done:
 			return
 		case one := <-b.frames:
-			err := one.write(writer)
+			err := b.write(one, writer)
 			for more := true; more && err == nil; {
 				select {
 				case one = <-b.frames:
-					err = one.write(writer)
+					err = b.write(one, writer)
 				default:
 					more = false
 				}
@@ -172,6 +179,11 @@
 	}
 }
 
+func (b *outbox) write(one *packet, to io.Writer) error {
+	b.queued.Add(-int64(one.size()))
+	return one.write(to)
+}
+
 func (p *packet) write(to io.Writer) error {
 	if p.isRevoked.Load() {
 		return nil
@@ -185,6 +197,11 @@
 
 // offer puts the frame, or closes the connection of a peer that does not read.
 func (b *outbox) offer(conn net.Conn, one *packet) bool {
+	size := int64(one.size())
+	if queued := b.queued.Add(size); queued > size && queued > queuedBytes {
+		_ = conn.Close()
+		return false
+	}
 	select {
 	case b.frames <- one:
 		return true
--- a/internal/rpc/line.go
+++ b/internal/rpc/line.go
@@ -13,6 +13,9 @@
 // received is not known.
 const ErrCut = errors.ConstError("the line is cut")
 
+// lineFrames is how many calls may wait for the line.
+const lineFrames = 4096
+
 const redialPause = 50 * time.Millisecond
 
 // Line is a connection to another process that is made when it is needed and
@@ -123,6 +126,8 @@
 	switch {
 	case l.conn != nil:
 		put()
+	case l.dialing && len(l.queued) >= lineFrames:
+		drop()
 	case l.dialing:
 		l.queued = append(l.queued, put)
 	case time.Now().Before(l.retryAt):
@@ -168,7 +173,7 @@
 		l.fail()
 		return
 	}
-	l.conn, l.box = conn, newOutbox(conn, 4096)
+	l.conn, l.box = conn, newOutbox(conn, lineFrames)
 	for _, put := range queued {
 		put()
 	}
--- a/internal/rpc/signal_test.go
+++ b/internal/rpc/signal_test.go
@@ -21,6 +21,7 @@
 	echo rpc.Kind = 1 + iota
 	count
 	mute
+	flood
 )
 
 func serve(address string) net.Listener {
@@ -43,6 +44,30 @@
 	return listener
 }
 
+var _ = Describe("a peer that does not read", func() {
+	It("loses its connection once more bytes wait for it than the bound", func() {
+		listener, err := net.Listen("tcp4", "127.0.0.1:0")
+		Expect(err).NotTo(HaveOccurred())
+		defer listener.Close()
+		taken := make(chan int, 1)
+		go rpc.Serve(listener, rpc.Handlers{flood: func(call rpc.Call) {
+			piece, count := make([]byte, 64<<10), 0
+			for call.Reply(piece) && count < 1000 {
+				count++
+			}
+			taken <- count * len(piece)
+		}}, time.Second)
+		line := rpc.NewLine(listener.Addr().String(), time.Second, time.Second)
+		hold := make(chan struct{})
+		defer close(hold)
+		line.Send(flood, nil, func([]byte, error) { <-hold })
+		var bytes int
+		Eventually(taken, 5*time.Second).Should(Receive(&bytes))
+		// What the kernel takes comes on top of the bound.
+		Expect(bytes).To(BeNumerically("<", 1000*64<<10))
+	})
+})
+
 var _ = Describe("a line", func() {
 	It("carries many calls at once, each to its own reply", func() {
 		listener := serve("127.0.0.1:0")
--- a/internal/settings/process.go
+++ b/internal/settings/process.go
@@ -22,11 +22,16 @@
 func (s *Settings) Tune() {
 	runtime.GOMAXPROCS(1)
 	if mb := s.Platform.Limits.MemoryMb; mb > 0 {
-		debug.SetMemoryLimit(int64(mb) << 20 * 6 / 10)
+		debug.SetMemoryLimit(int64(mb) << 20 / heapPart)
 	}
 	debug.SetGCPercent(200)
 }
 
+// heapPart is the part of the machine's memory, as its divisor, that the runtime
+// keeps to as long as what is alive permits. The rest is for the program itself, the
+// stacks and the kernel's buffers.
+const heapPart = 2
+
 // Watch calls changed with new settings after a SIGHUP or a change of the
 // file, which is looked at once a second; a wrong file changes nothing and is
 // reported to failed.
