--- a/internal/control/keeper.go
+++ b/internal/control/keeper.go
@@ -53,10 +53,13 @@
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	if k.log = log; log.IsDamaged() {
+	if k.log = log; len(log.Damages()) > 0 {
 		// What could be read still counts as told, but the node is treated
 		// as one whose disk was lost: it votes again once it has rebuilt.
 		fail(errors.New("records of the log cannot be read; the node rebuilds from the others"))
+		for _, damage := range log.Damages()[:min(len(log.Damages()), damagesNoted)] {
+			fail(errors.Errorf("damage, %d in all: %s", len(log.Damages()), damage))
+		}
 		isTrusted := false
 		r := record{Trusted: &isTrusted}
 		k.tables.apply(r)
@@ -92,9 +95,14 @@
 	}
 }
 
+// damagesNoted is how many places of damage the log names one by one.
+const damagesNoted = 20
+
 const (
 	tendPeriod      = 250 * time.Millisecond
 	checkpointBytes = 24 << 20
+	// repairBytes is how large the log of a member that repairs may grow.
+	repairBytes = 3 * checkpointBytes
 )
 
 func (k *keeper) run(ctx context.Context) { k.loop.Run(ctx, k.handle, tendPeriod, k.tend) }
@@ -141,7 +149,12 @@
 	}
 	k.flush()
 	view := k.tables.view
-	if k.log.Grown() >= checkpointAt(slices.Index(view.Members, k.self), len(view.Members)) && len(k.unsaved) == 0 {
+	limit := checkpointAt(slices.Index(view.Members, k.self), len(view.Members))
+	if !k.tables.isTrusted {
+		// What is read in a repair would be written several times over.
+		limit = repairBytes
+	}
+	if k.log.Grown() >= limit && len(k.unsaved) == 0 {
 		k.checkpoint()
 	}
 }
--- a/internal/storage/ballast_test.go
+++ b/internal/storage/ballast_test.go
@@ -67,6 +67,7 @@
 					var read []string
 					log, read, err = open(disk)
 					Expect(err).NotTo(HaveOccurred())
+					Expect(log.Damages()).To(BeEmpty())
 					Expect(len(read)).To(BeNumerically(">=", kept))
 					Expect(read).To(HaveExactElements(offered[:len(read)]))
 					offered, kept = offered[:len(read)], len(read)
@@ -85,7 +86,8 @@
 		disk.Spoil("segment-0000000000000001", 9)
 		log, read, err := open(disk)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(log.IsDamaged()).To(BeTrue())
+		Expect(log.Damages()).To(HaveLen(1))
+		Expect(log.Damages()[0].File).To(Equal("segment-0000000000000001"))
 		Expect(read).To(BeEmpty())
 		Expect(log.Append([][]byte{[]byte("three")})).To(Succeed())
 		write, err := log.Roll()
@@ -93,7 +95,7 @@
 		Expect(write(slices.Values([][]byte{[]byte("three")}))).To(Succeed())
 		log, read, err = open(disk)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(log.IsDamaged()).To(BeFalse())
+		Expect(log.Damages()).To(BeEmpty())
 		Expect(read).To(Equal([]string{"three"}))
 	})
 
--- a/internal/storage/checkpoint.go
+++ b/internal/storage/checkpoint.go
@@ -2,7 +2,6 @@
 
 import (
 	"iter"
-	"strings"
 	"time"
 
 	"github.com/juju/errors"
@@ -16,51 +15,85 @@
 // which votes and news wait, would stand behind a checkpoint written at once.
 const pieceRest = 10 * time.Millisecond
 
+// writeAll writes the records in batches, and the mark of the end.
 func writeAll(file File, records iter.Seq[[]byte]) error {
-	text := make([]byte, 0, pieceBytes)
+	var piece [][]byte
+	bytes := 0
 	for record := range records {
-		if text = pack(text, [][]byte{record}); len(text) < pieceBytes {
+		piece = append(piece, record)
+		if bytes += len(record); bytes < pieceBytes {
 			continue
 		}
-		if _, err := file.Write(text); err != nil {
+		if err := writeBatch(file, piece); err != nil {
 			return err
 		}
-		if err := file.Sync(); err != nil {
+		time.Sleep(pieceRest)
+		piece, bytes = piece[:0], 0
+	}
+	if len(piece) > 0 {
+		if err := writeBatch(file, piece); err != nil {
 			return err
 		}
-		time.Sleep(pieceRest)
-		text = text[:0]
 	}
-	_, err := file.Write(text)
-	return err
+	return writeBatch(file, nil)
 }
 
+func writeBatch(file File, records [][]byte) error {
+	if _, err := file.Write(packBatch(nil, records)); err != nil {
+		return err
+	}
+	return file.Sync()
+}
+
+// checkpoint writes the checkpoint of all before the segment of that number, and
+// removes what it stands for once it is certain to be there.
 func (l *Log) checkpoint(number uint64, records iter.Seq[[]byte]) error {
 	name := checkpointName(number)
-	file, err := l.disk.Create(name + ".new")
+	file, err := createFile(l.disk, name+newSuffix)
 	if err != nil {
 		return errors.Trace(err)
 	}
-	if err = writeAll(file, records); err == nil {
-		err = file.Sync()
+	err = writeAll(file, records)
+	if closed := file.Close(); err == nil {
+		err = closed
 	}
-	_ = file.Close()
 	if err != nil {
 		return errors.Trace(err)
 	}
-	if err = l.disk.Rename(name+".new", name); err != nil {
+	if err = l.disk.Rename(name+newSuffix, name); err != nil {
 		return errors.Trace(err)
 	}
-	names, err := l.disk.List()
-	if err != nil {
+	if err = l.disk.SyncFolder(); err != nil {
 		return errors.Trace(err)
 	}
-	for _, old := range names {
-		if old < name && strings.HasPrefix(old, "checkpoint-") || old < segmentName(number) && strings.HasPrefix(old, "segment-") {
-			if err := l.disk.Remove(old); err != nil {
+	return l.removeBefore(number)
+}
+
+// removeBefore removes the checkpoints and segments below the number, and
+// checkpoints that were never finished.
+func (l *Log) removeBefore(number uint64) error {
+	found, err := list(l.disk)
+	if err != nil {
+		return err
+	}
+	for _, old := range found.unfinished {
+		if err := l.disk.Remove(old); err != nil {
+			return errors.Trace(err)
+		}
+	}
+	for _, old := range found.checkpoints {
+		if old < number {
+			if err := l.disk.Remove(checkpointName(old)); err != nil {
+				return errors.Trace(err)
+			}
+		}
+	}
+	for _, old := range found.segments {
+		if old < number {
+			if err := l.disk.Remove(segmentName(old)); err != nil {
 				return errors.Trace(err)
 			}
 		}
 	}
-	return nil
+	return errors.Trace(l.disk.SyncFolder())
 }
--- /dev/null
+++ b/internal/storage/crash_test.go
@@ -0,0 +1,199 @@
+package storage_test
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"slices"
+
+	. "github.com/onsi/ginkgo/v2"
+	. "github.com/onsi/gomega"
+
+	"ploverhitch/internal/standin"
+	"ploverhitch/internal/storage"
+)
+
+// history is what a log was given: the plain model of what it must give back.
+type history struct {
+	disk *standin.Disk
+	log  *storage.Log
+	// offered is everything in its order, kept how much of it was acknowledged.
+	offered []string
+	kept    int
+}
+
+func newHistory(seed uint64) *history {
+	return &history{disk: standin.NewDisk(rand.New(rand.NewPCG(seed, 11)))}
+}
+
+// open opens the log and checks what it gives back. It tells whether the power
+// lasted.
+func (h *history) open(at string) bool {
+	log, read, err := open(h.disk)
+	if err != nil {
+		return false
+	}
+	Expect(log.Damages()).To(BeEmpty(), at)
+	Expect(len(read)).To(BeNumerically(">=", h.kept), at)
+	Expect(read).To(Equal(h.offered[:len(read)]), at)
+	h.log, h.offered, h.kept = log, slices.Clone(read), len(read)
+	return true
+}
+
+func (h *history) append(count int) bool {
+	var batch [][]byte
+	for range count {
+		h.offered = append(h.offered, fmt.Sprint("record ", len(h.offered)))
+	}
+	for _, record := range h.offered[h.kept:] {
+		batch = append(batch, []byte(record))
+	}
+	if h.log.Append(batch) != nil {
+		return false
+	}
+	h.kept = len(h.offered)
+	return true
+}
+
+func (h *history) checkpoint() bool {
+	write, err := h.log.Roll()
+	if err != nil {
+		return false
+	}
+	var all [][]byte
+	for _, record := range h.offered {
+		all = append(all, []byte(record))
+	}
+	return write(slices.Values(all)) == nil
+}
+
+// live is one life of the process: it starts, appends, writes checkpoints and goes
+// on. It stops where the power does.
+func (h *history) live(at string) bool {
+	return h.open(at) && h.append(3) && h.append(1) && h.checkpoint() && h.append(2) && h.checkpoint() && h.append(1)
+}
+
+var _ = Describe("a loss of power", func() {
+	It("at any operation of a life, and again at any of the next, takes nothing that was kept", func() {
+		lives := 0
+		for first := 1; ; first++ {
+			isOver := false
+			for second := 1; ; second++ {
+				at := fmt.Sprintf("power lost at operation %d, and then at %d", first, second)
+				h := newHistory(uint64(first*1000 + second))
+				h.live(at)
+				h.disk.PowerFor = first
+				isOver = h.live(at)
+				h.disk.LosePower()
+				h.disk.PowerFor = second
+				isWhole := h.live(at)
+				h.disk.LosePower()
+				Expect(h.open(at)).To(BeTrue(), at)
+				lives++
+				if isWhole {
+					break
+				}
+			}
+			if isOver {
+				break
+			}
+		}
+		Expect(lives).To(BeNumerically(">", 500))
+	})
+})
+
+var _ = Describe("a damaged disk", func() {
+	const one, two = "segment-0000000000000001", "segment-0000000000000002"
+	var h *history
+	var read []string
+
+	// reopen opens the log without the checks of a disk in order.
+	reopen := func() []storage.Damage {
+		var err error
+		h.log, read, err = open(h.disk)
+		Expect(err).NotTo(HaveOccurred())
+		return h.log.Damages()
+	}
+
+	BeforeEach(func() {
+		h = newHistory(1)
+		Expect(h.open("") && h.append(2) && h.append(2) && h.append(2)).To(BeTrue())
+	})
+
+	It("that spoils a batch is reported with the place, and what stands before and after it is read", func() {
+		// Two records of eight bytes, each with its size, behind the head.
+		h.disk.Spoil(one, 36+20)
+		damages := reopen()
+		Expect(damages).To(HaveLen(1))
+		Expect(damages[0].File).To(Equal(one))
+		Expect(damages[0].Offset).To(BeEquivalentTo(36))
+		Expect(read).To(Equal([]string{"record 0", "record 1", "record 4", "record 5"}))
+	})
+
+	It("that loses a segment between two others is reported", func() {
+		Expect(h.open("") && h.append(1) && h.open("") && h.append(1)).To(BeTrue())
+		h.disk.Lose(two)
+		Expect(reopen()).To(ConsistOf(HaveField("File", two)))
+		Expect(read).To(HaveLen(7))
+	})
+
+	It("that loses the first segment, or the one of a checkpoint, is reported", func() {
+		Expect(h.open("") && h.append(1)).To(BeTrue())
+		h.disk.Lose(one)
+		Expect(reopen()).To(ConsistOf(HaveField("File", one)))
+		h = newHistory(2)
+		Expect(h.open("") && h.append(1) && h.checkpoint()).To(BeTrue())
+		h.disk.Lose(two)
+		Expect(reopen()).To(ConsistOf(HaveField("File", two)))
+	})
+
+	DescribeTable("that spoils a checkpoint is never taken for an empty one",
+		func(spoil func(name string)) {
+			Expect(h.checkpoint() && h.append(1)).To(BeTrue())
+			spoil("checkpoint-0000000000000002")
+			Expect(reopen()).NotTo(BeEmpty())
+			Expect(read).To(ContainElement("record 6"), "what came after it is read")
+		},
+		Entry("at its beginning", func(name string) { h.disk.Spoil(name, 0) }),
+		Entry("in its middle", func(name string) { h.disk.Spoil(name, 40) }),
+		Entry("by cutting it to nothing", func(name string) { Expect(h.disk.Truncate(name, 0)).To(Succeed()) }),
+		Entry("by cutting off its end", func(name string) { Expect(h.disk.Truncate(name, 12+6*12)).To(Succeed()) }),
+	)
+
+	It("that spoils a checkpoint costs nothing while the one before it and its segments are there", func() {
+		fallbacks := 0
+		for seed := range uint64(20) {
+			h = newHistory(seed)
+			Expect(h.open("") && h.append(2) && h.checkpoint() && h.append(1)).To(BeTrue())
+			// The power goes before what the next checkpoint stands for is removed.
+			h.disk.PowerFor = 13
+			Expect(h.checkpoint()).To(BeFalse())
+			h.disk.LosePower()
+			names, err := h.disk.List()
+			Expect(err).NotTo(HaveOccurred())
+			Expect(names).To(ContainElement("checkpoint-0000000000000003"))
+			h.disk.Spoil("checkpoint-0000000000000003", 3)
+			if !slices.Contains(names, "checkpoint-0000000000000002") {
+				Expect(reopen()).NotTo(BeEmpty())
+				continue
+			}
+			fallbacks++
+			Expect(reopen()).To(BeEmpty())
+			Expect(read).To(Equal(h.offered))
+		}
+		Expect(fallbacks).To(BeNumerically(">", 5))
+	})
+
+	It("whose record the reader refuses is reported, and the rest is read", func() {
+		var rest []string
+		log, err := storage.Open(h.disk, func(record []byte) error {
+			if string(record) == "record 2" {
+				return fmt.Errorf("no such record")
+			}
+			rest = append(rest, string(record))
+			return nil
+		})
+		Expect(err).NotTo(HaveOccurred())
+		Expect(log.Damages()).To(ConsistOf(HaveField("Reason", "no such record")))
+		Expect(rest).To(Equal([]string{"record 0", "record 1", "record 3", "record 4", "record 5"}))
+	})
+})
--- a/internal/storage/disk.go
+++ b/internal/storage/disk.go
@@ -20,12 +20,17 @@
 // Disk is the folder that a log lives in; tests have one that loses power.
 type Disk interface {
 	List() ([]string, error)
-	Read(name string) ([]byte, error)
-	// Create makes an empty file that lasts: it and its folder are synced.
+	// Open opens a file for reading.
+	Open(name string) (io.ReadCloser, error)
+	// Create makes an empty file in place of any of that name. That it is there,
+	// like a renaming or a removal, lasts only once the folder is synced.
 	Create(name string) (File, error)
+	// Truncate cuts a file and syncs it, at the size that it has, too.
 	Truncate(name string, size int64) error
 	Rename(from, to string) error
 	Remove(name string) error
+	// SyncFolder makes last what was made, renamed and removed before.
+	SyncFolder() error
 }
 
 type folder string
@@ -44,7 +49,7 @@
 
 func (f folder) at(name string) string { return filepath.Join(string(f), name) }
 
-func (f folder) sync() error {
+func (f folder) SyncFolder() error {
 	dir, err := os.Open(string(f))
 	if err != nil {
 		return errors.Trace(err)
@@ -63,21 +68,14 @@
 	return names, errors.Trace(err)
 }
 
-func (f folder) Read(name string) ([]byte, error) { return os.ReadFile(f.at(name)) }
+func (f folder) Open(name string) (io.ReadCloser, error) {
+	file, err := os.Open(f.at(name))
+	return file, errors.Trace(err)
+}
 
 func (f folder) Create(name string) (File, error) {
 	file, err := os.OpenFile(f.at(name), os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o644)
-	if err != nil {
-		return nil, errors.Trace(err)
-	}
-	if err = file.Sync(); err == nil {
-		err = f.sync()
-	}
-	if err != nil {
-		_ = file.Close()
-		return nil, errors.Trace(err)
-	}
-	return file, nil
+	return file, errors.Trace(err)
 }
 
 func (f folder) Truncate(name string, size int64) error {
@@ -93,15 +91,7 @@
 }
 
 func (f folder) Rename(from, to string) error {
-	if err := os.Rename(f.at(from), f.at(to)); err != nil {
-		return errors.Trace(err)
-	}
-	return f.sync()
+	return errors.Trace(os.Rename(f.at(from), f.at(to)))
 }
 
-func (f folder) Remove(name string) error {
-	if err := os.Remove(f.at(name)); err != nil {
-		return errors.Trace(err)
-	}
-	return f.sync()
-}
+func (f folder) Remove(name string) error { return errors.Trace(os.Remove(f.at(name))) }
--- /dev/null
+++ b/internal/storage/files.go
@@ -0,0 +1,78 @@
+package storage
+
+import (
+	"fmt"
+	"slices"
+	"strconv"
+	"strings"
+
+	"github.com/juju/errors"
+)
+
+const (
+	segmentPrefix    = "segment-"
+	checkpointPrefix = "checkpoint-"
+	newSuffix        = ".new"
+)
+
+func segmentName(number uint64) string    { return fmt.Sprintf(segmentPrefix+"%016x", number) }
+func checkpointName(number uint64) string { return fmt.Sprintf(checkpointPrefix+"%016x", number) }
+
+// files are the files of a log, in the order of their numbers.
+type files struct {
+	checkpoints, segments []uint64
+	// unfinished are checkpoints that were not written to their end.
+	unfinished []string
+}
+
+func list(disk Disk) (found files, err error) {
+	names, err := disk.List()
+	if err != nil {
+		return found, errors.Trace(err)
+	}
+	for _, name := range names {
+		if strings.HasPrefix(name, checkpointPrefix) && strings.HasSuffix(name, newSuffix) {
+			found.unfinished = append(found.unfinished, name)
+		}
+		if number, isOne := numberOf(name, checkpointPrefix); isOne {
+			found.checkpoints = append(found.checkpoints, number)
+		}
+		if number, isOne := numberOf(name, segmentPrefix); isOne {
+			found.segments = append(found.segments, number)
+		}
+	}
+	slices.Sort(found.checkpoints)
+	slices.Sort(found.segments)
+	return found, nil
+}
+
+func numberOf(name, prefix string) (number uint64, isOne bool) {
+	text, isOne := strings.CutPrefix(name, prefix)
+	if !isOne {
+		return 0, false
+	}
+	number, err := strconv.ParseUint(text, 16, 64)
+	return number, err == nil
+}
+
+// from lists the segments from a number on.
+func (f files) from(number uint64) []uint64 {
+	at, _ := slices.BinarySearch(f.segments, number)
+	return f.segments[at:]
+}
+
+// createFile makes an empty file that lasts.
+func createFile(disk Disk, name string) (File, error) {
+	file, err := disk.Create(name)
+	if err != nil {
+		return nil, errors.Trace(err)
+	}
+	if err = file.Sync(); err == nil {
+		err = disk.SyncFolder()
+	}
+	if err != nil {
+		_ = file.Close()
+		return nil, errors.Trace(err)
+	}
+	return file, nil
+}
--- a/internal/storage/log.go
+++ b/internal/storage/log.go
@@ -1,23 +1,13 @@
 package storage
 
 import (
-	"encoding/binary"
-	"fmt"
-	"hash/crc32"
 	"iter"
-	"sort"
-	"strings"
 	"sync"
 
 	"github.com/juju/errors"
 )
 
-const (
-	headBytes    = 8
-	segmentBytes = 8 << 20
-)
-
-var castagnoli = crc32.MakeTable(crc32.Castagnoli)
+const segmentBytes = 8 << 20
 
 // Log is a log in segments. Append has one caller at a time.
 type Log struct {
@@ -28,111 +18,108 @@
 	good int64
 	// isTorn says that what follows good must be cut before going on.
 	isTorn bool
-	// isDamaged says that records which were once kept cannot be read.
-	isDamaged bool
+	// damages are the places that were kept once and cannot be read.
+	damages []Damage
 
 	lock  sync.Mutex
 	grown int64
 }
 
-func segmentName(number uint64) string    { return fmt.Sprintf("segment-%016x", number) }
-func checkpointName(number uint64) string { return fmt.Sprintf("checkpoint-%016x", number) }
-
 // Open reads what the disk holds, gives every record to replay in the order in
 // which it was kept, cuts a torn tail, and starts a new segment. What was found
 // is synced before it is relied on: a process that was killed between a write
-// and its sync left records that the next loss of power could still take.
+// and its sync left records that the next loss of power could still take. A record
+// that replay refuses, and whatever else cannot be read, is damage and does not
+// keep the log from opening.
 //
 // Example:
 //
 //	log, err := storage.Open(disk, func(record []byte) error { return tables.Apply(record) })
 func Open(disk Disk, replay func(record []byte) error) (*Log, error) {
-	names, err := disk.List()
+	found, err := list(disk)
 	if err != nil {
-		return nil, errors.Trace(err)
-	}
-	sort.Strings(names)
-	checkpoint, segments := uint64(0), []uint64{}
-	for _, name := range names {
-		var number uint64
-		if _, err := fmt.Sscanf(name, "checkpoint-%016x", &number); err == nil && !strings.HasSuffix(name, ".new") {
-			checkpoint = max(checkpoint, number)
-		}
-		if _, err := fmt.Sscanf(name, "segment-%016x", &number); err == nil {
-			segments = append(segments, number)
-		}
+		return nil, err
 	}
-	l := &Log{disk: disk, number: checkpoint}
-	if checkpoint > 0 {
-		text, err := disk.Read(checkpointName(checkpoint))
-		if err != nil {
-			return nil, errors.Trace(err)
+	l := &Log{disk: disk}
+	first := max(l.replayCheckpoint(found, replay), 1)
+	l.number = first - 1
+	segments := found.from(first)
+	for at, number := range segments {
+		if number != l.number+1 {
+			l.miss(l.number + 1)
 		}
-		whole, err := each(text, replay)
-		if err != nil {
+		l.number = number
+		if err := l.replaySegment(number, at == len(segments)-1, replay); err != nil {
 			return nil, err
 		}
-		l.isDamaged = whole != len(text)
 	}
-	for i, number := range segments {
-		if number < checkpoint {
-			continue
-		}
-		text, err := disk.Read(segmentName(number))
-		if err != nil {
-			return nil, errors.Trace(err)
-		}
-		whole, err := each(text, replay)
-		if err != nil {
-			return nil, err
-		}
-		if i != len(segments)-1 {
-			l.isDamaged = l.isDamaged || whole != len(text)
-		} else if err = disk.Truncate(segmentName(number), int64(whole)); err != nil {
-			return nil, errors.Trace(err)
-		}
-		l.number, l.grown = number, l.grown+int64(whole)
+	if len(segments) == 0 && first > 1 {
+		// The checkpoint's own segment was made before it.
+		l.miss(first)
+		l.number = first
 	}
 	return l, l.next()
 }
 
-// IsDamaged tells whether records which were once kept could not be read: what
-// was read may then lack some, and the node must not rely on it alone.
-//
-// Example:
-//
-//	if log.IsDamaged() { rebuildFromOthers() }
-func (l *Log) IsDamaged() bool { return l.isDamaged }
+func (l *Log) miss(number uint64) {
+	l.damages = append(l.damages, Damage{File: segmentName(number), Reason: "the segment is missing"})
+}
 
-// each gives the whole records at the start of the text to replay and returns
-// how many bytes they take.
-func each(text []byte, replay func([]byte) error) (whole int, err error) {
-	for len(text)-whole >= headBytes {
-		size := int(binary.BigEndian.Uint32(text[whole:]))
-		sum := binary.BigEndian.Uint32(text[whole+4:])
-		from := whole + headBytes
-		if size == 0 || size > len(text)-from || crc32.Checksum(text[from:from+size], castagnoli) != sum {
-			return whole, nil
-		}
-		if err = replay(text[from : from+size]); err != nil {
-			return whole, errors.Trace(err)
+// replayCheckpoint reads the newest checkpoint that is whole and returns the number
+// of the first segment behind it. A newer one that is not whole is passed over if
+// the segments since the older one are there; if no checkpoint is whole, what can
+// be read of the newest counts, as damage.
+func (l *Log) replayCheckpoint(found files, replay func([]byte) error) (first uint64) {
+	for at := len(found.checkpoints) - 1; at >= 0; at-- {
+		number := found.checkpoints[at]
+		probe := scanFile(l.disk, checkpointName(number), func([]byte) error { return nil })
+		if !probe.isWhole() {
+			continue
 		}
-		whole = from + size
+		l.damages = append(l.damages, scanFile(l.disk, checkpointName(number), replay).damages...)
+		return number
+	}
+	if len(found.checkpoints) == 0 {
+		return 0
 	}
-	return whole, nil
+	newest := found.checkpoints[len(found.checkpoints)-1]
+	partly := scanFile(l.disk, checkpointName(newest), replay)
+	l.damages = append(l.damages, partly.damages...)
+	l.damages = append(l.damages, Damage{File: checkpointName(newest), Offset: partly.offset, Reason: "the checkpoint is not whole"})
+	return newest
 }
 
-func pack(out []byte, records [][]byte) []byte {
-	for _, record := range records {
-		out = binary.BigEndian.AppendUint32(out, uint32(len(record)))
-		out = binary.BigEndian.AppendUint32(out, crc32.Checksum(record, castagnoli))
-		out = append(out, record...)
+// isWhole tells whether a checkpoint was read from its beginning to its end.
+func (s *scan) isWhole() bool {
+	return s.isEnded && !s.isTorn && !s.isUnreadable && len(s.damages) == 0
+}
+
+// replaySegment reads one segment. Only the newest may end in a write that did not
+// finish, which is cut off.
+func (l *Log) replaySegment(number uint64, isNewest bool, replay func([]byte) error) error {
+	name := segmentName(number)
+	read := scanFile(l.disk, name, replay)
+	l.damages = append(l.damages, read.damages...)
+	l.grown += read.offset
+	if read.isTorn && !isNewest {
+		l.damages = append(l.damages, Damage{File: name, Offset: read.offset, Reason: errBroken.Error()})
+	}
+	if !isNewest || read.isUnreadable {
+		return nil
 	}
-	return out
+	return errors.Trace(l.disk.Truncate(name, read.offset))
 }
 
+// Damages lists the places that were kept once and could not be read: what was read
+// may then lack some, and the node must not rely on it alone.
+//
+// Example:
+//
+//	if len(log.Damages()) > 0 { rebuildFromOthers() }
+func (l *Log) Damages() []Damage { return l.damages }
+
 func (l *Log) next() error {
-	file, err := l.disk.Create(segmentName(l.number + 1))
+	file, err := createFile(l.disk, segmentName(l.number+1))
 	if err != nil {
 		return errors.Trace(err)
 	}
@@ -158,7 +145,7 @@
 			return errors.Trace(err)
 		}
 	}
-	text := pack(nil, records)
+	text := packBatch(nil, records)
 	_, err := l.file.Write(text)
 	if err == nil {
 		err = l.file.Sync()
