--- a/internal/control/box.go
+++ b/internal/control/box.go
@@ -78,6 +78,10 @@
 //
 //	err := control.Run(ctx, set, path, note)
 func Run(ctx context.Context, set *settings.Settings, path string, note func(level, text string, pairs ...any)) error {
+	// The process goes on for a moment after it was told to end.
+	terminated := ctx.Done()
+	ctx, end := context.WithCancel(context.WithoutCancel(ctx))
+	defer end()
 	b := &box{
 		self: set.InternalAddress(set.Platform.Ip, 0), clock: timetable.Real(), note: note, hub: feed.NewHub(),
 		lines: map[string]*rpc.Line{}, roll: timetable.NewLoop[func()](256), newcomers: map[string]timetable.Steady{},
@@ -115,8 +119,10 @@
 	go b.pollPlatform(ctx)
 	server := &http.Server{Handler: b.control(), ReadHeaderTimeout: 5 * time.Second, IdleTimeout: 30 * time.Second}
 	go func() {
-		<-ctx.Done()
+		<-terminated
 		b.handOver()
+		b.leave()
+		end()
 		_ = server.Close()
 	}()
 	if err := server.Serve(outer); err != http.ErrServerClosed {
--- a/internal/control/handlers.go
+++ b/internal/control/handlers.go
@@ -33,6 +33,7 @@
 		messages.KindDigests:  answering(b.onDigests),
 		messages.KindBriefs:   answering(b.onBriefs),
 		messages.KindEntries:  answering(b.onEntries),
+		messages.KindLeave:    answering(b.onLeave),
 		messages.KindView:     answering(b.onView),
 		messages.KindJoin:     answering(b.onJoin),
 		messages.KindTrial:    answering(b.onTrial),
--- a/internal/control/repair.go
+++ b/internal/control/repair.go
@@ -50,14 +50,14 @@
 // intents were lacking.
 func (b *box) copyIntents(member string, epoch membership.Epoch, mode copyMode) (lacking int, err error) {
 	var told messages.DigestsTold
-	if err = b.line(member).Ask(messages.KindDigests, messages.Digests{Epoch: epoch}, &told, repairSpan); err != nil {
+	if err = b.line(member).Ask(messages.KindDigests, messages.Digests{Epoch: epoch, Scope: mode.scope}, &told, repairSpan); err != nil {
 		return 0, err
 	}
 	if !told.OK {
 		return 0, errOtherEpoch
 	}
 	var ranges []idempotency.Range
-	b.keeper.read(func(t *tables) { ranges = idempotency.Differing(t.voter.Digests(), told.Ranges) })
+	b.keeper.read(func(t *tables) { ranges = idempotency.Differing(t.voter.Digests(mode.scope), told.Ranges) })
 	for part := range slices.Chunk(ranges, compareRanges) {
 		wanted, err := b.lackingOf(member, epoch, part, mode)
 		if err != nil {
@@ -121,7 +121,7 @@
 	var out messages.DigestsTold
 	b.keeper.put(func(t *tables) []record {
 		if out.OK = t.view.Epoch >= in.Epoch; out.OK {
-			out.Ranges = t.voter.Digests()
+			out.Ranges = t.voter.Digests(in.Scope)
 		}
 		return nil
 	}, func() { answer(out) })
--- a/internal/control/repair_test.go
+++ b/internal/control/repair_test.go
@@ -199,3 +199,28 @@
 		Expect(members[0].held()).To(BeZero())
 	})
 })
+
+var _ = Describe("a member that is told to end", func() {
+	It("is not the only holder of an outcome when it is gone", func() {
+		members, _ := newMembers(3)
+		for _, m := range members {
+			m.trust()
+		}
+		members[0].hold(0, 20, 10)
+		members[0].leave()
+		for _, m := range members[1:] {
+			Expect(m.held()).To(Equal(20))
+		}
+	})
+
+	It("waits no longer than its span for members that do not answer", func() {
+		members, _ := newMembers(3)
+		members[0].trust()
+		for _, m := range members[1:] {
+			Expect(m.listener.Close()).To(Succeed())
+		}
+		began := time.Now()
+		members[0].leave()
+		Expect(time.Since(began)).To(BeNumerically("<", leaveSpan+500*time.Millisecond))
+	})
+})
--- a/internal/idempotency/compare.go
+++ b/internal/idempotency/compare.go
@@ -17,15 +17,18 @@
 	Only []uint64 `cbor:"3,keyasint,omitempty"`
 }
 
-// Digests lists the digest of every range.
+// Digests lists the digest of every range, of the intents in the scope.
 //
 // Example:
 //
-//	ranges := idempotency.Differing(mine.Digests(), theirs)
-func (v *Voter) Digests() []Digest {
+//	ranges := idempotency.Differing(mine.Digests(idempotency.Outcomes), theirs)
+func (v *Voter) Digests(scope Scope) []Digest {
 	out := make([]Digest, RangeCount)
 	for number := range v.table.ranges {
 		out[number] = v.table.ranges[number].digest
+		if scope == Outcomes {
+			out[number] = v.table.ranges[number].outcomes
+		}
 	}
 	return out
 }
@@ -34,7 +37,7 @@
 //
 // Example:
 //
-//	ranges := idempotency.Differing(mine.Digests(), theirs)
+//	ranges := idempotency.Differing(mine.Digests(scope), theirs)
 func Differing(mine, theirs []Digest) (out []Range) {
 	for number := range min(len(mine), len(theirs), RangeCount) {
 		if mine[number] != theirs[number] {
--- /dev/null
+++ b/internal/idempotency/compare_test.go
@@ -0,0 +1,97 @@
+package idempotency_test
+
+import (
+	"fmt"
+	"strings"
+
+	. "github.com/onsi/ginkgo/v2"
+	. "github.com/onsi/gomega"
+
+	"ploverhitch/internal/idempotency"
+)
+
+// voterOf holds operations, completed where the flag says so.
+func voterOf(from, to int, isCompleted bool) *idempotency.Voter {
+	voter := idempotency.NewVoter(policy())
+	for number := from; number < to; number++ {
+		name := fmt.Sprint("operation-", number)
+		intent := idempotency.Intent{Key: idempotency.Key{Tenant: "h", Key: name}, Attempt: idempotency.Attempt(name), Reservation: name, Lane: "lane"}
+		voter.Reserve(intent)
+		if isCompleted {
+			intent.State, intent.Reply = idempotency.Completed, &idempotency.Reply{Body: []byte(strings.Repeat("x", 100))}
+			_, err := voter.Record(intent)
+			Expect(err).NotTo(HaveOccurred())
+		}
+	}
+	return voter
+}
+
+func allRanges() (out []idempotency.Range) {
+	for number := range idempotency.RangeCount {
+		out = append(out, idempotency.Range(number))
+	}
+	return out
+}
+
+var _ = Describe("the comparison of two tables", func() {
+	It("finds no difference where both hold the same, in whatever order it came", func() {
+		one, other := voterOf(0, 300, true), idempotency.NewVoter(policy())
+		entries := one.Entries()
+		for at := range entries {
+			other.Union(entries[len(entries)-1-at : len(entries)-at])
+		}
+		for _, scope := range []idempotency.Scope{idempotency.AllIntents, idempotency.Outcomes} {
+			Expect(idempotency.Differing(one.Digests(scope), other.Digests(scope))).To(BeEmpty())
+		}
+	})
+
+	It("finds a vote among all intents and not among the outcomes", func() {
+		one, other := voterOf(0, 1, false), voterOf(0, 0, false)
+		all := idempotency.Differing(other.Digests(idempotency.AllIntents), one.Digests(idempotency.AllIntents))
+		Expect(all).To(HaveLen(1))
+		Expect(other.Lacking(all, one.Briefs(all), idempotency.AllIntents)).To(HaveLen(1))
+		Expect(other.Lacking(all, one.Briefs(all), idempotency.Outcomes)).To(BeEmpty())
+		Expect(idempotency.Differing(other.Digests(idempotency.Outcomes), one.Digests(idempotency.Outcomes))).To(BeEmpty())
+	})
+
+	It("lacks an outcome of which it holds only the vote, and nothing the other way", func() {
+		one, other := voterOf(0, 5, true), voterOf(0, 5, false)
+		Expect(other.Lacking(allRanges(), one.Briefs(allRanges()), idempotency.Outcomes)).To(HaveLen(5))
+		Expect(one.Lacking(allRanges(), other.Briefs(allRanges()), idempotency.AllIntents)).To(BeEmpty())
+	})
+
+	It("reads in pieces of about the size asked for, each entry once", func() {
+		voter, seen := voterOf(0, 500, true), map[string]bool{}
+		cursor, pieces := idempotency.Cursor{Ranges: allRanges()}, 0
+		for len(cursor.Ranges) > 0 {
+			var entries []idempotency.Entry
+			entries, cursor = voter.Read(cursor, 5000)
+			Expect(len(entries)).To(BeNumerically("<=", 11))
+			for _, entry := range entries {
+				Expect(seen[entry.Intent.Key.Key]).To(BeFalse())
+				seen[entry.Intent.Key.Key] = true
+			}
+			pieces++
+		}
+		Expect(seen).To(HaveLen(500))
+		Expect(pieces).To(BeNumerically(">", 40))
+	})
+
+	It("grants no new intent above its ceiling, and still replays and records", func() {
+		bounded := policy()
+		bounded.Ceiling = 1
+		voter := idempotency.NewVoter(bounded)
+		first := idempotency.Intent{Key: idempotency.Key{Key: "1"}, Attempt: "1", Reservation: "1", Lane: "lane"}
+		second := idempotency.Intent{Key: idempotency.Key{Key: "2"}, Attempt: "2", Reservation: "2", Lane: "lane"}
+		ballot, _ := voter.Reserve(first)
+		Expect(ballot.Verdict).To(Equal(idempotency.Granted))
+		ballot, entry := voter.Reserve(second)
+		Expect(ballot.Verdict).To(Equal(idempotency.Shed))
+		Expect(entry).To(BeNil())
+		first.State = idempotency.Completed
+		_, err := voter.Record(first)
+		Expect(err).NotTo(HaveOccurred())
+		ballot, _ = voter.Reserve(first)
+		Expect(ballot.Verdict).To(Equal(idempotency.Held))
+	})
+})
--- a/internal/idempotency/rivals.go
+++ b/internal/idempotency/rivals.go
@@ -15,7 +15,7 @@
 		r.rivals = map[Key][]*Intent{}
 	}
 	r.rivals[intent.Key] = append(r.rivals[intent.Key], &intent)
-	r.digest ^= intent.brief().digest()
+	r.sum(intent.brief())
 }
 
 // rivalOf is the rival of the key that has the attempt, or nil.
@@ -35,7 +35,7 @@
 	if len(rest) == 0 {
 		delete(r.rivals, rival.Key)
 	}
-	r.digest ^= rival.brief().digest()
+	r.sum(rival.brief())
 }
 
 func (t *table) dropRivals(key Key) {
--- a/internal/idempotency/table.go
+++ b/internal/idempotency/table.go
@@ -30,7 +30,17 @@
 type keyRange struct {
 	intents map[Key]*Intent
 	rivals  map[Key][]*Intent
-	digest  Digest
+	// digest is of all, outcomes of the completed ones.
+	digest, outcomes Digest
+}
+
+// sum brings an intent into the digests of its range, or takes it out again.
+func (r *keyRange) sum(brief Brief) {
+	part := brief.digest()
+	r.digest ^= part
+	if brief.IsOutcome() {
+		r.outcomes ^= part
+	}
 }
 
 // table holds the intents by range, and the digest of each range.
@@ -51,7 +61,7 @@
 		r.intents = map[Key]*Intent{}
 	}
 	r.intents[intent.Key] = intent
-	r.digest ^= intent.brief().digest()
+	r.sum(intent.brief())
 	t.count++
 }
 
@@ -62,7 +72,7 @@
 		return
 	}
 	delete(r.intents, key)
-	r.digest ^= held.brief().digest()
+	r.sum(held.brief())
 	t.count--
 }
 
--- a/internal/idempotency/world_test.go
+++ b/internal/idempotency/world_test.go
@@ -172,7 +172,7 @@
 
 // copyAll reads what another node holds and this one lacks, as members do.
 func (w *world) copyAll(n, other *node) {
-	ranges := idempotency.Differing(n.voter.Digests(), other.voter.Digests())
+	ranges := idempotency.Differing(n.voter.Digests(idempotency.AllIntents), other.voter.Digests(idempotency.AllIntents))
 	wanted := n.voter.Lacking(ranges, other.voter.Briefs(ranges), idempotency.AllIntents)
 	if len(wanted) == 0 {
 		return
--- a/internal/messages/repair.go
+++ b/internal/messages/repair.go
@@ -9,7 +9,8 @@
 // Digests asks a member for the digests of its ranges of intents; the member must
 // be in the asker's epoch or a later one.
 type Digests struct {
-	Epoch membership.Epoch `cbor:"1,keyasint"`
+	Epoch membership.Epoch  `cbor:"1,keyasint"`
+	Scope idempotency.Scope `cbor:"2,keyasint,omitempty"`
 }
 
 // DigestsTold is the reply.
@@ -58,3 +59,10 @@
 	Term      membership.Term     `cbor:"6,keyasint"`
 	Trials    []trial.State       `cbor:"7,keyasint,omitempty"`
 }
+
+// Leave says that a member is about to end; it is answered once the other has copied
+// what it lacks of it.
+type Leave struct {
+	Epoch   membership.Epoch `cbor:"1,keyasint"`
+	Address string           `cbor:"2,keyasint"`
+}
--- a/internal/messages/telegram.go
+++ b/internal/messages/telegram.go
@@ -45,6 +45,7 @@
 	KindDigests
 	KindBriefs
 	KindEntries
+	KindLeave
 )
 
 // Reserve asks a core node for its vote, under the view's epoch.
