--- a/internal/control/settle.go
+++ b/internal/control/settle.go
@@ -91,7 +91,9 @@
 			b.note("info", "rebuild", "member", member, "error", err)
 			continue
 		}
-		readings.add(isTrusted)
+		if readings.add(isTrusted); readings.trusted >= view.ReadSet() {
+			break
+		}
 	}
 	if !readings.suffice(view) || !b.registrar.rebuild(view) {
 		return false
--- a/internal/storage/crash_test.go
+++ b/internal/storage/crash_test.go
@@ -1,7 +1,9 @@
 package storage_test
 
 import (
+	"encoding/binary"
 	"fmt"
+	"hash/crc32"
 	"math/rand/v2"
 	"slices"
 
@@ -197,3 +199,50 @@
 		Expect(rest).To(Equal([]string{"record 0", "record 1", "record 3", "record 4", "record 5"}))
 	})
 })
+
+var _ = Describe("files of a build before batches", func() {
+	legacy := func(records ...string) (text []byte) {
+		for _, record := range records {
+			text = binary.BigEndian.AppendUint32(text, uint32(len(record)))
+			text = binary.BigEndian.AppendUint32(text, crc32.Checksum([]byte(record), crc32.MakeTable(crc32.Castagnoli)))
+			text = append(text, record...)
+		}
+		return text
+	}
+	var disk *standin.Disk
+	write := func(name string, text []byte) {
+		file, err := disk.Create(name)
+		Expect(err).NotTo(HaveOccurred())
+		_, err = file.Write(text)
+		Expect(err).NotTo(HaveOccurred())
+	}
+
+	BeforeEach(func() {
+		disk = standin.NewDisk(rand.New(rand.NewPCG(1, 1)))
+		write("checkpoint-0000000000000002", legacy("one", "two"))
+	})
+
+	It("are read, a torn end of the newest cut off, and gone on from", func() {
+		torn := legacy("three", "four")
+		write("segment-0000000000000002", torn[:len(torn)-1])
+		log, read, err := open(disk)
+		Expect(err).NotTo(HaveOccurred())
+		Expect(log.Damages()).To(BeEmpty())
+		Expect(read).To(Equal([]string{"one", "two", "three"}))
+		Expect(log.Append([][]byte{[]byte("five")})).To(Succeed())
+		log, read, err = open(disk)
+		Expect(err).NotTo(HaveOccurred())
+		Expect(log.Damages()).To(BeEmpty())
+		Expect(read).To(Equal([]string{"one", "two", "three", "five"}))
+	})
+
+	It("are damage where a record of one that is not the newest is broken", func() {
+		write("segment-0000000000000002", legacy("three", "four"))
+		write("segment-0000000000000003", legacy("five"))
+		disk.Spoil("segment-0000000000000002", 20)
+		log, read, err := open(disk)
+		Expect(err).NotTo(HaveOccurred())
+		Expect(log.Damages()).To(ConsistOf(HaveField("File", "segment-0000000000000002")))
+		Expect(read).To(Equal([]string{"one", "two", "three", "five"}))
+	})
+})
--- a/internal/storage/log.go
+++ b/internal/storage/log.go
@@ -2,6 +2,7 @@
 
 import (
 	"iter"
+	"slices"
 	"sync"
 
 	"github.com/juju/errors"
@@ -70,22 +71,30 @@
 // the segments since the older one are there; if no checkpoint is whole, what can
 // be read of the newest counts, as damage.
 func (l *Log) replayCheckpoint(found files, replay func([]byte) error) (first uint64) {
-	for at := len(found.checkpoints) - 1; at >= 0; at-- {
-		number := found.checkpoints[at]
-		probe := scanFile(l.disk, checkpointName(number), func([]byte) error { return nil })
-		if !probe.isWhole() {
-			continue
-		}
-		l.damages = append(l.damages, scanFile(l.disk, checkpointName(number), replay).damages...)
-		return number
-	}
 	if len(found.checkpoints) == 0 {
 		return 0
 	}
-	newest := found.checkpoints[len(found.checkpoints)-1]
-	partly := scanFile(l.disk, checkpointName(newest), replay)
-	l.damages = append(l.damages, partly.damages...)
-	l.damages = append(l.damages, Damage{File: checkpointName(newest), Offset: partly.offset, Reason: "the checkpoint is not whole"})
+	number := l.newestWhole(found.checkpoints)
+	read := scanFile(l.disk, checkpointName(number), replay)
+	l.damages = append(l.damages, read.damages...)
+	if !read.isEnded || read.isTorn {
+		l.damages = append(l.damages, Damage{File: checkpointName(number), Offset: read.offset, Reason: "the checkpoint is not whole"})
+	}
+	return number
+}
+
+// newestWhole is the newest checkpoint that is whole, or the newest of all. Where
+// there is only one, it is not read for that: nothing could take its place.
+func (l *Log) newestWhole(checkpoints []uint64) uint64 {
+	newest := checkpoints[len(checkpoints)-1]
+	if len(checkpoints) == 1 {
+		return newest
+	}
+	for _, number := range slices.Backward(checkpoints) {
+		if scanFile(l.disk, checkpointName(number), func([]byte) error { return nil }).isWhole() {
+			return number
+		}
+	}
 	return newest
 }
 
--- a/internal/storage/scan.go
+++ b/internal/storage/scan.go
@@ -42,6 +42,10 @@
 // marked as a torn end, which the caller judges.
 func scanFile(disk Disk, name string, replay func(record []byte) error) *scan {
 	s := &scan{disk: disk, name: name, replay: replay}
+	if s.readLegacy() {
+		return s
+	}
+	s.isTorn, s.isEnded = false, false
 	for {
 		err := s.read()
 		if err == io.EOF {
