--- a/internal/idempotency/keep.go
+++ b/internal/idempotency/keep.go
@@ -11,10 +11,11 @@
 //
 //	entries := voter.Tend(clock.Wall())
 func (v *Voter) Tend(now time.Time) (entries []Entry) {
+	v.sortByAge()
 	window := v.policy.KeyWindow + v.policy.Margin
 	kept := v.order[:0]
 	for at, place := range v.order {
-		intent := v.intents[place.key]
+		intent := v.table.find(place.key)
 		if intent == nil || intent.Attempt != place.attempt {
 			continue
 		}
@@ -30,8 +31,9 @@
 			entries = append(entries, entry)
 		}
 		if age > v.policy.Retention || v.policy.Bytes > 0 && v.bytes > v.policy.Bytes {
-			v.bytes -= v.intents[place.key].size()
-			delete(v.intents, place.key)
+			v.bytes -= v.table.find(place.key).size()
+			v.table.remove(place.key)
+			v.table.dropRivals(place.key)
 			continue
 		}
 		kept = append(kept, place)
@@ -40,28 +42,6 @@
 	return entries
 }
 
-// Entries lists the table in the order in which it came about, each with the
-// reservation it holds: enough to make the table again.
-//
-// Example:
-//
-//	for _, entry := range voter.Entries() { write(entry) }
-func (v *Voter) Entries() []Entry {
-	out := make([]Entry, 0, len(v.intents))
-	for _, place := range v.order {
-		intent := v.intents[place.key]
-		if intent == nil || intent.Attempt != place.attempt {
-			continue
-		}
-		entry := Entry{Intent: *intent}
-		if intent.State.IsOpen() {
-			entry.Quota = &QuotaEvent{QuotaReserve, intent.Reservation, intent.Lane}
-		}
-		out = append(out, entry)
-	}
-	return out
-}
-
 // Union adds what another voter holds to a table that is being rebuilt. It may
 // only add: it never grants, and an outcome that was shown stands.
 //
@@ -69,23 +49,42 @@
 //
 //	entries := voter.Union(told)
 func (v *Voter) Union(told []Entry) (entries []Entry) {
+	v.isUnsorted = true
 	for _, entry := range told {
-		held := v.intents[entry.Intent.Key]
-		isBetter := held == nil || held.State != Completed && entry.Intent.State == Completed
-		if !isBetter {
-			continue
+		if made := v.unionOf(entry.Intent); made != nil {
+			entries = append(entries, *made)
 		}
-		if held != nil && held.Attempt == entry.Intent.Attempt {
-			if made, err := v.Record(entry.Intent); err == nil && made != nil {
-				entries = append(entries, *made)
-			}
-			continue
+	}
+	return entries
+}
+
+// unionOf takes one intent of another voter, and returns the entry to keep, if any.
+func (v *Voter) unionOf(told Intent) *Entry {
+	held := v.table.find(told.Key)
+	entry := entryOf(&told)
+	switch {
+	case told.State == Released || held != nil && held.State == Completed:
+		return nil
+	case held == nil:
+	case held.Attempt == told.Attempt:
+		if told.State != Completed {
+			return nil
 		}
-		if v.Apply(entry) == nil {
-			entries = append(entries, entry)
+		made, err := v.Record(told)
+		if err != nil {
+			return nil
 		}
+		return made
+	case told.State.isToldByOwner() && !held.State.isToldByOwner():
+	case held.State.isToldByOwner() || v.table.rivalOf(told.Key, told.Attempt) != nil:
+		return nil
+	default:
+		entry = Entry{Intent: told, IsRival: true}
 	}
-	return entries
+	if v.Apply(entry) != nil {
+		return nil
+	}
+	return &entry
 }
 
 // Count tells how many intents stand in each state, and the age of the oldest
@@ -96,10 +95,12 @@
 //	counts, oldest := voter.Count(clock.Wall())
 func (v *Voter) Count(now time.Time) (counts map[string]int, oldest time.Duration) {
 	counts = map[string]int{}
-	for _, intent := range v.intents {
-		counts[intent.State.String()]++
-		if age := intent.age(now); intent.State.IsOpen() && age > oldest {
-			oldest = age
+	for number := range v.table.ranges {
+		for _, intent := range v.table.ranges[number].intents {
+			counts[intent.State.String()]++
+			if age := intent.age(now); intent.State.IsOpen() && age > oldest {
+				oldest = age
+			}
 		}
 	}
 	return counts, oldest
