--- a/internal/rpc/frame.go
+++ b/internal/rpc/frame.go
@@ -185,6 +185,11 @@
 
 // offer puts the frame, or closes the connection of a peer that does not read.
 func (b *outbox) offer(conn net.Conn, one *packet) bool {
+	select {
+	case <-b.done:
+		return false
+	default:
+	}
 	select {
 	case b.frames <- one:
 		return true
--- /dev/null
+++ b/internal/rpc/server_test.go
@@ -0,0 +1,56 @@
+package rpc
+
+import (
+	"bufio"
+	"encoding/binary"
+	"net"
+	"testing"
+	"time"
+)
+
+// dialServer is a client of a server of calls, frame by frame.
+func dialServer(t *testing.T, handlers Handlers) *peer {
+	t.Helper()
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = listener.Close() })
+	go Serve(listener, handlers, time.Second)
+	conn, err := net.Dial("tcp4", listener.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = conn.Close() })
+	_ = conn.SetDeadline(time.Now().Add(5 * time.Second))
+	return &peer{conn, bufio.NewReader(conn)}
+}
+
+func TestServerEndsAConnectionThatItCannotRead(t *testing.T) {
+	noFrame := binary.BigEndian.AppendUint32(nil, 3)
+	unknown := packed(t, 2, kindTest+1, "of a kind that nobody answers")
+	for name, bad := range map[string][]byte{"no frame": append(noFrame, 0xff, 0xff, 0xff), "unknown kind": unknown} {
+		calls := make(chan Call, 4)
+		client := dialServer(t, Handlers{kindTest: func(call Call) { calls <- call }})
+		if _, err := client.conn.Write(append(packed(t, 1, kindTest, "one"), bad...)); err != nil {
+			t.Fatal(err)
+		}
+		// What stands behind it is no call any more.
+		_, _ = client.conn.Write(packed(t, 3, kindTest, "behind it"))
+		held := <-calls
+		select {
+		case <-held.Ended:
+		case <-time.After(5 * time.Second):
+			t.Fatalf("%s: the connection goes on", name)
+		}
+		if held.Reply("too late") {
+			t.Errorf("%s: a reply was taken by a connection that had ended", name)
+		}
+		if _, err := client.reader.ReadByte(); err == nil {
+			t.Errorf("%s: bytes came on a connection that had ended", name)
+		}
+		if len(calls) > 0 {
+			t.Errorf("%s: a call behind it was taken", name)
+		}
+	}
+}
