--- a/internal/points/left_test.go
+++ b/internal/points/left_test.go
@@ -22,6 +22,27 @@
 	"ploverhitch/internal/timetable"
 )
 
+// inquiryOn is an inquiry on a route of a kind that the servers may get, and its proxy.
+func inquiryOn(kind config.LaneKind, servers ...*standin.Server) (*proxy, *inquiry) {
+	set := &settings.Settings{}
+	set.Tuning.BufferBytes = 1 << 20
+	set.Platform.Bounds.RetryBudgetRatio = 1
+	set.Platform.Bounds.RetrySlack = 100
+	set.Platform.Bounds.RetryWindow = timetable.Span(10 * time.Second)
+	p := newProxy(set, timetable.Real(), func(string, string, ...any) {})
+	yard := shunt.NewYard(shunt.Home{Node: "n", Set: 8})
+	fleet := feed.Fleet{Term: 1, Count: 1, Proxies: 1}
+	for _, server := range servers {
+		fleet.Servers = append(fleet.Servers, feed.Server{ID: server.ID, Service: "s", Address: server.Address(), Capacity: 4, IsReady: true, Revision: "v1"})
+	}
+	p.sight.Store(&sight{sheet: p.sight.Load().sheet, yard: yard.Lay(fleet), proxies: 1})
+	return p, &inquiry{
+		Inquiry: &coupling.Inquiry{Method: "POST", Target: "/a", Host: "h", Header: http.Header{coupling.HeaderAttempt: {"t"}}, Attempt: "t"},
+		lane:    &config.Lane{LaneSpec: config.LaneSpec{Name: "r", RouteType: kind, MaxAttempts: 3}}, sight: p.sight.Load(), service: "s",
+		arrived: time.Now(), due: time.Now().Add(600 * time.Millisecond), leave: func() {},
+	}
+}
+
 var _ = Describe("a delivery", func() {
 	var server *standin.Server
 	BeforeEach(func() {
@@ -30,26 +51,10 @@
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(server.Close)
 	})
-	// inquiryOn is an inquiry that the one server there is may get.
-	inquiryOn := func(routeType config.LaneKind) (*proxy, *inquiry) {
-		set := &settings.Settings{}
-		set.Tuning.BufferBytes = 1 << 20
-		p := newProxy(set, timetable.Real(), func(string, string, ...any) {})
-		yard := shunt.NewYard(shunt.Home{Node: "n", Set: 8})
-		listed := feed.Server{ID: "i-1", Service: "s", Address: server.Address(), Capacity: 4, IsReady: true, Revision: "v1"}
-		yard = yard.Lay(feed.Fleet{Term: 1, Count: 1, Proxies: 1, Servers: []feed.Server{listed}})
-		p.sight.Store(&sight{sheet: p.sight.Load().sheet, yard: yard, proxies: 1})
-		return p, &inquiry{
-			Inquiry: &coupling.Inquiry{Method: "POST", Target: "/a", Host: "h", Header: http.Header{coupling.HeaderAttempt: {"t"}}, Attempt: "t"},
-			lane:    &config.Lane{LaneSpec: config.LaneSpec{Name: "r", RouteType: routeType, MaxAttempts: 3}}, sight: p.sight.Load(), service: "s",
-			arrived: time.Now(), due: time.Now().Add(600 * time.Millisecond), leave: func() {},
-		}
-	}
-
 	It("ends with its client, but a keyed one with its operation", func() {
 		for routeType, isEnded := range map[config.LaneKind]bool{config.Safe: true, config.Unsafe: true, config.Idempotent: false} {
 			server.Next(standin.Silent)
-			p, one := inquiryOn(routeType)
+			p, one := inquiryOn(routeType, server)
 			ctx, leave := context.WithCancel(context.Background())
 			time.AfterFunc(50*time.Millisecond, leave)
 			before, _ := server.Counts()
@@ -65,7 +70,7 @@
 
 	It("counts a client that left for nothing against the server", func() {
 		server.Next(standin.Silent)
-		p, one := inquiryOn(config.Safe)
+		p, one := inquiryOn(config.Safe, server)
 		one.due = time.Now().Add(10 * time.Second)
 		ctx, leave := context.WithCancel(context.Background())
 		time.AfterFunc(50*time.Millisecond, leave)
@@ -82,7 +87,7 @@
 
 	It("passes no status on that promises what nobody knows", func() {
 		for _, status := range []int{408, 429, 503} {
-			_, one := inquiryOn(config.Unsafe)
+			_, one := inquiryOn(config.Unsafe, server)
 			d := &delivery{one: one}
 			_, err, isEnd := d.judge(result{reply: &coupling.Reply{Status: status, Header: http.Header{}}})
 			var open *openEnd
@@ -93,7 +98,7 @@
 	})
 
 	It("records no part of a reply as the whole", func() {
-		p, one := inquiryOn(config.Idempotent)
+		p, one := inquiryOn(config.Idempotent, server)
 		a := &attempt{proxy: p, one: one, ungranted: map[string]bool{}}
 		a.intent = idempotency.Intent{Key: idempotency.Key{Tenant: "h", Key: "k"}, State: idempotency.Reserved}
 		a.round = idempotency.NewRound(a.intent.Hash, 1, p.clock.Steady(), timetable.Steady(time.Second))
