--- a/internal/rpc/frame.go
+++ b/internal/rpc/frame.go
@@ -203,6 +203,11 @@
 		return false
 	}
 	select {
+	case <-b.done:
+		return false
+	default:
+	}
+	select {
 	case b.frames <- one:
 		return true
 	default:
