--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -27,7 +27,9 @@
 	return time.Duration(p.box.clock.Steady()-began) > p.span()
 }
 
-// Prepare asks all members, and returns once a majority has promised.
+// Prepare asks all members, and returns once a majority has promised, or a member
+// shows that the round is lost. What came too late to count still tells the proposer
+// what stands against it.
 func (p *peers) Prepare(prepare registry.Prepare) (out []registry.Promise) {
 	count := 0
 	askAll(p.box, p.view.Members, messages.KindPrepare, prepare, p.span(), func(_ string, promise registry.Promise) bool {
@@ -35,15 +37,19 @@
 		if promise.OK {
 			count++
 		}
-		return count >= p.view.Majority()
+		return count >= p.view.Majority() || promise.IsLost(prepare)
 	})
-	if p.isOver(p.began) {
-		return nil
+	if !p.isOver(p.began) {
+		return out
+	}
+	for i := range out {
+		out[i].OK = false
 	}
 	return out
 }
 
-// Accept asks all members, and returns once a majority has accepted.
+// Accept asks all members, and returns once a majority has accepted, or a member
+// shows that the round is lost.
 func (p *peers) Accept(accept registry.Accept) (out []registry.Acceptance) {
 	began, count := p.box.clock.Steady(), 0
 	if p.isOver(p.began) {
@@ -54,10 +60,13 @@
 		if acceptance.OK {
 			count++
 		}
-		return count >= p.view.Majority()
+		return count >= p.view.Majority() || acceptance.IsLost(accept)
 	})
-	if p.isOver(began) {
-		return nil
+	if !p.isOver(began) {
+		return out
+	}
+	for i := range out {
+		out[i].OK = false
 	}
 	return out
 }
--- a/internal/control/registrar.go
+++ b/internal/control/registrar.go
@@ -189,7 +189,12 @@
 func (r *registrar) bringUp(behind map[string]registry.Index) {
 	for member, index := range behind {
 		in := messages.Learn{From: r.box.self}
-		r.box.keeper.read(func(t *tables) { in.Changes, _, _ = t.registry.Since(index, pageBytes) })
+		r.box.keeper.read(func(t *tables) {
+			in.Changes, _, _ = t.registry.Since(index, pageBytes)
+			if latest, isAny := t.registry.Latest(); isAny && len(in.Changes) == 0 {
+				in.Changes = []registry.Change{latest}
+			}
+		})
 		r.box.line(member).Send(messages.KindLearn, in, nil)
 	}
 }
--- a/internal/control/registry/acceptor.go
+++ b/internal/control/registry/acceptor.go
@@ -61,6 +61,16 @@
 	View *membership.View `cbor:"7,keyasint,omitempty"`
 }
 
+// IsLost tells whether the answer shows that no round under this ballot can decide
+// the change: the replica knows a decision of it, or promised a higher ballot.
+//
+// Example:
+//
+//	if promise.IsLost(prepare) { tryAgain() }
+func (p Promise) IsLost(prepare Prepare) bool {
+	return !p.OK && (p.Index >= prepare.Index || prepare.Ballot.Below(p.Acceptor.Promised))
+}
+
 // Accept asks a replica to accept a change under a ballot.
 type Accept struct {
 	Epoch  membership.Epoch  `cbor:"1,keyasint"`
@@ -78,6 +88,16 @@
 	Promised membership.Number `cbor:"3,keyasint"`
 }
 
+// IsLost tells whether the answer shows that the round's change is decided already,
+// or that a higher ballot was promised meanwhile.
+//
+// Example:
+//
+//	if acceptance.IsLost(accept) { tryAgain() }
+func (a Acceptance) IsLost(accept Accept) bool {
+	return !a.OK && (a.Index >= accept.Change.Index || accept.Ballot.Below(a.Promised))
+}
+
 // State is what a replica tells about its place, for a quorum read or a rebuild.
 type State struct {
 	// OK says that the replica takes part in decisions of the asker's epoch,
--- a/internal/control/registry/registry_test.go
+++ b/internal/control/registry/registry_test.go
@@ -119,6 +119,23 @@
 		Expect(outcome.Heard).To(Equal(1))
 	})
 
+	It("is lost where a replica promised a higher ballot or knows the decision, and only there", func() {
+		c := newCluster("a", "b", "c")
+		low, high := membership.Number{Round: 1, Node: "a#1"}, membership.Number{Round: 9, Node: "b#1"}
+		prepare := registry.Prepare{Index: 1, Ballot: low}
+		_, _ = c.replicas["b"].Promise(registry.Prepare{Index: 1, Ballot: high})
+		refused, _ := c.replicas["b"].Promise(prepare)
+		granted, _ := c.replicas["c"].Promise(prepare)
+		Expect([]bool{refused.IsLost(prepare), granted.IsLost(prepare)}).To(Equal([]bool{true, false}))
+		accept := registry.Accept{Ballot: low, Change: registry.Change{Index: 1}}
+		acceptance, _ := c.replicas["b"].Accept("b", accept)
+		Expect(acceptance.IsLost(accept)).To(BeTrue())
+		Expect(c.replicas["c"].Learn(registry.Change{Index: 1})).To(BeTrue())
+		known, _ := c.replicas["c"].Promise(prepare)
+		behind, _ := c.replicas["a"].Promise(registry.Prepare{Index: 2, Ballot: low})
+		Expect([]bool{known.IsLost(prepare), behind.IsLost(registry.Prepare{Index: 2, Ballot: low})}).To(Equal([]bool{true, false}))
+	})
+
 	It("does not act on a promise that a replica has lost since", func() {
 		c := newCluster("a", "b", "c")
 		ballot := membership.Number{Round: 1, Node: "a#1"}
--- a/internal/control/registry/replica.go
+++ b/internal/control/registry/replica.go
@@ -134,6 +134,19 @@
 	return changes, true, sum <= r.bytes
 }
 
+// Latest is the last decided change that is kept, for telling a replica that it is
+// behind.
+//
+// Example:
+//
+//	change, isAny := replica.Latest()
+func (r *Replica) Latest() (change Change, isAny bool) {
+	if len(r.recent) == 0 {
+		return Change{}, false
+	}
+	return r.recent[len(r.recent)-1].change, true
+}
+
 // Rebuilt begins a new life of the replica's memory: it takes from the others'
 // states what they promised and accepted for the change that follows its set.
 // It must not have been behind any of them.
