--- a/internal/control/contact.go
+++ b/internal/control/contact.go
@@ -25,7 +25,7 @@
 )
 
 // contact is when this node last reached a majority of its view, and the newest
-// fleet that was held there. The time counts from the sending of what the members
+// fleet that was held there then: what only a lost member held is waited for no more. The time counts from the sending of what the members
 // answered.
 type contact struct {
 	lock  sync.Mutex
@@ -38,10 +38,7 @@
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	if !c.isHad || sent > c.at {
-		c.isHad, c.at = true, sent
-	}
-	if fleet.Outranks(c.fleet) {
-		c.fleet = fleet
+		c.isHad, c.at, c.fleet = true, sent, fleet
 	}
 }
 
@@ -64,6 +61,15 @@
 	return ok && age <= contactSpan
 }
 
+// isReadyForDuty tells whether this node may hold the duty: it is in contact, and has
+// the fleet that a majority had, with the grants that the next holder goes on from.
+func (b *box) isReadyForDuty(held feed.Reading) bool {
+	if b.holdsLease(b.myTerm.Load()) {
+		return true
+	}
+	return b.isInContact() && !b.contact.isBehind(held)
+}
+
 // touch asks the members of the view whether they count in its epoch, unless a
 // majority did within the last heartbeat.
 func (b *box) touch() {
--- a/internal/control/contact_test.go
+++ b/internal/control/contact_test.go
@@ -46,12 +46,26 @@
 			Expect(get(path).Code).To(Equal(http.StatusServiceUnavailable), path)
 		}
 		// In contact, but the majority has a fleet that this node hasn't heard of yet.
+		hand.Now += time.Millisecond
 		b.contact.note(hand.Steady(), feed.Reading{Term: 2, Count: 1})
 		Expect(get("/v1/fleet").Code).To(Equal(http.StatusServiceUnavailable))
 		b.onFleet(feed.Fleet{Term: 2, Count: 1}, func(messages.Done) {})
 		Expect(get("/v1/fleet").Code).To(Equal(http.StatusOK))
 	})
 
+	It("isn't enough for the duty while the majority has a newer fleet; a lost member's is waited for no more", func() {
+		hand := &timetable.Hand{Now: time.Hour}
+		b := newMember(hand, view)
+		newest := feed.Reading{Term: 2, Count: 5}
+		Expect(b.isReadyForDuty(newest)).To(BeFalse(), "it has had no contact")
+		b.contact.note(hand.Steady(), newest)
+		Expect(b.isReadyForDuty(feed.Reading{Term: 2, Count: 4})).To(BeFalse())
+		Expect(b.isReadyForDuty(newest)).To(BeTrue())
+		hand.Now += time.Millisecond
+		b.contact.note(hand.Steady(), feed.Reading{Term: 2, Count: 4})
+		Expect(b.isReadyForDuty(feed.Reading{Term: 2, Count: 4})).To(BeTrue())
+	})
+
 	It("counts the members that answer in the same epoch, and no others", func() {
 		hand := &timetable.Hand{Now: time.Hour}
 		b := newMember(hand, membership.View{Epoch: 1, Members: []string{"a"}})
--- a/internal/control/duty.go
+++ b/internal/control/duty.go
@@ -42,13 +42,15 @@
 	var index registry.Index
 	var isTrusted bool
 	seen := b.watch.Direct()
+	var held feed.Reading
 	isFit := b.isFit.Load()
 	first := ""
 	b.keeper.put(func(t *tables) []record {
 		view, term, index, isTrusted = t.view, t.term, t.registry.Index, t.isTrusted
+		held = t.fleet.Reading()
 		return nil
 	}, func() {
-		isFit = isFit && isTrusted && b.isInContact()
+		isFit = isFit && isTrusted && b.isReadyForDuty(held)
 		mine := membership.Beat{From: b.self, View: view, Term: term, Index: uint64(index), Seen: seen, IsFit: isFit}
 		fleet := b.fleet()
 		mine.FleetTerm, mine.FleetCount = fleet.Term, fleet.Count
