--- a/internal/control/registry/history_test.go
+++ b/internal/control/registry/history_test.go
@@ -95,3 +95,22 @@
 		Expect(submit(right, inForce)).To(Succeed())
 	})
 })
+
+var _ = Describe("pages of a replica that loses its disk between two of them", func() {
+	It("are never taken for a whole set", func() {
+		source := registry.NewReplica()
+		for _, name := range []string{"a", "b", "c"} {
+			Expect(submit(source, config.Item{ID: config.ID{Class: config.LaneItem, Name: name}, Version: 1})).To(Succeed())
+		}
+		var assembly registry.Assembly
+		page := source.PageAfter(nil, 1)
+		assembly.Add(page)
+		wiped := registry.NewReplica()
+		page = wiped.PageAfter(page.After(), 1)
+		Expect(page.IsLast).To(BeTrue())
+		assembly.Add(page)
+		changes, _ := wiped.Since(source.Index, 1<<20)
+		_, isWhole := assembly.Finish(changes)
+		Expect(isWhole).To(BeFalse())
+	})
+})
--- a/internal/control/registry/page.go
+++ b/internal/control/registry/page.go
@@ -95,6 +95,8 @@
 	set   *Set
 	first Index
 	last  Index
+	// isBroken says that a page was cut from an older set than the one before.
+	isBroken bool
 }
 
 // Add takes the next page.
@@ -104,7 +106,9 @@
 //	assembly.Add(page)
 func (a *Assembly) Add(page Page) {
 	if page.IsFirst || a.set == nil {
-		a.set, a.first = NewSet(), page.Index
+		a.set, a.first, a.isBroken = NewSet(), page.Index, false
+	} else if page.Index < a.last {
+		a.isBroken = true
 	}
 	for _, item := range page.Items {
 		a.set.put(item)
@@ -129,12 +133,13 @@
 
 // Finish brings the pages to one index by the changes that followed the first of
 // them, which must reach the last page's index at least; it tells whether they do.
+// Pages of a replica that lost its set between two of them never come to a whole.
 //
 // Example:
 //
 //	set, isWhole := assembly.Finish(changes)
 func (a *Assembly) Finish(changes []Change) (set *Set, isWhole bool) {
-	if a.set == nil {
+	if a.set == nil || a.isBroken {
 		return nil, false
 	}
 	a.set.Index = a.first
