--- a/cmd/measure/main.go
+++ b/cmd/measure/main.go
@@ -66,13 +66,18 @@
 func main() {
 	app := kingpin.New("measure", "Measures how the state and work of each role grow with size.")
 	app.HelpFlag.Short('h')
-	only := app.Flag("only", "Measure only what has this in its name.").String()
-	through := app.Flag("through", "Measure instead what this proxy's client address adds, as localcluster prints it.").PlaceHolder("HOST:PORT").String()
-	direct := app.Flag("direct", "The address of a server behind it.").PlaceHolder("HOST:PORT").String()
-	count := app.Flag("count", "How many inquiries to send each way.").Default("5000").Int()
-	orders := app.Flag("orders", "Measure instead how long orders to this control address take until they are acknowledged; may be repeated.").PlaceHolder("HOST:PORT").Strings()
-	operators := app.Flag("operators", "How many operators send orders at once.").Default("1").Int()
-	kingpin.MustParse(app.Parse(os.Args[1:]))
+	slopes := app.Command("slopes", "Measure the slopes, or what a proxy adds.").Default()
+	only := slopes.Flag("only", "Measure only what has this in its name.").String()
+	through := slopes.Flag("through", "Measure instead what this proxy's client address adds, as localcluster prints it.").PlaceHolder("HOST:PORT").String()
+	direct := slopes.Flag("direct", "The address of a server behind it.").PlaceHolder("HOST:PORT").String()
+	count := slopes.Flag("count", "How many inquiries to send each way.").Default("5000").Int()
+	orders := slopes.Flag("orders", "Measure instead how long orders to this control address take until they are acknowledged; may be repeated.").PlaceHolder("HOST:PORT").Strings()
+	operators := slopes.Flag("operators", "How many operators send orders at once.").Default("1").Int()
+	simulate, simulated := addSimulate(app)
+	if kingpin.MustParse(app.Parse(os.Args[1:])) == simulate.FullCommand() {
+		app.FatalIfError(simulated.simulate(), "the simulation")
+		return
+	}
 	if len(*orders) > 0 {
 		app.FatalIfError(orderDelays(*orders, max(1, *count), max(1, *operators)), "orders")
 		return
--- /dev/null
+++ b/cmd/measure/simulate.go
@@ -0,0 +1,149 @@
+package main
+
+import (
+	"fmt"
+	"os"
+	"time"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+	"github.com/alecthomas/kingpin/v2"
+	"github.com/juju/errors"
+	"gonum.org/v1/plot"
+	"gonum.org/v1/plot/plotter"
+	"gonum.org/v1/plot/plotutil"
+	"gonum.org/v1/plot/vg"
+
+	"ploverhitch/internal/emulator/simulation"
+)
+
+// simulateCommand is what `measure simulate` was asked for.
+type simulateCommand struct {
+	seeds   uint64
+	first   uint64
+	only    string
+	guard   string
+	isDense bool
+	plot    string
+}
+
+const (
+	// simulatedSpares is how many nodes wait outside the view.
+	simulatedSpares = 2
+	// highestLatency bounds a histogram, in microseconds.
+	highestLatency = int64(time.Minute / time.Microsecond)
+	digits         = 3
+)
+
+// simulatedSizes are the numbers of members.
+var simulatedSizes = []int{3, 5}
+
+// tally is what the runs of one scenario came to.
+type tally struct {
+	scenario     simulation.Scenario
+	runs         int
+	failed       int
+	undetermined int
+	changes      int
+	latencies    *hdrhistogram.Histogram
+}
+
+// addSimulate adds the command to the program's.
+func addSimulate(app *kingpin.Application) (*kingpin.CmdClause, *simulateCommand) {
+	command, flags := app.Command("simulate", "Run the control plane's simulation over many seeds."), &simulateCommand{}
+	command.Flag("seeds", "How many seeds to run of each scenario.").Default("100").Uint64Var(&flags.seeds)
+	command.Flag("first", "The first seed.").Default("0").Uint64Var(&flags.first)
+	command.Flag("scenario", "Run only this scenario.").StringVar(&flags.only)
+	command.Flag("without", "Take out this guard.").StringVar(&flags.guard)
+	command.Flag("dense", "Dense load on slow disks; the order of operations is not checked.").BoolVar(&flags.isDense)
+	command.Flag("plot", "Write a plot to this file, .svg or .png.").StringVar(&flags.plot)
+	return command, flags
+}
+
+// simulate runs the seeds, prints the failures first, then the histograms of the
+// virtual time to acknowledge an order.
+func (c simulateCommand) simulate() error {
+	var tallies []*tally
+	failed := 0
+	for _, scenario := range simulation.Scenarios() {
+		if c.only != "" && c.only != string(scenario) {
+			continue
+		}
+		t := c.runAll(scenario)
+		tallies = append(tallies, t)
+		failed += t.failed
+	}
+	fmt.Printf("%d failed\n", failed)
+	for _, t := range tallies {
+		h := t.latencies
+		fmt.Printf("%s: %d runs, %d failed, %d undetermined, %d changes; acknowledged %d, p50 %v p90 %v p99 %v most %v\n",
+			t.scenario, t.runs, t.failed, t.undetermined, t.changes, h.TotalCount(),
+			virtual(h.ValueAtQuantile(50)), virtual(h.ValueAtQuantile(90)), virtual(h.ValueAtQuantile(99)), virtual(h.Max()))
+	}
+	if c.plot != "" {
+		if err := draw(tallies, c.plot); err != nil {
+			return err
+		}
+	}
+	if failed > 0 {
+		return errors.Errorf("%d runs failed", failed)
+	}
+	return nil
+}
+
+func virtual(microseconds int64) time.Duration {
+	return time.Duration(microseconds) * time.Microsecond
+}
+
+func (c simulateCommand) runAll(scenario simulation.Scenario) *tally {
+	t := &tally{scenario: scenario, latencies: hdrhistogram.New(1, highestLatency, digits)}
+	for seed := c.first; seed < c.first+c.seeds; seed++ {
+		for _, members := range simulatedSizes {
+			result := simulation.Run(simulation.Options{
+				Seed: seed, Members: members, Spares: simulatedSpares, Scenario: scenario,
+				IsDense: c.isDense, Without: simulation.Guard(c.guard),
+			})
+			t.add(result)
+		}
+	}
+	return t
+}
+
+func (t *tally) add(result simulation.Result) {
+	t.runs++
+	t.changes += result.Changes
+	if result.Violation != nil {
+		t.failed++
+		fmt.Fprintln(os.Stdout, "FAILED", result.Violation)
+	}
+	if result.IsUndetermined {
+		t.undetermined++
+		fmt.Fprintln(os.Stdout, "UNDETERMINED", result.Options)
+	}
+	for _, latency := range result.Latencies {
+		_ = t.latencies.RecordValue(max(1, min(highestLatency, latency.Microseconds())))
+	}
+}
+
+// draw plots the quantiles of each scenario; the file's ending chooses SVG or PNG.
+func draw(tallies []*tally, path string) error {
+	p := plot.New()
+	p.Title.Text = "Time from an order to its acknowledgement (simulated)"
+	p.X.Label.Text = "milliseconds of virtual time"
+	p.Y.Label.Text = "percent acknowledged"
+	p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{}
+	for at, t := range tallies {
+		var points plotter.XYs
+		for percent := 1.0; percent <= 100; percent++ {
+			milliseconds := float64(t.latencies.ValueAtQuantile(percent)) / 1000
+			points = append(points, plotter.XY{X: max(0.1, milliseconds), Y: percent})
+		}
+		line, err := plotter.NewLine(points)
+		if err != nil {
+			return errors.Trace(err)
+		}
+		line.Color = plotutil.Color(at)
+		p.Add(line)
+		p.Legend.Add(string(t.scenario), line)
+	}
+	return errors.Trace(p.Save(8*vg.Inch, 5*vg.Inch, path))
+}
--- a/internal/control/registry/history_test.go
+++ b/internal/control/registry/history_test.go
@@ -109,7 +109,7 @@
 		page = wiped.PageAfter(page.After(), 1)
 		Expect(page.IsLast).To(BeTrue())
 		assembly.Add(page)
-		changes, _ := wiped.Since(source.Index, 1<<20)
+		changes, _, _ := wiped.Since(source.Index, 1<<20)
 		_, isWhole := assembly.Finish(changes)
 		Expect(isWhole).To(BeFalse())
 	})
--- /dev/null
+++ b/internal/emulator/simulation/proxy.go
@@ -0,0 +1,134 @@
+package simulation
+
+import (
+	"fmt"
+	"time"
+
+	"ploverhitch/internal/idempotency"
+	"ploverhitch/internal/membership"
+	"ploverhitch/internal/timetable"
+)
+
+const (
+	proxyCount   = 2
+	clientsOfOne = 2
+	keyCount     = 16
+	proxyPause   = 900 * time.Millisecond
+	recordSpan   = 250 * time.Millisecond
+)
+
+// proxy asks for votes and runs keyed operations.
+type proxy struct {
+	process
+	attempts int
+}
+
+func (w *world) startProxies() {
+	for number := range proxyCount {
+		p := &proxy{process: process{world: w, name: fmt.Sprint("proxy-", number), life: 1, isUp: true}}
+		w.proxies = append(w.proxies, p)
+		for client := range clientsOfOne {
+			p.spawn(func(t *task) { p.serve(t, operatorCount+number*clientsOfOne+client) })
+		}
+		if w.options.Scenario != Calm {
+			p.freezeNow()
+		}
+	}
+}
+
+// freezeNow freezes the proxy every now and then.
+func (p *proxy) freezeNow() {
+	w := p.world
+	w.after(Time(w.random.Int64N(int64(2*time.Second))), func() {
+		p.isFrozen = true
+		w.after(Time(w.random.Int64N(int64(600*time.Millisecond))), p.thaw)
+		if w.now < faultSpan {
+			p.freezeNow()
+		}
+	})
+}
+
+func (p *proxy) serve(t *task, client int) {
+	w := p.world
+	for w.now < faultSpan {
+		t.sleep(Time(w.random.Int64N(int64(proxyPause))))
+		p.operate(t, client, fmt.Sprint("key-", w.random.IntN(keyCount)))
+	}
+}
+
+// operate takes one inquiry with a key through the vote.
+func (p *proxy) operate(t *task, client int, key string) {
+	w := p.world
+	p.attempts++
+	attempt := fmt.Sprintf("%s/%d", p.name, p.attempts)
+	operation := w.history.begin(client, w.now, keyInput{key, attempt})
+	intent := intentOf(key, attempt, time.UnixMilli(1_700_000_000_000).Add(w.now))
+	view := p.findView(t)
+	round, began := p.vote(t, view, intent)
+	switch round.Standing(timetable.Steady(w.now - began)) {
+	case idempotency.Won:
+		w.checks.ran(key, attempt)
+		p.finish(t, view, intent, operation)
+	case idempotency.Replayable:
+		w.history.end(operation, w.now, keyAnswer{round.Terminal().Reply.Seal})
+		p.release(view, intent)
+	default:
+		w.history.drop(operation)
+		p.release(view, intent)
+	}
+}
+
+func (p *proxy) findView(t *task) (newest membership.View) {
+	views := gather(t, p.world.names, askSpan, struct{}{}, (*member).onView, func(views []membership.View) bool { return len(views) >= 3 })
+	newest = p.world.checks.first
+	for _, view := range views {
+		if view.Epoch > newest.Epoch {
+			newest = view
+		}
+	}
+	return newest
+}
+
+// vote gathers the members' ballots; the round's clock begins at zero.
+func (p *proxy) vote(t *task, view membership.View, intent idempotency.Intent) (round *idempotency.Round, began Time) {
+	w := p.world
+	began = w.now
+	round = idempotency.NewRound(intent.Hash, len(view.Members), 0, timetable.Steady(voteSpan))
+	ballots := gather(t, view.Members, voteSpan, reserveRequest{view.Epoch, intent}, (*member).onReserve, func(ballots []idempotency.Ballot) bool {
+		trial := idempotency.NewRound(intent.Hash, len(view.Members), 0, timetable.Steady(voteSpan))
+		for _, ballot := range ballots {
+			trial.On(&ballot)
+		}
+		return trial.Standing(timetable.Steady(w.now-began)) != idempotency.Undecided
+	})
+	for _, ballot := range ballots {
+		round.On(&ballot)
+	}
+	for range len(view.Members) - len(ballots) {
+		round.On(nil)
+	}
+	return round, began
+}
+
+// finish records the outcome of the run, or dies before, or leaves it open.
+func (p *proxy) finish(t *task, view membership.View, intent idempotency.Intent, operation int) {
+	w := p.world
+	switch w.random.IntN(6) {
+	case 0:
+		return
+	case 1:
+		intent.State = idempotency.TimeoutUnresolved
+	default:
+		intent.State, intent.Reply = idempotency.Completed, &idempotency.Reply{Status: 200, Seal: string(intent.Attempt)}
+		w.history.end(operation, w.now, keyAnswer{string(intent.Attempt)})
+	}
+	gather(t, view.Members, recordSpan, intent, (*member).onRecord, func(done []bool) bool { return len(done) >= view.Majority() })
+}
+
+// release gives the votes back.
+func (p *proxy) release(view membership.View, intent idempotency.Intent) {
+	intent.State = idempotency.Released
+	for _, name := range view.Members {
+		call(&p.process, name, intent, (*member).onRecord, func(bool) {})
+	}
+}
