--- a/internal/control/registry/history_test.go
+++ b/internal/control/registry/history_test.go
@@ -114,3 +114,31 @@
 		Expect(isWhole).To(BeFalse())
 	})
 })
+
+// eager are peers that promise everything and note what is proposed.
+type eager struct{ proposed []registry.Accept }
+
+func (e *eager) Prepare(registry.Prepare) []registry.Promise {
+	return []registry.Promise{{OK: true, Member: "a"}, {OK: true, Member: "b"}}
+}
+
+func (e *eager) Accept(accept registry.Accept) []registry.Acceptance {
+	e.proposed = append(e.proposed, accept)
+	return []registry.Acceptance{{OK: true}, {OK: true}}
+}
+
+var _ = Describe("a round whose proposer learns the change of its number meanwhile", func() {
+	It("proposes nothing for the next number, for which nobody promised", func() {
+		peers, replica := &eager{}, registry.NewReplica()
+		draft := func([]config.Item) (registry.Change, bool) {
+			Expect(submit(replica, itemOf(1, "learned"))).To(Succeed())
+			draft := replica.Draft(acceptAll)
+			Expect(draft.Add([]config.Item{itemOf(2, "ours")})).To(Succeed())
+			return draft.Change()
+		}
+		outcome := registry.Round{Index: 1, Majority: 2, Draft: draft}.Run(peers)
+		Expect(peers.proposed).To(BeEmpty())
+		Expect(outcome.Decided).To(BeNil())
+		Expect(outcome.IsQuiet).To(BeFalse())
+	})
+})
--- a/internal/control/registry/proposer.go
+++ b/internal/control/registry/proposer.go
@@ -77,6 +77,10 @@
 			outcome.IsQuiet = true
 			return outcome
 		}
+		if change.Index != r.Index {
+			// The set moved on meanwhile: nothing was promised for that number.
+			return outcome
+		}
 		accept.Change = change
 	}
 	count := 0
