--- a/internal/control/registry/history_test.go
+++ b/internal/control/registry/history_test.go
@@ -95,3 +95,50 @@
 		Expect(submit(right, inForce)).To(Succeed())
 	})
 })
+
+var _ = Describe("pages of a replica that loses its disk between two of them", func() {
+	It("are never taken for a whole set", func() {
+		source := registry.NewReplica()
+		for _, name := range []string{"a", "b", "c"} {
+			Expect(submit(source, config.Item{ID: config.ID{Class: config.LaneItem, Name: name}, Version: 1})).To(Succeed())
+		}
+		var assembly registry.Assembly
+		page := source.PageAfter(nil, 1)
+		assembly.Add(page)
+		wiped := registry.NewReplica()
+		page = wiped.PageAfter(page.After(), 1)
+		Expect(page.IsLast).To(BeTrue())
+		assembly.Add(page)
+		changes, _, _ := wiped.Since(source.Index, 1<<20)
+		_, isWhole := assembly.Finish(changes)
+		Expect(isWhole).To(BeFalse())
+	})
+})
+
+// eager are peers that promise everything and note what is proposed.
+type eager struct{ proposed []registry.Accept }
+
+func (e *eager) Prepare(registry.Prepare) []registry.Promise {
+	return []registry.Promise{{OK: true, Member: "a"}, {OK: true, Member: "b"}}
+}
+
+func (e *eager) Accept(accept registry.Accept) []registry.Acceptance {
+	e.proposed = append(e.proposed, accept)
+	return []registry.Acceptance{{OK: true}, {OK: true}}
+}
+
+var _ = Describe("a round whose proposer learns the change of its number meanwhile", func() {
+	It("proposes nothing for the next number, for which nobody promised", func() {
+		peers, replica := &eager{}, registry.NewReplica()
+		draft := func([]config.Item) (registry.Change, bool) {
+			Expect(submit(replica, itemOf(1, "learned"))).To(Succeed())
+			draft := replica.Draft(acceptAll)
+			Expect(draft.Add([]config.Item{itemOf(2, "ours")})).To(Succeed())
+			return draft.Change()
+		}
+		outcome := registry.Round{Index: 1, Majority: 2, Draft: draft}.Run(peers)
+		Expect(peers.proposed).To(BeEmpty())
+		Expect(outcome.Decided).To(BeNil())
+		Expect(outcome.IsQuiet).To(BeFalse())
+	})
+})
