--- a/internal/control/settle.go
+++ b/internal/control/settle.go
@@ -21,9 +21,9 @@
 	if first := membership.FirstView(b.seeds()); isEmpty && p.Bootstrap && first.Has(b.self) {
 		b.adopt(first)
 		b.trust()
-		return
 	}
-	began := b.clock.Steady()
+	// since is when this node last may have answered as a trusted member.
+	since := b.clock.Steady()
 	for ctx.Err() == nil {
 		b.findView()
 		view, isTrusted := b.view(), false
@@ -33,14 +33,17 @@
 			b.clock.Sleep(10 * settlePause)
 		case view.Has(b.self):
 			// Twice the span: the round and its messages on their way.
-			if wait := 2*b.set.Load().Tuning.VoteSpan.Std() - time.Duration(b.clock.Steady()-began); wait > 0 {
+			if wait := 2*b.set.Load().Tuning.VoteSpan.Std() - time.Duration(b.clock.Steady()-since); wait > 0 {
 				b.clock.Sleep(wait)
 			}
 			if b.rebuild(view) {
 				b.trust()
 			}
 		case view.Epoch > 0:
-			b.distrust()
+			if isTrusted {
+				b.distrust()
+				since = b.clock.Steady()
+			}
 			for _, member := range view.Members {
 				b.line(member).Send(messages.KindJoin, messages.Join{Address: b.self}, nil)
 			}
