--- a/internal/coupling/coupling_test.go
+++ b/internal/coupling/coupling_test.go
@@ -117,6 +117,27 @@
 		Expect(server.Runs()).To(BeEmpty())
 	})
 
+	It("sends nothing to a server that has left, says so, and keeps the connection", func() {
+		_, _, err := deliver(nil)
+		Expect(err).NotTo(HaveOccurred())
+		hasLeft := func(order *coupling.Order) {
+			order.IsServing = func() bool { return false }
+			order.MaySend = func() bool { defer GinkgoRecover(); Fail("asked though nothing is to be sent"); return true }
+		}
+		_, _, err = deliver(hasLeft)
+		Expect(errors.Is(err, coupling.ErrServerLeft)).To(BeTrue())
+		Expect(errors.Is(err, coupling.ErrNotSent)).To(BeTrue())
+		_, _, err = deliver(nil)
+		Expect(err).NotTo(HaveOccurred())
+		arrivals, conns := server.Counts()
+		Expect([]int{arrivals, conns}).To(Equal([]int{2, 1}))
+		server.Close()
+		rack.Close()
+		_, _, err = deliver(hasLeft)
+		Expect(errors.Is(err, coupling.ErrServerLeft)).To(BeTrue(), "a server that ended in order is no failure")
+		Expect(errors.Is(err, coupling.ErrNotSent)).To(BeTrue())
+	})
+
 	It("tells a server that did not run the inquiry", func() {
 		server.Next(standin.Shed, standin.Misdirect, standin.Fail500)
 		for _, isNotExecuted := range []bool{true, true, false} {
--- a/internal/coupling/hook.go
+++ b/internal/coupling/hook.go
@@ -42,6 +42,8 @@
 const (
 	// ErrNotSent: nothing of the inquiry was sent.
 	ErrNotSent = errors.ConstError("not sent")
+	// ErrServerLeft: the server left between the choice and the first byte.
+	ErrServerLeft = errors.ConstError("the server has left")
 	// ErrUnknown: it was sent, and no reply shows whether it ran.
 	ErrUnknown = errors.ConstError("sent, and the outcome is not known")
 )
--- a/internal/coupling/rack.go
+++ b/internal/coupling/rack.go
@@ -41,14 +41,20 @@
 	// Left, if set, ends when nobody waits for the reply any more: then the
 	// connection is broken, so that the server may stop.
 	Left context.Context
-	// MaySend is asked immediately before the first byte is sent.
+	// IsServing, if set, is asked immediately before the first byte is sent: a
+	// server that has left meanwhile gets nothing.
+	IsServing func() bool
+	// MaySend, if set, is asked immediately before the first byte is sent.
 	MaySend func() bool
 }
 
 const idleLimit = 6
 
+// serverLeft tells whether the server is known to have left.
+func (o Order) serverLeft() bool { return o.IsServing != nil && !o.IsServing() }
+
 // Deliver sends the inquiry to the server and reads its reply. The error is
-// ErrNotSent or ErrUnknown.
+// ErrNotSent, which is also ErrServerLeft where the server has left, or ErrUnknown.
 //
 // Example:
 //
@@ -58,9 +64,16 @@
 	if h == nil {
 		var err error
 		if h, err = dialHook(r.Address, min(order.Connect, time.Until(order.Due)), r.Window); err != nil {
+			if order.serverLeft() {
+				err = errors.WithType(err, ErrServerLeft)
+			}
 			return nil, errors.WithType(err, ErrNotSent)
 		}
 	}
+	if order.serverLeft() {
+		r.push(h)
+		return nil, errors.WithType(errors.WithType(errors.New("no longer serving"), ErrServerLeft), ErrNotSent)
+	}
 	left := time.Until(order.Due)
 	if left <= 0 || order.MaySend != nil && !order.MaySend() {
 		r.push(h)
--- a/internal/points/deliver.go
+++ b/internal/points/deliver.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"math/rand/v2"
-	"net/http"
 	"sync"
 	"time"
 
@@ -127,6 +126,13 @@
 	isRepeatable := d.one.lane.IsRepeatable()
 	kind := derail.Broken
 	switch {
+	case got.err != nil && errors.Is(got.err, coupling.ErrServerLeft):
+		if d.replace() {
+			return nil, nil, false
+		}
+		if d.sent == 0 && d.flying == 0 {
+			kind = derail.NotExecuted
+		}
 	case got.err != nil && errors.Is(got.err, coupling.ErrNotSent):
 		if d.sent--; d.sent == 0 && d.flying == 0 {
 			kind = derail.NotExecuted
@@ -218,7 +224,8 @@
 	}
 	began := d.clock.Steady()
 	reply, err := siding.Rack.Deliver(coupling.Order{
-		Inquiry: d.one.Inquiry, Left: d.breaking(), Due: d.one.due, Last: d.one.due.Add(late), Connect: serverConnect, Buffer: buffer, PassOn: passOn, MaySend: d.one.maySend, In: d.in, Out: d.out,
+		Inquiry: d.one.Inquiry, Left: d.breaking(), Due: d.one.due, Last: d.one.due.Add(late), Connect: serverConnect, Buffer: buffer, PassOn: passOn, In: d.in, Out: d.out,
+		IsServing: func() bool { return d.isServing(siding) }, MaySend: d.one.maySend,
 	})
 	now := d.clock.Steady()
 	took := time.Duration(now - began)
@@ -227,19 +234,8 @@
 		d.testify(siding, mark, reply, err, took, usual)
 		d.strainOf(siding, reply, err, took)
 	}
-	outcome := shunt.Served
-	switch {
-	case d.isBrokenOff(err):
-		outcome = shunt.Unasked
-	case err != nil && errors.Is(err, coupling.ErrNotSent) && errors.Is(err, errors.Timeout):
-		outcome = shunt.Unasked
-	case err != nil:
-		outcome = shunt.Failed
-	case reply.Status == http.StatusMisdirectedRequest:
-		outcome = shunt.Misdirected
-	case reply.IsNotExecuted():
-		outcome = shunt.Full
-	default:
+	outcome := d.outcomeOf(reply, err)
+	if outcome == shunt.Served {
 		d.pace.learn(took, reply.Length)
 	}
 	d.vacate(siding)
--- /dev/null
+++ b/internal/shunt/leaving_test.go
@@ -0,0 +1,38 @@
+package shunt_test
+
+import (
+	"time"
+
+	. "github.com/onsi/ginkgo/v2"
+	. "github.com/onsi/gomega"
+
+	"ploverhitch/internal/feed"
+	"ploverhitch/internal/shunt"
+	"ploverhitch/internal/timetable"
+)
+
+var _ = Describe("a server that is reported to leave", func() {
+	It("is not chosen, on the ring or off it, until the fleet's own word counts again", func() {
+		hand := &timetable.Hand{Now: time.Hour}
+		fleet := feed.Fleet{Term: 1, Count: 1, Servers: []feed.Server{
+			{ID: "a", Service: "s", Cell: "z", Capacity: 2, IsReady: true}, {ID: "b", Service: "s", Cell: "z", Capacity: 2, IsReady: true},
+		}}
+		yard := shunt.NewYard(shunt.Home{Node: "n", Cell: "z"}).Lay(fleet)
+		yard.Leave([]string{"a", "unknown"}, hand.Steady())
+		// What is known of it outlives a reading that still calls it ready.
+		fleet.Count, fleet.Servers[0].Capacity = 2, 3
+		yard = yard.Lay(fleet)
+		chosen := func() map[string]bool {
+			out := map[string]bool{}
+			for place := range 200 {
+				for _, isPlaced := range []bool{false, true} {
+					out[yard.Choose(shunt.Wish{Service: "s", Place: shunt.PlaceOf("k", string(rune(place))), IsPlaced: isPlaced}, hand).ID] = true
+				}
+			}
+			return out
+		}
+		Expect(chosen()).To(Equal(map[string]bool{"b": true}))
+		hand.Sleep(11 * time.Second)
+		Expect(chosen()).To(HaveKey("a"))
+	})
+})
--- a/internal/shunt/siding.go
+++ b/internal/shunt/siding.go
@@ -34,6 +34,8 @@
 	fails atomic.Int64
 	// isGone: another server has the address.
 	isGone atomic.Bool
+	// leaving is until when the server counts as leaving, whatever the fleet says.
+	leaving atomic.Int64
 }
 
 const (
@@ -70,6 +72,13 @@
 	return s.Server == server
 }
 
+// IsLeaving tells whether the server was reported to leave, not long ago.
+//
+// Example:
+//
+//	if siding.IsLeaving(clock.Steady()) { chooseAnother() }
+func (s *Siding) IsLeaving(now timetable.Steady) bool { return int64(now) < s.leaving.Load() }
+
 // Begin notes that an inquiry is on its way to the server.
 //
 // Example:
