--- a/internal/control/duty.go
+++ b/internal/control/duty.go
@@ -102,6 +102,8 @@
 	}
 	b.myTerm.Store(term.Number)
 	b.note("info", "the duty is here", "term", term.Number)
+	// The duty is taken up, and its new term told, now and not a heartbeat later.
+	b.roll.Offer(b.beat)
 }
 
 // onBeat hears a member, and takes from it what is newer: the view, the term,
--- a/internal/control/handlers.go
+++ b/internal/control/handlers.go
@@ -45,6 +45,7 @@
 		messages.KindRenew:    answering(b.onRenew),
 		messages.KindRelease:  answering(b.onRelease),
 		messages.KindContact:  answering(b.onContact),
+		messages.KindLeaving:  answering(b.onLeaving),
 	}
 }
 
--- a/internal/control/platform.go
+++ b/internal/control/platform.go
@@ -18,7 +18,8 @@
 
 // listPoll reads the platform's list again and again while this node holds the
 // duty, and publishes what changed under its term. A holder that cannot read it is
-// unfit for a while, so that the next in the order takes over.
+// unfit for a while, so that the next in the order takes over. While the holder is
+// silent, its watchers read the list too and tell which servers leave.
 type listPoll struct {
 	*box
 	reader   *listReader
@@ -42,14 +43,22 @@
 // turn reads the list once, if it is this node's to read, and tells after how long
 // the next turn is due.
 func (p *listPoll) turn(ctx context.Context) (wait time.Duration) {
-	if !p.isHolder.Load() {
+	isHolder := p.isHolder.Load()
+	if !isHolder {
 		p.failures = 0
-		return readerLook
+		if !p.standsBy() {
+			return readerLook
+		}
 	}
 	began := p.clock.Steady()
 	servers, calls, err := p.reader.read(ctx)
-	if p.took(err); err == nil {
-		p.conductor.loop.Put(func() { p.conductor.list(servers) })
+	switch {
+	case isHolder:
+		if p.took(err); err == nil {
+			p.conductor.loop.Put(func() { p.conductor.list(servers) })
+		}
+	case err == nil:
+		p.tellLeaving(servers)
 	}
 	now, set := p.clock.Steady(), p.set.Load()
 	due := nextReading(began, now, set.Tuning.Poll.Std(), pacing(calls, set.Platform.CloudApi.RatePerS))
--- a/internal/feed/board.go
+++ b/internal/feed/board.go
@@ -4,6 +4,9 @@
 package feed
 
 import (
+	"maps"
+	"slices"
+
 	"github.com/fxamacker/cbor/v2"
 
 	"ploverhitch/internal/config"
@@ -22,6 +25,9 @@
 	IsCheckpoint bool `cbor:"6,keyasint,omitempty"`
 	// IsWhole says that the sender speaks for a majority of the core.
 	IsWhole bool `cbor:"7,keyasint,omitempty"`
+	// Leaving are servers that the platform's list showed leaving, told by whoever
+	// read it; see Board.Leaving.
+	Leaving []string `cbor:"8,keyasint,omitempty"`
 	// packed is the news as a frame carries it, written once for all followers.
 	packed []byte
 }
@@ -63,6 +69,10 @@
 	Fleet   Fleet
 	View    membership.View
 	IsWhole bool
+	// Leaving are the ids of servers that are known to leave while the fleet still
+	// calls them ready. A server that leaves never becomes ready again, so this may
+	// be told under no term, by any node that read the list.
+	Leaving map[string]bool
 }
 
 // NewBoard makes an empty board.
@@ -70,7 +80,7 @@
 // Example:
 //
 //	board := feed.NewBoard()
-func NewBoard() *Board { return &Board{Book: config.Book{}} }
+func NewBoard() *Board { return &Board{Book: config.Book{}, Leaving: map[string]bool{}} }
 
 // Merge takes what is newer in the news and returns just that, and whether
 // there was any.
@@ -88,6 +98,10 @@
 			whole = b.Fleet.With(whole)
 		}
 		b.Fleet, fresh.Fleet, isNew = whole, &whole, true
+		b.forgetLeft()
+	}
+	if fresh.Leaving = b.mergeLeaving(news.Leaving); len(fresh.Leaving) > 0 {
+		isNew = true
 	}
 	if news.View != nil && news.View.Epoch > b.View.Epoch {
 		b.View, fresh.View, isNew = *news.View, news.View, true
@@ -116,5 +130,5 @@
 //	hub := feed.NewHub(board.Checkpoint)
 func (b *Board) Checkpoint() News {
 	fleet, view := b.Fleet, b.View
-	return News{Items: b.Book.Items(), Fleet: &fleet, View: &view, IsCheckpoint: true, IsWhole: b.IsWhole}
+	return News{Items: b.Book.Items(), Fleet: &fleet, View: &view, IsCheckpoint: true, IsWhole: b.IsWhole, Leaving: slices.Sorted(maps.Keys(b.Leaving))}
 }
--- a/internal/messages/telegram.go
+++ b/internal/messages/telegram.go
@@ -46,6 +46,7 @@
 	KindBriefs
 	KindEntries
 	KindLeave
+	KindLeaving
 )
 
 // Reserve asks a core node for its vote, under the view's epoch.
@@ -86,6 +87,12 @@
 	Items []config.Item `cbor:"1,keyasint"`
 }
 
+// Leaving names servers that the platform's list shows leaving. It is told under no
+// term, by a member that reads the list in the stead of a silent holder.
+type Leaving struct {
+	IDs []string `cbor:"1,keyasint"`
+}
+
 // Join says that a node with an empty place waits to become a member.
 type Join struct {
 	Address string `cbor:"1,keyasint"`
--- a/internal/points/front.go
+++ b/internal/points/front.go
@@ -58,3 +58,15 @@
 	}
 	return c.TCPConn.SetReadDeadline(at)
 }
+
+// clientLimits are how long clients may take for a header, and stay idle.
+func (p *proxy) clientLimits() (header, idle time.Duration) {
+	limits := p.sight.Load().sheet.Limits
+	if header = limits.HeaderTimeout.Std(); header == 0 {
+		header = headerSpan
+	}
+	if idle = limits.IdleTimeout.Std(); idle == 0 {
+		idle = idleSpan
+	}
+	return header, idle
+}
--- a/internal/points/points.go
+++ b/internal/points/points.go
@@ -147,18 +147,6 @@
 	return p.leave(server)
 }
 
-// clientLimits are how long clients may take for a header, and stay idle.
-func (p *proxy) clientLimits() (header, idle time.Duration) {
-	limits := p.sight.Load().sheet.Limits
-	if header = limits.HeaderTimeout.Std(); header == 0 {
-		header = headerSpan
-	}
-	if idle = limits.IdleTimeout.Std(); idle == 0 {
-		idle = idleSpan
-	}
-	return header, idle
-}
-
 func newProxy(set *settings.Settings, clock timetable.Clock, note Note) *proxy {
 	p := &proxy{
 		clock: clock, note: note, loop: timetable.NewLoop[feed.News](256), board: feed.NewBoard(),
@@ -180,6 +168,7 @@
 	old := p.sight.Load()
 	next := *old
 	isNew := false
+	var leaving []string
 	for _, news := range batch {
 		if !p.board.Fits(news) {
 			p.follower.Again()
@@ -193,7 +182,9 @@
 			next.take(p.board.Fleet, p.clock.Steady())
 			p.copier.keep(next.servers)
 		}
+		leaving = append(leaving, fresh.Leaving...)
 	}
+	next.yard.Leave(leaving, p.clock.Steady())
 	if !isNew {
 		return
 	}
--- a/internal/points/serving_test.go
+++ b/internal/points/serving_test.go
@@ -108,6 +108,15 @@
 		}
 	}
 
+	It("hears from the news that a server leaves", func() {
+		p.learn([]feed.News{{Fleet: &feed.Fleet{Term: 1, Count: 9, Servers: []feed.Server{listed("x-1"), listed("x-2")}}}})
+		chosen := siding("x-1")
+		Expect(p.isServing(chosen)).To(BeTrue())
+		p.learn([]feed.News{{Leaving: []string{"x-1"}}})
+		Expect(p.isServing(chosen)).To(BeFalse())
+		Expect(p.isServing(siding("x-2"))).To(BeTrue())
+	})
+
 	It("promises that nothing ran where no other server is left", func() {
 		d := begin(config.Idempotent)
 		chosen := siding("x-1")
