--- a/internal/control/list_reader.go
+++ b/internal/control/list_reader.go
@@ -36,10 +36,10 @@
 	pageTries = 3
 	pageSpan  = 800 * time.Millisecond
 	// A call that has not answered after patienceTimes the usual time, and
-	// patienceLeast at least, is given up for the next one; where the platform is
-	// slow for long, that becomes the usual, and no more calls are made than before.
+	// patienceLeast at least, gets another beside it; where the platform is slow for
+	// long, that becomes the usual, and no more calls are made than before.
 	patienceTimes = 6
-	patienceLeast = 120 * time.Millisecond
+	patienceLeast = 250 * time.Millisecond
 	// usualWeight is how much one call weighs in the usual time.
 	usualWeight = 0.1
 )
