--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -15,7 +15,6 @@
 // list takes a reading of the platform's list.
 func (c *conductor) list(servers []feed.Server) {
 	if !c.isMaster() {
-		c.tellLeaving(servers)
 		return
 	}
 	c.listed = feed.Settle(c.listed, servers)
--- a/internal/control/platform.go
+++ b/internal/control/platform.go
@@ -14,6 +14,8 @@
 	// is to.
 	readerLook   = 50 * time.Millisecond
 	restAfterBad = 3 * time.Second
+	// publishPatience is how long a reading may take to show in this node's hub.
+	publishPatience = 100 * time.Millisecond
 )
 
 // listPoll reads the platform's list again and again while this node holds the
@@ -55,7 +57,7 @@
 	switch {
 	case isHolder:
 		if p.took(err); err == nil {
-			p.conductor.loop.Put(func() { p.conductor.list(servers) })
+			p.publish(servers)
 		}
 	case err == nil:
 		p.tellLeaving(servers)
@@ -65,6 +67,15 @@
 	return time.Duration(due - now)
 }
 
+// publish hands a reading to the conductor. What this node's own hub does not show a
+// moment later, as a new holder still reads the trials or a majority is slow, is told
+// beside it: that servers leave needs neither.
+func (p *listPoll) publish(servers []feed.Server) {
+	p.conductor.loop.Put(func() { p.conductor.list(servers) })
+	p.clock.Sleep(publishPatience)
+	p.tellLeaving(servers)
+}
+
 // took counts failures in a row; after some this node is unfit for a while.
 func (p *listPoll) took(err error) {
 	if err == nil {
--- a/internal/control/standby.go
+++ b/internal/control/standby.go
@@ -15,7 +15,7 @@
 	standbyPart = 0.5
 	// standbyLongest bounds it: by then another member has the duty, or this node
 	// does not hear of it.
-	standbyLongest = 10 * time.Second
+	standbyLongest = 4 * time.Second
 )
 
 // standsBy tells whether this node is to read the list in the stead of the holder
--- a/internal/control/standby_test.go
+++ b/internal/control/standby_test.go
@@ -2,6 +2,9 @@
 
 import (
 	"context"
+	"io"
+	"net/http"
+	"net/http/httptest"
 	"time"
 
 	. "github.com/onsi/ginkgo/v2"
@@ -22,6 +25,10 @@
 	fleet := func(count uint64, by string, isReady bool) *feed.Fleet {
 		return &feed.Fleet{Term: 1, Count: count, Holder: by, Servers: []feed.Server{{ID: "a", IsReady: isReady}, {ID: "b", IsReady: true}}}
 	}
+	leaving := func() (out map[string]bool) {
+		b.hub.Read(func(board *feed.Board) { out = board.Leaving })
+		return out
+	}
 	hear := func() { b.onRoll(func() { b.watch.Hear(membership.Beat{From: holder, IsFit: true}) }) }
 
 	BeforeEach(func() {
@@ -65,11 +72,24 @@
 		Expect(b.standsBy()).To(BeFalse())
 	})
 
+	It("is told by a holder whose conductor is held up, and not beside what was published", func() {
+		platform := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+			_, _ = io.WriteString(w, `{"Instances":[{"InstanceId":"a","State":"draining"},{"InstanceId":"b","State":"ready"}],"NextToken":null}`)
+		}))
+		DeferCleanup(platform.Close)
+		// Nobody runs the conductor's loop.
+		b.conductor = newConductor(b)
+		b.isHolder.Store(true)
+		poll := &listPoll{box: b, reader: newListReader(hand, func() string { return platform.Listener.Addr().String() })}
+		poll.turn(context.Background())
+		Expect(leaving()).To(Equal(map[string]bool{"a": true}))
+		b.hub.Publish(feed.News{Fleet: fleet(2, self, false)})
+		Expect(leaving()).To(BeEmpty())
+		poll.turn(context.Background())
+		Expect(leaving()).To(BeEmpty())
+	})
+
 	It("tells this node's followers which servers leave, as another member's does", func() {
-		leaving := func() (out map[string]bool) {
-			b.hub.Read(func(board *feed.Board) { out = board.Leaving })
-			return out
-		}
 		b.tellLeaving([]feed.Server{{ID: "a", IsReady: true}, {ID: "b", IsReady: true}})
 		Expect(leaving()).To(BeEmpty())
 		b.tellLeaving([]feed.Server{{ID: "a"}, {ID: "b", IsReady: true}})
