--- a/cmd/measure/measures.go
+++ b/cmd/measure/measures.go
@@ -28,6 +28,8 @@
 		{"control", "manifest kept, by lanes", lanes, book},
 		{"control", "intents kept for a keyed operation, by operations", []int{2000, 8000, 32000}, intents},
 		{"control", "news written to followers, by followers", []int{100, 400, 1600}, followers},
+		{"control", "order agreed, by members", []int{3, 5, 9}, agree},
+		{"control", "order checked, by routes", lanes, draft},
 		{"holder", "reports heard, by proxies (12 servers each)", []int{100, 400, 1600}, reports},
 		{"holder", "cutoff decided, by proxies", []int{100, 400, 1600}, cutoff},
 	}
