--- a/internal/control/duty.go
+++ b/internal/control/duty.go
@@ -166,18 +166,8 @@
 		return
 	}
 	defer b.isProposing.Store(false)
-	ask := func(motion membership.Motion) (out []membership.Response) {
-		oks := 0
-		askAll(b, view.Members, messages.KindMotion, motion, askSpan, func(_ string, r membership.Response) bool {
-			out = append(out, r)
-			if r.OK {
-				oks++
-			}
-			return oks >= view.Majority()
-		})
-		return out
-	}
 	number := membership.Number{Round: b.round.Add(1), Node: b.proposer}
+	ask := func(motion membership.Motion) []membership.Response { return b.askMotion(view, motion) }
 	decided, highest, isDecided := membership.Propose(view, wanted, number, ask)
 	b.round.Store(max(b.round.Load(), highest.Round))
 	if isDecided {
@@ -186,6 +176,28 @@
 	}
 }
 
+// askMotion asks all members, and returns once a majority has agreed or one shows
+// that the motion is lost. Agreement counts within a vote span only, as a member that
+// lost its disk waits twice that before it takes part again; what stands against the
+// motion is told however late it came.
+func (b *box) askMotion(view membership.View, motion membership.Motion) (out []membership.Response) {
+	count, began, span := 0, b.clock.Steady(), b.set.Load().Tuning.VoteSpan.Std()
+	askAll(b, view.Members, messages.KindMotion, motion, span, func(_ string, response membership.Response) bool {
+		out = append(out, response)
+		if response.OK {
+			count++
+		}
+		return count >= view.Majority() || motion.Number.Below(response.Promised)
+	})
+	if time.Duration(b.clock.Steady()-began) <= span {
+		return out
+	}
+	for i := range out {
+		out[i].OK = false
+	}
+	return out
+}
+
 func (b *box) onJoin(in messages.Join, _ func(messages.Done)) {
 	b.roll.Offer(func() { b.newcomers[in.Address] = b.clock.Steady() })
 }
