--- a/internal/shunt/budget.go
+++ b/internal/shunt/budget.go
@@ -23,7 +23,15 @@
 	steady func() timetable.Steady
 }
 
-const budgetSteps = 20
+const (
+	// ratioPart is the part of the ratio that a node takes. A further try arrives some
+	// hundred milliseconds after it was paid for, so that a window may hold the tries
+	// of more inquiries than it holds inquiries.
+	ratioPart = 0.85
+	// budgetSteps is over how many steps tries and inquiries are counted: a little more
+	// than the window.
+	budgetSteps = 20
+)
 
 const (
 	// slackPart is the part of the common slack that all nodes together may take;
@@ -89,7 +97,7 @@
 	for i := range budgetSteps {
 		asked, spent = asked+b.asked[i], spent+b.spent[i]
 	}
-	if spent+1 > asked*b.ratio+b.floor() {
+	if spent+1 > asked*b.ratio*ratioPart+b.floor() {
 		return false
 	}
 	b.spent[at]++
