--- a/internal/control/registry/registry_test.go
+++ b/internal/control/registry/registry_test.go
@@ -1,6 +1,7 @@
 package registry_test
 
 import (
+	"bytes"
 	"errors"
 	"fmt"
 	"math/rand/v2"
@@ -216,6 +217,16 @@
 })
 
 var _ = Describe("the set of an older build", func() {
+	It("has the present names of the fields that older builds named otherwise", func() {
+		former := route("a", 2, "/x/", "s")
+		present := former
+		former.Body = bytes.ReplaceAll(former.Body, []byte("RouteType"), []byte("LaneType"))
+		plan := config.Item{ID: config.ID{Class: config.PlanItem, Name: "p"}, Version: 1, Body: []byte(`{"Name":"p","Tiers":[{"Lanes":["a"],"Order":1}]}`)}
+		set, _ := registry.Genesis([]config.Item{former, plan})
+		Expect(set.Items[former.ID].Fingerprint()).To(Equal(present.Fingerprint()))
+		Expect(string(set.Items[plan.ID].Body)).To(MatchJSON(`{"Name":"p","Tiers":[{"Routes":["a"],"Order":1}]}`))
+	})
+
 	It("becomes the first change, whole and valid", func() {
 		legacy := []config.Item{service("s", 1), route("a", 2, "/x/", "s"), route("b", 3, "/x/", "s"), route("c", 3, "/c/", "s"), route("c", 1, "/old/", "s")}
 		set, dropped := registry.Genesis(legacy)
--- a/internal/control/registry/replica.go
+++ b/internal/control/registry/replica.go
@@ -180,6 +180,7 @@
 		return
 	}
 	for _, item := range items {
+		item = renamed(item)
 		held, isHeld := r.Items[item.ID]
 		if !isHeld || item.Outranks(held) {
 			r.put(item)
