--- a/internal/control/accepted.go
+++ b/internal/control/accepted.go
@@ -39,9 +39,9 @@
 func decodeItemName(_ context.Context, r *http.Request) (any, error) { return r.PathValue("name"), nil }
 
 // acceptedPoint tells the versions that were accepted of the items of a name.
-func (b *box) acceptedPoint(_ context.Context, request any) (any, error) {
+func (n *node) acceptedPoint(_ context.Context, request any) (any, error) {
 	name, page := request.(string), AcceptedPage{Items: []AcceptedItem{}}
-	b.keeper.read(func(t *tables) {
+	n.store.read(func(t *tables) {
 		page.Index = uint64(t.registry.Index)
 		for class := config.LaneItem; class <= config.MirrorItem; class++ {
 			history := t.registry.Accepted(config.ID{Class: class, Name: name})
--- a/internal/control/ask.go
+++ b/internal/control/ask.go
@@ -12,30 +12,30 @@
 	"ploverhitch/internal/rpc"
 )
 
-func (b *box) line(address string) *rpc.Line {
-	b.lock.Lock()
-	defer b.lock.Unlock()
-	line := b.lines[address]
+func (n *node) line(address string) *rpc.Line {
+	n.lock.Lock()
+	defer n.lock.Unlock()
+	line := n.lines[address]
 	if line == nil {
 		line = rpc.NewLine(address, connectSpan, silenceSpan)
-		b.lines[address] = line
+		n.lines[address] = line
 	}
 	return line
 }
 
 // ask makes a call to a member, which may be this node itself.
-func (b *box) ask(member string, kind rpc.Kind, in, out any, wait time.Duration) error {
-	if member != b.self {
-		return b.line(member).Ask(kind, in, out, wait)
+func (n *node) ask(member string, kind rpc.Kind, in, out any, wait time.Duration) error {
+	if member != n.self {
+		return n.line(member).Ask(kind, in, out, wait)
 	}
-	return b.askSelf(kind, in, out, wait)
+	return n.askSelf(kind, in, out, wait)
 }
 
 // askSelf hands a call to this node's own handler. As on a line, the reply is
 // written while the handler gives it, since its tables change afterwards; one reply
 // counts, and nobody waits for a late or a further one.
-func (b *box) askSelf(kind rpc.Kind, in, out any, wait time.Duration) error {
-	handle, isKnown := b.calls[kind]
+func (n *node) askSelf(kind rpc.Kind, in, out any, wait time.Duration) error {
+	handle, isKnown := n.calls[kind]
 	if !isKnown {
 		return errors.NotImplementedf("call of kind %d", kind)
 	}
@@ -71,7 +71,7 @@
 
 // askAll asks every member at once and gives the replies in the order in which
 // they come, until enough says so or the span ends.
-func askAll[T any](b *box, members []string, kind rpc.Kind, in any, wait time.Duration, isEnough func(member string, reply T) bool) {
+func askAll[T any](n *node, members []string, kind rpc.Kind, in any, wait time.Duration, isEnough func(member string, reply T) bool) {
 	type one struct {
 		member string
 		reply  T
@@ -81,7 +81,7 @@
 	for _, member := range members {
 		go func() {
 			o := one{member: member}
-			o.err = b.ask(member, kind, in, &o.reply, wait)
+			o.err = n.ask(member, kind, in, &o.reply, wait)
 			got <- o
 		}()
 	}
@@ -94,9 +94,9 @@
 
 // isDone asks every member and tells whether a majority of the view says that it
 // is done.
-func (b *box) isDone(view membership.View, kind rpc.Kind, in any, wait time.Duration) bool {
+func (n *node) isDone(view membership.View, kind rpc.Kind, in any, wait time.Duration) bool {
 	count := 0
-	askAll(b, view.Members, kind, in, wait, func(_ string, done messages.Done) bool {
+	askAll(n, view.Members, kind, in, wait, func(_ string, done messages.Done) bool {
 		if done.OK {
 			count++
 		}
@@ -106,17 +106,17 @@
 }
 
 // holder is who holds the duty, as far as this node knows.
-func (b *box) holder() (holder string) {
-	b.keeper.read(func(t *tables) { holder = t.term.Holder })
+func (n *node) holder() (holder string) {
+	n.store.read(func(t *tables) { holder = t.term.Holder })
 	return holder
 }
 
 // order brings an operator's order to the holder of the duty, wherever it came
 // in.
-func (b *box) order(kind rpc.Kind, order any) error {
-	holder := b.holder()
+func (n *node) order(kind rpc.Kind, order any) error {
+	holder := n.holder()
 	var done messages.Ordered
-	if holder == "" || b.ask(holder, kind, order, &done, orderSpan) != nil {
+	if holder == "" || n.ask(holder, kind, order, &done, orderSpan) != nil {
 		return derail.New(derail.Gone, "the holder of the duty")
 	}
 	if done.Kind != derail.None {
--- a/internal/control/ask_test.go
+++ b/internal/control/ask_test.go
@@ -8,8 +8,8 @@
 	"ploverhitch/internal/rpc"
 )
 
-func asking(handle func(rpc.Call)) *box {
-	return &box{self: "self", calls: rpc.Handlers{messages.KindView: handle}}
+func asking(handle func(rpc.Call)) *node {
+	return &node{self: "self", calls: rpc.Handlers{messages.KindView: handle}}
 }
 
 func TestCallToSelfTakesTheReplyAsItWasGiven(t *testing.T) {
--- a/internal/control/attempt.go
+++ b/internal/control/attempt.go
@@ -10,7 +10,7 @@
 
 // attempt is the draft of one round.
 type attempt struct {
-	box       *box
+	node      *node
 	orders    []*order
 	index     registry.Index
 	isDrafted bool
@@ -20,8 +20,8 @@
 // draft lays the orders on the set that the round's change follows. It is called
 // once a majority has promised.
 func (a *attempt) draft(legacy []config.Item) (change registry.Change, isAny bool) {
-	b := a.box
-	b.keeper.read(func(t *tables) {
+	n := a.node
+	n.store.read(func(t *tables) {
 		if t.registry.Next() != a.index {
 			return
 		}
@@ -29,9 +29,9 @@
 		if a.index == 1 {
 			var dropped []string
 			set, dropped = registry.Genesis(legacy)
-			b.noteDropped(dropped)
+			n.noteDropped(dropped)
 		}
-		draft := set.Draft(b.checkOrder)
+		draft := set.Draft(n.checkOrder)
 		for _, o := range a.orders {
 			a.errs = append(a.errs, draft.Add(o.items))
 		}
@@ -44,9 +44,9 @@
 	return change, isAny
 }
 
-func (b *box) noteDropped(names []string) {
+func (n *node) noteDropped(names []string) {
 	for _, name := range names {
-		b.note("warn", "a route of an older build shares host and prefix with another and is dropped", "route", name)
+		n.note("warn", "a route of an older build shares host and prefix with another and is dropped", "route", name)
 	}
 }
 
@@ -70,15 +70,15 @@
 }
 
 // checkOrder checks the set that an order would make, and the order by itself.
-func (b *box) checkOrder(whole config.Book, newer, unseen []config.Item) error {
+func (n *node) checkOrder(whole config.Book, newer, unseen []config.Item) error {
 	if err := whole.Check(); err != nil {
 		return err
 	}
 	if err := whole.CheckRoutes(unseen); err != nil {
 		return err
 	}
-	if err := b.checkSites(whole); err != nil {
+	if err := n.checkSites(whole); err != nil {
 		return err
 	}
-	return whole.CheckOwn(newer, b.clock.Wall())
+	return whole.CheckOwn(newer, n.clock.Wall())
 }
--- a/internal/control/catchup.go
+++ b/internal/control/catchup.go
@@ -23,10 +23,10 @@
 // learn takes decided changes in the order of its calls, and publishes them once
 // they are kept. Then it calls done with whether some do not follow what this node
 // holds.
-func (b *box) learn(changes []registry.Change, done func(isGap bool)) {
+func (n *node) learn(changes []registry.Change, done func(isGap bool)) {
 	var items []config.Item
 	isGap := false
-	b.keeper.put(func(t *tables) (out []record) {
+	n.store.put(func(t *tables) (out []record) {
 		for _, change := range changes {
 			isGap = isGap || change.Index > t.registry.Next()
 			r := record{Change: &change}
@@ -39,16 +39,16 @@
 		return out
 	}, func() {
 		if len(items) > 0 {
-			b.hub.Publish(feed.News{Items: items})
+			n.hub.Publish(feed.News{Items: items})
 		}
 		done(isGap)
 	})
 }
 
 // learnNow is learn; it waits until the changes are kept, or the span ends.
-func (b *box) learnNow(changes []registry.Change) {
+func (n *node) learnNow(changes []registry.Change) {
 	ended := make(chan struct{})
-	b.learn(changes, func(bool) { close(ended) })
+	n.learn(changes, func(bool) { close(ended) })
 	timeout := time.NewTimer(learnSpan)
 	defer timeout.Stop()
 	select {
@@ -59,18 +59,18 @@
 
 // onLearn takes changes before it returns, so that a Prepare for the next one, which
 // comes after them on the same connection, finds them here.
-func (b *box) onLearn(in messages.Learn, _ func(messages.Done)) {
-	b.learn(in.Changes, func(isGap bool) {
+func (n *node) onLearn(in messages.Learn, _ func(messages.Done)) {
+	n.learn(in.Changes, func(isGap bool) {
 		if isGap {
-			go b.registrar.catchUpWith(in.From)
+			go n.registrar.catchUpWith(in.From)
 		}
 	})
 }
 
-func (b *box) onState(in messages.State, answer func(registry.State)) {
+func (n *node) onState(in messages.State, answer func(registry.State)) {
 	var state registry.State
-	b.keeper.put(func(t *tables) []record {
-		if t.view.Epoch != in.Epoch || !t.view.Has(b.self) {
+	n.store.put(func(t *tables) []record {
+		if t.view.Epoch != in.Epoch || !t.view.Has(n.self) {
 			state.View = newerView(t, in.Epoch)
 			return nil
 		}
@@ -80,9 +80,9 @@
 	}, func() { answer(state) })
 }
 
-func (b *box) onCatchUp(in messages.CatchUp, answer func(messages.Missed)) {
+func (n *node) onCatchUp(in messages.CatchUp, answer func(messages.Missed)) {
 	var missed messages.Missed
-	b.keeper.put(func(t *tables) []record {
+	n.store.put(func(t *tables) []record {
 		missed.Index = t.registry.Index
 		if in.IsPages {
 			page := t.registry.PageAfter(in.After, pageBytes)
@@ -100,7 +100,7 @@
 // catchUpWith brings this node's set up to another's; while it does so already,
 // there is nothing to do.
 func (r *registrar) catchUpWith(member string) {
-	if member == "" || member == r.box.self {
+	if member == "" || member == r.node.self {
 		return
 	}
 	select {
@@ -109,44 +109,44 @@
 		return
 	}
 	defer func() { <-r.catching }()
-	if err := r.box.catchUp(member); err != nil {
-		r.box.note("info", "catching up", "with", member, "error", err)
+	if err := r.node.catchUp(member); err != nil {
+		r.node.note("info", "catching up", "with", member, "error", err)
 	}
 }
 
 // catchUp reads what this node lacks from another, as changes or, where that is
 // cheaper or the only way, as the whole set.
-func (b *box) catchUp(member string) error {
+func (n *node) catchUp(member string) error {
 	for range catchUpPages {
 		var from registry.Index
-		b.keeper.read(func(t *tables) { from = t.registry.Index })
+		n.store.read(func(t *tables) { from = t.registry.Index })
 		var missed messages.Missed
-		if err := b.ask(member, messages.KindCatchUp, messages.CatchUp{From: from}, &missed, askSpan); err != nil {
+		if err := n.ask(member, messages.KindCatchUp, messages.CatchUp{From: from}, &missed, askSpan); err != nil {
 			return err
 		}
 		switch {
 		case missed.IsPaged:
-			if err := b.catchUpByPages(member); err != nil {
+			if err := n.catchUpByPages(member); err != nil {
 				return err
 			}
 		case len(missed.Changes) == 0:
 			return nil
 		default:
-			b.learnNow(missed.Changes)
+			n.learnNow(missed.Changes)
 		}
 	}
 	return derail.New(derail.Gone, "the changes come faster than they are read")
 }
 
 // catchUpByPages reads the whole set, and the changes made meanwhile.
-func (b *box) catchUpByPages(member string) error {
+func (n *node) catchUpByPages(member string) error {
 	var assembly registry.Assembly
 	var changes []registry.Change
 	var after *config.ID
 	first := registry.Index(0)
 	for number := range catchUpPages {
 		var missed messages.Missed
-		if err := b.ask(member, messages.KindCatchUp, messages.CatchUp{IsPages: true, After: after}, &missed, askSpan); err != nil {
+		if err := n.ask(member, messages.KindCatchUp, messages.CatchUp{IsPages: true, After: after}, &missed, askSpan); err != nil {
 			return err
 		}
 		if missed.Page == nil {
@@ -161,7 +161,7 @@
 	}
 	for reached := first; ; {
 		var missed messages.Missed
-		if err := b.ask(member, messages.KindCatchUp, messages.CatchUp{From: reached, IsTail: true}, &missed, askSpan); err != nil {
+		if err := n.ask(member, messages.KindCatchUp, messages.CatchUp{From: reached, IsTail: true}, &missed, askSpan); err != nil {
 			return err
 		}
 		if missed.IsPaged || len(missed.Changes) == 0 {
@@ -174,14 +174,14 @@
 	if !isWhole {
 		return derail.New(derail.Gone, "the changes made while the configuration was read")
 	}
-	b.install(set)
+	n.install(set)
 	return nil
 }
 
 // install replaces this node's set, keeps it and publishes it.
-func (b *box) install(set *registry.Set) {
+func (n *node) install(set *registry.Set) {
 	isInstalled := false
-	b.keeper.keep(func(t *tables) (out []record) {
+	n.store.keep(func(t *tables) (out []record) {
 		if isInstalled = t.registry.Install(set); !isInstalled {
 			return nil
 		}
@@ -192,6 +192,6 @@
 		return out
 	}, 10*time.Second)
 	if isInstalled {
-		b.announce()
+		n.announce()
 	}
 }
--- a/internal/control/contact.go
+++ b/internal/control/contact.go
@@ -56,29 +56,29 @@
 	return c.fleet.Outranks(held)
 }
 
-func (b *box) isInContact() bool {
-	age, ok := b.contact.age(b.clock.Steady())
+func (n *node) isInContact() bool {
+	age, ok := n.contact.age(n.clock.Steady())
 	return ok && age <= contactSpan
 }
 
 // isReadyForDuty tells whether this node may hold the duty: it is in contact, and has
 // the fleet that a majority had, with the grants that the next holder goes on from.
-func (b *box) isReadyForDuty(held feed.Reading) bool {
-	if b.holdsLease(b.myTerm.Load()) {
+func (n *node) isReadyForDuty(held feed.Reading) bool {
+	if n.holdsLease(n.myTerm.Load()) {
 		return true
 	}
-	return b.isInContact() && !b.contact.isBehind(held)
+	return n.isInContact() && !n.contact.isBehind(held)
 }
 
 // touch asks the members of the view whether they count in its epoch, unless a
 // majority did within the last heartbeat.
-func (b *box) touch() {
-	if age, ok := b.contact.age(b.clock.Steady()); ok && age < b.set.Load().Tuning.Beat.Std() {
+func (n *node) touch() {
+	if age, ok := n.contact.age(n.clock.Steady()); ok && age < n.set.Load().Tuning.Beat.Std() {
 		return
 	}
-	view, sent, count := b.view(), b.clock.Steady(), 0
+	view, sent, count := n.view(), n.clock.Steady(), 0
 	var newest feed.Reading
-	askAll(b, view.Members, messages.KindContact, messages.Contact{Epoch: view.Epoch}, askSpan, func(_ string, told messages.ContactTold) bool {
+	askAll(n, view.Members, messages.KindContact, messages.Contact{Epoch: view.Epoch}, askSpan, func(_ string, told messages.ContactTold) bool {
 		if !told.OK {
 			return false
 		}
@@ -90,18 +90,18 @@
 	if count == 0 || count < view.Majority() {
 		return
 	}
-	wasInContact := b.isInContact()
-	b.contact.note(sent, newest)
+	wasInContact := n.isInContact()
+	n.contact.note(sent, newest)
 	if !wasInContact {
 		// The others may count on this node again.
-		b.roll.Offer(b.beat)
+		n.memberLoop.Offer(n.beat)
 	}
 }
 
-func (b *box) onContact(in messages.Contact, answer func(messages.ContactTold)) {
+func (n *node) onContact(in messages.Contact, answer func(messages.ContactTold)) {
 	var told messages.ContactTold
-	b.keeper.put(func(t *tables) []record {
-		told.OK, told.Fleet = b.isServing(t, in.Epoch), t.fleet.Reading()
+	n.store.put(func(t *tables) []record {
+		told.OK, told.Fleet = n.isServing(t, in.Epoch), t.fleet.Reading()
 		return nil
 	}, func() { answer(told) })
 }
@@ -109,12 +109,12 @@
 // inContact makes a call that answers from this node's own state fail unless the
 // node reached a majority of its view within the bound, and has the fleet that was
 // known there.
-func (b *box) inContact(point endpoint.Endpoint) endpoint.Endpoint {
+func (n *node) inContact(point endpoint.Endpoint) endpoint.Endpoint {
 	return func(ctx context.Context, request any) (any, error) {
-		if !b.isInContact() {
-			b.touch()
+		if !n.isInContact() {
+			n.touch()
 		}
-		if !b.isInContact() || !b.hasNewest() {
+		if !n.isInContact() || !n.hasNewest() {
 			return nil, derail.New(derail.Gone, "reading this node's state")
 		}
 		return point(ctx, request)
@@ -123,17 +123,17 @@
 
 // hasNewest waits until this node has the fleet that a majority had, and tells
 // whether it has.
-func (b *box) hasNewest() bool {
-	began := b.clock.Steady()
+func (n *node) hasNewest() bool {
+	began := n.clock.Steady()
 	for {
 		var held feed.Reading
-		b.keeper.read(func(t *tables) { held = t.fleet.Reading() })
-		if !b.contact.isBehind(held) {
+		n.store.read(func(t *tables) { held = t.fleet.Reading() })
+		if !n.contact.isBehind(held) {
 			return true
 		}
-		if time.Duration(b.clock.Steady()-began) >= catchUpSpan {
+		if time.Duration(n.clock.Steady()-began) >= catchUpSpan {
 			return false
 		}
-		b.clock.Sleep(catchUpPause)
+		n.clock.Sleep(catchUpPause)
 	}
 }
--- a/internal/control/contact_test.go
+++ b/internal/control/contact_test.go
@@ -22,8 +22,8 @@
 	It("needs a contact with a majority of the view that is no older than the bound; the status needs none", func() {
 		hand := &timetable.Hand{Now: time.Hour}
 		b := newMember(hand, view)
-		go b.roll.Run(GinkgoT().Context(), actAll, 0, nil)
-		go b.conductor.loop.Run(GinkgoT().Context(), actAll, 0, nil)
+		go b.memberLoop.Run(GinkgoT().Context(), actAll, 0, nil)
+		go b.coordinator.loop.Run(GinkgoT().Context(), actAll, 0, nil)
 		get := func(path string) *httptest.ResponseRecorder {
 			out := httptest.NewRecorder()
 			b.control().ServeHTTP(out, httptest.NewRequest(http.MethodGet, path, strings.NewReader("")))
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -25,30 +25,30 @@
 }
 
 // table is the operators' interface, as api/control.yaml lays it down.
-func (b *box) table() map[string]call {
+func (n *node) table() map[string]call {
 	return map[string]call{
-		"POST /v1/config/modify":          {b.modifyPoint, decoding(config.ParseModify)},
-		"GET /v1/config/read":             {b.readPoint, kithttp.NopRequestDecoder},
-		"GET /v1/config/accepted/{name}":  {b.acceptedPoint, decodeItemName},
-		"POST /v1/rollouts/start":         {b.startPoint, decodeRollout},
-		"GET /v1/rollouts/{service}/read": {b.rolloutPoint, decodeSubject},
-		"POST /v1/sites/modify":           {b.modifyPoint, decoding(config.Parser(config.SiteItem))},
-		"GET /v1/sites":                   {b.inContact(b.sitesPoint), kithttp.NopRequestDecoder},
-		"POST /v1/plans/modify":           {b.modifyPoint, decoding(config.Parser(config.PlanItem))},
-		"GET /v1/load":                    {b.inContact(b.loadPoint), kithttp.NopRequestDecoder},
-		"POST /v1/mirrors/modify":         {b.modifyPoint, decoding(config.Parser(config.MirrorItem))},
-		"GET /v1/mirrors":                 {b.inContact(b.mirrorsPoint), kithttp.NopRequestDecoder},
-		"POST /v1/staged/start":           {b.stagePoint, decodeStaged},
-		"GET /v1/staged/{name}/read":      {b.stagedPoint, decodeName},
-		"POST /v1/staged/{name}/halt":     {b.haltPoint, decodeName},
-		"GET /v1/status":                  {b.statusPoint, kithttp.NopRequestDecoder},
-		"GET /v1/fleet":                   {b.inContact(b.fleetPoint), kithttp.NopRequestDecoder},
+		"POST /v1/config/modify":          {n.modifyPoint, decoding(config.ParseModify)},
+		"GET /v1/config/read":             {n.readPoint, kithttp.NopRequestDecoder},
+		"GET /v1/config/accepted/{name}":  {n.acceptedPoint, decodeItemName},
+		"POST /v1/rollouts/start":         {n.startPoint, decodeRollout},
+		"GET /v1/rollouts/{service}/read": {n.rolloutPoint, decodeSubject},
+		"POST /v1/sites/modify":           {n.modifyPoint, decoding(config.Parser(config.SiteItem))},
+		"GET /v1/sites":                   {n.inContact(n.sitesPoint), kithttp.NopRequestDecoder},
+		"POST /v1/plans/modify":           {n.modifyPoint, decoding(config.Parser(config.PlanItem))},
+		"GET /v1/load":                    {n.inContact(n.loadPoint), kithttp.NopRequestDecoder},
+		"POST /v1/mirrors/modify":         {n.modifyPoint, decoding(config.Parser(config.MirrorItem))},
+		"GET /v1/mirrors":                 {n.inContact(n.mirrorsPoint), kithttp.NopRequestDecoder},
+		"POST /v1/staged/start":           {n.stagePoint, decodeStaged},
+		"GET /v1/staged/{name}/read":      {n.stagedPoint, decodeName},
+		"POST /v1/staged/{name}/halt":     {n.haltPoint, decodeName},
+		"GET /v1/status":                  {n.statusPoint, kithttp.NopRequestDecoder},
+		"GET /v1/fleet":                   {n.inContact(n.fleetPoint), kithttp.NopRequestDecoder},
 	}
 }
 
-func (b *box) control() http.Handler {
+func (n *node) control() http.Handler {
 	mux := http.NewServeMux()
-	for pattern, c := range b.table() {
+	for pattern, c := range n.table() {
 		mux.Handle(pattern, kithttp.NewServer(c.point, c.decode, writeJSON, kithttp.ServerErrorEncoder(writeError)))
 	}
 	return mux
@@ -84,12 +84,12 @@
 	return nil
 }
 
-func (b *box) modifyPoint(_ context.Context, request any) (any, error) {
-	return json.RawMessage("{}"), b.modify(request.([]config.Item))
+func (n *node) modifyPoint(_ context.Context, request any) (any, error) {
+	return json.RawMessage("{}"), n.modify(request.([]config.Item))
 }
 
-func (b *box) readPoint(context.Context, any) (any, error) {
-	book, err := b.read()
+func (n *node) readPoint(context.Context, any) (any, error) {
+	book, err := n.read()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -24,7 +24,7 @@
 				written = append(written, method+" "+path)
 			}
 		}
-		for pattern := range (&box{}).table() {
+		for pattern := range (&node{}).table() {
 			handled = append(handled, pattern)
 		}
 		Expect(handled).To(ConsistOf(written))
--- a/internal/control/conductor.go
+++ b/internal/control/coordinator.go
@@ -14,10 +14,10 @@
 	"ploverhitch/internal/trial"
 )
 
-// conductor does what falls to the holder of the duty: it publishes the fleet,
+// coordinator does what falls to the holder of the duty: it publishes the fleet,
 // hears the proxies' reports, and drives the trials. Its loop owns its tables.
-type conductor struct {
-	*box
+type coordinator struct {
+	*node
 	loop  *timetable.Loop[func()]
 	court *hotbox.Court
 	// term is the one for which states were read; 0 while the duty is not here.
@@ -83,20 +83,20 @@
 	proxiesSpan = 5 * time.Second
 )
 
-func newConductor(b *box) *conductor {
-	return &conductor{
-		box: b, loop: timetable.NewLoop[func()](1024), court: hotbox.NewCourt(b.clock),
+func newCoordinator(n *node) *coordinator {
+	return &coordinator{
+		node: n, loop: timetable.NewLoop[func()](1024), court: hotbox.NewCourt(n.clock),
 		states: map[string]trial.State{}, drives: map[string]*drive{}, cells: map[string]string{},
-		copying: map[string]*copying{}, gauge: loadgauge.NewGauge(b.clock, rand.Uint64), repeats: map[string]repeat{},
+		copying: map[string]*copying{}, gauge: loadgauge.NewGauge(n.clock, rand.Uint64), repeats: map[string]repeat{},
 	}
 }
 
-func (c *conductor) run(ctx context.Context) {
+func (c *coordinator) run(ctx context.Context) {
 	c.loop.Run(ctx, actAll, conductPeriod, c.conduct)
 }
 
 // conduct is the alarm.
-func (c *conductor) conduct() {
+func (c *coordinator) conduct() {
 	c.court.Tend()
 	if !c.isMaster() {
 		return
@@ -127,7 +127,7 @@
 // has read, under its term, what a majority keeps. What is known of the term stays
 // while the lease is interrupted: if it becomes valid again under the same term,
 // nobody else held the duty meanwhile.
-func (c *conductor) isMaster() bool {
+func (c *coordinator) isMaster() bool {
 	term := c.myTerm.Load()
 	if !c.isHolder.Load() || term == 0 {
 		c.term = 0
@@ -157,7 +157,7 @@
 	clear(c.copying)
 	c.takeGauge()
 	var held feed.Fleet
-	c.keeper.read(func(t *tables) { held = t.fleet })
+	c.store.read(func(t *tables) { held = t.fleet })
 	if c.last = held; len(c.listed) == 0 {
 		c.listed = held.Servers
 	}
@@ -166,7 +166,7 @@
 
 // write keeps the next state of a subject on a majority, and only then goes by
 // it.
-func (c *conductor) write(state trial.State) error {
+func (c *coordinator) write(state trial.State) error {
 	if !c.holdsLease(c.term) {
 		return derail.New(derail.Gone, "the lease has ended")
 	}
@@ -180,7 +180,7 @@
 }
 
 // drive takes one step of a trial, where the facts come to one.
-func (c *conductor) drive(state trial.State) {
+func (c *coordinator) drive(state trial.State) {
 	d := c.driveOf(state)
 	facts := c.facts(state, d)
 	d.finding = facts.Finding
@@ -200,7 +200,7 @@
 }
 
 // driveOf is what is known of the trial in its present phase and wave.
-func (c *conductor) driveOf(state trial.State) *drive {
+func (c *coordinator) driveOf(state trial.State) *drive {
 	d := c.drives[state.Subject]
 	if d != nil && d.number == state.Number && d.phase == state.Phase && d.wave == state.Wave {
 		return d
@@ -213,7 +213,7 @@
 	return next
 }
 
-func (c *conductor) facts(state trial.State, d *drive) trial.Facts {
+func (c *coordinator) facts(state trial.State, d *drive) trial.Facts {
 	now := c.clock.Steady()
 	facts := trial.Facts{
 		Elapsed: time.Duration(now - c.beganAt(state)), InPhase: time.Duration(now - d.phaseAt),
--- a/internal/control/duty.go
+++ b/internal/control/duty.go
@@ -15,9 +15,9 @@
 	claimPause   = 200 * time.Millisecond
 )
 
-// onRoll runs act in the roster's loop and waits for it.
-func (b *box) onRoll(act func()) {
-	await(b.roll, act)
+// inMemberLoop runs act in the membership loop and waits for it.
+func (n *node) inMemberLoop(act func()) {
+	await(n.memberLoop, act)
 }
 
 // await runs act in a loop of acts and waits for it.
@@ -34,92 +34,92 @@
 	}
 }
 
-// beat is the roster's alarm: tell the watchers, then see whether a duty or the
+// beat is the membership loop's timer: tell the watchers, then see whether a duty or the
 // view has to move. What takes time is done beside the loop.
-func (b *box) beat() {
+func (n *node) beat() {
 	var view membership.View
 	var term membership.Term
 	var index registry.Index
 	var isTrusted bool
-	seen := b.watch.Direct()
+	seen := n.watch.Direct()
 	var held feed.Reading
-	isFit := b.isFit.Load()
+	isFit := n.isFit.Load()
 	first := ""
-	b.keeper.put(func(t *tables) []record {
+	n.store.put(func(t *tables) []record {
 		view, term, index, isTrusted = t.view, t.term, t.registry.Index, t.isTrusted
 		held = t.fleet.Reading()
 		return nil
 	}, func() {
-		isFit = isFit && isTrusted && b.isReadyForDuty(held)
-		mine := membership.Beat{From: b.self, View: view, Term: term, Index: uint64(index), Seen: seen, IsFit: isFit}
-		fleet := b.fleet()
+		isFit = isFit && isTrusted && n.isReadyForDuty(held)
+		mine := membership.Beat{From: n.self, View: view, Term: term, Index: uint64(index), Seen: seen, IsFit: isFit}
+		fleet := n.fleet()
 		mine.FleetTerm, mine.FleetCount = fleet.Term, fleet.Count
-		for _, watcher := range membership.Watchers(view.Members, b.self, watcherCount) {
-			b.line(watcher).Send(messages.KindBeat, mine, nil)
+		for _, watcher := range membership.Watchers(view.Members, n.self, watcherCount) {
+			n.line(watcher).Send(messages.KindBeat, mine, nil)
 		}
-		b.roll.Offer(func() {
-			if !view.Has(b.self) || !isTrusted {
-				b.stepDown()
+		n.memberLoop.Offer(func() {
+			if !view.Has(n.self) || !isTrusted {
+				n.stepDown()
 				return
 			}
-			first = b.watch.First(view, b.self, isFit)
-			b.takeDuty(view, term, first)
-			if b.isHolder.Load() {
-				b.tendView(view)
+			first = n.watch.First(view, n.self, isFit)
+			n.takeDuty(view, term, first)
+			if n.isHolder.Load() {
+				n.tendView(view)
 			}
 		})
 	})
 }
 
-func (b *box) takeDuty(view membership.View, term membership.Term, first string) {
+func (n *node) takeDuty(view membership.View, term membership.Term, first string) {
 	switch {
-	case term.Holder == b.self && term.Number == b.myTerm.Load() && first == b.self:
-		b.isHolder.Store(true)
-		go b.renew(view, term)
-	case first != b.self:
-		b.stepDown()
+	case term.Holder == n.self && term.Number == n.myTerm.Load() && first == n.self:
+		n.isHolder.Store(true)
+		go n.renew(view, term)
+	case first != n.self:
+		n.stepDown()
 	default:
-		b.isHolder.Store(false)
+		n.isHolder.Store(false)
 		// At a start, only the first in the order need not wait until it
 		// could have heard of those before it.
-		if view.Members[0] != b.self && b.clock.Steady()-b.began < timetable.Steady(b.set.Load().Tuning.SilentAfter) {
+		if view.Members[0] != n.self && n.clock.Steady()-n.began < timetable.Steady(n.set.Load().Tuning.SilentAfter) {
 			return
 		}
-		go b.claim(view, membership.Term{Number: term.Number + 1, Holder: b.self})
+		go n.claim(view, membership.Term{Number: term.Number + 1, Holder: n.self})
 	}
 }
 
 // claim asks a majority to fence off every lower term and to grant the duty.
-func (b *box) claim(view membership.View, term membership.Term) {
-	if !b.isClaiming.CompareAndSwap(false, true) {
+func (n *node) claim(view membership.View, term membership.Term) {
+	if !n.isClaiming.CompareAndSwap(false, true) {
 		return
 	}
-	defer b.isClaiming.Store(false)
-	round := b.lease.start(term.Number, view, b.clock.Steady())
-	if !b.askLease(view, messages.KindClaim, messages.Claim{Epoch: view.Epoch, Term: term}, round) {
-		b.clock.Sleep(claimPause)
+	defer n.isClaiming.Store(false)
+	round := n.lease.start(term.Number, view, n.clock.Steady())
+	if !n.askLease(view, messages.KindClaim, messages.Claim{Epoch: view.Epoch, Term: term}, round) {
+		n.clock.Sleep(claimPause)
 		return
 	}
-	b.myTerm.Store(term.Number)
-	b.note("info", "the duty is here", "term", term.Number)
+	n.myTerm.Store(term.Number)
+	n.note("info", "the duty is here", "term", term.Number)
 	// The duty is taken up, and its new term told, now and not a heartbeat later.
-	b.roll.Offer(b.beat)
+	n.memberLoop.Offer(n.beat)
 }
 
 // onBeat hears a member, and takes from it what is newer: the view, the term,
 // and, where its item set is ahead, the changes.
-func (b *box) onBeat(in membership.Beat, _ func(messages.Done)) {
-	b.roll.Offer(func() { b.watch.Hear(in) })
-	b.told.Store(in.From, feed.Reading{Term: in.FleetTerm, Count: in.FleetCount})
+func (n *node) onBeat(in membership.Beat, _ func(messages.Done)) {
+	n.memberLoop.Offer(func() { n.watch.Hear(in) })
+	n.told.Store(in.From, feed.Reading{Term: in.FleetTerm, Count: in.FleetCount})
 	isBehind := false
-	b.keeper.put(func(t *tables) (out []record) {
+	n.store.put(func(t *tables) (out []record) {
 		isBehind = registry.Index(in.Index) > t.registry.Index
 		if in.View.Epoch > t.view.Epoch {
 			view := in.View
 			r := record{View: &view}
 			t.apply(r)
 			out = append(out, r)
-			b.hub.Publish(feed.News{View: &view})
+			n.hub.Publish(feed.News{View: &view})
 		}
 		if in.Term.Number > t.term.Number {
 			term := in.Term
@@ -129,17 +129,17 @@
 		return out
 	}, func() {
 		if isBehind {
-			go b.registrar.catchUpWith(in.From)
+			go n.registrar.catchUpWith(in.From)
 		}
 	})
 }
 
 // tendView gives a member that is lost up for a node that waits, or takes a
 // node in while there are fewer members than the tolerance asks for.
-func (b *box) tendView(view membership.View) {
-	set, now := b.set.Load(), b.clock.Steady()
+func (n *node) tendView(view membership.View) {
+	set, now := n.set.Load(), n.clock.Steady()
 	waiting := ""
-	for address, at := range b.newcomers {
+	for address, at := range n.newcomers {
 		isWaiting := time.Duration(now-at) < set.Tuning.SilentAfter.Std()
 		if isWaiting && !view.Has(address) && (waiting == "" || address < waiting) {
 			waiting = address
@@ -150,29 +150,29 @@
 	}
 	lost, longest := "", set.Tuning.ReplaceAfter.Std()
 	for _, member := range view.Members {
-		silence := b.watch.Silence(member, b.began)
-		if member != b.self && silence > longest {
+		silence := n.watch.Silence(member, n.began)
+		if member != n.self && silence > longest {
 			lost, longest = member, silence
 		}
 	}
 	if lost == "" && len(view.Members) >= 2*set.Platform.FaultTolerance.Machines+1 {
 		return
 	}
-	go b.changeView(view, view.Swap(lost, waiting))
+	go n.changeView(view, view.Swap(lost, waiting))
 }
 
-func (b *box) changeView(view, wanted membership.View) {
-	if !b.isProposing.CompareAndSwap(false, true) {
+func (n *node) changeView(view, wanted membership.View) {
+	if !n.isProposing.CompareAndSwap(false, true) {
 		return
 	}
-	defer b.isProposing.Store(false)
-	number := membership.Number{Round: b.round.Add(1), Node: b.proposer}
-	ask := func(motion membership.Motion) []membership.Response { return b.askMotion(view, motion) }
+	defer n.isProposing.Store(false)
+	number := membership.Number{Round: n.round.Add(1), Node: n.proposer}
+	ask := func(motion membership.Motion) []membership.Response { return n.askMotion(view, motion) }
 	decided, highest, isDecided := membership.Propose(view, wanted, number, ask)
-	b.round.Store(max(b.round.Load(), highest.Round))
+	n.round.Store(max(n.round.Load(), highest.Round))
 	if isDecided {
-		b.note("warn", "the view changed", "epoch", decided.Epoch, "members", decided.Members)
-		b.adopt(decided)
+		n.note("warn", "the view changed", "epoch", decided.Epoch, "members", decided.Members)
+		n.adopt(decided)
 	}
 }
 
@@ -180,16 +180,16 @@
 // that the motion is lost. Agreement counts within a vote span only, as a member that
 // lost its disk waits twice that before it takes part again; what stands against the
 // motion is told however late it came.
-func (b *box) askMotion(view membership.View, motion membership.Motion) (out []membership.Response) {
-	count, began, span := 0, b.clock.Steady(), b.set.Load().Tuning.VoteSpan.Std()
-	askAll(b, view.Members, messages.KindMotion, motion, span, func(_ string, response membership.Response) bool {
+func (n *node) askMotion(view membership.View, motion membership.Motion) (out []membership.Response) {
+	count, began, span := 0, n.clock.Steady(), n.set.Load().Tuning.VoteSpan.Std()
+	askAll(n, view.Members, messages.KindMotion, motion, span, func(_ string, response membership.Response) bool {
 		out = append(out, response)
 		if response.OK {
 			count++
 		}
 		return count >= view.Majority() || motion.Number.Below(response.Promised)
 	})
-	if time.Duration(b.clock.Steady()-began) <= span {
+	if time.Duration(n.clock.Steady()-began) <= span {
 		return out
 	}
 	for i := range out {
@@ -198,6 +198,6 @@
 	return out
 }
 
-func (b *box) onJoin(in messages.Join, _ func(messages.Done)) {
-	b.roll.Offer(func() { b.newcomers[in.Address] = b.clock.Steady() })
+func (n *node) onJoin(in messages.Join, _ func(messages.Done)) {
+	n.memberLoop.Offer(func() { n.newcomers[in.Address] = n.clock.Steady() })
 }
--- a/internal/control/duty_lease.go
+++ b/internal/control/duty_lease.go
@@ -75,81 +75,81 @@
 }
 
 // holdsLease tells whether this node may publish under the term at this moment.
-func (b *box) holdsLease(term uint64) bool {
-	return b.lease.remaining(term, b.clock.Steady()) > 0
+func (n *node) holdsLease(term uint64) bool {
+	return n.lease.remaining(term, n.clock.Steady()) > 0
 }
 
 // renew asks the members for another span of the lease.
-func (b *box) renew(view membership.View, term membership.Term) {
-	round := b.lease.start(term.Number, view, b.clock.Steady())
+func (n *node) renew(view membership.View, term membership.Term) {
+	round := n.lease.start(term.Number, view, n.clock.Steady())
 	if round == 0 {
 		return
 	}
-	b.askLease(view, messages.KindRenew, messages.Renew{Epoch: view.Epoch, Term: term}, round)
+	n.askLease(view, messages.KindRenew, messages.Renew{Epoch: view.Epoch, Term: term}, round)
 }
 
 // askLease asks all members for one round of the lease, and tells whether a
 // majority agreed.
-func (b *box) askLease(view membership.View, kind rpc.Kind, in any, round lease.Round) (isHeld bool) {
-	sent := b.clock.Steady()
-	askAll(b, view.Members, kind, in, askSpan, func(member string, done messages.Done) bool {
-		isHeld = done.OK && b.lease.acknowledge(round, member) || isHeld
+func (n *node) askLease(view membership.View, kind rpc.Kind, in any, round lease.Round) (isHeld bool) {
+	sent := n.clock.Steady()
+	askAll(n, view.Members, kind, in, askSpan, func(member string, done messages.Done) bool {
+		isHeld = done.OK && n.lease.acknowledge(round, member) || isHeld
 		return isHeld
 	})
 	if isHeld {
-		b.contact.note(sent, feed.Reading{})
+		n.contact.note(sent, feed.Reading{})
 	}
 	return isHeld
 }
 
 // stepDown stops holding the duty. The members hear of it, so that the next holder
 // need not wait for the end of the lease.
-func (b *box) stepDown() {
-	b.isHolder.Store(false)
-	if b.myTerm.Swap(0) != 0 {
-		go b.release()
+func (n *node) stepDown() {
+	n.isHolder.Store(false)
+	if n.myTerm.Swap(0) != 0 {
+		go n.release()
 	}
 }
 
 // handOver gives the duty up as the process ends.
-func (b *box) handOver() {
-	b.isFit.Store(false)
-	b.isHolder.Store(false)
-	if b.myTerm.Swap(0) != 0 {
-		b.release()
+func (n *node) handOver() {
+	n.isFit.Store(false)
+	n.isHolder.Store(false)
+	if n.myTerm.Swap(0) != 0 {
+		n.release()
 	}
 }
 
 // release ends the lease here, and only then tells the other members.
-func (b *box) release() {
-	term, members := b.lease.end()
+func (n *node) release() {
+	term, members := n.lease.end()
 	if term == 0 {
 		return
 	}
-	release := messages.Release{Term: membership.Term{Number: term, Holder: b.self}}
+	release := messages.Release{Term: membership.Term{Number: term, Holder: n.self}}
 	var others []string
 	for _, member := range members {
-		if member != b.self {
+		if member != n.self {
 			others = append(others, member)
 		}
 	}
-	askAll(b, others, messages.KindRelease, release, handOverSpan, func(string, messages.Done) bool { return false })
+	askAll(n, others, messages.KindRelease, release, handOverSpan, func(string, messages.Done) bool { return false })
 }
 
 // awaitPromises makes a member that is new in a view wait, as it doesn't know what
 // members of the view before have promised. Before the first view there was none.
-func (b *box) awaitPromises(t *tables) {
+func (n *node) awaitPromises(t *tables) {
 	if t.isTrusted && t.view.Epoch > 1 {
-		t.grantor.Wait(b.clock.Steady())
+		t.grantor.Wait(n.clock.Steady())
 	}
 }
 
 // onClaim grants the duty under a term above every term seen, unless a promise to
 // another holder runs.
-func (b *box) onClaim(in messages.Claim, answer func(messages.Done)) {
+func (n *node) onClaim(in messages.Claim, answer func(messages.Done)) {
 	isGranted := false
-	b.keeper.put(func(t *tables) []record {
-		if !b.isServing(t, in.Epoch) || !t.grantor.Claim(t.term, in.Term, b.clock.Steady()) {
+	n.store.put(func(t *tables) []record {
+		if !n.isServing(t, in.Epoch) || !t.grantor.Claim(t.term, in.Term, n.clock.Steady()) {
 			return nil
 		}
 		isGranted, t.term = true, in.Term
@@ -157,25 +157,25 @@
 	}, func() { answer(messages.Done{OK: isGranted}) })
 }
 
-func (b *box) onRenew(in messages.Renew, answer func(messages.Done)) {
+func (n *node) onRenew(in messages.Renew, answer func(messages.Done)) {
 	isRenewed := false
-	b.keeper.put(func(t *tables) []record {
-		isRenewed = b.isServing(t, in.Epoch) && t.grantor.Renew(t.term, in.Term, b.clock.Steady())
+	n.store.put(func(t *tables) []record {
+		isRenewed = n.isServing(t, in.Epoch) && t.grantor.Renew(t.term, in.Term, n.clock.Steady())
 		return nil
 	}, func() { answer(messages.Done{OK: isRenewed}) })
 }
 
 // onRelease ends the promise to a holder that has stopped, and takes it as unfit
 // until it is heard again, so that the next in the order claims at once.
-func (b *box) onRelease(in messages.Release, answer func(messages.Done)) {
-	b.keeper.put(func(t *tables) []record {
+func (n *node) onRelease(in messages.Release, answer func(messages.Done)) {
+	n.store.put(func(t *tables) []record {
 		t.grantor.Release(t.term, in.Term)
 		return nil
 	}, func() {
 		answer(messages.Done{OK: true})
-		b.roll.Offer(func() {
-			b.watch.Hear(membership.Beat{From: in.Term.Holder})
-			b.beat()
+		n.memberLoop.Offer(func() {
+			n.watch.Hear(membership.Beat{From: in.Term.Holder})
+			n.beat()
 		})
 	})
 }
--- a/internal/control/duty_test.go
+++ b/internal/control/duty_test.go
@@ -22,22 +22,22 @@
 
 // newMember is a trusted member of a view whose other members can't be reached, but
 // for those that answer.
-func newMember(hand *timetable.Hand, view membership.View) *box {
-	b := &box{
+func newMember(hand *timetable.Hand, view membership.View) *node {
+	b := &node{
 		self: "a", clock: hand, hub: feed.NewHub(), note: func(string, string, ...any) {}, lines: map[string]*rpc.Line{},
-		roll: timetable.NewLoop[func()](256), watch: membership.NewWatch(hand, time.Second), lease: newDutyLease(testSpan),
+		memberLoop: timetable.NewLoop[func()](256), watch: membership.NewWatch(hand, time.Second), lease: newDutyLease(testSpan),
 	}
 	b.set.Store(&settings.Settings{Tuning: settings.Defaults()})
 	disk, err := storage.Folder(GinkgoT().TempDir())
 	Expect(err).NotTo(HaveOccurred())
-	b.keeper, err = openKeeper(disk, idempotency.Policy{OpenLimit: 10, KeyWindow: time.Minute}, hand, func(err error) { Expect(err).NotTo(HaveOccurred()) })
+	b.store, err = openStore(disk, idempotency.Policy{OpenLimit: 10, KeyWindow: time.Minute}, hand, func(err error) { Expect(err).NotTo(HaveOccurred()) })
 	Expect(err).NotTo(HaveOccurred())
-	b.keeper.tables.grantor = lease.NewGrantor(testSpan)
+	b.store.tables.grantor = lease.NewGrantor(testSpan)
 	b.calls = b.handlers()
-	b.conductor = newConductor(b)
+	b.coordinator = newCoordinator(b)
 	ctx, cancel := context.WithCancel(context.Background())
 	DeferCleanup(cancel)
-	go b.keeper.run(ctx)
+	go b.store.run(ctx)
 	b.adopt(view)
 	b.trust()
 	return b
@@ -46,7 +46,7 @@
 const testSpan = 900 * time.Millisecond
 
 var _ = Describe("the lease of the duty at a member", func() {
-	var b *box
+	var b *node
 	var hand *timetable.Hand
 	view := membership.View{Epoch: 1, Members: []string{"a", "b", "c"}}
 	termOf := func(holder string, number uint64) membership.Term {
@@ -105,54 +105,54 @@
 			Expect(b.lease.acknowledge(round, "b")).To(BeTrue())
 			b.myTerm.Store(number)
 			b.isHolder.Store(true)
-			b.conductor.term = number
+			b.coordinator.term = number
 		}
-		published := func() []feed.Reading { return []feed.Reading{b.conductor.last.Reading(), b.fleet().Reading()} }
+		published := func() []feed.Reading { return []feed.Reading{b.coordinator.last.Reading(), b.fleet().Reading()} }
 
 		BeforeEach(func() {
 			Expect(claim(1, termOf("a", 1))).To(BeTrue())
 			hold(1)
-			b.conductor.listed = []feed.Server{{ID: "i-1", Service: "fees", IsReady: true}}
+			b.coordinator.listed = []feed.Server{{ID: "i-1", Service: "fees", IsReady: true}}
 		})
 
 		It("lets it publish and write while it is valid", func() {
-			Expect(b.conductor.isMaster()).To(BeTrue())
-			b.conductor.publish()
+			Expect(b.coordinator.isMaster()).To(BeTrue())
+			b.coordinator.publish()
 			Eventually(func() uint64 { return b.fleet().Term }).Should(BeEquivalentTo(1))
 		})
 
 		It("stops all publishing when it ends by the steady clock, though nobody was heard of", func() {
 			hand.Now += testSpan
-			Expect(b.conductor.isMaster()).To(BeFalse())
+			Expect(b.coordinator.isMaster()).To(BeFalse())
 			before := published()
-			b.conductor.publish()
-			b.conductor.list([]feed.Server{{ID: "i-2", Service: "fees", IsReady: true}})
-			b.conductor.tell(feed.Fleet{Term: 1, Count: 9})
+			b.coordinator.publish()
+			b.coordinator.list([]feed.Server{{ID: "i-2", Service: "fees", IsReady: true}})
+			b.coordinator.tell(feed.Fleet{Term: 1, Count: 9})
 			Consistently(func() []feed.Reading { return published() }, "100ms").Should(Equal(before))
-			Expect(b.conductor.write(trial.State{Subject: "fees"})).NotTo(Succeed())
-			Expect(b.conductor.states).To(BeEmpty())
+			Expect(b.coordinator.write(trial.State{Subject: "fees"})).NotTo(Succeed())
+			Expect(b.coordinator.states).To(BeEmpty())
 			var kept int
-			b.keeper.read(func(t *tables) { kept = len(t.trials) })
+			b.store.read(func(t *tables) { kept = len(t.trials) })
 			Expect(kept).To(BeZero(), "a writing was kept after the end of the lease")
 			ordered := make(chan messages.Ordered, 1)
-			b.decide(func(answer messages.Ordered) { ordered <- answer }, func(*conductor) (derail.Kind, string) { panic("decided without a lease") })
-			go b.conductor.run(GinkgoT().Context())
+			b.decide(func(answer messages.Ordered) { ordered <- answer }, func(*coordinator) (derail.Kind, string) { panic("decided without a lease") })
+			go b.coordinator.run(GinkgoT().Context())
 			Eventually(ordered).Should(Receive(HaveField("Kind", derail.Gone)))
 		})
 
 		It("goes on under its term once a majority has renewed it, with what it knew", func() {
 			hand.Now += testSpan
-			Expect(b.conductor.isMaster()).To(BeFalse())
+			Expect(b.coordinator.isMaster()).To(BeFalse())
 			hold(1)
-			Expect(b.conductor.isMaster()).To(BeTrue())
-			Expect(b.conductor.listed).To(HaveLen(1))
+			Expect(b.coordinator.isMaster()).To(BeTrue())
+			Expect(b.coordinator.listed).To(HaveLen(1))
 		})
 
 		It("ends at once when it steps down, and a late round doesn't bring it back", func() {
 			b.stepDown()
 			Eventually(func() bool { return b.holdsLease(1) }).Should(BeFalse())
 			Expect(b.lease.start(1, view, hand.Steady())).To(BeZero())
-			Expect(b.conductor.isMaster()).To(BeFalse())
+			Expect(b.coordinator.isMaster()).To(BeFalse())
 		})
 
 		It("is not changed by a step of the time of day", func() {
@@ -174,13 +174,13 @@
 
 var _ = Describe("the promises of a process that has just started", func() {
 	// granted tells whether a claim of the duty is granted now.
-	granted := func(b *box) bool {
-		return b.keeper.tables.grantor.Claim(membership.Term{Number: 3, Holder: "b"}, membership.Term{Number: 4, Holder: "c"}, b.clock.Steady())
+	granted := func(b *node) bool {
+		return b.store.tables.grantor.Claim(membership.Term{Number: 3, Holder: "b"}, membership.Term{Number: 4, Holder: "c"}, b.clock.Steady())
 	}
-	open := func(hand *timetable.Hand, folder string, isBootstrap bool) *box {
+	open := func(hand *timetable.Hand, folder string, isBootstrap bool) *node {
 		set := &settings.Settings{Tuning: settings.Defaults()}
 		set.Platform.DataDir, set.Platform.Bootstrap = folder, isBootstrap
-		b := &box{self: "a", clock: hand, note: func(string, string, ...any) {}}
+		b := &node{self: "a", clock: hand, note: func(string, string, ...any) {}}
 		Expect(b.open(set)).To(Succeed())
 		return b
 	}
@@ -189,7 +189,7 @@
 		hand, folder := &timetable.Hand{Now: time.Hour}, GinkgoT().TempDir()
 		first := open(hand, folder, true)
 		Expect(granted(first)).To(BeTrue())
-		first.keeper.handle([]command{{act: func(*tables) []record { return []record{{Term: &membership.Term{Number: 4, Holder: "c"}}} }}})
+		first.store.handle([]command{{act: func(*tables) []record { return []record{{Term: &membership.Term{Number: 4, Holder: "c"}}} }}})
 		for _, folder := range []string{folder, GinkgoT().TempDir()} {
 			hand.Now += time.Hour
 			again := open(hand, folder, false)
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -13,7 +13,7 @@
 )
 
 // list takes a reading of the platform's list.
-func (c *conductor) list(servers []feed.Server) {
+func (c *coordinator) list(servers []feed.Server) {
 	if !c.isMaster() {
 		return
 	}
@@ -27,11 +27,11 @@
 	c.publish()
 }
 
-func (c *conductor) isVersioned() bool { return c.set.Load().Platform.Bounds.CanaryShare > 0 }
+func (c *coordinator) isVersioned() bool { return c.set.Load().Platform.Bounds.CanaryShare > 0 }
 
 // settleVersions notes which version is in force where that is not known yet:
 // the one that most of a service's ready servers show.
-func (c *conductor) settleVersions() {
+func (c *coordinator) settleVersions() {
 	if !c.isVersioned() {
 		return
 	}
@@ -61,7 +61,7 @@
 
 // publish lays the fleet as it is to be used, and tells every member that has
 // not confirmed it; while shares are granted, it renews them.
-func (c *conductor) publish() {
+func (c *coordinator) publish() {
 	if !c.holdsLease(c.term) {
 		return
 	}
@@ -95,7 +95,7 @@
 
 // proxies is how many share the servers' connections: those that report, which
 // in this term, and at its beginning by the last holder's word, were never fewer.
-func (c *conductor) proxies() int {
+func (c *coordinator) proxies() int {
 	count := max(len(c.hub.Followers()), c.court.Proxies(proxiesSpan))
 	if c.last.Term == c.term || time.Duration(c.clock.Steady()-c.termAt) < proxiesSpan {
 		count = max(count, c.last.Proxies)
@@ -106,7 +106,7 @@
 // tell brings the reading to every member that has not confirmed it yet, as a
 // change where the member holds one that is still known; no member waits for
 // another.
-func (c *conductor) tell(fleet feed.Fleet) {
+func (c *coordinator) tell(fleet feed.Fleet) {
 	for _, member := range c.view().Members {
 		told, _ := c.told.Load(member)
 		at, isTold := told.(feed.Reading)
@@ -140,7 +140,7 @@
 }
 
 // grade says of each server whether it may get inquiries, and which it shares.
-func (c *conductor) grade(fleet *feed.Fleet) {
+func (c *coordinator) grade(fleet *feed.Fleet) {
 	groups := map[string][]string{}
 	for i, server := range fleet.Servers {
 		state, isKnown := c.states[server.Service]
@@ -181,7 +181,7 @@
 
 // share grants a version on trial its part of the inquiries, at just so many of
 // its servers that each is about as busy as one of the version in force.
-func (c *conductor) share(fleet *feed.Fleet, state trial.State, d *drive) {
+func (c *coordinator) share(fleet *feed.Fleet, state trial.State, d *drive) {
 	inPhase := time.Duration(c.clock.Steady() - d.phaseAt)
 	part := state.Share(c.plan(), trial.Facts{InPhase: inPhase, Finding: d.finding})
 	fleet.Shares = append(fleet.Shares, feed.Share{Service: state.Subject, Number: state.Number, Part: part})
--- a/internal/control/gauge.go
+++ b/internal/control/gauge.go
@@ -12,16 +12,16 @@
 	"ploverhitch/internal/timetable"
 )
 
-func (b *box) isGauging() bool { return b.set.Load().Tuning.Loadgauge == settings.GaugeOn }
+func (n *node) isGauging() bool { return n.set.Load().Tuning.Loadgauge == settings.GaugeOn }
 
 // heldSpan is how fresh the last holder's cutoffs must be to be gone on from.
 const heldSpan = 5 * time.Second
 
 // takeGauge begins to measure under this node's term, from the cutoffs that the
 // last holder told a moment ago.
-func (c *conductor) takeGauge() {
+func (c *coordinator) takeGauge() {
 	c.gauge = loadgauge.NewGauge(c.clock, rand.Uint64)
-	c.keeper.read(func(t *tables) {
+	c.store.read(func(t *tables) {
 		if t.isHeard(c.clock.Steady(), heldSpan) {
 			c.gauge.Hold(t.fleet.Cutoffs)
 		}
@@ -29,12 +29,12 @@
 }
 
 // measure decides on the cutoffs, and tells whether they have changed.
-func (c *conductor) measure() bool {
+func (c *coordinator) measure() bool {
 	return c.isGauging() && c.gauge.Decide(c.strained)
 }
 
 // strained is the part of a service's ready servers that are overloaded.
-func (c *conductor) strained(service string) float64 {
+func (c *coordinator) strained(service string) float64 {
 	var group []string
 	for _, server := range c.listed {
 		if server.Service == service && server.IsReady {
@@ -44,7 +44,7 @@
 	return c.court.Strained(group)
 }
 
-func (c *conductor) cutoffs() []loadgauge.Cutoff {
+func (c *coordinator) cutoffs() []loadgauge.Cutoff {
 	if !c.isGauging() {
 		return nil
 	}
@@ -77,17 +77,17 @@
 	Holder   string              `json:"Holder"`
 }
 
-func (b *box) loadPoint(context.Context, any) (any, error) {
-	c := b.conductor
-	page := LoadPage{Mode: b.set.Load().Tuning.Loadgauge, Order: []loadgauge.Rung{}, Cutoffs: []loadgauge.Cutoff{}, Accounts: []loadgauge.Account{}, Holder: b.holder()}
+func (n *node) loadPoint(context.Context, any) (any, error) {
+	c := n.coordinator
+	page := LoadPage{Mode: n.set.Load().Tuning.Loadgauge, Order: []loadgauge.Rung{}, Cutoffs: []loadgauge.Cutoff{}, Accounts: []loadgauge.Account{}, Holder: n.holder()}
 	await(c.loop, func() {
 		if page.IsHolder = c.isMaster(); page.IsHolder {
 			page.Accounts = append(page.Accounts, c.gauge.Accounts()...)
 		}
 	})
-	b.keeper.read(func(t *tables) {
+	n.store.read(func(t *tables) {
 		page.Order = append(page.Order, t.compiled().Order.Rungs()...)
-		if t.isHeard(b.clock.Steady(), feed.GrantSpan) {
+		if t.isHeard(n.clock.Steady(), feed.GrantSpan) {
 			page.Cutoffs = append(page.Cutoffs, t.fleet.Cutoffs...)
 		}
 	})
--- a/internal/control/handlers.go
+++ b/internal/control/handlers.go
@@ -11,41 +11,41 @@
 	"ploverhitch/internal/rpc"
 )
 
-// handlers is the table from a frame's kind to what the box does with it.
-func (b *box) handlers() rpc.Handlers {
+// handlers is the table from a frame's kind to what the node does with it.
+func (n *node) handlers() rpc.Handlers {
 	return rpc.Handlers{
-		feed.KindFollow:       b.hub.Handle,
-		messages.KindReserve:  answering(b.onReserve),
-		messages.KindRecord:   answering(b.onRecord),
-		messages.KindLookup:   answering(b.onLookup),
-		messages.KindPrepare:  answering(b.onPrepare),
-		messages.KindAccept:   answering(b.onAccept),
-		messages.KindLearn:    answering(b.onLearn),
-		messages.KindState:    answering(b.onState),
-		messages.KindCatchUp:  answering(b.onCatchUp),
-		messages.KindPropose:  answering(b.onPropose),
-		messages.KindOffer:    answering(b.onOffer),
-		messages.KindMotion:   answering(b.onMotion),
-		messages.KindBeat:     answering(b.onBeat),
-		messages.KindClaim:    answering(b.onClaim),
-		messages.KindFleet:    answering(b.onFleet),
-		messages.KindDump:     answering(b.onDump),
-		messages.KindDigests:  answering(b.onDigests),
-		messages.KindBriefs:   answering(b.onBriefs),
-		messages.KindEntries:  answering(b.onEntries),
-		messages.KindLeave:    answering(b.onLeave),
-		messages.KindView:     answering(b.onView),
-		messages.KindJoin:     answering(b.onJoin),
-		messages.KindTrial:    answering(b.onTrial),
-		messages.KindTrials:   answering(b.onTrials),
-		messages.KindOrder:    answering(b.onOrder),
-		messages.KindReport:   answering(b.onReport),
-		messages.KindStage:    answering(b.onStage),
-		messages.KindEvidence: answering(b.onEvidence),
-		messages.KindRenew:    answering(b.onRenew),
-		messages.KindRelease:  answering(b.onRelease),
-		messages.KindContact:  answering(b.onContact),
-		messages.KindLeaving:  answering(b.onLeaving),
+		feed.KindFollow:       n.hub.Handle,
+		messages.KindReserve:  answering(n.onReserve),
+		messages.KindRecord:   answering(n.onRecord),
+		messages.KindLookup:   answering(n.onLookup),
+		messages.KindPrepare:  answering(n.onPrepare),
+		messages.KindAccept:   answering(n.onAccept),
+		messages.KindLearn:    answering(n.onLearn),
+		messages.KindState:    answering(n.onState),
+		messages.KindCatchUp:  answering(n.onCatchUp),
+		messages.KindPropose:  answering(n.onPropose),
+		messages.KindOffer:    answering(n.onOffer),
+		messages.KindMotion:   answering(n.onMotion),
+		messages.KindBeat:     answering(n.onBeat),
+		messages.KindClaim:    answering(n.onClaim),
+		messages.KindFleet:    answering(n.onFleet),
+		messages.KindDump:     answering(n.onDump),
+		messages.KindDigests:  answering(n.onDigests),
+		messages.KindBriefs:   answering(n.onBriefs),
+		messages.KindEntries:  answering(n.onEntries),
+		messages.KindLeave:    answering(n.onLeave),
+		messages.KindView:     answering(n.onView),
+		messages.KindJoin:     answering(n.onJoin),
+		messages.KindTrial:    answering(n.onTrial),
+		messages.KindTrials:   answering(n.onTrials),
+		messages.KindOrder:    answering(n.onOrder),
+		messages.KindReport:   answering(n.onReport),
+		messages.KindStage:    answering(n.onStage),
+		messages.KindEvidence: answering(n.onEvidence),
+		messages.KindRenew:    answering(n.onRenew),
+		messages.KindRelease:  answering(n.onRelease),
+		messages.KindContact:  answering(n.onContact),
+		messages.KindLeaving:  answering(n.onLeaving),
 	}
 }
 
@@ -61,10 +61,10 @@
 	}
 }
 
-func (b *box) onReserve(in messages.Reserve, answer func(messages.Vote)) {
+func (n *node) onReserve(in messages.Reserve, answer func(messages.Vote)) {
 	var vote messages.Vote
-	b.keeper.put(func(t *tables) []record {
-		if !t.isTrusted || in.Epoch != t.view.Epoch || !t.view.Has(b.self) {
+	n.store.put(func(t *tables) []record {
+		if !t.isTrusted || in.Epoch != t.view.Epoch || !t.view.Has(n.self) {
 			vote.Ballot.Verdict = idempotency.Refused
 			if t.view.Epoch > in.Epoch {
 				view := t.view
@@ -72,7 +72,7 @@
 			}
 			return nil
 		}
-		if t.sheds(in.Intent, b.clock.Steady()) {
+		if t.sheds(in.Intent, n.clock.Steady()) {
 			vote.Ballot.Verdict = idempotency.Shed
 			return nil
 		}
@@ -84,9 +84,9 @@
 	}, func() { answer(vote) })
 }
 
-func (b *box) onRecord(in messages.Record, answer func(messages.Done)) {
+func (n *node) onRecord(in messages.Record, answer func(messages.Done)) {
 	isTaken := false
-	b.keeper.put(func(t *tables) []record {
+	n.store.put(func(t *tables) []record {
 		entry, err := t.voter.Record(in.Intent)
 		isTaken = err == nil
 		if entry == nil || err != nil {
@@ -96,17 +96,17 @@
 	}, func() { answer(messages.Done{OK: isTaken}) })
 }
 
-func (b *box) onLookup(in messages.Lookup, answer func(messages.Found)) {
+func (n *node) onLookup(in messages.Lookup, answer func(messages.Found)) {
 	var found messages.Found
-	b.keeper.put(func(t *tables) []record {
+	n.store.put(func(t *tables) []record {
 		found.Intent = t.voter.Find(in.Key)
 		return nil
 	}, func() { answer(found) })
 }
 
-func (b *box) onMotion(in membership.Motion, answer func(membership.Response)) {
+func (n *node) onMotion(in membership.Motion, answer func(membership.Response)) {
 	var response membership.Response
-	b.keeper.put(func(t *tables) []record {
+	n.store.put(func(t *tables) []record {
 		if !t.isTrusted {
 			response = membership.Response{View: t.view}
 			return nil
@@ -120,9 +120,9 @@
 	}, func() { answer(response) })
 }
 
-func (b *box) onFleet(in feed.Fleet, answer func(messages.Done)) {
+func (n *node) onFleet(in feed.Fleet, answer func(messages.Done)) {
 	isFresh := false
-	b.keeper.put(func(t *tables) []record {
+	n.store.put(func(t *tables) []record {
 		if isFresh = in.Term >= t.term.Number; !isFresh || !in.Reading().Outranks(t.fleet.Reading()) {
 			return nil
 		}
@@ -134,22 +134,22 @@
 			in = t.fleet.With(in)
 		}
 		isKept := feed.IsKeptAs(in.Servers, t.fleet.Servers)
-		if t.fleet, t.fleetAt = in, b.clock.Steady(); isKept {
+		if t.fleet, t.fleetAt = in, n.clock.Steady(); isKept {
 			return nil
 		}
 		return []record{{Fleet: &in}}
 	}, func() {
 		if isFresh {
-			b.hub.Publish(feed.News{Fleet: &in})
+			n.hub.Publish(feed.News{Fleet: &in})
 		}
 		answer(messages.Done{OK: isFresh})
 	})
 }
 
 // onDump answers with all that this member keeps beside the intents.
-func (b *box) onDump(in messages.Dump, answer func(messages.Page)) {
+func (n *node) onDump(in messages.Dump, answer func(messages.Page)) {
 	var page messages.Page
-	b.keeper.put(func(t *tables) []record {
+	n.store.put(func(t *tables) []record {
 		if t.view.Epoch < in.Epoch {
 			return nil
 		}
@@ -161,7 +161,7 @@
 	}, func() { answer(page) })
 }
 
-func (b *box) onView(_ struct{}, answer func(membership.View)) {
+func (n *node) onView(_ struct{}, answer func(membership.View)) {
 	var view membership.View
-	b.keeper.put(func(t *tables) []record { view = t.view; return nil }, func() { answer(view) })
+	n.store.put(func(t *tables) []record { view = t.view; return nil }, func() { answer(view) })
 }
--- a/internal/control/leave.go
+++ b/internal/control/leave.go
@@ -19,18 +19,18 @@
 // leave is what a member does before it ends in order, once it has given the duty
 // away: it has the others copy the outcomes that they lack, so that it is the only
 // holder of none. Whether it comes back, nobody tells it.
-func (b *box) leave() {
-	view := b.view()
-	if !view.Has(b.self) {
+func (n *node) leave() {
+	view := n.view()
+	if !view.Has(n.self) {
 		return
 	}
 	var all sync.WaitGroup
-	for _, member := range view.Others(b.self) {
+	for _, member := range view.Others(n.self) {
 		all.Go(func() {
 			var done messages.Done
-			err := b.line(member).Ask(messages.KindLeave, messages.Leave{Epoch: view.Epoch, Address: b.self}, &done, handOverLongest)
+			err := n.line(member).Ask(messages.KindLeave, messages.Leave{Epoch: view.Epoch, Address: n.self}, &done, handOverLongest)
 			if err != nil || !done.OK {
-				b.note("info", "leaving, and a member has not copied what it lacks", "member", member, "error", err)
+				n.note("info", "leaving, and a member has not copied what it lacks", "member", member, "error", err)
 			}
 		})
 	}
@@ -45,9 +45,9 @@
 }
 
 // onLeave copies what this member lacks of one that is about to end.
-func (b *box) onLeave(in messages.Leave, answer func(messages.Done)) {
+func (n *node) onLeave(in messages.Leave, answer func(messages.Done)) {
 	go func() {
-		_, err := b.copyIntents(in.Address, in.Epoch, copyMode{scope: idempotency.Outcomes})
+		_, err := n.copyIntents(in.Address, in.Epoch, copyMode{scope: idempotency.Outcomes})
 		answer(messages.Done{OK: err == nil})
 	}()
 }
--- a/internal/control/legacy_test.go
+++ b/internal/control/legacy_test.go
@@ -27,7 +27,7 @@
 				said <- text
 			}
 		}
-		b.keeper.keep(func(t *tables) []record {
+		b.store.keep(func(t *tables) []record {
 			r := record{Items: []config.Item{service, route("left", 1), route("right", 2)}}
 			t.apply(r)
 			return []record{r}
@@ -41,7 +41,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(index).To(BeEquivalentTo(1))
 		Expect(said).To(Receive(ContainSubstring("shares host and prefix with another and is dropped")))
-		b.keeper.read(func(t *tables) {
+		b.store.read(func(t *tables) {
 			Expect(t.registry.Index).To(BeEquivalentTo(1))
 			Expect(t.book().Check()).To(Succeed())
 			Expect(t.book()[route("left", 1).ID].Dropped).To(BeTrue())
--- a/internal/control/member_test.go
+++ b/internal/control/member_test.go
@@ -22,22 +22,22 @@
 )
 
 var _ = Describe("what a member of the core refuses", func() {
-	var b *box
+	var b *node
 	var hand *timetable.Hand
 	const promised = 900 * time.Millisecond
 	view := membership.View{Epoch: 3, Members: []string{"a", "b", "c"}}
 
 	BeforeEach(func() {
 		hand = &timetable.Hand{Now: time.Hour}
-		b = &box{self: "a", clock: hand, hub: feed.NewHub(), note: func(string, string, ...any) {}}
+		b = &node{self: "a", clock: hand, hub: feed.NewHub(), note: func(string, string, ...any) {}}
 		disk, err := storage.Folder(GinkgoT().TempDir())
 		Expect(err).NotTo(HaveOccurred())
-		b.keeper, err = openKeeper(disk, idempotency.Policy{OpenLimit: 10, KeyWindow: time.Minute}, hand, func(err error) { Expect(err).NotTo(HaveOccurred()) })
+		b.store, err = openStore(disk, idempotency.Policy{OpenLimit: 10, KeyWindow: time.Minute}, hand, func(err error) { Expect(err).NotTo(HaveOccurred()) })
 		Expect(err).NotTo(HaveOccurred())
 		ctx, cancel := context.WithCancel(context.Background())
 		DeferCleanup(cancel)
-		b.keeper.tables.grantor = lease.NewGrantor(promised)
-		go b.keeper.run(ctx)
+		b.store.tables.grantor = lease.NewGrantor(promised)
+		go b.store.run(ctx)
 		b.adopt(view)
 	})
 
@@ -107,7 +107,7 @@
 		Expect(vote(3, "new")).To(Equal(idempotency.Shed))
 		Expect(vote(3, "old")).To(Equal(idempotency.Granted), "the attempt's own vote stands")
 		var held *idempotency.Intent
-		b.keeper.read(func(t *tables) { held = t.voter.Find(idempotency.Key{Tenant: "h", Key: "new"}) })
+		b.store.read(func(t *tables) { held = t.voter.Find(idempotency.Key{Tenant: "h", Key: "new"}) })
 		Expect(held).To(BeNil(), "a refusal keeps nothing")
 		hand.Now += feed.GrantSpan + time.Millisecond
 		Expect(vote(3, "new")).To(Equal(idempotency.Granted))
--- a/internal/control/mirrors.go
+++ b/internal/control/mirrors.go
@@ -36,11 +36,11 @@
 
 // mirrors are the grants of the mirrors in force. An era ends when a node comes,
 // goes or starts anew, as what it saw of a conversation is known to nobody then.
-func (c *conductor) mirrors() (out []loopline.Grant) {
+func (c *coordinator) mirrors() (out []loopline.Grant) {
 	var mirrors []loopline.Mirror
 	var versions []config.Version
 	var sheet *config.Sheet
-	c.keeper.read(func(t *tables) {
+	c.store.read(func(t *tables) {
 		if mirrors, versions = t.mirrorsNow(); len(mirrors) > 0 {
 			sheet = t.compiled()
 		}
@@ -67,7 +67,7 @@
 	return out
 }
 
-func (c *conductor) grantOf(m loopline.Mirror, version, lives uint64) loopline.Grant {
+func (c *coordinator) grantOf(m loopline.Mirror, version, lives uint64) loopline.Grant {
 	held := c.copying[m.Name]
 	if held == nil || held.grant.Version != version {
 		held = &copying{grant: loopline.Grant{Name: m.Name, Version: version, Share: m.Share}}
@@ -91,7 +91,7 @@
 }
 
 // hearCopies sums what the nodes told of their copies.
-func (c *conductor) hearCopies(tallies []loopline.Tally) {
+func (c *coordinator) hearCopies(tallies []loopline.Tally) {
 	for _, tally := range tallies {
 		if held := c.copying[tally.Name]; held != nil {
 			held.copied += tally.Copied
@@ -106,16 +106,16 @@
 	Grants  []loopline.Grant  `json:"Grants"`
 }
 
-func (b *box) mirrorsPoint(context.Context, any) (any, error) {
+func (n *node) mirrorsPoint(context.Context, any) (any, error) {
 	page := MirrorPage{Mirrors: []loopline.Mirror{}, Grants: []loopline.Grant{}}
-	book, err := b.read()
+	book, err := n.read()
 	if err != nil {
 		return nil, err
 	}
 	mirrors, _ := book.Mirrors()
 	page.Mirrors = append(page.Mirrors, mirrors...)
-	b.keeper.read(func(t *tables) {
-		if t.isHeard(b.clock.Steady(), feed.GrantSpan) {
+	n.store.read(func(t *tables) {
+		if t.isHeard(n.clock.Steady(), feed.GrantSpan) {
 			page.Grants = append(page.Grants, t.fleet.Mirrors...)
 		}
 	})
--- a/internal/control/modify.go
+++ b/internal/control/modify.go
@@ -19,19 +19,19 @@
 
 // modify takes an operator's call: it is acknowledged once a majority has
 // accepted the change that holds it, or has shown that it holds already.
-func (b *box) modify(items []config.Item) error {
-	_, err := b.commit(items)
+func (n *node) modify(items []config.Item) error {
+	_, err := n.commit(items)
 	return err
 }
 
 // commit is modify; it also tells the index of the set in which the order holds.
-func (b *box) commit(items []config.Item) (registry.Index, error) {
-	for _, member := range b.proposers() {
-		if member == b.self {
-			return b.registrar.submit(items)
+func (n *node) commit(items []config.Item) (registry.Index, error) {
+	for _, member := range n.proposers() {
+		if member == n.self {
+			return n.registrar.submit(items)
 		}
 		var done messages.Ordered
-		if b.ask(member, messages.KindPropose, messages.Propose{Items: items}, &done, forwardSpan) != nil {
+		if n.ask(member, messages.KindPropose, messages.Propose{Items: items}, &done, forwardSpan) != nil {
 			continue
 		}
 		if done.Kind != derail.Gone {
@@ -51,19 +51,19 @@
 // proposers are the members to offer an order to, in turn: the live holder of the
 // duty first, as proposals from one node don't compete; then this node, if it is
 // a member, and else the others.
-func (b *box) proposers() (out []string) {
+func (n *node) proposers() (out []string) {
 	view, holder, isServing := membership.View{}, "", false
-	b.keeper.read(func(t *tables) { view, holder, isServing = t.view, t.term.Holder, b.isServing(t, t.view.Epoch) })
+	n.store.read(func(t *tables) { view, holder, isServing = t.view, t.term.Holder, n.isServing(t, t.view.Epoch) })
 	isLive := false
-	b.onRoll(func() { isLive = b.watch.IsLive(holder) })
-	if holder != b.self && view.Has(holder) && (isLive || !isServing) {
+	n.inMemberLoop(func() { isLive = n.watch.IsLive(holder) })
+	if holder != n.self && view.Has(holder) && (isLive || !isServing) {
 		out = append(out, holder)
 	}
 	if isServing {
-		return append(out, b.self)
+		return append(out, n.self)
 	}
-	for _, member := range membership.Followed(view.Members, b.self) {
-		if member != holder && member != b.self {
+	for _, member := range membership.Followed(view.Members, n.self) {
+		if member != holder && member != n.self {
 			out = append(out, member)
 		}
 	}
--- a/internal/control/box.go
+++ b/internal/control/node.go
@@ -27,26 +27,26 @@
 	keepSpan    = 450 * time.Millisecond
 )
 
-// box is one control process.
-type box struct {
-	set    atomic.Pointer[settings.Settings]
-	self   string
-	clock  timetable.Clock
-	note   func(level, text string, pairs ...any)
-	keeper *keeper
-	hub    *feed.Hub
-	calls  rpc.Handlers
+// node is one control process.
+type node struct {
+	set   atomic.Pointer[settings.Settings]
+	self  string
+	clock timetable.Clock
+	note  func(level, text string, pairs ...any)
+	store *store
+	hub   *feed.Hub
+	calls rpc.Handlers
 
 	lock  sync.Mutex
 	lines map[string]*rpc.Line
 
-	// watch and newcomers belong to the roster's loop.
-	watch     *membership.Watch
-	roll      *timetable.Loop[func()]
-	newcomers map[string]timetable.Steady
-	began     timetable.Steady
-	isFit     atomic.Bool
-	isHolder  atomic.Bool
+	// watch and newcomers belong to the membership loop.
+	watch      *membership.Watch
+	memberLoop *timetable.Loop[func()]
+	newcomers  map[string]timetable.Steady
+	began      timetable.Steady
+	isFit      atomic.Bool
+	isHolder   atomic.Bool
 	// myTerm is the term that this life of the process claimed.
 	myTerm      atomic.Uint64
 	isClaiming  atomic.Bool
@@ -57,8 +57,8 @@
 	isTakingOffer atomic.Bool
 	round         atomic.Uint64
 	// heard is when each trial began.
-	heard     sync.Map
-	conductor *conductor
+	heard       sync.Map
+	coordinator *coordinator
 	// told is which reading of the fleet each member is known to have.
 	told sync.Map
 	// telling marks the members that a reading is on its way to.
@@ -82,22 +82,22 @@
 	terminated := ctx.Done()
 	ctx, end := context.WithCancel(context.WithoutCancel(ctx))
 	defer end()
-	b := &box{
+	n := &node{
 		self: set.InternalAddress(set.Platform.Ip, 0), clock: timetable.Real(), note: note, hub: feed.NewHub(),
-		lines: map[string]*rpc.Line{}, roll: timetable.NewLoop[func()](256), newcomers: map[string]timetable.Steady{},
+		lines: map[string]*rpc.Line{}, memberLoop: timetable.NewLoop[func()](256), newcomers: map[string]timetable.Steady{},
 	}
-	b.set.Store(set)
-	b.proposer = ballotName(b.self)
-	b.began = b.clock.Steady()
-	b.watch = membership.NewWatch(b.clock, set.Tuning.SilentAfter.Std())
-	b.lease = newDutyLease(leaseSpan(set.Tuning))
-	if err := b.open(set); err != nil {
+	n.set.Store(set)
+	n.proposer = ballotName(n.self)
+	n.began = n.clock.Steady()
+	n.watch = membership.NewWatch(n.clock, set.Tuning.SilentAfter.Std())
+	n.lease = newDutyLease(leaseSpan(set.Tuning))
+	if err := n.open(set); err != nil {
 		return err
 	}
-	b.registrar = newRegistrar(b)
-	b.conductor = newConductor(b)
-	b.calls = b.handlers()
-	inner, err := net.Listen("tcp4", b.self)
+	n.registrar = newRegistrar(n)
+	n.coordinator = newCoordinator(n)
+	n.calls = n.handlers()
+	inner, err := net.Listen("tcp4", n.self)
 	if err != nil {
 		return errors.Annotate(err, "internal port")
 	}
@@ -106,22 +106,22 @@
 	if err != nil {
 		return errors.Annotate(err, "control plane")
 	}
-	go settings.Watch(ctx, path, func(changed *settings.Settings) { b.set.Store(changed) }, func(err error) { note("warn", "settings", "error", err) })
-	go b.keeper.run(ctx)
-	b.announce()
-	go rpc.Serve(inner, b.calls, silenceSpan)
-	go timetable.Every(ctx, set.Tuning.Beat.Std()/touchesPerBeat, b.touch)
-	go b.roll.Run(ctx, actAll, set.Tuning.Beat.Std(), b.beat)
-	go b.settle(ctx)
-	go b.registrar.run(ctx)
-	go b.replicate(ctx)
-	go b.conductor.run(ctx)
-	go b.pollPlatform(ctx)
-	server := &http.Server{Handler: b.control(), ReadHeaderTimeout: 5 * time.Second, IdleTimeout: 30 * time.Second}
+	go settings.Watch(ctx, path, func(changed *settings.Settings) { n.set.Store(changed) }, func(err error) { note("warn", "settings", "error", err) })
+	go n.store.run(ctx)
+	n.announce()
+	go rpc.Serve(inner, n.calls, silenceSpan)
+	go timetable.Every(ctx, set.Tuning.Beat.Std()/touchesPerBeat, n.touch)
+	go n.memberLoop.Run(ctx, actAll, set.Tuning.Beat.Std(), n.beat)
+	go n.settle(ctx)
+	go n.registrar.run(ctx)
+	go n.replicate(ctx)
+	go n.coordinator.run(ctx)
+	go n.pollPlatform(ctx)
+	server := &http.Server{Handler: n.control(), ReadHeaderTimeout: 5 * time.Second, IdleTimeout: 30 * time.Second}
 	go func() {
 		<-terminated
-		b.handOver()
-		b.leave()
+		n.handOver()
+		n.leave()
 		end()
 		_ = server.Close()
 	}()
@@ -132,24 +132,24 @@
 }
 
 // open reads the disk.
-func (b *box) open(set *settings.Settings) error {
+func (n *node) open(set *settings.Settings) error {
 	p, t := set.Platform, set.Tuning
 	policy := idempotency.Policy{
 		OpenLimit: t.OpenLimit, Retention: t.Retention.Std(), KeyWindow: p.Bounds.KeyWindow.Std(),
 		Margin: 10 * time.Second, Bytes: tableBytes(p.Limits), Ceiling: p.Limits.MemoryMb << 20 * 2 / 5,
 	}
-	fail := func(err error) { b.note("error", "disk", "error", err) }
+	fail := func(err error) { n.note("error", "disk", "error", err) }
 	disk, err := storage.Folder(p.DataDir)
 	if err != nil {
 		return err
 	}
-	if b.keeper, err = openKeeper(disk, policy, b.clock, fail); err != nil {
+	if n.store, err = openStore(disk, policy, n.clock, fail); err != nil {
 		return errors.Annotate(err, "data folder")
 	}
-	b.keeper.self = b.self
-	b.keeper.tables.grantor = lease.NewGrantor(leaseSpan(t))
-	if isNew := p.Bootstrap && b.keeper.tables.isEmpty; !isNew {
-		b.keeper.tables.grantor.Wait(b.clock.Steady())
+	n.store.self = n.self
+	n.store.tables.grantor = lease.NewGrantor(leaseSpan(t))
+	if isNew := p.Bootstrap && n.store.tables.isEmpty; !isNew {
+		n.store.tables.grantor.Wait(n.clock.Steady())
 	}
 	return nil
 }
@@ -165,33 +165,33 @@
 }
 
 // announce puts what the disk held into the feed.
-func (b *box) announce() {
-	b.keeper.read(func(t *tables) {
+func (n *node) announce() {
+	n.store.read(func(t *tables) {
 		view, fleet := t.view, t.fleet
-		b.hub.Publish(feed.News{Items: t.book().Items(), View: &view, Fleet: &fleet})
+		n.hub.Publish(feed.News{Items: t.book().Items(), View: &view, Fleet: &fleet})
 	})
 }
 
-func (b *box) view() (view membership.View) {
-	b.keeper.read(func(t *tables) { view = t.view })
+func (n *node) view() (view membership.View) {
+	n.store.read(func(t *tables) { view = t.view })
 	return view
 }
 
 // adopt takes a newer view, keeps it, and publishes it.
-func (b *box) adopt(view membership.View) bool {
-	return b.keeper.keep(func(t *tables) []record {
+func (n *node) adopt(view membership.View) bool {
+	return n.store.keep(func(t *tables) []record {
 		if view.Epoch <= t.view.Epoch {
 			return nil
 		}
 		r := record{View: &view}
 		t.apply(r)
-		b.hub.Publish(feed.News{View: &view})
+		n.hub.Publish(feed.News{View: &view})
 		return []record{r}
 	}, 2*time.Second)
 }
 
-func (b *box) seeds() (out []string) {
-	set := b.set.Load()
+func (n *node) seeds() (out []string) {
+	set := n.set.Load()
 	for _, seed := range set.Platform.SeedNodes {
 		out = append(out, set.InternalAddress(seed, 0))
 	}
@@ -199,6 +199,6 @@
 }
 
 // known is whom to ask for the present view: the members known and the seeds.
-func (b *box) known() []string {
-	return membership.FirstView(append(b.seeds(), b.view().Members...)).Members
+func (n *node) known() []string {
+	return membership.FirstView(append(n.seeds(), n.view().Members...)).Members
 }
--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -13,8 +13,8 @@
 // decide lets the holder's loop decide on an order, and answers what stands
 // against it. An order that waited longer than its caller does has no effect: the
 // operator was told so, and may have sent another since.
-func (b *box) decide(answer func(messages.Ordered), decide func(c *conductor) (derail.Kind, string)) {
-	c, cameAt := b.conductor, b.clock.Steady()
+func (n *node) decide(answer func(messages.Ordered), decide func(c *coordinator) (derail.Kind, string)) {
+	c, cameAt := n.coordinator, n.clock.Steady()
 	isTaken := c.loop.Offer(func() {
 		kind, detail := derail.Gone, "the duty is not here"
 		switch {
@@ -30,16 +30,16 @@
 	}
 }
 
-func (b *box) onOrder(in messages.Order, answer func(messages.Ordered)) {
-	b.decide(answer, func(c *conductor) (derail.Kind, string) { return c.rollOut(in) })
+func (n *node) onOrder(in messages.Order, answer func(messages.Ordered)) {
+	n.decide(answer, func(c *coordinator) (derail.Kind, string) { return c.rollOut(in) })
 }
 
 // rollOut takes an order for a service's version.
-func (c *conductor) rollOut(in messages.Order) (kind derail.Kind, detail string) {
+func (c *coordinator) rollOut(in messages.Order) (kind derail.Kind, detail string) {
 	state, isKnown := c.states[in.Service]
 	if !isKnown {
 		isService := false
-		c.keeper.read(func(t *tables) {
+		c.store.read(func(t *tables) {
 			item, isThere := t.book()[config.ID{Class: config.ServiceItem, Name: in.Service}]
 			isService = isThere && !item.Dropped
 		})
@@ -71,7 +71,7 @@
 	return derail.None, ""
 }
 
-func (c *conductor) plan() trial.Plan {
+func (c *coordinator) plan() trial.Plan {
 	bounds := c.set.Load().Platform.Bounds
 	return trial.Plan{CanaryShare: bounds.CanaryShare, Ack: bounds.Ack.Std()}
 }
@@ -84,7 +84,7 @@
 
 // sinceOrder is how long ago the order of a trial came last. An operator whose
 // acknowledgements are lost sends it on, also past the end of what it began.
-func (c *conductor) sinceOrder(state trial.State) time.Duration {
+func (c *coordinator) sinceOrder(state trial.State) time.Duration {
 	last := c.beganAt(state)
 	if known := c.repeats[state.Subject]; known.number == state.Number {
 		last = max(last, known.at)
@@ -92,6 +92,6 @@
 	return time.Duration(c.clock.Steady() - last)
 }
 
-func (c *conductor) noteRepeat(state trial.State) {
+func (c *coordinator) noteRepeat(state trial.State) {
 	c.repeats[state.Subject] = repeat{state.Number, c.clock.Steady()}
 }
--- a/internal/control/orders_test.go
+++ b/internal/control/orders_test.go
@@ -14,16 +14,16 @@
 )
 
 // ordering is a holder that took an order long ago: the trial has ended.
-func ordering(state trial.State) (*conductor, *timetable.Hand) {
+func ordering(state trial.State) (*coordinator, *timetable.Hand) {
 	hand := &timetable.Hand{Now: time.Hour}
-	b := &box{self: "self", clock: hand, note: func(string, string, ...any) {}}
+	b := &node{self: "self", clock: hand, note: func(string, string, ...any) {}}
 	set := &settings.Settings{}
 	set.Platform.Bounds.Ack = timetable.Span(10 * time.Second)
 	b.set.Store(set)
-	b.conductor = newConductor(b)
-	b.conductor.states[state.Subject] = state
+	b.coordinator = newCoordinator(b)
+	b.coordinator.states[state.Subject] = state
 	b.heard.Store(state.Subject, heardTrial{state.Number, hand.Steady()})
-	return b.conductor, hand
+	return b.coordinator, hand
 }
 
 func TestOrderThatComesAgainAndAgainStartsNoSecondRollout(t *testing.T) {
@@ -63,7 +63,7 @@
 		c.isHolder.Store(true)
 		answered := make(chan messages.Ordered, 1)
 		isDecided := false
-		c.decide(func(ordered messages.Ordered) { answered <- ordered }, func(*conductor) (derail.Kind, string) {
+		c.decide(func(ordered messages.Ordered) { answered <- ordered }, func(*coordinator) (derail.Kind, string) {
 			isDecided = true
 			return derail.None, ""
 		})
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -16,15 +16,15 @@
 // that span before it takes part again, so that none of its old answers can
 // still be counted by then.
 type peers struct {
-	box   *box
+	node  *node
 	view  membership.View
 	began timetable.Steady
 }
 
-func (p *peers) span() time.Duration { return p.box.set.Load().Tuning.VoteSpan.Std() }
+func (p *peers) span() time.Duration { return p.node.set.Load().Tuning.VoteSpan.Std() }
 
 func (p *peers) isOver(began timetable.Steady) bool {
-	return time.Duration(p.box.clock.Steady()-began) > p.span()
+	return time.Duration(p.node.clock.Steady()-began) > p.span()
 }
 
 // Prepare asks all members, and returns once a majority has promised, or a member
@@ -32,7 +32,7 @@
 // what stands against it.
 func (p *peers) Prepare(prepare registry.Prepare) (out []registry.Promise) {
 	count := 0
-	askAll(p.box, p.view.Members, messages.KindPrepare, prepare, p.span(), func(_ string, promise registry.Promise) bool {
+	askAll(p.node, p.view.Members, messages.KindPrepare, prepare, p.span(), func(_ string, promise registry.Promise) bool {
 		out = append(out, promise)
 		if promise.OK {
 			count++
@@ -51,11 +51,11 @@
 // Accept asks all members, and returns once a majority has accepted, or a member
 // shows that the round is lost.
 func (p *peers) Accept(accept registry.Accept) (out []registry.Acceptance) {
-	began, count := p.box.clock.Steady(), 0
+	began, count := p.node.clock.Steady(), 0
 	if p.isOver(p.began) {
 		return nil
 	}
-	askAll(p.box, p.view.Members, messages.KindAccept, accept, p.span(), func(_ string, acceptance registry.Acceptance) bool {
+	askAll(p.node, p.view.Members, messages.KindAccept, accept, p.span(), func(_ string, acceptance registry.Acceptance) bool {
 		out = append(out, acceptance)
 		if acceptance.OK {
 			count++
@@ -71,10 +71,10 @@
 	return out
 }
 
-func (b *box) onPrepare(in registry.Prepare, answer func(registry.Promise)) {
+func (n *node) onPrepare(in registry.Prepare, answer func(registry.Promise)) {
 	var promise registry.Promise
-	b.keeper.put(func(t *tables) []record {
-		if !b.isServing(t, in.Epoch) {
+	n.store.put(func(t *tables) []record {
+		if !n.isServing(t, in.Epoch) {
 			// It has no part in the round, and no index that the proposer may go by.
 			promise = registry.Promise{View: newerView(t, in.Epoch)}
 			return nil
@@ -84,28 +84,28 @@
 		return durableRecord(t, isChanged)
 	}, func() {
 		if promise.OK || promise.View == nil && promise.Index > 0 {
-			promise.Member = b.self
+			promise.Member = n.self
 		}
 		answer(promise)
 	})
 }
 
-func (b *box) onAccept(in registry.Accept, answer func(registry.Acceptance)) {
+func (n *node) onAccept(in registry.Accept, answer func(registry.Acceptance)) {
 	var acceptance registry.Acceptance
-	b.keeper.put(func(t *tables) []record {
-		if !b.isServing(t, in.Epoch) {
+	n.store.put(func(t *tables) []record {
+		if !n.isServing(t, in.Epoch) {
 			return nil
 		}
 		var isChanged bool
-		acceptance, isChanged = t.registry.Accept(b.self, in)
+		acceptance, isChanged = t.registry.Accept(n.self, in)
 		return durableRecord(t, isChanged)
 	}, func() { answer(acceptance) })
 }
 
 // onPropose has this node propose another's order.
-func (b *box) onPropose(in messages.Propose, answer func(messages.Ordered)) {
+func (n *node) onPropose(in messages.Propose, answer func(messages.Ordered)) {
 	go func() {
-		index, err := b.registrar.submit(in.Items)
+		index, err := n.registrar.submit(in.Items)
 		out := messages.Ordered{Index: uint64(index)}
 		var known *derail.Error
 		if errors.As(err, &known) {
@@ -116,20 +116,20 @@
 }
 
 // onOffer takes items that an agent holds and the configuration lacks.
-func (b *box) onOffer(in messages.Offer, answer func(messages.Done)) {
-	if !b.isTakingOffer.CompareAndSwap(false, true) {
+func (n *node) onOffer(in messages.Offer, answer func(messages.Done)) {
+	if !n.isTakingOffer.CompareAndSwap(false, true) {
 		return
 	}
 	go func() {
-		defer b.isTakingOffer.Store(false)
-		book, err := b.read()
+		defer n.isTakingOffer.Store(false)
+		book, err := n.read()
 		if err != nil {
 			return
 		}
 		lacking := book.Newer(in.Items)
 		if len(lacking) > 0 {
-			err = b.modify(lacking)
-			b.note("warn", "items that only an agent held", "items", len(lacking), "error", err)
+			err = n.modify(lacking)
+			n.note("warn", "items that only an agent held", "items", len(lacking), "error", err)
 		}
 		answer(messages.Done{OK: err == nil})
 	}()
--- a/internal/control/peers_test.go
+++ b/internal/control/peers_test.go
@@ -22,7 +22,7 @@
 }
 
 var _ = Describe("a round with a member that is silent", func() {
-	var b *box
+	var b *node
 	var view membership.View
 	low, high := membership.Number{Round: 2, Node: "a#1"}, membership.Number{Round: 9, Node: "b#1"}
 
@@ -39,8 +39,8 @@
 	}
 
 	It("is lost at once where another shows a higher ballot, and tells the proposer so", func() {
-		b.keeper.read(func(t *tables) { _, _ = t.registry.Promise(registry.Prepare{Epoch: 1, Index: 1, Ballot: high}) })
-		p := &peers{box: b, view: view, began: b.clock.Steady()}
+		b.store.read(func(t *tables) { _, _ = t.registry.Promise(registry.Prepare{Epoch: 1, Index: 1, Ballot: high}) })
+		p := &peers{node: b, view: view, began: b.clock.Steady()}
 		atOnce(func() {
 			round := registry.Round{Epoch: 1, Index: 1, Ballot: low, Majority: 2}
 			outcome := round.Run(p)
@@ -59,20 +59,20 @@
 		b.learnNow([]registry.Change{{Index: 1}})
 		atOnce(func() {
 			round := registry.Round{Epoch: 1, Index: 1, Ballot: low, Majority: 2}
-			Expect(round.Run(&peers{box: b, view: view, began: b.clock.Steady()}).Ahead).To(BeEquivalentTo(1))
+			Expect(round.Run(&peers{node: b, view: view, began: b.clock.Steady()}).Ahead).To(BeEquivalentTo(1))
 		})
 	})
 
 	It("waits for the silent ones a vote span and no longer where nothing stands against it", func() {
 		began := time.Now()
 		round := registry.Round{Epoch: 1, Index: 1, Ballot: low, Majority: 2}
-		outcome := round.Run(&peers{box: b, view: view, began: b.clock.Steady()})
+		outcome := round.Run(&peers{node: b, view: view, began: b.clock.Steady()})
 		Expect(outcome.Heard).To(Equal(1))
 		Expect(time.Since(began)).To(BeNumerically("~", b.set.Load().Tuning.VoteSpan.Std(), 100*time.Millisecond))
 	})
 
 	It("is lost at once for a new view too", func() {
-		b.keeper.read(func(t *tables) { _, _ = t.acceptor.On(t.view, membership.Motion{Epoch: 1, Number: high}) })
+		b.store.read(func(t *tables) { _, _ = t.acceptor.On(t.view, membership.Motion{Epoch: 1, Number: high}) })
 		atOnce(func() {
 			responses := b.askMotion(view, membership.Motion{Epoch: 1, Number: low})
 			Expect(responses).To(HaveLen(1))
--- a/internal/control/platform.go
+++ b/internal/control/platform.go
@@ -23,15 +23,15 @@
 // unfit for a while, so that the next in the order takes over. While the holder is
 // silent, its watchers read the list too and tell which servers leave.
 type listPoll struct {
-	*box
+	*node
 	reader   *listReader
 	failures int
 }
 
 // pollPlatform polls the list until the context ends.
-func (b *box) pollPlatform(ctx context.Context) {
-	poll := &listPoll{box: b, reader: newListReader(b.clock, func() string { return b.set.Load().Platform.CloudApi.Address })}
-	b.isFit.Store(true)
+func (n *node) pollPlatform(ctx context.Context) {
+	poll := &listPoll{node: n, reader: newListReader(n.clock, func() string { return n.set.Load().Platform.CloudApi.Address })}
+	n.isFit.Store(true)
 	for ctx.Err() == nil {
 		pause := time.NewTimer(poll.turn(ctx))
 		select {
@@ -67,11 +67,11 @@
 	return time.Duration(due - now)
 }
 
-// publish hands a reading to the conductor. What this node's own hub does not show a
+// publish hands a reading to the coordinator. What this node's own hub does not show a
 // moment later, as a new holder still reads the trials or a majority is slow, is told
 // beside it: that servers leave needs neither.
 func (p *listPoll) publish(servers []feed.Server) {
-	p.conductor.loop.Put(func() { p.conductor.list(servers) })
+	p.coordinator.loop.Put(func() { p.coordinator.list(servers) })
 	p.clock.Sleep(publishPatience)
 	p.tellLeaving(servers)
 }
@@ -106,7 +106,7 @@
 	return timetable.Steady(2 * float64(calls) / perSecond * float64(time.Second))
 }
 
-func (b *box) fleet() (fleet feed.Fleet) {
-	b.hub.Read(func(board *feed.Board) { fleet = board.Fleet })
+func (n *node) fleet() (fleet feed.Fleet) {
+	n.hub.Read(func(board *feed.Board) { fleet = board.Fleet })
 	return fleet
 }
--- a/internal/control/reading.go
+++ b/internal/control/reading.go
@@ -18,21 +18,21 @@
 
 // read returns the configuration as a majority of the view holds it: this node
 // has every change that was acknowledged before the call.
-func (b *box) read() (book config.Book, err error) {
+func (n *node) read() (book config.Book, err error) {
 	for range readAttempts {
-		if book, err = b.readOnce(); err == nil {
+		if book, err = n.readOnce(); err == nil {
 			return book, nil
 		}
 	}
 	return nil, err
 }
 
-func (b *box) readOnce() (config.Book, error) {
-	view, count := b.view(), 0
+func (n *node) readOnce() (config.Book, error) {
+	view, count := n.view(), 0
 	highest, furthest := registry.State{}, ""
 	var newer *membership.View
 	isUndecided := false
-	askAll(b, view.Members, messages.KindState, messages.State{Epoch: view.Epoch}, askSpan, func(member string, state registry.State) bool {
+	askAll(n, view.Members, messages.KindState, messages.State{Epoch: view.Epoch}, askSpan, func(member string, state registry.State) bool {
 		if state.View != nil && (newer == nil || state.View.Epoch > newer.Epoch) {
 			newer = state.View
 		}
@@ -46,34 +46,34 @@
 		return count >= view.Majority()
 	})
 	if newer != nil {
-		b.adopt(*newer)
+		n.adopt(*newer)
 	}
 	if count < view.Majority() || count == 0 {
 		return nil, derail.New(derail.Gone, "reading the configuration")
 	}
 	if isUndecided {
 		// What some have accepted may be decided and acknowledged already.
-		index, err := b.commit(nil)
+		index, err := n.commit(nil)
 		if err != nil {
 			return nil, err
 		}
 		highest.Index = max(highest.Index, index)
 	}
-	return b.bookAt(highest.Index, furthest)
+	return n.bookAt(highest.Index, furthest)
 }
 
 // bookAt is a copy of the set once this node has reached the index; the member
 // asked first may be behind where the change was decided meanwhile.
-func (b *box) bookAt(index registry.Index, member string) (book config.Book, err error) {
-	sources := append([]string{member}, b.view().Members...)
+func (n *node) bookAt(index registry.Index, member string) (book config.Book, err error) {
+	sources := append([]string{member}, n.view().Members...)
 	for _, source := range sources {
 		held := registry.Index(0)
-		b.keeper.read(func(t *tables) { held, book = t.registry.Index, t.book().Clone() })
+		n.store.read(func(t *tables) { held, book = t.registry.Index, t.book().Clone() })
 		if held >= index {
 			return book, nil
 		}
-		if source != b.self {
-			err = b.catchUp(source)
+		if source != n.self {
+			err = n.catchUp(source)
 		}
 	}
 	return nil, derail.New(derail.Gone, fmt.Sprintf("reading change %d of the configuration: %v", index, err))
@@ -83,12 +83,12 @@
 // every change that a majority decided, and knows what a majority promised or
 // accepted for the next.
 func (r *registrar) rebuild(view membership.View) bool {
-	b := r.box
+	n := r.node
 	var states []registry.State
 	var sources []string
 	whole := 0
-	askAll(b, view.Members, messages.KindState, messages.State{Epoch: view.Epoch}, askSpan, func(member string, state registry.State) bool {
-		if member == b.self || !state.OK && !state.IsRebuilding {
+	askAll(n, view.Members, messages.KindState, messages.State{Epoch: view.Epoch}, askSpan, func(member string, state registry.State) bool {
+		if member == n.self || !state.OK && !state.IsRebuilding {
 			return false
 		}
 		if states, sources = append(states, state), append(sources, member); state.OK {
@@ -101,12 +101,12 @@
 		return false
 	}
 	for _, member := range sources {
-		if err := b.catchUp(member); err != nil {
+		if err := n.catchUp(member); err != nil {
 			return false
 		}
 	}
 	isRebuilt := false
-	b.keeper.keep(func(t *tables) []record {
+	n.store.keep(func(t *tables) []record {
 		if t.view.Epoch != view.Epoch {
 			return nil
 		}
--- a/internal/control/record_test.go
+++ b/internal/control/record_test.go
@@ -65,7 +65,7 @@
 		}
 		Expect(log.Append(texts)).To(Succeed())
 		var noted []string
-		k, err := openKeeper(disk, idempotency.Policy{}, &timetable.Hand{}, func(err error) { noted = append(noted, err.Error()) })
+		k, err := openStore(disk, idempotency.Policy{}, &timetable.Hand{}, func(err error) { noted = append(noted, err.Error()) })
 		Expect(err).NotTo(HaveOccurred())
 		Expect(k.tables.isTrusted).To(BeFalse())
 		Expect(k.tables.voter.Find(good.Intent.Key)).NotTo(BeNil())
--- a/internal/control/registrar.go
+++ b/internal/control/registrar.go
@@ -50,7 +50,7 @@
 // registrar proposes the orders that reach this node and keeps its replica of
 // the item set up to date.
 type registrar struct {
-	box   *box
+	node  *node
 	queue chan *order
 	// round is the highest round of a ballot met; the proposing loop owns it.
 	round uint64
@@ -62,8 +62,8 @@
 	undecidedAt timetable.Steady
 }
 
-func newRegistrar(b *box) *registrar {
-	return &registrar{box: b, queue: make(chan *order, orderQueue), catching: make(chan struct{}, 1)}
+func newRegistrar(n *node) *registrar {
+	return &registrar{node: n, queue: make(chan *order, orderQueue), catching: make(chan struct{}, 1)}
 }
 
 // ballotName is a name for ballots that no other life of the process has.
@@ -91,13 +91,13 @@
 }
 
 // isServing tells whether this node votes in the epoch.
-func (b *box) isServing(t *tables, epoch membership.Epoch) bool {
-	return t.isTrusted && t.view.Epoch == epoch && t.view.Has(b.self)
+func (n *node) isServing(t *tables, epoch membership.Epoch) bool {
+	return t.isTrusted && t.view.Epoch == epoch && t.view.Has(n.self)
 }
 
 // submit has this node propose an order and waits for what becomes of it.
 func (r *registrar) submit(items []config.Item) (registry.Index, error) {
-	o := &order{items: items, until: r.box.clock.Steady() + timetable.Steady(proposeSpan), done: make(chan decision, 1)}
+	o := &order{items: items, until: r.node.clock.Steady() + timetable.Steady(proposeSpan), done: make(chan decision, 1)}
 	select {
 	case r.queue <- o:
 	default:
@@ -115,9 +115,9 @@
 
 // settle proposes until the orders are decided on, or their time is over.
 func (r *registrar) settle(orders []*order) {
-	heardAt := r.box.clock.Steady()
-	for attempt := 1; time.Duration(r.box.clock.Steady()-heardAt) < isolatedSpan; attempt++ {
-		now := r.box.clock.Steady()
+	heardAt := r.node.clock.Steady()
+	for attempt := 1; time.Duration(r.node.clock.Steady()-heardAt) < isolatedSpan; attempt++ {
+		now := r.node.clock.Steady()
 		orders = slices.DeleteFunc(orders, func(o *order) bool { return o.until <= now })
 		if len(orders) == 0 {
 			return
@@ -127,9 +127,9 @@
 			return
 		}
 		if isHeard {
-			heardAt = r.box.clock.Steady()
+			heardAt = r.node.clock.Steady()
 		}
-		r.box.clock.Sleep(rand.N(backoffStep * time.Duration(min(attempt, 8))))
+		r.node.clock.Sleep(rand.N(backoffStep * time.Duration(min(attempt, 8))))
 	}
 	for _, o := range orders {
 		o.done <- decision{err: errNoDecision}
@@ -139,23 +139,23 @@
 // propose plays one round for the orders and tells whether they are decided on,
 // and whether a majority was heard at all.
 func (r *registrar) propose(orders []*order) (isDecided, isHeard bool) {
-	b := r.box
+	n := r.node
 	round, view, isServing := registry.Round{}, membership.View{}, false
-	b.keeper.read(func(t *tables) {
-		view, isServing = t.view, b.isServing(t, t.view.Epoch)
+	n.store.read(func(t *tables) {
+		view, isServing = t.view, n.isServing(t, t.view.Epoch)
 		round.Epoch, round.Index, round.Majority = t.view.Epoch, t.registry.Next(), t.view.Majority()
 	})
 	if !isServing {
 		return false, false
 	}
 	r.round++
-	round.Ballot = membership.Number{Round: r.round, Node: b.proposer}
-	attempt := &attempt{box: b, orders: orders, index: round.Index}
+	round.Ballot = membership.Number{Round: r.round, Node: n.proposer}
+	attempt := &attempt{node: n, orders: orders, index: round.Index}
 	round.Draft = attempt.draft
-	outcome := round.Run(&peers{box: b, view: view, began: b.clock.Steady()})
+	outcome := round.Run(&peers{node: n, view: view, began: n.clock.Steady()})
 	r.round = max(r.round, outcome.Highest.Round)
 	if outcome.View != nil {
-		b.adopt(*outcome.View)
+		n.adopt(*outcome.View)
 	}
 	if outcome.Decided != nil {
 		r.tell(*outcome.Decided)
@@ -174,12 +174,12 @@
 
 // tell brings a decided change to every member, this one first.
 func (r *registrar) tell(change registry.Change) {
-	b := r.box
-	b.learn([]registry.Change{change}, func(bool) {})
-	in := messages.Learn{From: b.self, Changes: []registry.Change{change}}
-	for _, member := range b.view().Members {
-		if member != b.self {
-			b.line(member).Send(messages.KindLearn, in, nil)
+	n := r.node
+	n.learn([]registry.Change{change}, func(bool) {})
+	in := messages.Learn{From: n.self, Changes: []registry.Change{change}}
+	for _, member := range n.view().Members {
+		if member != n.self {
+			n.line(member).Send(messages.KindLearn, in, nil)
 		}
 	}
 }
@@ -188,32 +188,32 @@
 // they can in the next. One that lacks more than is kept catches up by itself.
 func (r *registrar) bringUp(behind map[string]registry.Index) {
 	for member, index := range behind {
-		in := messages.Learn{From: r.box.self}
-		r.box.keeper.read(func(t *tables) {
+		in := messages.Learn{From: r.node.self}
+		r.node.store.read(func(t *tables) {
 			in.Changes, _, _ = t.registry.Since(index, pageBytes)
 			if latest, isAny := t.registry.Latest(); isAny && len(in.Changes) == 0 {
 				in.Changes = []registry.Change{latest}
 			}
 		})
-		r.box.line(member).Send(messages.KindLearn, in, nil)
+		r.node.line(member).Send(messages.KindLearn, in, nil)
 	}
 }
 
 // maintain finishes what a proposer left: a change that this replica accepted but
 // whose decision it was not told, and a set of an older build without a number.
 func (r *registrar) maintain() {
-	b := r.box
+	n := r.node
 	var accepted membership.Number
 	rank, isUndecided, isLegacy := 0, false, false
-	b.keeper.read(func(t *tables) {
-		if !b.isServing(t, t.view.Epoch) {
+	n.store.read(func(t *tables) {
+		if !n.isServing(t, t.view.Epoch) {
 			return
 		}
-		rank = slices.Index(t.view.Members, b.self)
+		rank = slices.Index(t.view.Members, n.self)
 		accepted, isUndecided = t.registry.Acceptor.Accepted, t.registry.Acceptor.Change != nil
 		isLegacy = t.registry.Index == 0 && len(t.book()) > 0
 	})
-	now := b.clock.Steady()
+	now := n.clock.Steady()
 	if !isUndecided && !isLegacy {
 		r.undecidedAt = 0
 		return
@@ -227,6 +227,6 @@
 	}
 	r.undecidedAt = 0
 	if _, err := r.submit(nil); err != nil {
-		b.note("info", "finishing a change", "error", err)
+		n.note("info", "finishing a change", "error", err)
 	}
 }
--- a/internal/control/repair.go
+++ b/internal/control/repair.go
@@ -48,24 +48,24 @@
 // compares digests of ranges, then the intents of the ranges that differ, and reads
 // the rest in pieces, each asked for once the last is on disk. It returns how many
 // intents were lacking.
-func (b *box) copyIntents(member string, epoch membership.Epoch, mode copyMode) (lacking int, err error) {
+func (n *node) copyIntents(member string, epoch membership.Epoch, mode copyMode) (lacking int, err error) {
 	var told messages.DigestsTold
-	if err = b.line(member).Ask(messages.KindDigests, messages.Digests{Epoch: epoch, Scope: mode.scope}, &told, repairSpan); err != nil {
+	if err = n.line(member).Ask(messages.KindDigests, messages.Digests{Epoch: epoch, Scope: mode.scope}, &told, repairSpan); err != nil {
 		return 0, err
 	}
 	if !told.OK {
 		return 0, errOtherEpoch
 	}
 	var ranges []idempotency.Range
-	b.keeper.read(func(t *tables) { ranges = idempotency.Differing(t.voter.Digests(mode.scope), told.Ranges) })
+	n.store.read(func(t *tables) { ranges = idempotency.Differing(t.voter.Digests(mode.scope), told.Ranges) })
 	for part := range slices.Chunk(ranges, compareRanges) {
-		wanted, err := b.lackingOf(member, epoch, part, mode)
+		wanted, err := n.lackingOf(member, epoch, part, mode)
 		if err != nil {
 			return lacking, err
 		}
 		lacking += len(wanted)
 		for only := range slices.Chunk(wanted, maxWanted) {
-			if err = b.copyEntries(member, epoch, idempotency.Cursor{Ranges: part, Only: only}, mode); err != nil {
+			if err = n.copyEntries(member, epoch, idempotency.Cursor{Ranges: part, Only: only}, mode); err != nil {
 				return lacking, err
 			}
 		}
@@ -74,37 +74,37 @@
 }
 
 // lackingOf compares some ranges intent by intent.
-func (b *box) lackingOf(member string, epoch membership.Epoch, ranges []idempotency.Range, mode copyMode) (wanted []uint64, err error) {
+func (n *node) lackingOf(member string, epoch membership.Epoch, ranges []idempotency.Range, mode copyMode) (wanted []uint64, err error) {
 	var told messages.BriefsTold
-	if err = b.line(member).Ask(messages.KindBriefs, messages.Briefs{Epoch: epoch, Ranges: ranges}, &told, repairSpan); err != nil {
+	if err = n.line(member).Ask(messages.KindBriefs, messages.Briefs{Epoch: epoch, Ranges: ranges}, &told, repairSpan); err != nil {
 		return nil, err
 	}
 	if !told.OK {
 		return nil, errOtherEpoch
 	}
 	if mode.settle > 0 {
-		b.clock.Sleep(mode.settle)
+		n.clock.Sleep(mode.settle)
 	}
-	b.keeper.read(func(t *tables) { wanted = t.voter.Lacking(ranges, told.Briefs, mode.scope) })
+	n.store.read(func(t *tables) { wanted = t.voter.Lacking(ranges, told.Briefs, mode.scope) })
 	return wanted, nil
 }
 
 // copyEntries reads the entries of a cursor piece by piece and keeps each.
-func (b *box) copyEntries(member string, epoch membership.Epoch, cursor idempotency.Cursor, mode copyMode) error {
+func (n *node) copyEntries(member string, epoch membership.Epoch, cursor idempotency.Cursor, mode copyMode) error {
 	for len(cursor.Ranges) > 0 {
 		var told messages.EntriesTold
-		if err := b.line(member).Ask(messages.KindEntries, messages.Entries{Epoch: epoch, Cursor: cursor}, &told, repairSpan); err != nil {
+		if err := n.line(member).Ask(messages.KindEntries, messages.Entries{Epoch: epoch, Cursor: cursor}, &told, repairSpan); err != nil {
 			return err
 		}
 		if !told.OK {
 			return errOtherEpoch
 		}
-		if !b.keeper.keep(func(t *tables) []record { return t.unionEntries(told.Entries) }, keepLongest) {
+		if !n.store.keep(func(t *tables) []record { return t.unionEntries(told.Entries) }, keepLongest) {
 			return errNotKept
 		}
 		cursor = told.Rest
 		if mode.rest > 0 {
-			b.clock.Sleep(mode.rest)
+			n.clock.Sleep(mode.rest)
 		}
 	}
 	return nil
@@ -117,9 +117,9 @@
 	return out
 }
 
-func (b *box) onDigests(in messages.Digests, answer func(messages.DigestsTold)) {
+func (n *node) onDigests(in messages.Digests, answer func(messages.DigestsTold)) {
 	var out messages.DigestsTold
-	b.keeper.put(func(t *tables) []record {
+	n.store.put(func(t *tables) []record {
 		if out.OK = t.view.Epoch >= in.Epoch; out.OK {
 			out.Ranges = t.voter.Digests(in.Scope)
 		}
@@ -127,9 +127,9 @@
 	}, func() { answer(out) })
 }
 
-func (b *box) onBriefs(in messages.Briefs, answer func(messages.BriefsTold)) {
+func (n *node) onBriefs(in messages.Briefs, answer func(messages.BriefsTold)) {
 	var out messages.BriefsTold
-	b.keeper.put(func(t *tables) []record {
+	n.store.put(func(t *tables) []record {
 		if out.OK = t.view.Epoch >= in.Epoch; out.OK {
 			out.Briefs = t.voter.Briefs(in.Ranges)
 		}
@@ -137,9 +137,9 @@
 	}, func() { answer(out) })
 }
 
-func (b *box) onEntries(in messages.Entries, answer func(messages.EntriesTold)) {
+func (n *node) onEntries(in messages.Entries, answer func(messages.EntriesTold)) {
 	var out messages.EntriesTold
-	b.keeper.put(func(t *tables) []record {
+	n.store.put(func(t *tables) []record {
 		if out.OK = t.view.Epoch >= in.Epoch; out.OK {
 			out.Entries, out.Rest = t.voter.Read(in.Cursor, pieceBytes)
 		}
--- a/internal/control/repair_bench_test.go
+++ b/internal/control/repair_bench_test.go
@@ -20,7 +20,7 @@
 // run in this process, so a member by itself has less to do.
 func BenchmarkRepair(b *testing.B) {
 	const operations, bytes = 37_000, 1500
-	sources, view := []*box{benchMember(b), benchMember(b)}, membership.View{Epoch: 1}
+	sources, view := []*node{benchMember(b), benchMember(b)}, membership.View{Epoch: 1}
 	reader := benchMember(b)
 	for _, m := range append(sources, reader) {
 		view.Members = append(view.Members, m.self)
@@ -34,7 +34,7 @@
 	}
 	for b.Loop() {
 		b.StopTimer()
-		reader.keeper = benchKeeper(b)
+		reader.store = benchKeeper(b)
 		reader.adopt(view)
 		b.StartTimer()
 		if !reader.rebuild(view) {
@@ -43,15 +43,15 @@
 	}
 }
 
-func benchMember(b *testing.B) *box {
+func benchMember(b *testing.B) *node {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
 	b.Cleanup(func() { _ = listener.Close() })
-	m := &box{
+	m := &node{
 		self: listener.Addr().String(), clock: timetable.Real(), hub: feed.NewHub(), note: func(string, string, ...any) {},
-		lines: map[string]*rpc.Line{}, keeper: benchKeeper(b),
+		lines: map[string]*rpc.Line{}, store: benchKeeper(b),
 	}
 	m.set.Store(&settings.Settings{Tuning: settings.Defaults()})
 	m.registrar = newRegistrar(m)
@@ -60,13 +60,13 @@
 	return m
 }
 
-func benchKeeper(b *testing.B) *keeper {
+func benchKeeper(b *testing.B) *store {
 	disk, err := storage.Folder(b.TempDir())
 	if err != nil {
 		b.Fatal(err)
 	}
 	policy := idempotency.Policy{KeyWindow: time.Minute, Retention: time.Hour}
-	k, err := openKeeper(disk, policy, timetable.Real(), func(err error) { b.Error(err) })
+	k, err := openStore(disk, policy, timetable.Real(), func(err error) { b.Error(err) })
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -74,9 +74,9 @@
 	return k
 }
 
-func fill(m *box, operations, bytes int) {
+func fill(m *node, operations, bytes int) {
 	for from := 0; from < operations; from += 500 {
-		m.keeper.keep(func(t *tables) (out []record) {
+		m.store.keep(func(t *tables) (out []record) {
 			for number := range 500 {
 				if entry, err := t.voter.Record(completed(from+number, bytes)); err == nil {
 					out = append(out, record{Entry: entry})
--- a/internal/control/repair_test.go
+++ b/internal/control/repair_test.go
@@ -21,7 +21,7 @@
 
 // member is one core member of a test, with a real disk and a real listener.
 type member struct {
-	*box
+	*node
 	listener net.Listener
 }
 
@@ -32,12 +32,12 @@
 		listener, err := net.Listen("tcp4", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(func() { _ = listener.Close() })
-		m := &member{listener: listener, box: &box{
+		m := &member{listener: listener, node: &node{
 			self: listener.Addr().String(), clock: timetable.Real(), hub: feed.NewHub(), note: func(string, string, ...any) {},
-			lines: map[string]*rpc.Line{}, roll: timetable.NewLoop[func()](256), watch: membership.NewWatch(timetable.Real(), time.Second),
+			lines: map[string]*rpc.Line{}, memberLoop: timetable.NewLoop[func()](256), watch: membership.NewWatch(timetable.Real(), time.Second),
 		}}
 		m.set.Store(&settings.Settings{Tuning: settings.Defaults()})
-		m.registrar = newRegistrar(m.box)
+		m.registrar = newRegistrar(m.node)
 		m.calls = m.handlers()
 		members, view.Members = append(members, m), append(view.Members, m.self)
 	}
@@ -54,11 +54,11 @@
 	disk, err := storage.Folder(GinkgoT().TempDir())
 	Expect(err).NotTo(HaveOccurred())
 	policy := idempotency.Policy{OpenLimit: 1 << 20, KeyWindow: time.Minute, Retention: time.Hour}
-	m.keeper, err = openKeeper(disk, policy, m.clock, func(err error) { Expect(err).NotTo(HaveOccurred()) })
+	m.store, err = openStore(disk, policy, m.clock, func(err error) { Expect(err).NotTo(HaveOccurred()) })
 	Expect(err).NotTo(HaveOccurred())
 	ctx, cancel := context.WithCancel(context.Background())
 	DeferCleanup(cancel)
-	go m.keeper.run(ctx)
+	go m.store.run(ctx)
 }
 
 // completed is an operation whose reply has so many bytes.
@@ -73,7 +73,7 @@
 // hold puts operations on the member's disk.
 func (m *member) hold(from, to, bytes int) {
 	for ; from < to; from += 500 {
-		Expect(m.keeper.keep(func(t *tables) (out []record) {
+		Expect(m.store.keep(func(t *tables) (out []record) {
 			for number := from; number < min(from+500, to); number++ {
 				entry, err := t.voter.Record(completed(number, bytes))
 				Expect(err).NotTo(HaveOccurred())
@@ -85,7 +85,7 @@
 }
 
 func (m *member) held() (count int) {
-	m.keeper.read(func(t *tables) { count = len(t.voter.Entries()) })
+	m.store.read(func(t *tables) { count = len(t.voter.Entries()) })
 	return count
 }
 
@@ -108,7 +108,7 @@
 		for _, m := range members[1:] {
 			m.trust()
 			m.hold(0, 50, 10)
-			m.keeper.keep(func(t *tables) []record {
+			m.store.keep(func(t *tables) []record {
 				_, entry := t.voter.Reserve(reserved)
 				return []record{{Entry: entry}}
 			}, time.Second)
@@ -120,7 +120,7 @@
 		lacking, err = members[0].copyIntents(members[2].self, view.Epoch, copyAtOnce)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(lacking).To(BeZero())
-		members[0].keeper.read(func(t *tables) {
+		members[0].store.read(func(t *tables) {
 			Expect(t.voter.Find(reserved.Key)).To(HaveField("State", idempotency.Reserved))
 			Expect(t.voter.Quota().Open("fee")).To(Equal(1))
 		})
@@ -190,7 +190,7 @@
 
 	It("does not copy a vote, which may have been given back everywhere else", func() {
 		members, view := newMembers(3)
-		members[1].keeper.keep(func(t *tables) []record {
+		members[1].store.keep(func(t *tables) []record {
 			_, entry := t.voter.Reserve(idempotency.Intent{Key: idempotency.Key{Tenant: "h", Key: "k"}, Attempt: "a", Reservation: "a"})
 			return []record{{Entry: entry}}
 		}, time.Second)
--- a/internal/control/replicate.go
+++ b/internal/control/replicate.go
@@ -47,7 +47,7 @@
 // replicate compares the intents with those of one other member after the other and
 // copies what this one lacks, so that a record that a bare majority holds is soon on
 // every member.
-func (b *box) replicate(ctx context.Context) {
+func (n *node) replicate(ctx context.Context) {
 	turn := 0
 	ticker := time.NewTicker(comparePeriod)
 	defer ticker.Stop()
@@ -59,26 +59,26 @@
 		}
 		var view membership.View
 		isTrusted := false
-		b.keeper.read(func(t *tables) { view, isTrusted = t.view, t.isTrusted })
-		others := view.Others(b.self)
-		if !isTrusted || !view.Has(b.self) || len(others) == 0 {
+		n.store.read(func(t *tables) { view, isTrusted = t.view, t.isTrusted })
+		others := view.Others(n.self)
+		if !isTrusted || !view.Has(n.self) || len(others) == 0 {
 			continue
 		}
 		turn++
-		b.copyOutcomes(others[turn%len(others)], view.Epoch)
+		n.copyOutcomes(others[turn%len(others)], view.Epoch)
 	}
 }
 
 // copyOutcomes copies what another member holds and this one lacks, at the pace of a
 // member that has votes to give.
-func (b *box) copyOutcomes(member string, epoch membership.Epoch) {
-	lacking, err := b.copyIntents(member, epoch, copyMode{settle: compareSettle, rest: copyRest, scope: idempotency.Outcomes})
+func (n *node) copyOutcomes(member string, epoch membership.Epoch) {
+	lacking, err := n.copyIntents(member, epoch, copyMode{settle: compareSettle, rest: copyRest, scope: idempotency.Outcomes})
 	if err != nil {
-		b.note("debug", "compare", "member", member, "error", err)
+		n.note("debug", "compare", "member", member, "error", err)
 		return
 	}
-	b.lag.set(member, lacking)
+	n.lag.set(member, lacking)
 	if lacking > 0 {
-		b.note("info", "copied intents that were lacking", "member", member, "count", lacking)
+		n.note("info", "copied intents that were lacking", "member", member, "count", lacking)
 	}
 }
--- a/internal/control/rollouts.go
+++ b/internal/control/rollouts.go
@@ -48,10 +48,10 @@
 	return name, nil
 }
 
-func (b *box) startPoint(_ context.Context, request any) (any, error) {
+func (n *node) startPoint(_ context.Context, request any) (any, error) {
 	order := request.(rollout)
 	in := messages.Order{Service: order.Service, Target: order.TargetVersion, Duration: int64(order.Duration)}
-	return struct{}{}, b.order(messages.KindOrder, in)
+	return struct{}{}, n.order(messages.KindOrder, in)
 }
 
 // RolloutState is how a rollout stands.
@@ -62,8 +62,8 @@
 	Reason        string `json:"Reason,omitempty"`
 }
 
-func (b *box) rolloutPoint(_ context.Context, request any) (any, error) {
-	state, err := b.readTrial(request.(string))
+func (n *node) rolloutPoint(_ context.Context, request any) (any, error) {
+	state, err := n.readTrial(request.(string))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/control/settle.go
+++ b/internal/control/settle.go
@@ -14,98 +14,98 @@
 // new system trusts its first view at once; a node whose disk was lost, or one
 // that is new, waits until no vote round can still count an old vote of its
 // own, reads what the others hold, and only then votes.
-func (b *box) settle(ctx context.Context) {
-	p := b.set.Load().Platform
+func (n *node) settle(ctx context.Context) {
+	p := n.set.Load().Platform
 	var isEmpty bool
-	b.keeper.read(func(t *tables) { isEmpty = t.isEmpty })
-	if first := membership.FirstView(b.seeds()); isEmpty && p.Bootstrap && first.Has(b.self) {
-		b.adopt(first)
-		b.trust()
+	n.store.read(func(t *tables) { isEmpty = t.isEmpty })
+	if first := membership.FirstView(n.seeds()); isEmpty && p.Bootstrap && first.Has(n.self) {
+		n.adopt(first)
+		n.trust()
 	}
 	// since is when this node last may have answered as a trusted member.
-	since := b.clock.Steady()
+	since := n.clock.Steady()
 	for ctx.Err() == nil {
-		b.findView()
-		view, isTrusted := b.view(), false
-		b.keeper.read(func(t *tables) { isTrusted = t.isTrusted })
+		n.findView()
+		view, isTrusted := n.view(), false
+		n.store.read(func(t *tables) { isTrusted = t.isTrusted })
 		switch {
-		case view.Has(b.self) && isTrusted:
-			b.clock.Sleep(10 * settlePause)
-		case view.Has(b.self):
+		case view.Has(n.self) && isTrusted:
+			n.clock.Sleep(10 * settlePause)
+		case view.Has(n.self):
 			// Twice the span: the round and its messages on their way.
-			if wait := 2*b.set.Load().Tuning.VoteSpan.Std() - time.Duration(b.clock.Steady()-since); wait > 0 {
-				b.clock.Sleep(wait)
+			if wait := 2*n.set.Load().Tuning.VoteSpan.Std() - time.Duration(n.clock.Steady()-since); wait > 0 {
+				n.clock.Sleep(wait)
 			}
-			if b.rebuild(view) {
-				b.trust()
+			if n.rebuild(view) {
+				n.trust()
 			}
 		case view.Epoch > 0:
 			if isTrusted {
-				b.distrust()
-				since = b.clock.Steady()
+				n.distrust()
+				since = n.clock.Steady()
 			}
 			for _, member := range view.Members {
-				b.line(member).Send(messages.KindJoin, messages.Join{Address: b.self}, nil)
+				n.line(member).Send(messages.KindJoin, messages.Join{Address: n.self}, nil)
 			}
 		}
-		b.clock.Sleep(settlePause)
+		n.clock.Sleep(settlePause)
 	}
 }
 
-func (b *box) trust() { b.setTrust(true) }
+func (n *node) trust() { n.setTrust(true) }
 
 // distrust is what a member does that finds itself out of the view: what it
 // holds may be behind, so it must rebuild before it votes again.
-func (b *box) distrust() { b.setTrust(false) }
+func (n *node) distrust() { n.setTrust(false) }
 
-func (b *box) setTrust(isTrusted bool) {
-	b.note("info", "trust", "trusted", isTrusted)
-	b.keeper.keep(func(t *tables) []record {
+func (n *node) setTrust(isTrusted bool) {
+	n.note("info", "trust", "trusted", isTrusted)
+	n.store.keep(func(t *tables) []record {
 		if t.isTrusted == isTrusted && !t.isEmpty {
 			return nil
 		}
 		r := record{Trusted: &isTrusted}
 		t.apply(r)
-		b.awaitPromises(t)
+		n.awaitPromises(t)
 		return []record{r}
 	}, 5*time.Second)
 }
 
-func (b *box) findView() {
+func (n *node) findView() {
 	var best membership.View
-	askAll(b, b.known(), messages.KindView, struct{}{}, askSpan, func(_ string, view membership.View) bool {
+	askAll(n, n.known(), messages.KindView, struct{}{}, askSpan, func(_ string, view membership.View) bool {
 		if view.Epoch > best.Epoch {
 			best = view
 		}
 		return false
 	})
 	if best.Epoch > 0 {
-		b.adopt(best)
+		n.adopt(best)
 	}
 }
 
 // rebuild reads what the other members hold and keeps the union. It tells whether
 // enough of them were read.
-func (b *box) rebuild(view membership.View) bool {
+func (n *node) rebuild(view membership.View) bool {
 	var readings readings
-	for _, member := range view.Others(b.self) {
-		isTrusted, err := b.readMember(member, view.Epoch)
+	for _, member := range view.Others(n.self) {
+		isTrusted, err := n.readMember(member, view.Epoch)
 		if err != nil {
-			b.note("info", "rebuild", "member", member, "error", err)
+			n.note("info", "rebuild", "member", member, "error", err)
 			continue
 		}
 		if readings.add(isTrusted); readings.trusted >= view.ReadSet() {
 			break
 		}
 	}
-	if !readings.suffice(view) || !b.registrar.rebuild(view) {
+	if !readings.suffice(view) || !n.registrar.rebuild(view) {
 		return false
 	}
 	if readings.trusted < view.ReadSet() {
-		b.note("error", "more members lost their disks than the view bears: going on with what is left", "trusted", readings.trusted, "needed", view.ReadSet())
+		n.note("error", "more members lost their disks than the view bears: going on with what is left", "trusted", readings.trusted, "needed", view.ReadSet())
 	}
-	b.announce()
-	return b.view().Epoch == view.Epoch
+	n.announce()
+	return n.view().Epoch == view.Epoch
 }
 
 // readings counts the members that were read whole.
@@ -127,18 +127,18 @@
 }
 
 // readMember reads all that a member holds, and tells whether it is trusted.
-func (b *box) readMember(member string, epoch membership.Epoch) (isTrusted bool, err error) {
-	if _, err = b.copyIntents(member, epoch, copyAtOnce); err != nil {
+func (n *node) readMember(member string, epoch membership.Epoch) (isTrusted bool, err error) {
+	if _, err = n.copyIntents(member, epoch, copyAtOnce); err != nil {
 		return false, err
 	}
 	var page messages.Page
-	if err = b.line(member).Ask(messages.KindDump, messages.Dump{Epoch: epoch}, &page, repairSpan); err != nil {
+	if err = n.line(member).Ask(messages.KindDump, messages.Dump{Epoch: epoch}, &page, repairSpan); err != nil {
 		return false, err
 	}
 	if !page.OK {
 		return false, errOtherEpoch
 	}
-	if !b.keeper.keep(func(t *tables) []record { return t.union(page) }, keepLongest) {
+	if !n.store.keep(func(t *tables) []record { return t.union(page) }, keepLongest) {
 		return false, errNotKept
 	}
 	return page.IsTrusted, nil
--- a/internal/control/sites.go
+++ b/internal/control/sites.go
@@ -17,8 +17,8 @@
 const layPeriod = time.Second
 
 // onReport hears a proxy, and answers with its lots.
-func (b *box) onReport(in messages.Report, answer func(messages.Lots)) {
-	c := b.conductor
+func (n *node) onReport(in messages.Report, answer func(messages.Lots)) {
+	c := n.coordinator
 	c.loop.Offer(func() {
 		c.court.Hear(in.Evidence)
 		c.cells[in.Evidence.Node] = in.Cell
@@ -33,9 +33,9 @@
 }
 
 // layTree lays the tree and the room of its sites after a new reading.
-func (c *conductor) layTree() {
+func (c *coordinator) layTree() {
 	tree, now, isSame := c.tree, c.clock.Steady(), false
-	c.keeper.read(func(t *tables) {
+	c.store.read(func(t *tables) {
 		digest := t.bookDigest()
 		// What is warming gets ready with no news.
 		isSame = digest == c.treeOf && c.officeTerm == c.term && c.laid == c.last.Reading() && time.Duration(now-c.laidAt) < layPeriod
@@ -76,8 +76,8 @@
 	Holder   string `json:"Holder"`
 }
 
-func (b *box) sitesPoint(context.Context, any) (any, error) {
-	c, page := b.conductor, SitePage{Sites: []branchline.Site{}, Accounts: []branchline.Account{}, Holder: b.holder()}
+func (n *node) sitesPoint(context.Context, any) (any, error) {
+	c, page := n.coordinator, SitePage{Sites: []branchline.Site{}, Accounts: []branchline.Account{}, Holder: n.holder()}
 	await(c.loop, func() {
 		if page.IsHolder = c.isMaster() && c.office != nil && c.tree != nil; page.IsHolder {
 			page.Sites = c.tree.Sites()
@@ -87,11 +87,11 @@
 	if page.IsHolder {
 		return page, nil
 	}
-	book, err := b.read()
+	book, err := n.read()
 	if err != nil {
 		return nil, err
 	}
-	tree, err := book.Tree(b.set.Load().Platform.Cells)
+	tree, err := book.Tree(n.set.Load().Platform.Cells)
 	if err != nil {
 		return nil, derail.New(derail.Gone, err.Error())
 	}
@@ -100,8 +100,8 @@
 }
 
 // checkSites refuses a book whose sites make no tree.
-func (b *box) checkSites(book config.Book) error {
-	_, err := book.Tree(b.set.Load().Platform.Cells)
+func (n *node) checkSites(book config.Book) error {
+	_, err := book.Tree(n.set.Load().Platform.Cells)
 	if err != nil {
 		return derail.New(derail.BadManifest, errors.Cause(err).Error())
 	}
--- a/internal/control/staged.go
+++ b/internal/control/staged.go
@@ -45,12 +45,12 @@
 
 func decodeName(_ context.Context, r *http.Request) (any, error) { return r.PathValue("name"), nil }
 
-func (b *box) stagePoint(_ context.Context, request any) (any, error) {
-	return struct{}{}, b.order(messages.KindStage, request)
+func (n *node) stagePoint(_ context.Context, request any) (any, error) {
+	return struct{}{}, n.order(messages.KindStage, request)
 }
 
-func (b *box) haltPoint(_ context.Context, request any) (any, error) {
-	return struct{}{}, b.order(messages.KindStage, messages.StageOrder{Name: request.(string), IsHalt: true})
+func (n *node) haltPoint(_ context.Context, request any) (any, error) {
+	return struct{}{}, n.order(messages.KindStage, messages.StageOrder{Name: request.(string), IsHalt: true})
 }
 
 // StagedState is how a staged change stands. Evidence is there where the holder
@@ -64,26 +64,26 @@
 	Evidence []hotbox.Evidence `json:"Evidence"`
 }
 
-func (b *box) stagedPoint(_ context.Context, request any) (any, error) {
+func (n *node) stagedPoint(_ context.Context, request any) (any, error) {
 	subject := trial.StagePrefix + request.(string)
-	state, err := b.readTrial(subject)
+	state, err := n.readTrial(subject)
 	if err != nil {
 		return nil, err
 	}
 	return StagedState{
-		State: state.Answer(), Phase: state.Phase.String(), Wave: state.Wave, Waves: state.Waves, Reason: state.Reason, Evidence: b.evidence(subject),
+		State: state.Answer(), Phase: state.Phase.String(), Wave: state.Wave, Waves: state.Waves, Reason: state.Reason, Evidence: n.evidence(subject),
 	}, nil
 }
 
 // evidence asks the holder of the duty what it knows of a trial.
-func (b *box) evidence(subject string) []hotbox.Evidence {
+func (n *node) evidence(subject string) []hotbox.Evidence {
 	told := messages.Evidence{}
-	_ = b.ask(b.holder(), messages.KindEvidence, messages.Evidence{Subject: subject}, &told, askSpan)
+	_ = n.ask(n.holder(), messages.KindEvidence, messages.Evidence{Subject: subject}, &told, askSpan)
 	return append([]hotbox.Evidence{}, told.Lanes...)
 }
 
-func (b *box) onEvidence(in messages.Evidence, answer func(messages.Evidence)) {
-	c := b.conductor
+func (n *node) onEvidence(in messages.Evidence, answer func(messages.Evidence)) {
+	c := n.coordinator
 	c.loop.Offer(func() {
 		if d := c.drives[in.Subject]; d != nil && c.isMaster() {
 			in.Lanes = d.finding.Evidence
--- a/internal/control/stages.go
+++ b/internal/control/stages.go
@@ -22,8 +22,8 @@
 	haltedReason = "halted by the operator"
 )
 
-func (b *box) onStage(in messages.StageOrder, answer func(messages.Ordered)) {
-	b.decide(answer, func(c *conductor) (derail.Kind, string) {
+func (n *node) onStage(in messages.StageOrder, answer func(messages.Ordered)) {
+	n.decide(answer, func(c *coordinator) (derail.Kind, string) {
 		if in.IsHalt {
 			return c.halt(in)
 		}
@@ -32,7 +32,7 @@
 }
 
 // stage takes an order for a staged change.
-func (c *conductor) stage(in messages.StageOrder) (kind derail.Kind, detail string) {
+func (c *coordinator) stage(in messages.StageOrder) (kind derail.Kind, detail string) {
 	subject := trial.StagePrefix + in.Name
 	state := c.states[subject]
 	isSame := state.Number > 0 && sameItems(state.Items, in.Items)
@@ -75,12 +75,12 @@
 	if c.write(next) != nil {
 		return derail.Gone, ""
 	}
-	c.keeper.read(func(t *tables) { c.doubled = t.voter.Doubles() })
+	c.store.read(func(t *tables) { c.doubled = t.voter.Doubles() })
 	c.publish()
 	return derail.None, ""
 }
 
-func (c *conductor) halt(in messages.StageOrder) (kind derail.Kind, detail string) {
+func (c *coordinator) halt(in messages.StageOrder) (kind derail.Kind, detail string) {
 	state, isKnown := c.states[trial.StagePrefix+in.Name]
 	if !isKnown {
 		return derail.UnknownSubject, in.Name
@@ -106,7 +106,7 @@
 }
 
 // waves lays the waves over the proxies in touch, beginning with the one named.
-func (c *conductor) waves(first string) [][]string {
+func (c *coordinator) waves(first string) [][]string {
 	var nodes []string
 	for _, node := range slices.Sorted(maps.Keys(c.cells)) {
 		if c.court.IsFresh(node, silentSpan) {
@@ -123,7 +123,7 @@
 }
 
 // driveStage takes one step of a staged change, where the facts come to one.
-func (c *conductor) driveStage(state trial.State) {
+func (c *coordinator) driveStage(state trial.State) {
 	d := c.driveOf(state)
 	now := c.clock.Steady()
 	facts := trial.StageFacts{
@@ -134,7 +134,7 @@
 	doubled := 0
 	var newer []config.Item
 	isHeld := true
-	c.keeper.read(func(t *tables) {
+	c.store.read(func(t *tables) {
 		doubled, newer = t.voter.Doubles(), t.book().Newer(state.Items)
 		for _, item := range state.Items {
 			held := t.book()[item.ID]
@@ -171,7 +171,7 @@
 	return feed.Stage{Subject: state.Subject, Number: state.Number, Wave: state.Wave, Nodes: state.Reached(), Items: state.Items}
 }
 
-func (c *conductor) stages() (out []feed.Stage) {
+func (c *coordinator) stages() (out []feed.Stage) {
 	for _, state := range c.states {
 		if state.IsStaged() && state.Phase.IsActive() {
 			out = append(out, stageOf(state))
--- a/internal/control/standby.go
+++ b/internal/control/standby.go
@@ -21,40 +21,40 @@
 // standsBy tells whether this node is to read the list in the stead of the holder
 // of the duty: it watches the holder, and has not heard of it for a while. The duty
 // itself moves later; that servers leave cannot wait for it.
-func (b *box) standsBy() bool {
+func (n *node) standsBy() bool {
 	var view membership.View
 	holder := ""
-	b.hub.Read(func(board *feed.Board) { view, holder = board.View, board.Fleet.Holder })
-	if holder == "" || holder == b.self || !view.Has(b.self) {
+	n.hub.Read(func(board *feed.Board) { view, holder = board.View, board.Fleet.Holder })
+	if holder == "" || holder == n.self || !view.Has(n.self) {
 		return false
 	}
-	if !slices.Contains(membership.Watchers(view.Members, holder, watcherCount), b.self) {
+	if !slices.Contains(membership.Watchers(view.Members, holder, watcherCount), n.self) {
 		return false
 	}
 	var silence time.Duration
-	b.onRoll(func() { silence = b.watch.Silence(holder, b.began) })
-	patience := time.Duration(standbyPart * float64(b.set.Load().Tuning.SilentAfter))
+	n.inMemberLoop(func() { silence = n.watch.Silence(holder, n.began) })
+	patience := time.Duration(standbyPart * float64(n.set.Load().Tuning.SilentAfter))
 	return silence > patience && silence < standbyLongest
 }
 
 // tellLeaving tells every member which servers the list shows leaving that the
 // fleet still calls ready.
-func (b *box) tellLeaving(servers []feed.Server) {
+func (n *node) tellLeaving(servers []feed.Server) {
 	var view membership.View
 	var leaving messages.Leaving
-	b.hub.Read(func(board *feed.Board) { view, leaving.IDs = board.View, board.Fleet.StillReady(servers) })
+	n.hub.Read(func(board *feed.Board) { view, leaving.IDs = board.View, board.Fleet.StillReady(servers) })
 	if len(leaving.IDs) == 0 {
 		return
 	}
 	for _, member := range view.Members {
-		if member != b.self {
-			b.line(member).Send(messages.KindLeaving, leaving, nil)
+		if member != n.self {
+			n.line(member).Send(messages.KindLeaving, leaving, nil)
 		}
 	}
-	b.hub.Publish(feed.News{Leaving: leaving.IDs})
+	n.hub.Publish(feed.News{Leaving: leaving.IDs})
 }
 
 // onLeaving passes on to this node's followers which servers leave.
-func (b *box) onLeaving(in messages.Leaving, _ func(messages.Done)) {
-	b.hub.Publish(feed.News{Leaving: in.IDs})
+func (n *node) onLeaving(in messages.Leaving, _ func(messages.Done)) {
+	n.hub.Publish(feed.News{Leaving: in.IDs})
 }
--- a/internal/control/standby_test.go
+++ b/internal/control/standby_test.go
@@ -20,7 +20,7 @@
 
 var _ = Describe("a reading of the list in the holder's stead", func() {
 	const holder, self, other, silentAfter = "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", 1200 * time.Millisecond
-	var b *box
+	var b *node
 	var hand *timetable.Hand
 	fleet := func(count uint64, by string, isReady bool) *feed.Fleet {
 		return &feed.Fleet{Term: 1, Count: count, Holder: by, Servers: []feed.Server{{ID: "a", IsReady: isReady}, {ID: "b", IsReady: true}}}
@@ -29,19 +29,19 @@
 		b.hub.Read(func(board *feed.Board) { out = board.Leaving })
 		return out
 	}
-	hear := func() { b.onRoll(func() { b.watch.Hear(membership.Beat{From: holder, IsFit: true}) }) }
+	hear := func() { b.inMemberLoop(func() { b.watch.Hear(membership.Beat{From: holder, IsFit: true}) }) }
 
 	BeforeEach(func() {
 		hand = &timetable.Hand{Now: time.Hour}
-		b = &box{
+		b = &node{
 			self: self, clock: hand, hub: feed.NewHub(), note: func(string, string, ...any) {},
-			lines: map[string]*rpc.Line{},
-			roll:  timetable.NewLoop[func()](8), watch: membership.NewWatch(hand, silentAfter), began: hand.Steady(),
+			lines:      map[string]*rpc.Line{},
+			memberLoop: timetable.NewLoop[func()](8), watch: membership.NewWatch(hand, silentAfter), began: hand.Steady(),
 		}
 		b.set.Store(&settings.Settings{Tuning: settings.Tuning{SilentAfter: timetable.Span(silentAfter)}})
 		ctx, cancel := context.WithCancel(context.Background())
 		DeferCleanup(cancel)
-		go b.roll.Run(ctx, actAll, 0, nil)
+		go b.memberLoop.Run(ctx, actAll, 0, nil)
 		view := membership.View{Epoch: 1, Members: []string{holder, self, other}}
 		b.hub.Publish(feed.News{View: &view, Fleet: fleet(1, holder, true)})
 		hear()
@@ -72,15 +72,15 @@
 		Expect(b.standsBy()).To(BeFalse())
 	})
 
-	It("is told by a holder whose conductor is held up, and not beside what was published", func() {
+	It("is told by a holder whose coordinator is held up, and not beside what was published", func() {
 		platform := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			_, _ = io.WriteString(w, `{"Instances":[{"InstanceId":"a","State":"draining"},{"InstanceId":"b","State":"ready"}],"NextToken":null}`)
 		}))
 		DeferCleanup(platform.Close)
-		// Nobody runs the conductor's loop.
-		b.conductor = newConductor(b)
+		// Nobody runs the coordinator's loop.
+		b.coordinator = newCoordinator(b)
 		b.isHolder.Store(true)
-		poll := &listPoll{box: b, reader: newListReader(hand, func() string { return platform.Listener.Addr().String() })}
+		poll := &listPoll{node: b, reader: newListReader(hand, func() string { return platform.Listener.Addr().String() })}
 		poll.turn(context.Background())
 		Expect(leaving()).To(Equal(map[string]bool{"a": true}))
 		b.hub.Publish(feed.News{Fleet: fleet(2, self, false)})
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -56,9 +56,9 @@
 	RemainingMs int64  `json:"RemainingMs"`
 }
 
-func (b *box) statusPoint(context.Context, any) (any, error) {
-	out := Status{Node: b.self, Followers: b.hub.Followers(), Members: map[string]bool{}, Versions: map[string]string{}, Trials: map[string]TrialStatus{}}
-	b.keeper.read(func(t *tables) {
+func (n *node) statusPoint(context.Context, any) (any, error) {
+	out := Status{Node: n.self, Followers: n.hub.Followers(), Members: map[string]bool{}, Versions: map[string]string{}, Trials: map[string]TrialStatus{}}
+	n.store.read(func(t *tables) {
 		out.Epoch, out.IsTrusted, out.Term, out.Holder = uint64(t.view.Epoch), t.isTrusted, t.term.Number, t.term.Holder
 		out.Index, out.IsUndecided = uint64(t.registry.Index), t.registry.Acceptor.Change != nil
 		out.Items, out.Digest = len(t.book()), t.bookDigest()
@@ -67,39 +67,39 @@
 				out.Versions[item.ID.Name] = string(text)
 			}
 		}
-		counts, oldest := t.voter.Count(b.clock.Wall())
+		counts, oldest := t.voter.Count(n.clock.Wall())
 		out.Quota = t.voter.Quota().Usage()
 		out.Intents, out.OldestMs = counts, oldest.Milliseconds()
-		out.Lagging = b.lag.most(t.view)
+		out.Lagging = n.lag.most(t.view)
 		for subject, state := range t.trials {
 			out.Trials[subject] = TrialStatus{state.Phase.String(), state.InForce, state.Target, state.Wave, state.Reason}
 		}
 		for _, member := range t.view.Members {
-			out.Members[member] = member == b.self
+			out.Members[member] = member == n.self
 		}
 	})
-	b.onRoll(func() {
+	n.inMemberLoop(func() {
 		for member := range out.Members {
-			out.Members[member] = out.Members[member] || b.watch.IsLive(member)
+			out.Members[member] = out.Members[member] || n.watch.IsLive(member)
 		}
 	})
-	out.Servers = len(b.fleet().Servers)
-	out.QuorumAgeMs, out.Lease = b.quorumAgeMs(), b.leaseStatus(out)
+	out.Servers = len(n.fleet().Servers)
+	out.QuorumAgeMs, out.Lease = n.quorumAgeMs(), n.leaseStatus(out)
 	return out, nil
 }
 
-func (b *box) quorumAgeMs() int64 {
-	age, ok := b.contact.age(b.clock.Steady())
+func (n *node) quorumAgeMs() int64 {
+	age, ok := n.contact.age(n.clock.Steady())
 	if !ok {
 		return -1
 	}
 	return age.Milliseconds()
 }
 
-func (b *box) leaseStatus(status Status) LeaseStatus {
+func (n *node) leaseStatus(status Status) LeaseStatus {
 	out := LeaseStatus{Holder: status.Holder, Term: status.Term}
-	if status.Holder == b.self {
-		out.RemainingMs = b.lease.remaining(status.Term, b.clock.Steady()).Milliseconds()
+	if status.Holder == n.self {
+		out.RemainingMs = n.lease.remaining(status.Term, n.clock.Steady()).Milliseconds()
 	}
 	return out
 }
@@ -110,7 +110,7 @@
 	Servers []feed.Server `json:"Servers"`
 }
 
-func (b *box) fleetPoint(context.Context, any) (any, error) {
-	fleet := b.fleet()
+func (n *node) fleetPoint(context.Context, any) (any, error) {
+	fleet := n.fleet()
 	return FleetPage{Term: fleet.Term, Servers: fleet.Servers}, nil
 }
--- a/internal/control/keeper.go
+++ b/internal/control/store.go
@@ -16,15 +16,15 @@
 	"ploverhitch/internal/timetable"
 )
 
-// command is a change for the keeper: act reads and changes the tables and
+// command is a change for the store: act reads and changes the tables and
 // returns what must be kept; done runs once that, and all before it, is.
 type command struct {
 	act  func(*tables) []record
 	done func()
 }
 
-// keeper owns the tables and the log. A batch of commands shares one sync.
-type keeper struct {
+// store owns the tables and the log. A batch of commands shares one sync.
+type store struct {
 	loop   *timetable.Loop[command]
 	tables *tables
 	log    *storage.Log
@@ -40,20 +40,20 @@
 	self string
 }
 
-func openKeeper(disk storage.Disk, policy idempotency.Policy, clock timetable.Clock, fail func(error)) (*keeper, error) {
-	k := &keeper{loop: timetable.NewLoop[command](4096), tables: newTables(policy), clock: clock, fail: fail}
+func openStore(disk storage.Disk, policy idempotency.Policy, clock timetable.Clock, fail func(error)) (*store, error) {
+	s := &store{loop: timetable.NewLoop[command](4096), tables: newTables(policy), clock: clock, fail: fail}
 	log, err := storage.Open(disk, func(text []byte) error {
 		var r record
 		if err := cbor.Unmarshal(text, &r); err != nil {
 			return errors.Annotate(err, "a record of the log")
 		}
-		k.tables.apply(r)
+		s.tables.apply(r)
 		return nil
 	})
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	if k.log = log; len(log.Damages()) > 0 {
+	if s.log = log; len(log.Damages()) > 0 {
 		// What could be read still counts as told, but the node is treated
 		// as one whose disk was lost: it votes again once it has rebuilt.
 		fail(errors.New("records of the log cannot be read; the node rebuilds from the others"))
@@ -62,29 +62,29 @@
 		}
 		isTrusted := false
 		r := record{Trusted: &isTrusted}
-		k.tables.apply(r)
-		k.note(r)
-		k.flush()
-		k.checkpoint()
+		s.tables.apply(r)
+		s.note(r)
+		s.flush()
+		s.checkpoint()
 	}
-	return k, nil
+	return s, nil
 }
 
-func (k *keeper) put(act func(*tables) []record, done func()) {
-	k.loop.Put(command{act, done})
+func (s *store) put(act func(*tables) []record, done func()) {
+	s.loop.Put(command{act, done})
 }
 
 // read runs look with the tables and waits for it.
-func (k *keeper) read(look func(*tables)) {
+func (s *store) read(look func(*tables)) {
 	ended := make(chan struct{})
-	k.put(func(t *tables) []record { look(t); return nil }, func() { close(ended) })
+	s.put(func(t *tables) []record { look(t); return nil }, func() { close(ended) })
 	<-ended
 }
 
 // keep runs act and waits until what it returned is kept, or the span ends.
-func (k *keeper) keep(act func(*tables) []record, wait time.Duration) bool {
+func (s *store) keep(act func(*tables) []record, wait time.Duration) bool {
 	ended := make(chan struct{})
-	k.put(act, func() { close(ended) })
+	s.put(act, func() { close(ended) })
 	alarm := time.NewTimer(wait)
 	defer alarm.Stop()
 	select {
@@ -105,57 +105,57 @@
 	repairBytes = 3 * checkpointBytes
 )
 
-func (k *keeper) run(ctx context.Context) { k.loop.Run(ctx, k.handle, tendPeriod, k.tend) }
+func (s *store) run(ctx context.Context) { s.loop.Run(ctx, s.handle, tendPeriod, s.tend) }
 
-func (k *keeper) handle(batch []command) {
+func (s *store) handle(batch []command) {
 	for _, c := range batch {
-		for _, r := range c.act(k.tables) {
-			k.note(r)
+		for _, r := range c.act(s.tables) {
+			s.note(r)
 		}
 		if c.done != nil {
-			k.pending = append(k.pending, c.done)
+			s.pending = append(s.pending, c.done)
 		}
 	}
-	k.flush()
+	s.flush()
 }
 
-func (k *keeper) note(r record) {
+func (s *store) note(r record) {
 	text, err := cbor.Marshal(r)
 	if err != nil {
-		k.fail(err)
+		s.fail(err)
 		return
 	}
-	k.unsaved = append(k.unsaved, text)
+	s.unsaved = append(s.unsaved, text)
 }
 
-func (k *keeper) flush() {
-	if len(k.unsaved) > 0 {
-		if err := k.log.Append(k.unsaved); err != nil {
-			k.fail(err)
+func (s *store) flush() {
+	if len(s.unsaved) > 0 {
+		if err := s.log.Append(s.unsaved); err != nil {
+			s.fail(err)
 			return
 		}
-		k.unsaved = nil
+		s.unsaved = nil
 	}
-	pending := k.pending
-	k.pending = nil
+	pending := s.pending
+	s.pending = nil
 	for _, done := range pending {
 		done()
 	}
 }
 
-func (k *keeper) tend() {
-	for _, entry := range k.tables.voter.Tend(k.clock.Wall()) {
-		k.note(record{Entry: &entry})
+func (s *store) tend() {
+	for _, entry := range s.tables.voter.Tend(s.clock.Wall()) {
+		s.note(record{Entry: &entry})
 	}
-	k.flush()
-	view := k.tables.view
-	limit := checkpointAt(slices.Index(view.Members, k.self), len(view.Members))
-	if !k.tables.isTrusted {
+	s.flush()
+	view := s.tables.view
+	limit := checkpointAt(slices.Index(view.Members, s.self), len(view.Members))
+	if !s.tables.isTrusted {
 		// What is read in a repair would be written several times over.
 		limit = repairBytes
 	}
-	if k.log.Grown() >= limit && len(k.unsaved) == 0 {
-		k.checkpoint()
+	if s.log.Grown() >= limit && len(s.unsaved) == 0 {
+		s.checkpoint()
 	}
 }
 
@@ -171,17 +171,17 @@
 
 // checkpoint begins a new segment and writes, beside the loop, all that came
 // before it, unless the last checkpoint is still being written.
-func (k *keeper) checkpoint() {
-	if !k.isWriting.CompareAndSwap(false, true) {
+func (s *store) checkpoint() {
+	if !s.isWriting.CompareAndSwap(false, true) {
 		return
 	}
-	write, err := k.log.Roll()
+	write, err := s.log.Roll()
 	if err != nil {
-		k.isWriting.Store(false)
-		k.fail(err)
+		s.isWriting.Store(false)
+		s.fail(err)
 		return
 	}
-	records := k.tables.snapshot()
+	records := s.tables.snapshot()
 	texts := func(yield func([]byte) bool) {
 		for r := range records {
 			if text, err := cbor.Marshal(r); err == nil && !yield(text) {
@@ -190,9 +190,9 @@
 		}
 	}
 	go func() {
-		defer k.isWriting.Store(false)
+		defer s.isWriting.Store(false)
 		if err := write(texts); err != nil {
-			k.fail(err)
+			s.fail(err)
 		}
 	}()
 }
--- a/internal/control/keeper_test.go
+++ b/internal/control/store_test.go
@@ -14,7 +14,7 @@
 var _ = Describe("a checkpoint", func() {
 	It("is not begun while another is being written", func() {
 		disk := standin.NewDisk(rand.New(rand.NewPCG(1, 1)))
-		k, err := openKeeper(disk, idempotency.Policy{}, &timetable.Hand{}, func(err error) { Expect(err).NotTo(HaveOccurred()) })
+		k, err := openStore(disk, idempotency.Policy{}, &timetable.Hand{}, func(err error) { Expect(err).NotTo(HaveOccurred()) })
 		Expect(err).NotTo(HaveOccurred())
 		k.isWriting.Store(true)
 		k.checkpoint()
--- a/internal/control/tables.go
+++ b/internal/control/tables.go
@@ -32,7 +32,7 @@
 	Durable *registry.Durable `cbor:"11,keyasint,omitempty"`
 }
 
-// tables is everything that is kept; the keeper alone touches it.
+// tables is everything that is kept; the store alone touches it.
 type tables struct {
 	voter *idempotency.Voter
 	// registry is this node's replica of the item set, loading the pages of a set
@@ -148,7 +148,7 @@
 }
 
 // snapshot lists enough to make the tables again, as they stand now. The entries
-// are made one by one as it is read, which may be beside the keeper.
+// are made one by one as it is read, which may be beside the store.
 func (t *tables) snapshot() iter.Seq[record] {
 	head, entries := t.heads(), t.voter.Snapshot()
 	return func(yield func(record) bool) {
--- a/internal/control/trials.go
+++ b/internal/control/trials.go
@@ -15,47 +15,47 @@
 
 // onTrial keeps a writing of a trial, unless a higher term has fenced it off or
 // a newer writing is held.
-func (b *box) onTrial(in messages.Trial, answer func(messages.Done)) {
+func (n *node) onTrial(in messages.Trial, answer func(messages.Done)) {
 	isTaken := false
-	b.keeper.put(func(t *tables) []record {
+	n.store.put(func(t *tables) []record {
 		state := in.State
-		if !t.isTrusted || in.Epoch != t.view.Epoch || !t.view.Has(b.self) || state.Term < t.term.Number {
+		if !t.isTrusted || in.Epoch != t.view.Epoch || !t.view.Has(n.self) || state.Term < t.term.Number {
 			return nil
 		}
 		held := t.trials[state.Subject]
 		if isTaken = !held.Outranks(state); !isTaken || !state.Outranks(held) {
 			return nil
 		}
-		b.hearTrial(state)
+		n.hearTrial(state)
 		t.trials[state.Subject] = state
 		return []record{{Trial: &state}}
 	}, func() { answer(messages.Done{OK: isTaken}) })
 }
 
-func (b *box) hearTrial(state trial.State) {
-	began := b.clock.Steady() - timetable.Steady(state.Elapsed)
-	if known, isKnown := b.heard.Load(state.Subject); isKnown {
+func (n *node) hearTrial(state trial.State) {
+	began := n.clock.Steady() - timetable.Steady(state.Elapsed)
+	if known, isKnown := n.heard.Load(state.Subject); isKnown {
 		if h := known.(heardTrial); h.number == state.Number {
 			began = min(began, h.began)
 		}
 	}
-	b.heard.Store(state.Subject, heardTrial{state.Number, began})
+	n.heard.Store(state.Subject, heardTrial{state.Number, began})
 }
 
 // beganAt is when a trial began, as well as this node can tell.
-func (b *box) beganAt(state trial.State) timetable.Steady {
-	if known, isKnown := b.heard.Load(state.Subject); isKnown {
+func (n *node) beganAt(state trial.State) timetable.Steady {
+	if known, isKnown := n.heard.Load(state.Subject); isKnown {
 		if h := known.(heardTrial); h.number == state.Number {
 			return h.began
 		}
 	}
-	return b.clock.Steady() - timetable.Steady(state.Elapsed)
+	return n.clock.Steady() - timetable.Steady(state.Elapsed)
 }
 
-func (b *box) onTrials(in messages.Trials, answer func(messages.TrialsTold)) {
+func (n *node) onTrials(in messages.Trials, answer func(messages.TrialsTold)) {
 	var out messages.TrialsTold
-	b.keeper.put(func(t *tables) []record {
-		out.OK, out.Fence = t.isTrusted && in.Epoch == t.view.Epoch && t.view.Has(b.self), t.term.Number
+	n.store.put(func(t *tables) []record {
+		out.OK, out.Fence = t.isTrusted && in.Epoch == t.view.Epoch && t.view.Has(n.self), t.term.Number
 		for _, state := range t.trials {
 			out.States = append(out.States, state)
 		}
@@ -75,11 +75,11 @@
 
 // gatherTrials reads what a majority holds: the newest writing of each trial,
 // and whether all of the majority held the same.
-func (b *box) gatherTrials() (states map[string]trial.State, isEven bool, fence uint64, err error) {
-	view, count := b.view(), 0
+func (n *node) gatherTrials() (states map[string]trial.State, isEven bool, fence uint64, err error) {
+	view, count := n.view(), 0
 	states, isEven = map[string]trial.State{}, true
 	held := map[string]int{}
-	askAll(b, view.Members, messages.KindTrials, messages.Trials{Epoch: view.Epoch}, askSpan, func(_ string, told messages.TrialsTold) bool {
+	askAll(n, view.Members, messages.KindTrials, messages.Trials{Epoch: view.Epoch}, askSpan, func(_ string, told messages.TrialsTold) bool {
 		if !told.OK {
 			return false
 		}
@@ -109,9 +109,9 @@
 }
 
 // writeTrial keeps a writing on a majority.
-func (b *box) writeTrial(state trial.State) error {
-	view := b.view()
-	if !b.isDone(view, messages.KindTrial, messages.Trial{Epoch: view.Epoch, State: state}, keepSpan) {
+func (n *node) writeTrial(state trial.State) error {
+	view := n.view()
+	if !n.isDone(view, messages.KindTrial, messages.Trial{Epoch: view.Epoch, State: state}, keepSpan) {
 		return derail.New(derail.Gone, "keeping the trial")
 	}
 	return nil
@@ -119,8 +119,8 @@
 
 // readTrial is the trial as a majority holds it; what only some hold is first
 // brought to a majority, so that no later reading goes back.
-func (b *box) readTrial(subject string) (state trial.State, err error) {
-	states, isEven, _, err := b.gatherTrials()
+func (n *node) readTrial(subject string) (state trial.State, err error) {
+	states, isEven, _, err := n.gatherTrials()
 	if err != nil {
 		return state, err
 	}
@@ -129,7 +129,7 @@
 		return state, derail.New(derail.UnknownSubject, subject)
 	}
 	if !isEven {
-		err = b.writeTrial(state)
+		err = n.writeTrial(state)
 	}
 	return state, err
 }
