--- a/cmd/measure/measures.go
+++ b/cmd/measure/measures.go
@@ -86,11 +86,11 @@
 	var items []config.Item
 	for at := range size {
 		name := fmt.Sprint("lane-", at)
-		body, _ := json.Marshal(config.LaneSpec{
+		body, _ := json.Marshal(config.RouteSpec{
 			Name: name, PathPrefix: "/" + name + "/", RouteType: config.Safe, Timeout: timetable.Span(time.Second), TargetLatency: timetable.Span(time.Second),
 			Service: fmt.Sprint("service-", at%40), MaxAttempts: 2, Revision: 1,
 		})
-		items = append(items, config.Item{ID: config.ID{Class: config.LaneItem, Name: name}, Version: 1, Host: fmt.Sprint("h", at%400, ".example"), Body: body})
+		items = append(items, config.Item{ID: config.ID{Class: config.RouteItem, Name: name}, Version: 1, Host: fmt.Sprint("h", at%400, ".example"), Body: body})
 	}
 	book := config.Book{}
 	book.Merge(items)
--- a/internal/config/item.go
+++ b/internal/config/item.go
@@ -47,7 +47,7 @@
 
 // The classes of items.
 const (
-	LaneItem Class = iota + 1
+	RouteItem Class = iota + 1
 	ServiceItem
 	LimitsItem
 	// SiteItem is a site of the hierarchy, which the protocol's own calls do
--- a/internal/config/manifest_test.go
+++ b/internal/config/manifest_test.go
@@ -100,7 +100,7 @@
 			var sent []config.Item
 			for range 30 {
 				sent = append(sent, config.Item{
-					ID: config.ID{Class: config.LaneItem, Name: fmt.Sprint(random.IntN(4))}, Version: config.Version(1 + random.IntN(6)),
+					ID: config.ID{Class: config.RouteItem, Name: fmt.Sprint(random.IntN(4))}, Version: config.Version(1 + random.IntN(6)),
 					Dropped: random.IntN(4) == 0, Host: fmt.Sprint(random.IntN(3)),
 				})
 			}
--- a/internal/config/own.go
+++ b/internal/config/own.go
@@ -91,7 +91,7 @@
 //
 // Example:
 //
-//	order := loadgauge.Arrange(book.Plan(), lanes)
+//	order := loadgauge.Arrange(book.Plan(), routes)
 func (b Book) Plan() (plan loadgauge.Plan) {
 	if plans, _ := own[loadgauge.Plan](b, PlanItem); len(plans) > 0 {
 		plan = plans[0]
@@ -99,32 +99,32 @@
 	return plan
 }
 
-// gaugeKinds is the table from a lane's type to its kind in the order of tiers.
-var gaugeKinds = map[LaneKind]loadgauge.Kind{
+// gaugeKinds is the table from a route's type to its kind in the order of tiers.
+var gaugeKinds = map[RouteKind]loadgauge.Kind{
 	Idempotent: loadgauge.Keyed, Unsafe: loadgauge.Once, Safe: loadgauge.Read, Download: loadgauge.Bulk,
 }
 
-// gaugeLane is what the order of tiers knows of a lane.
-func (l *LaneSpec) gaugeLane(host string) loadgauge.Lane {
+// gaugeLane is what the order of tiers knows of a route.
+func (l *RouteSpec) gaugeLane(host string) loadgauge.Lane {
 	return loadgauge.Lane{Name: l.Name, Host: host, Priority: l.Priority, Kind: gaugeKinds[l.RouteType]}
 }
 
 func (b Book) gaugeLanes() (out []loadgauge.Lane) {
-	b.eachLane(func(lane LaneSpec, host string) { out = append(out, lane.gaugeLane(host)) })
+	b.eachLane(func(lane RouteSpec, host string) { out = append(out, lane.gaugeLane(host)) })
 	return out
 }
 
 func (b Book) mirrorLanes() (out []loopline.Lane) {
-	b.eachLane(func(lane LaneSpec, host string) {
+	b.eachLane(func(lane RouteSpec, host string) {
 		out = append(out, loopline.Lane{Name: lane.Name, Host: host, Services: lane.Services()})
 	})
 	return out
 }
 
-func (b Book) eachLane(visit func(lane LaneSpec, host string)) {
+func (b Book) eachLane(visit func(lane RouteSpec, host string)) {
 	for _, item := range b.Items() {
-		var lane LaneSpec
-		if item.ID.Class == LaneItem && !item.Dropped && json.Unmarshal(item.Body, &lane) == nil {
+		var lane RouteSpec
+		if item.ID.Class == RouteItem && !item.Dropped && json.Unmarshal(item.Body, &lane) == nil {
 			visit(lane, item.Host)
 		}
 	}
@@ -137,9 +137,9 @@
 //	mirrors, versions := book.Mirrors()
 func (b Book) Mirrors() ([]loopline.Mirror, []Version) { return own[loopline.Mirror](b, MirrorItem) }
 
-// CheckOwn holds a changed book's own items against its lanes and services: the
-// mirrors always, as no lane may come to deliver to a shadow; plans and names of
-// lanes where the change brings them.
+// CheckOwn holds a changed book's own items against its routes and services: the
+// mirrors always, as no route may come to deliver to a shadow; plans and names of
+// routes where the change brings them.
 //
 // Example:
 //
--- a/internal/config/sheet.go
+++ b/internal/config/sheet.go
@@ -9,12 +9,12 @@
 	"ploverhitch/internal/loopline"
 )
 
-// Lane is a lane made ready for the path of an inquiry.
-type Lane struct {
-	LaneSpec
+// Route is a route made ready for the path of a request.
+type Route struct {
+	RouteSpec
 	Host    string
 	weights float64
-	// Tier is the lane's place in the order of what is turned away.
+	// Tier is the route's place in the order of what is turned away.
 	Tier loadgauge.Tier
 	// Mirror is the order by which its conversations are copied, if there is one.
 	Mirror *Mirror
@@ -26,19 +26,19 @@
 	Version Version
 }
 
-// IsRepeatable tells whether an inquiry on the lane may run more than once.
+// IsRepeatable tells whether a request on the route may run more than once.
 //
 // Example:
 //
-//	if lane.IsRepeatable() { tryAgain() }
-func (l *Lane) IsRepeatable() bool { return l.RouteType == Safe || l.RouteType == Download }
+//	if route.IsRepeatable() { tryAgain() }
+func (l *Route) IsRepeatable() bool { return l.RouteType == Safe || l.RouteType == Download }
 
-// Pick chooses the lane's service for a draw between 0 and 1.
+// Pick chooses the route's service for a draw between 0 and 1.
 //
 // Example:
 //
-//	service := lane.Pick(rand.Float64())
-func (l *Lane) Pick(draw float64) string {
+//	service := route.Pick(rand.Float64())
+func (l *Route) Pick(draw float64) string {
 	if len(l.TrafficSplit) == 0 {
 		return l.Service
 	}
@@ -56,13 +56,13 @@
 	return ""
 }
 
-// Sheet is a book made ready for reading on the path of an inquiry; it never
+// Sheet is a book made ready for reading on the path of a request; it never
 // changes.
 type Sheet struct {
 	Services map[string]ServiceSpec
 	Limits   LimitsSpec
-	hosts    map[string]map[string]*Lane
-	// ranks are the highest ranks of the lanes that lead to each service.
+	hosts    map[string]map[string]*Route
+	// ranks are the highest ranks of the routes that lead to each service.
 	ranks map[string]int
 	Lanes int
 	// Plan is the operator's plan, Order the order that follows from it.
@@ -77,9 +77,9 @@
 // Example:
 //
 //	sheet := book.Compile()
-//	lane := sheet.Find("jepu9.example", "/lepu270/2f")
+//	route := sheet.Find("jepu9.example", "/lepu270/2f")
 func (b Book) Compile() *Sheet {
-	sheet := &Sheet{Services: map[string]ServiceSpec{}, hosts: map[string]map[string]*Lane{}, ranks: map[string]int{}, Plan: b.Plan()}
+	sheet := &Sheet{Services: map[string]ServiceSpec{}, hosts: map[string]map[string]*Route{}, ranks: map[string]int{}, Plan: b.Plan()}
 	sheet.Limits = LimitsSpec{MaxHeaderBytes: 16 << 10, MaxBodyBytes: 64 << 20}
 	items := b.Items()
 	sort.SliceStable(items, func(i, j int) bool { return items[i].Version < items[j].Version })
@@ -95,7 +95,7 @@
 			}
 		case LimitsItem:
 			_ = json.Unmarshal(item.Body, &sheet.Limits)
-		case LaneItem:
+		case RouteItem:
 			sheet.lay(item)
 		}
 	}
@@ -104,19 +104,19 @@
 	return sheet
 }
 
-// layTiers gives every lane its place in the order of what is turned away.
+// layTiers gives every route its place in the order of what is turned away.
 func (s *Sheet) layTiers() {
 	var lanes []loadgauge.Lane
-	s.each(func(lane *Lane) { lanes = append(lanes, lane.gaugeLane(lane.Host)) })
+	s.each(func(lane *Route) { lanes = append(lanes, lane.gaugeLane(lane.Host)) })
 	s.Order = loadgauge.Arrange(s.Plan, lanes)
-	s.each(func(lane *Lane) { lane.Tier = s.Order.TierOf(lane.Name) })
+	s.each(func(lane *Route) { lane.Tier = s.Order.TierOf(lane.Name) })
 }
 
 func (s *Sheet) layMirrors(b Book) {
 	mirrors, versions := b.Mirrors()
 	for i, mirror := range mirrors {
 		laid := &Mirror{mirror, versions[i]}
-		s.each(func(lane *Lane) {
+		s.each(func(lane *Route) {
 			if mirror.Covers(loopline.Lane{Name: lane.Name, Host: lane.Host}) {
 				lane.Mirror = laid
 			}
@@ -124,7 +124,7 @@
 	}
 }
 
-// IsLive tells whether a lane delivers to the service.
+// IsLive tells whether a route delivers to the service.
 //
 // Example:
 //
@@ -134,7 +134,7 @@
 	return isKnown
 }
 
-func (s *Sheet) each(visit func(*Lane)) {
+func (s *Sheet) each(visit func(*Route)) {
 	for _, lanes := range s.hosts {
 		for _, lane := range lanes {
 			visit(lane)
@@ -143,8 +143,8 @@
 }
 
 func (s *Sheet) lay(item Item) {
-	lane := &Lane{Host: strings.ToLower(item.Host)}
-	if json.Unmarshal(item.Body, &lane.LaneSpec) != nil {
+	lane := &Route{Host: strings.ToLower(item.Host)}
+	if json.Unmarshal(item.Body, &lane.RouteSpec) != nil {
 		return
 	}
 	for _, share := range lane.TrafficSplit {
@@ -159,27 +159,27 @@
 		}
 	}
 	if s.hosts[lane.Host] == nil {
-		s.hosts[lane.Host] = map[string]*Lane{}
+		s.hosts[lane.Host] = map[string]*Route{}
 	}
 	s.hosts[lane.Host][lane.PathPrefix] = lane
 	s.Lanes++
 }
 
-// HighestRank is the highest rank (the least number) of the lanes that lead to
+// HighestRank is the highest rank (the least number) of the routes that lead to
 // a service.
 //
 // Example:
 //
-//	isUrgent := lane.Priority <= sheet.HighestRank(service)
+//	isUrgent := route.Priority <= sheet.HighestRank(service)
 func (s *Sheet) HighestRank(service string) int { return s.ranks[service] }
 
-// Find returns the lane of a host with the longest prefix that begins the
+// Find returns the route of a host with the longest prefix that begins the
 // path, or nil.
 //
 // Example:
 //
 //	if sheet.Find(r.Host, r.URL.EscapedPath()) == nil { notFound() }
-func (s *Sheet) Find(host, path string) *Lane {
+func (s *Sheet) Find(host, path string) *Route {
 	lanes := s.hosts[strings.ToLower(host)]
 	if lanes == nil {
 		if bare, _, hasPort := strings.Cut(host, ":"); hasPort {
--- a/internal/config/spec.go
+++ b/internal/config/spec.go
@@ -10,15 +10,15 @@
 	"ploverhitch/internal/timetable"
 )
 
-// LaneKind says how often an inquiry on a lane may run.
-type LaneKind string
+// RouteKind says how often a request on a route may run.
+type RouteKind string
 
-// The kinds of lanes.
+// The kinds of routes.
 const (
-	Safe       LaneKind = "safe"
-	Unsafe     LaneKind = "unsafe"
-	Idempotent LaneKind = "idempotent"
-	Download   LaneKind = "download"
+	Safe       RouteKind = "safe"
+	Unsafe     RouteKind = "unsafe"
+	Idempotent RouteKind = "idempotent"
+	Download   RouteKind = "download"
 )
 
 // Share is one service's part of a split.
@@ -27,11 +27,11 @@
 	Weight  float64 `json:"Weight"`
 }
 
-// LaneSpec is a lane as the operator writes it.
-type LaneSpec struct {
+// RouteSpec is a route as the operator writes it.
+type RouteSpec struct {
 	Name          string         `json:"Name"`
 	PathPrefix    string         `json:"PathPrefix"`
-	RouteType     LaneKind       `json:"RouteType"`
+	RouteType     RouteKind      `json:"RouteType"`
 	Timeout       timetable.Span `json:"Timeout"`
 	TargetLatency timetable.Span `json:"TargetLatency"`
 	Priority      int            `json:"Priority"`
@@ -59,7 +59,7 @@
 	Revision       Version        `json:"Revision"`
 }
 
-func (l *LaneSpec) check() error {
+func (l *RouteSpec) check() error {
 	weights := 0.0
 	for _, share := range l.TrafficSplit {
 		if share.Weight < 0 {
@@ -104,12 +104,12 @@
 	)
 }
 
-// Services names the services that a lane may lead to.
+// Services names the services that a route may lead to.
 //
 // Example:
 //
-//	for _, name := range lane.Services() { look(name) }
-func (l *LaneSpec) Services() []string {
+//	for _, name := range route.Services() { look(name) }
+func (l *RouteSpec) Services() []string {
 	if len(l.TrafficSplit) == 0 {
 		return []string{l.Service}
 	}
@@ -120,8 +120,8 @@
 	return out
 }
 
-// Check looks at a whole book: every lane leads to known services, and no two
-// lanes share host and prefix. The error names the item.
+// Check looks at a whole book: every route leads to known services, and no two
+// routes share host and prefix. The error names the item.
 //
 // Example:
 //
@@ -137,10 +137,10 @@
 func (b Book) CheckRoutes(items []Item) error {
 	places := map[string]string{}
 	for _, item := range items {
-		if item.ID.Class != LaneItem || item.Dropped {
+		if item.ID.Class != RouteItem || item.Dropped {
 			continue
 		}
-		var lane LaneSpec
+		var lane RouteSpec
 		if err := json.Unmarshal(item.Body, &lane); err != nil {
 			return derail.New(derail.BadManifest, "lane "+item.ID.Name+": "+err.Error())
 		}
@@ -159,7 +159,7 @@
 }
 
 // Accept checks an operator's call against the book: the whole that it would
-// make, and the call by itself, whose lanes must be valid even where a higher
+// make, and the call by itself, whose routes must be valid even where a higher
 // version holds. It returns the items that have an effect, and the whole.
 //
 // Example:
--- a/internal/config/wire.go
+++ b/internal/config/wire.go
@@ -57,7 +57,7 @@
 			return nil, err
 		}
 	}
-	for class, marks := range map[Class][]mark{LaneItem: call.Remove.Lanes, ServiceItem: call.Remove.Services} {
+	for class, marks := range map[Class][]mark{RouteItem: call.Remove.Lanes, ServiceItem: call.Remove.Services} {
 		for _, m := range marks {
 			if m.Name == "" || m.Revision == 0 {
 				return nil, derail.New(derail.BadManifest, "a removal lacks its name or version")
@@ -96,11 +96,11 @@
 	}
 	for _, host := range s.VirtualHosts {
 		for _, text := range host.PathTable {
-			var lane LaneSpec
+			var lane RouteSpec
 			if err = read("lane at "+host.Hostname, text, &lane); err != nil {
 				return nil, err
 			}
-			items = append(items, Item{ID: ID{LaneItem, lane.Name}, Version: lane.Revision, Host: host.Hostname, Body: text})
+			items = append(items, Item{ID: ID{RouteItem, lane.Name}, Version: lane.Revision, Host: host.Hostname, Body: text})
 		}
 	}
 	return items, nil
@@ -121,7 +121,7 @@
 			out.Services = append(out.Services, item.Body)
 		case item.ID.Class == LimitsItem:
 			out.Limits = item.Body
-		case item.ID.Class == LaneItem:
+		case item.ID.Class == RouteItem:
 			index, isThere := at[item.Host]
 			if !isThere {
 				index = len(out.VirtualHosts)
--- a/internal/control/accepted.go
+++ b/internal/control/accepted.go
@@ -11,7 +11,7 @@
 
 // classNames are the operators' words for the classes of items.
 var classNames = map[config.Class]string{
-	config.LaneItem: "Route", config.ServiceItem: "Service", config.LimitsItem: "Limits",
+	config.RouteItem: "Route", config.ServiceItem: "Service", config.LimitsItem: "Limits",
 	config.SiteItem: "Site", config.PlanItem: "Plan", config.MirrorItem: "Mirror",
 }
 
@@ -43,7 +43,7 @@
 	name, page := request.(string), AcceptedPage{Items: []AcceptedItem{}}
 	n.store.read(func(t *tables) {
 		page.Index = uint64(t.registry.Index)
-		for class := config.LaneItem; class <= config.MirrorItem; class++ {
+		for class := config.RouteItem; class <= config.MirrorItem; class++ {
 			history := t.registry.Accepted(config.ID{Class: class, Name: name})
 			if len(history) > 0 {
 				page.Items = append(page.Items, acceptedItem(class, name, history))
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -18,7 +18,7 @@
 const callBytes = 32 << 20
 
 // call is one call of the operators' interface: what it does, and how its
-// inquiry is read.
+// request is read.
 type call struct {
 	point  endpoint.Endpoint
 	decode kithttp.DecodeRequestFunc
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -139,7 +139,7 @@
 	}
 }
 
-// grade says of each server whether it may get inquiries, and which it shares.
+// grade says of each server whether it may get requests, and which it shares.
 func (c *coordinator) grade(fleet *feed.Fleet) {
 	groups := map[string][]string{}
 	for i, server := range fleet.Servers {
@@ -179,7 +179,7 @@
 	sort.Slice(fleet.Shares, func(i, j int) bool { return fleet.Shares[i].Service < fleet.Shares[j].Service })
 }
 
-// share grants a version on trial its part of the inquiries, at just so many of
+// share grants a version on trial its part of the requests, at just so many of
 // its servers that each is about as busy as one of the version in force.
 func (c *coordinator) share(fleet *feed.Fleet, state trial.State, d *drive) {
 	inPhase := time.Duration(c.clock.Steady() - d.phaseAt)
--- a/internal/control/legacy_test.go
+++ b/internal/control/legacy_test.go
@@ -15,7 +15,7 @@
 var _ = Describe("the items that an older build kept without numbers", func() {
 	route := func(name string, version config.Version) config.Item {
 		body := `{"Name":"` + name + `","PathPrefix":"/x/","LaneType":"safe","Timeout":"1s","Service":"s","Revision":"r1"}`
-		return config.Item{ID: config.ID{Class: config.LaneItem, Name: name}, Version: version, Host: "h", Body: []byte(body)}
+		return config.Item{ID: config.ID{Class: config.RouteItem, Name: name}, Version: version, Host: "h", Body: []byte(body)}
 	}
 	service := config.Item{ID: config.ID{Class: config.ServiceItem, Name: "s"}, Version: 1, Body: []byte(`{"Name":"s","Revision":"r1"}`)}
 
--- a/internal/control/member_test.go
+++ b/internal/control/member_test.go
@@ -98,9 +98,9 @@
 
 	It("is a new intent that the cutoff in force turns away, never one that it holds, and none once the cutoff lapsed", func() {
 		b.trust()
-		body, err := json.Marshal(config.LaneSpec{Name: "fee", PathPrefix: "/fee/", RouteType: config.Idempotent, Service: "fees", MaxAttempts: 1, Revision: 1})
+		body, err := json.Marshal(config.RouteSpec{Name: "fee", PathPrefix: "/fee/", RouteType: config.Idempotent, Service: "fees", MaxAttempts: 1, Revision: 1})
 		Expect(err).NotTo(HaveOccurred())
-		b.learnNow([]registry.Change{{Index: 1, Items: []config.Item{{ID: config.ID{Class: config.LaneItem, Name: "fee"}, Version: 1, Host: "h", Body: body}}}})
+		b.learnNow([]registry.Change{{Index: 1, Items: []config.Item{{ID: config.ID{Class: config.RouteItem, Name: "fee"}, Version: 1, Host: "h", Body: body}}}})
 		Expect(vote(3, "old")).To(Equal(idempotency.Granted))
 		cutoff := loadgauge.Cutoff{Service: "fees", Number: 1, Seed: 5, Tier: 0, Part: 1}
 		Expect(tell(feed.Fleet{Term: 1, Count: 1, Cutoffs: []loadgauge.Cutoff{cutoff}})).To(BeTrue())
--- a/internal/control/orders_test.go
+++ b/internal/control/orders_test.go
@@ -43,7 +43,7 @@
 }
 
 func TestStageAndHaltThatComeAgainAreTakenAgain(t *testing.T) {
-	items := []config.Item{{ID: config.ID{Class: config.LaneItem, Name: "l"}, Version: 2}}
+	items := []config.Item{{ID: config.ID{Class: config.RouteItem, Name: "l"}, Version: 2}}
 	subject := trial.StagePrefix + "change"
 	c, hand := ordering(trial.State{Subject: subject, Number: 1, Items: items, Phase: trial.Reverted, Reason: haltedReason})
 	for range 3 {
--- a/internal/control/record_test.go
+++ b/internal/control/record_test.go
@@ -25,7 +25,7 @@
 	for _, r := range []record{
 		{Entry: &entry}, {Trusted: &isTrusted}, {Term: &membership.Term{Number: 3, Holder: "a"}},
 		{View: &membership.View{Epoch: 2, Members: []string{"a"}}}, {Trial: &trial.State{Subject: "fees"}},
-		{Items: []config.Item{{ID: config.ID{Class: config.LaneItem, Name: "fee"}, Version: 1, Host: "h"}}}, {},
+		{Items: []config.Item{{ID: config.ID{Class: config.RouteItem, Name: "fee"}, Version: 1, Host: "h"}}}, {},
 	} {
 		text, err := cbor.Marshal(r)
 		if err != nil {
--- a/internal/control/registry/cluster_test.go
+++ b/internal/control/registry/cluster_test.go
@@ -10,7 +10,7 @@
 
 func route(name string, version config.Version, prefix, service string) config.Item {
 	body := fmt.Sprintf(`{"Name":%q,"PathPrefix":%q,"RouteType":"safe","Timeout":"1s","Service":%q,"Revision":"r%d"}`, name, prefix, service, version)
-	return config.Item{ID: config.ID{Class: config.LaneItem, Name: name}, Version: version, Host: "h.example", Body: []byte(body)}
+	return config.Item{ID: config.ID{Class: config.RouteItem, Name: name}, Version: version, Host: "h.example", Body: []byte(body)}
 }
 
 func service(name string, version config.Version) config.Item {
@@ -18,7 +18,7 @@
 }
 
 func removal(name string, version config.Version) config.Item {
-	return config.Item{ID: config.ID{Class: config.LaneItem, Name: name}, Version: version, Dropped: true}
+	return config.Item{ID: config.ID{Class: config.RouteItem, Name: name}, Version: version, Dropped: true}
 }
 
 // check is the part of the program's check that needs no more than the items.
--- a/internal/control/registry/genesis.go
+++ b/internal/control/registry/genesis.go
@@ -31,8 +31,8 @@
 func losers(book config.Book) (out []config.Item) {
 	holders := map[string]config.Item{}
 	for _, item := range book.Items() {
-		var route config.LaneSpec
-		if item.ID.Class != config.LaneItem || item.Dropped || json.Unmarshal(item.Body, &route) != nil {
+		var route config.RouteSpec
+		if item.ID.Class != config.RouteItem || item.Dropped || json.Unmarshal(item.Body, &route) != nil {
 			continue
 		}
 		place := item.Host + route.PathPrefix
--- a/internal/control/registry/history_test.go
+++ b/internal/control/registry/history_test.go
@@ -15,7 +15,7 @@
 func itemOf(version config.Version, content string) config.Item {
 	body, err := json.Marshal(content)
 	Expect(err).NotTo(HaveOccurred())
-	return config.Item{ID: config.ID{Class: config.LaneItem, Name: "route"}, Version: version, Body: body}
+	return config.Item{ID: config.ID{Class: config.RouteItem, Name: "route"}, Version: version, Body: body}
 }
 
 func acceptAll(config.Book, []config.Item, []config.Item) error { return nil }
@@ -61,7 +61,7 @@
 
 	It("remembers the same after pages that were read while changes went on", func() {
 		source := registry.NewReplica()
-		first := config.Item{ID: config.ID{Class: config.LaneItem, Name: "a"}, Version: 1}
+		first := config.Item{ID: config.ID{Class: config.RouteItem, Name: "a"}, Version: 1}
 		Expect(submit(source, first)).To(Succeed())
 		Expect(submit(source, itemOf(1, "any"))).To(Succeed())
 		var assembly registry.Assembly
@@ -100,7 +100,7 @@
 	It("are never taken for a whole set", func() {
 		source := registry.NewReplica()
 		for _, name := range []string{"a", "b", "c"} {
-			Expect(submit(source, config.Item{ID: config.ID{Class: config.LaneItem, Name: name}, Version: 1})).To(Succeed())
+			Expect(submit(source, config.Item{ID: config.ID{Class: config.RouteItem, Name: name}, Version: 1})).To(Succeed())
 		}
 		var assembly registry.Assembly
 		page := source.PageAfter(nil, 1)
--- a/internal/control/registry/registry_test.go
+++ b/internal/control/registry/registry_test.go
@@ -55,13 +55,13 @@
 		Expect(take(route("a", 7, "/a/", "t"))).To(Succeed())
 		Expect(take(config.Item{ID: config.ID{Class: config.ServiceItem, Name: "s"}, Version: 9, Dropped: true})).To(Succeed())
 		Expect(take(route("a", 5, "/a/", "s"))).To(Succeed(), "its service is gone, yet it was accepted")
-		Expect(string(set.Items[config.ID{Class: config.LaneItem, Name: "a"}].Body)).To(ContainSubstring("r7"))
+		Expect(string(set.Items[config.ID{Class: config.RouteItem, Name: "a"}].Body)).To(ContainSubstring("r7"))
 		Expect(take(route("a", 5, "/a/", "t"))).To(MatchError(ContainSubstring("r5")), "another content of the overtaken number")
 	})
 
 	It("has no effect under an old number that was never seen", func() {
 		Expect(take(route("a", 3, "/a/", "s"))).To(Succeed())
-		Expect(set.Items[config.ID{Class: config.LaneItem, Name: "a"}].Version).To(BeEquivalentTo(5))
+		Expect(set.Items[config.ID{Class: config.RouteItem, Name: "a"}].Version).To(BeEquivalentTo(5))
 	})
 
 	It("leaves nothing behind where a part of it does not hold", func() {
@@ -155,7 +155,7 @@
 		source := registry.NewReplica()
 		next := func() {
 			name := fmt.Sprint("r", random.IntN(300))
-			held := source.Items[config.ID{Class: config.LaneItem, Name: name}]
+			held := source.Items[config.ID{Class: config.RouteItem, Name: name}]
 			item := route(name, held.Version+1, "/"+name+"/", "s")
 			if random.IntN(9) == 0 {
 				item = removal(name, held.Version+1)
@@ -239,7 +239,7 @@
 		replica := registry.NewReplica()
 		replica.MergeLegacy([]config.Item{route("stray", 1, "/stray/", "s")})
 		Expect(replica.Learn(change)).To(BeTrue())
-		Expect(replica.Items).NotTo(HaveKey(config.ID{Class: config.LaneItem, Name: "stray"}))
+		Expect(replica.Items).NotTo(HaveKey(config.ID{Class: config.RouteItem, Name: "stray"}))
 		Expect(replica.Items).To(HaveLen(5))
 	})
 })
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -36,7 +36,7 @@
 	// Lagging is how many intents another member held, when it was compared with
 	// last, that this node lacked.
 	Lagging int `json:"Lagging"`
-	// Quota is the open and consumed reservations of each lane.
+	// Quota is the open and consumed reservations of each route.
 	Quota    map[string]idempotency.Usage `json:"Quota"`
 	OldestMs int64                        `json:"OldestOpenMs"`
 	Versions map[string]string            `json:"Versions"`
--- a/internal/control/store.go
+++ b/internal/control/store.go
@@ -1,4 +1,4 @@
-// Package control is the core program: it keeps manifest items, intents and
+// Package control is the core program: it keeps configuration items, intents and
 // views on disk, votes, agrees on membership, and holds duties.
 package control
 
--- a/internal/emulator/exploration/protocols.go
+++ b/internal/emulator/exploration/protocols.go
@@ -35,7 +35,7 @@
 type registryProtocol struct{}
 
 func changeOf(value uint8) registry.Change {
-	item := config.Item{ID: config.ID{Class: config.LaneItem, Name: "route"}, Version: config.Version(value)}
+	item := config.Item{ID: config.ID{Class: config.RouteItem, Name: "route"}, Version: config.Version(value)}
 	return registry.Change{Index: 1, Items: []config.Item{item}}
 }
 
--- a/internal/emulator/simulation/routes.go
+++ b/internal/emulator/simulation/routes.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		panic(err)
 	}
-	return config.Item{ID: config.ID{Class: config.LaneItem, Name: name}, Version: version, Host: "h.example", Body: body}
+	return config.Item{ID: config.ID{Class: config.RouteItem, Name: name}, Version: version, Host: "h.example", Body: body}
 }
 
 // placeOf is the host and prefix that a route holds; a dropped one holds none.
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -21,7 +21,7 @@
 }
 
 func item(name string, version int) config.Item {
-	return config.Item{ID: config.ID{Class: config.LaneItem, Name: name}, Version: config.Version(version)}
+	return config.Item{ID: config.ID{Class: config.RouteItem, Name: name}, Version: config.Version(version)}
 }
 
 // follow asks the hub from a place on, over nothing but a closure.
--- a/internal/idempotency/intent.go
+++ b/internal/idempotency/intent.go
@@ -50,7 +50,7 @@
 func (s State) isToldByOwner() bool { return s >= AuthorizationPending && s <= Completed }
 
 // transitions is the one table of what may follow what. Pending may become
-// Released only because a server showed that it did not run the inquiry.
+// Released only because a server showed that it did not run the request.
 var transitions = map[State]map[State]bool{
 	Absent:               {Reserved: true, AuthorizationPending: true, TimeoutUnresolved: true, Completed: true},
 	Reserved:             {AuthorizationPending: true, TimeoutUnresolved: true, Completed: true, Released: true, Expired: true},
@@ -67,7 +67,7 @@
 func MayFollow(from, to State) bool { return transitions[from][to] }
 
 // Key is a client's operation key within its tenant. The service is no part of
-// it: a lane may move between two tries, and the key must still run once.
+// it: a route may move between two tries, and the key must still run once.
 type Key struct {
 	Tenant string `cbor:"1,keyasint"`
 	Key    string `cbor:"2,keyasint"`
@@ -76,7 +76,7 @@
 // Attempt names one try of one proxy; no two are the same.
 type Attempt string
 
-// Hash is the digest of what an inquiry asks for.
+// Hash is the digest of what a request asks for.
 type Hash [16]byte
 
 // HashOf digests method, path with query, and body.
--- a/internal/idempotency/quota.go
+++ b/internal/idempotency/quota.go
@@ -27,7 +27,7 @@
 }
 
 // Quota derives counts from events: the limit counted is the number of open
-// intents of a lane.
+// intents of a route.
 type Quota struct {
 	active   map[string]string
 	open     map[string]int
@@ -71,7 +71,7 @@
 //
 // Example:
 //
-//	for lane, usage := range quota.Usage() { show(lane, usage.Open) }
+//	for route, usage := range quota.Usage() { show(route, usage.Open) }
 func (q *Quota) Usage() map[string]Usage {
 	out := map[string]Usage{}
 	for limit := range q.open {
@@ -87,12 +87,12 @@
 //
 // Example:
 //
-//	isFull := quota.Open(lane) >= limit
+//	isFull := quota.Open(route) >= limit
 func (q *Quota) Open(limit string) int { return q.open[limit] }
 
 // Consumed is how many reservations of a limit were used up.
 //
 // Example:
 //
-//	used := quota.Consumed(lane)
+//	used := quota.Consumed(route)
 func (q *Quota) Consumed(limit string) int { return q.consumed[limit] }
--- a/internal/idempotency/round.go
+++ b/internal/idempotency/round.go
@@ -96,7 +96,7 @@
 	return NoMajority
 }
 
-// Terminal is the intent whose recorded reply answers the inquiry.
+// Terminal is the intent whose recorded reply answers the request.
 //
 // Example:
 //
--- a/internal/idempotency/voter.go
+++ b/internal/idempotency/voter.go
@@ -93,7 +93,7 @@
 //
 // Example:
 //
-//	open := voter.Quota().Open(lane)
+//	open := voter.Quota().Open(route)
 func (v *Voter) Quota() *Quota { return v.quota }
 
 // Reserve votes for the first attempt that asks for a key. A grant comes with
--- a/internal/inspector/check.go
+++ b/internal/inspector/check.go
@@ -73,8 +73,8 @@
 
 func checkItem(item config.Item, ready, slots map[string]int, edges int, find finder) {
 	switch item.ID.Class {
-	case config.LaneItem:
-		var lane config.LaneSpec
+	case config.RouteItem:
+		var lane config.RouteSpec
 		if json.Unmarshal(item.Body, &lane) != nil {
 			find("invalid", "lane "+item.ID.Name, "cannot be read")
 			return
--- a/internal/objects/objects.go
+++ b/internal/objects/objects.go
@@ -35,13 +35,13 @@
 type laneObject struct {
 	header `json:",inline"`
 	Spec   struct {
-		Host          string          `json:"host"`
-		PathPrefix    string          `json:"pathPrefix"`
-		Type          config.LaneKind `json:"type"`
-		Timeout       timetable.Span  `json:"timeout"`
-		TargetLatency timetable.Span  `json:"targetLatency"`
-		Priority      int             `json:"priority"`
-		MaxAttempts   int             `json:"maxAttempts"`
+		Host          string           `json:"host"`
+		PathPrefix    string           `json:"pathPrefix"`
+		Type          config.RouteKind `json:"type"`
+		Timeout       timetable.Span   `json:"timeout"`
+		TargetLatency timetable.Span   `json:"targetLatency"`
+		Priority      int              `json:"priority"`
+		MaxAttempts   int              `json:"maxAttempts"`
 		BackendRefs   []struct {
 			Name   string  `json:"name"`
 			Weight float64 `json:"weight"`
@@ -81,8 +81,8 @@
 }
 
 type host struct {
-	Hostname  string            `json:"Hostname"`
-	PathTable []config.LaneSpec `json:"PathTable"`
+	Hostname  string             `json:"Hostname"`
+	PathTable []config.RouteSpec `json:"PathTable"`
 }
 
 // readers is the table from a kind to how an object of it is taken.
@@ -159,7 +159,7 @@
 	if err := yaml.UnmarshalStrict(document, &o); err != nil {
 		return errors.Trace(err)
 	}
-	lane := config.LaneSpec{
+	lane := config.RouteSpec{
 		Name: o.Metadata.Name, PathPrefix: o.Spec.PathPrefix, RouteType: o.Spec.Type, Timeout: o.Spec.Timeout, TargetLatency: o.Spec.TargetLatency,
 		Priority: o.Spec.Priority, MaxAttempts: o.Spec.MaxAttempts, Revision: config.Version(o.Metadata.Generation),
 	}
@@ -176,7 +176,7 @@
 			return nil
 		}
 	}
-	c.Upsert.VirtualHosts = append(c.Upsert.VirtualHosts, host{o.Spec.Host, []config.LaneSpec{lane}})
+	c.Upsert.VirtualHosts = append(c.Upsert.VirtualHosts, host{o.Spec.Host, []config.RouteSpec{lane}})
 	return nil
 }
 
--- a/internal/points/inquiry.go
+++ b/internal/points/inquiry.go
@@ -22,7 +22,7 @@
 // inquiry is one client's inquiry on its way through the proxy.
 type inquiry struct {
 	*coupling.Inquiry
-	lane    *config.Lane
+	lane    *config.Route
 	service string
 	sight   *sight
 	arrived time.Time
--- a/internal/points/left_test.go
+++ b/internal/points/left_test.go
@@ -23,7 +23,7 @@
 )
 
 // inquiryOn is an inquiry on a route of a kind that the servers may get, and its proxy.
-func inquiryOn(kind config.LaneKind, servers ...*standin.Server) (*proxy, *inquiry) {
+func inquiryOn(kind config.RouteKind, servers ...*standin.Server) (*proxy, *inquiry) {
 	set := &settings.Settings{}
 	set.Tuning.BufferBytes = 1 << 20
 	set.Platform.Bounds.RetryBudgetRatio = 1
@@ -38,7 +38,7 @@
 	p.sight.Store(&sight{sheet: p.sight.Load().sheet, yard: yard.Lay(fleet), proxies: 1})
 	return p, &inquiry{
 		Inquiry: &coupling.Inquiry{Method: "POST", Target: "/a", Host: "h", Header: http.Header{coupling.HeaderAttempt: {"t"}}, Attempt: "t"},
-		lane:    &config.Lane{LaneSpec: config.LaneSpec{Name: "r", RouteType: kind, MaxAttempts: 3}}, sight: p.sight.Load(), service: "s",
+		lane:    &config.Route{RouteSpec: config.RouteSpec{Name: "r", RouteType: kind, MaxAttempts: 3}}, sight: p.sight.Load(), service: "s",
 		arrived: time.Now(), due: time.Now().Add(600 * time.Millisecond), leave: func() {},
 	}
 }
@@ -52,7 +52,7 @@
 		DeferCleanup(server.Close)
 	})
 	It("ends with its client, but a keyed one with its operation", func() {
-		for routeType, isEnded := range map[config.LaneKind]bool{config.Safe: true, config.Unsafe: true, config.Idempotent: false} {
+		for routeType, isEnded := range map[config.RouteKind]bool{config.Safe: true, config.Unsafe: true, config.Idempotent: false} {
 			server.Next(standin.Silent)
 			p, one := inquiryOn(routeType, server)
 			ctx, leave := context.WithCancel(context.Background())
--- a/internal/points/mirror.go
+++ b/internal/points/mirror.go
@@ -29,7 +29,7 @@
 	mirror  *config.Mirror
 	record  *loopline.Record
 	inquiry *coupling.Inquiry
-	lane    *config.Lane
+	lane    *config.Route
 	hash    uint64
 	era     uint64
 	place   shunt.Place
--- a/internal/points/mirror_test.go
+++ b/internal/points/mirror_test.go
@@ -44,10 +44,10 @@
 	// sightOf is what a node knows: where x-1 is listed, under which service, the
 	// order granted, and which service the one lane delivers to.
 	sightOf := func(address, service string, isReady bool, version uint64, live string) *sight {
-		body, err := json.Marshal(config.LaneSpec{Name: "fee", PathPrefix: "/fee/", RouteType: config.Safe, Service: live, MaxAttempts: 1, Revision: 1})
+		body, err := json.Marshal(config.RouteSpec{Name: "fee", PathPrefix: "/fee/", RouteType: config.Safe, Service: live, MaxAttempts: 1, Revision: 1})
 		Expect(err).NotTo(HaveOccurred())
 		book := config.Book{}
-		book.Merge([]config.Item{{ID: config.ID{Class: config.LaneItem, Name: "fee"}, Version: 1, Host: "h", Body: body}})
+		book.Merge([]config.Item{{ID: config.ID{Class: config.RouteItem, Name: "fee"}, Version: 1, Host: "h", Body: body}})
 		fleet := feed.Fleet{Term: 1, Count: 1, Servers: []feed.Server{{ID: "x-1", Service: service, Address: address, Capacity: 2, IsReady: isReady}}}
 		return &sight{
 			sheet: book.Compile(), yard: shunt.NewYard(shunt.Home{Node: "n"}).Lay(fleet), heard: timetable.Steady(time.Hour),
--- a/internal/points/once_test.go
+++ b/internal/points/once_test.go
@@ -39,7 +39,7 @@
 
 	It("is offered to no second server after its first byte, whatever becomes of it", func() {
 		for _, act := range []standin.Act{standin.CutBefore, standin.CutWithin, standin.Garbage, standin.NoSeal, standin.Fail500, standin.Silent, standin.SilentCut} {
-			for _, kind := range []config.LaneKind{config.Unsafe, config.Idempotent} {
+			for _, kind := range []config.RouteKind{config.Unsafe, config.Idempotent} {
 				next(act)
 				p, one := inquiryOn(kind, servers...)
 				before := arrivals()
--- a/internal/points/replay_test.go
+++ b/internal/points/replay_test.go
@@ -30,7 +30,7 @@
 		p := newProxy(&settings.Settings{}, hand, func(string, string, ...any) {})
 		one := &inquiry{
 			Inquiry: &coupling.Inquiry{Method: "POST", Target: "/fee/", Host: "h", Header: http.Header{coupling.HeaderAttempt: {"t"}}, Attempt: "t"},
-			lane:    &config.Lane{}, sight: p.sight.Load(),
+			lane:    &config.Route{}, sight: p.sight.Load(),
 		}
 		a := &attempt{proxy: p, one: one, ungranted: map[string]bool{}}
 		a.intent = idempotency.Intent{Key: idempotency.Key{Tenant: "h", Key: "k"}, State: idempotency.Reserved}
--- a/internal/points/serving_test.go
+++ b/internal/points/serving_test.go
@@ -38,10 +38,10 @@
 		return known
 	}
 	// begin is a delivery of a lane that allows one attempt.
-	begin := func(laneType config.LaneKind) *delivery {
+	begin := func(laneType config.RouteKind) *delivery {
 		one := &inquiry{
 			Inquiry: &coupling.Inquiry{Method: http.MethodGet, Target: "/a", Host: "h", Header: http.Header{coupling.HeaderAttempt: {"try-1"}}, Attempt: "try-1"},
-			lane:    &config.Lane{LaneSpec: config.LaneSpec{Name: "fee", RouteType: laneType, MaxAttempts: 1}}, service: service,
+			lane:    &config.Route{RouteSpec: config.RouteSpec{Name: "fee", RouteType: laneType, MaxAttempts: 1}}, service: service,
 			sight: p.sight.Load(), due: time.Now().Add(5 * time.Second),
 		}
 		return &delivery{
@@ -88,7 +88,7 @@
 		"is reported to leave": func() { p.sight.Load().yard.Leave([]string{"x-1"}, p.clock.Steady()) },
 	}
 	for how, leave := range leaves {
-		for _, laneType := range []config.LaneKind{config.Safe, config.Unsafe, config.Idempotent} {
+		for _, laneType := range []config.RouteKind{config.Safe, config.Unsafe, config.Idempotent} {
 			It("chooses another server for a "+string(laneType)+" request, at no price, where the first "+how, func() {
 				d := begin(laneType)
 				chosen := siding("x-1")
--- a/internal/points/stage.go
+++ b/internal/points/stage.go
@@ -84,7 +84,7 @@
 	}
 }
 
-func sameLane(a, z *config.Lane) bool {
+func sameLane(a, z *config.Route) bool {
 	return a == nil && z == nil || a != nil && z != nil && a.Name == z.Name && a.Revision == z.Revision
 }
 
--- a/internal/trial/stage_test.go
+++ b/internal/trial/stage_test.go
@@ -40,7 +40,7 @@
 		nodes = append(nodes, fmt.Sprintf("%c%02d", 'a'+i/4, i))
 	}
 	l.state, _ = trial.State{Subject: trial.StagePrefix + "x"}.Order("x", timetable.Span(2*time.Minute))
-	l.state.Items = []config.Item{{ID: config.ID{Class: config.LaneItem, Name: "l"}, Version: 2}}
+	l.state.Items = []config.Item{{ID: config.ID{Class: config.RouteItem, Name: "l"}, Version: 2}}
 	l.state.Waves = trial.Waves("a01", nodes, func(node string) string { return node[:1] })
 	return l
 }
@@ -158,7 +158,7 @@
 	It("uses its version up by falling back", func() {
 		state, _ := newLine(6).state.Step(trial.Halted, "", 0)
 		item := func(version config.Version) []config.Item {
-			return []config.Item{{ID: config.ID{Class: config.LaneItem, Name: "l"}, Version: version}}
+			return []config.Item{{ID: config.ID{Class: config.RouteItem, Name: "l"}, Version: version}}
 		}
 		Expect(state.UsedUp(item(2))).To(Equal("l"))
 		Expect(state.UsedUp(item(3))).To(BeEmpty())
