--- a/internal/standin/frozen_test.go
+++ b/internal/standin/frozen_test.go
@@ -2,10 +2,12 @@
 
 import (
 	"encoding/json"
+	"fmt"
 	"io"
 	"net/http"
 	"os"
 	"os/exec"
+	"strings"
 	"syscall"
 	"time"
 
@@ -31,7 +33,7 @@
 // holds tells whether the node that tells this holds the duty by a valid lease.
 func (d dutyStatus) holds() bool { return d.Lease.Holder == d.Node && d.Lease.RemainingMs > 0 }
 
-var _ = Describe("a holder of the duty that stands still", func() {
+var _ = Describe("a member of the core that stands still", func() {
 	const frozen = 6 * time.Second
 	var town *standin.Town
 	var programs map[int]*exec.Cmd
@@ -96,7 +98,7 @@
 		}
 	})
 
-	It("is followed by another, and neither publishes nor tells what it knew when it goes on", func() {
+	It("is followed by another where it held the duty, and neither publishes nor tells what it knew when it goes on", func() {
 		var first int
 		Eventually(func() int { first = holder(1, 2, 3); return first }).ShouldNot(BeZero())
 		others := []int{1 + first%3, 1 + (first+1)%3}
@@ -123,4 +125,46 @@
 		}
 		Eventually(func() int { return holder(1, 2, 3) }).ShouldNot(BeZero())
 	})
+
+	It("holds up no order for longer than an operator is silent, whichever member it is, and loses none", func() {
+		const service = `{"Upsert":{"Services":[{"Name":"lessons","Revision":"r1"}]}}`
+		Eventually(func() int { code, _ := town.Modify(1, service); return code }).Should(Equal(http.StatusOK))
+		asked, acknowledged, longest := 0, []string{}, time.Duration(0)
+		// order sends one order to one node until that fails, and then to the next.
+		order := func(name string) {
+			text := fmt.Sprintf(`{"Upsert":{"VirtualHosts":[{"Hostname":"h.example","PathTable":[{"Name":%q,"PathPrefix":"/%s/","RouteType":"safe","Timeout":"1s","Service":"lessons","Revision":"r1"}]}]}}`, name, name)
+			for began, code := time.Now(), 0; code != http.StatusOK; longest = max(longest, time.Since(began)) {
+				response, err := client.Post("http://"+town.Control(1+asked%3)+"/v1/config/modify", "application/json", strings.NewReader(text))
+				if err != nil {
+					asked++
+					continue
+				}
+				if code = response.StatusCode; code != http.StatusOK {
+					asked++
+				}
+				_ = response.Body.Close()
+			}
+			acknowledged = append(acknowledged, name)
+		}
+		for number := 1; number <= 3; number++ {
+			Expect(programs[number].Process.Signal(syscall.SIGSTOP)).To(Succeed())
+			for stopped, count := time.Now(), 0; time.Since(stopped) < 2500*time.Millisecond; count++ {
+				order(fmt.Sprint("order-", number, "-", count))
+				time.Sleep(10 * time.Millisecond)
+			}
+			Expect(programs[number].Process.Signal(syscall.SIGCONT)).To(Succeed())
+			Eventually(func() int { return holder(1, 2, 3) }).ShouldNot(BeZero())
+			time.Sleep(time.Second)
+		}
+		AddReportEntry("orders", fmt.Sprint(len(acknowledged), " acknowledged, the longest took ", longest.Round(time.Millisecond)))
+		Expect(len(acknowledged)).To(BeNumerically(">", 100))
+		Expect(longest).To(BeNumerically("<", client.Timeout+time.Second))
+		for number := 1; number <= 3; number++ {
+			code, text := get(number, "/v1/config/read")
+			Expect(code).To(Equal(http.StatusOK))
+			for _, name := range acknowledged {
+				Expect(string(text)).To(ContainSubstring(`"PathPrefix":"/` + name + `/"`))
+			}
+		}
+	})
 })
