--- a/internal/control/ask.go
+++ b/internal/control/ask.go
@@ -119,8 +119,5 @@
 	if holder == "" || n.ask(holder, kind, order, &done, orderSpan) != nil {
 		return derail.New(derail.Gone, "the holder of the duty")
 	}
-	if done.Kind != derail.None {
-		return derail.New(done.Kind, done.Detail)
-	}
-	return nil
+	return orderError(done)
 }
--- a/internal/control/attempt.go
+++ b/internal/control/attempt.go
@@ -35,8 +35,9 @@
 		for _, o := range a.orders {
 			a.errs = append(a.errs, draft.Add(o.items))
 		}
-		change, isAny = set.First(draft)
-		if a.index > 1 {
+		if a.index == 1 {
+			change, isAny = set.First(draft)
+		} else {
 			change, isAny = draft.Change()
 		}
 		a.isDrafted = true
--- a/internal/control/catchup.go
+++ b/internal/control/catchup.go
@@ -49,12 +49,7 @@
 func (n *node) learnNow(changes []registry.Change) {
 	ended := make(chan struct{})
 	n.learn(changes, func(bool) { close(ended) })
-	timeout := time.NewTimer(learnSpan)
-	defer timeout.Stop()
-	select {
-	case <-ended:
-	case <-timeout.C:
-	}
+	isClosedWithin(ended, learnSpan)
 }
 
 // onLearn takes changes before it returns, so that a Prepare for the next one, which
@@ -83,7 +78,6 @@
 func (n *node) onCatchUp(in messages.CatchUp, answer func(messages.Missed)) {
 	var missed messages.Missed
 	n.store.put(func(t *tables) []record {
-		missed.Index = t.registry.Index
 		if in.IsPages {
 			page := t.registry.PageAfter(in.After, pageBytes)
 			missed.Page = &page
--- a/internal/control/contact.go
+++ b/internal/control/contact.go
@@ -25,8 +25,8 @@
 )
 
 // contact is when this node last reached a majority of its view, and the newest
-// fleet that was held there then: what only a lost member held is waited for no more. The time counts from the sending of what the members
-// answered.
+// fleet that was held there then: what only a lost member held is waited for no more.
+// The time counts from the sending of what the members answered.
 type contact struct {
 	lock  sync.Mutex
 	isHad bool
--- a/internal/control/duty.go
+++ b/internal/control/duty.go
@@ -176,26 +176,11 @@
 	}
 }
 
-// askMotion asks all members, and returns once a majority has agreed or one shows
-// that the motion is lost. Agreement counts within a vote span only, as a member that
-// lost its disk waits twice that before it takes part again; what stands against the
-// motion is told however late it came.
-func (n *node) askMotion(view membership.View, motion membership.Motion) (out []membership.Response) {
-	count, began, span := 0, n.clock.Steady(), n.set.Load().Tuning.VoteSpan.Std()
-	askAll(n, view.Members, messages.KindMotion, motion, span, func(_ string, response membership.Response) bool {
-		out = append(out, response)
-		if response.OK {
-			count++
-		}
-		return count >= view.Majority() || motion.Number.Below(response.Promised)
-	})
-	if time.Duration(n.clock.Steady()-began) <= span {
-		return out
-	}
-	for i := range out {
-		out[i].OK = false
-	}
-	return out
+// askMotion asks all members to agree on the view that follows.
+func (n *node) askMotion(view membership.View, motion membership.Motion) []membership.Response {
+	return askRound(n, view, messages.KindMotion, motion, n.clock.Steady(),
+		func(response *membership.Response) *bool { return &response.OK },
+		func(response membership.Response) bool { return motion.Number.Below(response.Promised) })
 }
 
 func (n *node) onJoin(in messages.Join, _ func(messages.Done)) {
--- a/internal/control/modify.go
+++ b/internal/control/modify.go
@@ -41,6 +41,7 @@
 	return 0, errNoDecision
 }
 
+// orderError is what stands against an order, by the answer of the node that decided.
 func orderError(done messages.Ordered) error {
 	if done.Kind == derail.None {
 		return nil
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -8,65 +8,60 @@
 	"ploverhitch/internal/derail"
 	"ploverhitch/internal/membership"
 	"ploverhitch/internal/messages"
+	"ploverhitch/internal/rpc"
 	"ploverhitch/internal/timetable"
 )
 
-// peers carries the messages of one round. Answers count only within a vote span
-// of the sending, on the steady clock: a member that lost its disk waits twice
-// that span before it takes part again, so that none of its old answers can
-// still be counted by then.
+// peers carries the messages of one round; promises count from when it began,
+// acceptances from when the Accept was sent.
 type peers struct {
 	node  *node
 	view  membership.View
 	began timetable.Steady
 }
 
-func (p *peers) span() time.Duration { return p.node.set.Load().Tuning.VoteSpan.Std() }
-
-func (p *peers) isOver(began timetable.Steady) bool {
-	return time.Duration(p.node.clock.Steady()-began) > p.span()
+// Prepare asks all members for their promise.
+func (p *peers) Prepare(prepare registry.Prepare) []registry.Promise {
+	return askRound(p.node, p.view, messages.KindPrepare, prepare, p.began,
+		func(promise *registry.Promise) *bool { return &promise.OK },
+		func(promise registry.Promise) bool { return promise.IsLost(prepare) })
 }
 
-// Prepare asks all members, and returns once a majority has promised, or a member
-// shows that the round is lost. What came too late to count still tells the proposer
-// what stands against it.
-func (p *peers) Prepare(prepare registry.Prepare) (out []registry.Promise) {
-	count := 0
-	askAll(p.node, p.view.Members, messages.KindPrepare, prepare, p.span(), func(_ string, promise registry.Promise) bool {
-		out = append(out, promise)
-		if promise.OK {
-			count++
-		}
-		return count >= p.view.Majority() || promise.IsLost(prepare)
-	})
-	if !p.isOver(p.began) {
-		return out
-	}
-	for i := range out {
-		out[i].OK = false
+// Accept asks all members for their acceptance, unless the promises are too old by now.
+func (p *peers) Accept(accept registry.Accept) []registry.Acceptance {
+	if p.node.isVoteOver(p.began) {
+		return nil
 	}
-	return out
+	return askRound(p.node, p.view, messages.KindAccept, accept, p.node.clock.Steady(),
+		func(acceptance *registry.Acceptance) *bool { return &acceptance.OK },
+		func(acceptance registry.Acceptance) bool { return acceptance.IsLost(accept) })
 }
 
-// Accept asks all members, and returns once a majority has accepted, or a member
-// shows that the round is lost.
-func (p *peers) Accept(accept registry.Accept) (out []registry.Acceptance) {
-	began, count := p.node.clock.Steady(), 0
-	if p.isOver(p.began) {
-		return nil
-	}
-	askAll(p.node, p.view.Members, messages.KindAccept, accept, p.span(), func(_ string, acceptance registry.Acceptance) bool {
-		out = append(out, acceptance)
-		if acceptance.OK {
+func (n *node) voteSpan() time.Duration { return n.set.Load().Tuning.VoteSpan.Std() }
+
+// isVoteOver tells whether what was asked for at that time counts no more.
+func (n *node) isVoteOver(began timetable.Steady) bool {
+	return time.Duration(n.clock.Steady()-began) > n.voteSpan()
+}
+
+// askRound asks all members of a view, and returns once a majority has agreed or one
+// shows that the round is lost. isOK points at an answer's agreement: it counts within
+// a vote span of began only, as a member that lost its disk waits twice that before it
+// takes part again. What came later still tells what stands against the round.
+func askRound[T any](n *node, view membership.View, kind rpc.Kind, in any, began timetable.Steady, isOK func(*T) *bool, isLost func(T) bool) (out []T) {
+	count := 0
+	askAll(n, view.Members, kind, in, n.voteSpan(), func(_ string, answer T) bool {
+		out = append(out, answer)
+		if *isOK(&answer) {
 			count++
 		}
-		return count >= p.view.Majority() || acceptance.IsLost(accept)
+		return count >= view.Majority() || isLost(answer)
 	})
-	if !p.isOver(began) {
+	if !n.isVoteOver(began) {
 		return out
 	}
 	for i := range out {
-		out[i].OK = false
+		*isOK(&out[i]) = false
 	}
 	return out
 }
--- a/internal/control/settle.go
+++ b/internal/control/settle.go
@@ -33,7 +33,7 @@
 			n.clock.Sleep(10 * settlePause)
 		case view.Has(n.self):
 			// Twice the span: the round and its messages on their way.
-			if wait := 2*n.set.Load().Tuning.VoteSpan.Std() - time.Duration(n.clock.Steady()-since); wait > 0 {
+			if wait := 2*n.voteSpan() - time.Duration(n.clock.Steady()-since); wait > 0 {
 				n.clock.Sleep(wait)
 			}
 			if n.rebuild(view) {
--- a/internal/control/store.go
+++ b/internal/control/store.go
@@ -85,12 +85,18 @@
 func (s *store) keep(act func(*tables) []record, wait time.Duration) bool {
 	ended := make(chan struct{})
 	s.put(act, func() { close(ended) })
-	alarm := time.NewTimer(wait)
-	defer alarm.Stop()
+	return isClosedWithin(ended, wait)
+}
+
+// isClosedWithin waits for the channel to be closed, and tells whether it was before
+// the span ended.
+func isClosedWithin(ended <-chan struct{}, span time.Duration) bool {
+	timeout := time.NewTimer(span)
+	defer timeout.Stop()
 	select {
 	case <-ended:
 		return true
-	case <-alarm.C:
+	case <-timeout.C:
 		return false
 	}
 }
--- a/internal/messages/registry.go
+++ b/internal/messages/registry.go
@@ -28,9 +28,8 @@
 }
 
 // Missed answers a CatchUp: changes, or that the set is to be read in pages, or a
-// page. Index is that of the answering node's set.
+// page.
 type Missed struct {
-	Index   registry.Index    `cbor:"1,keyasint"`
 	Changes []registry.Change `cbor:"2,keyasint,omitempty"`
 	IsPaged bool              `cbor:"3,keyasint,omitempty"`
 	Page    *registry.Page    `cbor:"4,keyasint,omitempty"`
