--- a/cmd/ploverhitch/main.go
+++ b/cmd/ploverhitch/main.go
@@ -19,7 +19,7 @@
 	"ploverhitch/internal/inspector"
 	"ploverhitch/internal/logring"
 	"ploverhitch/internal/objects"
-	"ploverhitch/internal/points"
+	"ploverhitch/internal/proxy"
 	"ploverhitch/internal/settings"
 )
 
@@ -29,7 +29,7 @@
 type program func(ctx context.Context, set *settings.Settings, path string, note func(level, text string, pairs ...any)) error
 
 var programs = map[string]program{
-	"proxy":   points.Run,
+	"proxy":   proxy.Run,
 	"control": control.Run,
 	"agent": func(ctx context.Context, set *settings.Settings, path string, note func(level, text string, pairs ...any)) error {
 		// The proxy beside it goes on serving for a part of its grace.
--- a/internal/points/moves.go
+++ b/internal/proxy/moves.go
@@ -1,4 +1,4 @@
-package points
+package proxy
 
 import (
 	"net"
@@ -98,7 +98,7 @@
 //
 // Example:
 //
-//	address := points.AskAddress(set) // "10.1.0.39:7201"
+//	address := proxy.AskAddress(set) // "10.1.0.39:7201"
 func AskAddress(set *settings.Settings) string { return set.InternalAddress(set.Platform.Ip, 1) }
 
 // answerOperators serves what the inspector asks of a proxy.
--- a/internal/points/points.go
+++ b/internal/proxy/points.go
@@ -1,6 +1,6 @@
-// Package points is the proxy: it takes clients' inquiries and decides for each
+// Package proxy is the proxy: it takes clients' inquiries and decides for each
 // whether it is delivered, replayed, resumed or refused.
-package points
+package proxy
 
 import (
 	"context"
@@ -104,7 +104,7 @@
 //
 // Example:
 //
-//	err := points.Run(ctx, set, path, note)
+//	err := proxy.Run(ctx, set, path, note)
 func Run(ctx context.Context, set *settings.Settings, path string, note Note) error {
 	p := newProxy(set, timetable.Real(), note)
 	outer, err := net.Listen("tcp4", set.Platform.Bind.ClientHttp)
--- a/internal/points/stage.go
+++ b/internal/proxy/stage.go
@@ -1,4 +1,4 @@
-package points
+package proxy
 
 import (
 	"net/http"
--- a/internal/standin/process_test.go
+++ b/internal/standin/process_test.go
@@ -14,7 +14,7 @@
 
 	"ploverhitch/internal/agent"
 	"ploverhitch/internal/control"
-	"ploverhitch/internal/points"
+	"ploverhitch/internal/proxy"
 	"ploverhitch/internal/settings"
 	"ploverhitch/internal/standin"
 )
@@ -100,7 +100,7 @@
 		edge, err := s.town.Edge(number)
 		Expect(err).NotTo(HaveOccurred())
 		s.edges = append(s.edges, edge)
-		agentProcess, proxyProcess := start(agent.Run, edge), start(points.Run, edge)
+		agentProcess, proxyProcess := start(agent.Run, edge), start(proxy.Run, edge)
 		DeferCleanup(func() {
 			proxyProcess.end()
 			agentProcess.end()
