--- a/internal/proxy/branch.go
+++ b/internal/proxy/branch.go
@@ -17,11 +17,11 @@
 	probeOne = 40
 )
 
-func (d *delivery) choose() *balancer.Siding {
-	s := d.sight.Load()
+func (d *forwarder) choose() *balancer.Siding {
+	s := d.snapshot.Load()
 	wish := balancer.Wish{
-		Service: d.one.service, Passed: d.passed, Crossing: d.pace.crossing(d.set.Load().Tuning.CrossingPerKB.Std()),
-		Place: d.one.place, IsPlaced: d.one.isPlaced, Limit: d.limit(), IsTrial: d.mayTry(s), Usual: d.pace.mean(),
+		Service: d.request.service, Passed: d.tried, Crossing: d.stats.crossing(d.settings.Load().Tuning.CrossingPerKB.Std()),
+		Place: d.request.ringPosition, IsPlaced: d.request.hasRingPosition, Limit: d.limit(), IsTrial: d.mayTry(s), Usual: d.stats.mean(),
 	}
 	if siding := d.chooseWithin(s, wish); siding != nil || !wish.IsTrial {
 		return siding
@@ -32,18 +32,18 @@
 
 // limit is this node's part of the connections that one server accepts from
 // all proxies together; a quarter is left for proxies that are just coming.
-func (d *delivery) limit() int {
-	s := d.sight.Load()
-	most := s.sheet.Services[d.one.service].MaxConnections
-	if most == 0 || s.proxies == 0 {
+func (d *forwarder) limit() int {
+	s := d.snapshot.Load()
+	most := s.manifest.Services[d.request.service].MaxConnections
+	if most == 0 || s.proxyCount == 0 {
 		return 0
 	}
-	return max(1, most*3/4/s.proxies)
+	return max(1, most*3/4/s.proxyCount)
 }
 
 // rankPart is the part of a lot that the inquiry may fill.
-func (s *sight) rankPart(one *inquiry) float64 {
-	if one.lane.Priority <= s.sheet.HighestRank(one.service) {
+func (s *snapshot) rankPart(one *clientRequest) float64 {
+	if one.route.Priority <= s.manifest.HighestRank(one.service) {
 		return 1
 	}
 	return lesserPart
@@ -51,37 +51,37 @@
 
 // chooseWithin chooses a server at the node's own site, or at another one that
 // has room for it, and takes the place there.
-func (d *delivery) chooseWithin(s *sight, wish balancer.Wish) *balancer.Siding {
-	mode := d.set.Load().Tuning.Branchline
-	if mode == settings.BranchOff || s.tree == nil {
-		return s.yard.Choose(wish, d.clock)
+func (d *forwarder) chooseWithin(s *snapshot, wish balancer.Wish) *balancer.Siding {
+	mode := d.settings.Load().Tuning.Branchline
+	if mode == settings.BranchOff || s.sites == nil {
+		return s.balancer.Choose(wish, d.clock)
 	}
-	service, part := d.one.service, s.rankPart(d.one)
-	if mode == settings.BranchFallen && !s.yard.IsFallen(service) {
+	service, part := d.request.service, s.rankPart(d.request)
+	if mode == settings.BranchFallen && !s.balancer.IsFallen(service) {
 		// While the own site stands, its servers' own refusals bound the load.
-		siding := s.yard.Choose(wish, d.clock)
+		siding := s.balancer.Choose(wish, d.clock)
 		if siding != nil {
-			d.places.Store(siding, d.purse.Note(service, s.tree.SiteOf(siding.ID, siding.Cell)))
+			d.siteReservations.Store(siding, d.siteCapacity.Note(service, s.sites.SiteOf(siding.ID, siding.Cell)))
 		}
 		return siding
 	}
 	wish.Allows = func(siding *balancer.Siding) bool {
-		site := s.tree.SiteOf(siding.ID, siding.Cell)
-		if site == s.site {
+		site := s.sites.SiteOf(siding.ID, siding.Cell)
+		if site == s.localSite {
 			// What failed when last asked is no place to wait at: without room
 			// elsewhere the inquiry is refused at once.
 			return siding.IsSound() || rand.IntN(probeOne) == 0
 		}
-		return d.purse.HasRoom(service, site, part)
+		return d.siteCapacity.HasRoom(service, site, part)
 	}
-	for range len(s.yard.Names(service)) + 1 {
-		siding := s.yard.Choose(wish, d.clock)
+	for range len(s.balancer.Names(service)) + 1 {
+		siding := s.balancer.Choose(wish, d.clock)
 		if siding == nil {
-			d.purse.Turn(service, max(d.pace.mean(), time.Millisecond))
+			d.siteCapacity.Turn(service, max(d.stats.mean(), time.Millisecond))
 			return nil
 		}
-		if leave, isIn := d.purse.Enter(service, s.tree.SiteOf(siding.ID, siding.Cell), s.site, part); isIn {
-			d.places.Store(siding, leave)
+		if leave, isIn := d.siteCapacity.Enter(service, s.sites.SiteOf(siding.ID, siding.Cell), s.localSite, part); isIn {
+			d.siteReservations.Store(siding, leave)
 			return siding
 		}
 	}
@@ -89,8 +89,8 @@
 }
 
 // vacate gives back the place that a try took at its server's site.
-func (d *delivery) vacate(siding *balancer.Siding) {
-	if leave, isIn := d.places.LoadAndDelete(siding); isIn {
+func (d *forwarder) vacate(siding *balancer.Siding) {
+	if leave, isIn := d.siteReservations.LoadAndDelete(siding); isIn {
 		leave.(func())()
 	}
 }
@@ -98,5 +98,5 @@
 // isShort tells whether callers wait for room elsewhere; then reports are sent
 // at once.
 func (p *proxy) isShort() bool {
-	return p.set.Load().Tuning.Branchline != settings.BranchOff && p.purse.IsShort()
+	return p.settings.Load().Tuning.Branchline != settings.BranchOff && p.siteCapacity.IsShort()
 }
--- a/internal/proxy/bulk.go
+++ b/internal/proxy/bulk.go
@@ -21,23 +21,23 @@
 // once, a client still has the time to ask another node.
 func (p *proxy) passing(next endpoint.Endpoint) endpoint.Endpoint {
 	return func(ctx context.Context, request any) (any, error) {
-		one := request.(*inquiry)
-		if one.lane.RouteType != config.Download {
+		one := request.(*clientRequest)
+		if one.route.RouteType != config.Download {
 			return next(ctx, request)
 		}
-		pace := p.paceOf(one.lane.Name)
-		aim := one.lane.TargetLatency.Std()
+		pace := p.paceOf(one.route.Name)
+		aim := one.route.TargetLatency.Std()
 		if aim == 0 {
-			aim = time.Until(one.due)
+			aim = time.Until(one.deadline)
 		}
-		leave, isAdmitted := p.bulk.Enter(pace.size(), aim-pace.mean())
+		leave, isAdmitted := p.downloads.Enter(pace.size(), aim-pace.mean())
 		if !isAdmitted {
 			return nil, apierror.New(apierror.Busy, "the link")
 		}
-		one.leave = leave
+		one.releaseLink = leave
 		waiting, cancel := context.WithTimeout(ctx, aim/turnShare)
 		defer cancel()
-		end, isTurn := p.bulk.Turn(waiting)
+		end, isTurn := p.downloads.Turn(waiting)
 		if !isTurn {
 			return nil, apierror.New(apierror.Busy, "the link")
 		}
@@ -46,7 +46,7 @@
 		if out, isReply := reply.(*upstream.Reply); isReply && out.Rest != nil {
 			// Its sender is answering until the rest has come.
 			out.Rest = &closing{out.Rest, end}
-			one.leave = func() { leave(); end() }
+			one.releaseLink = func() { leave(); end() }
 			return reply, err
 		}
 		end()
--- a/internal/proxy/copy.go
+++ b/internal/proxy/copy.go
@@ -18,18 +18,18 @@
 // copyOn works through the inbox until the context ends.
 func (p *proxy) copyOn(ctx context.Context) {
 	for range copyWorkers {
-		go timetable.Each(ctx, p.copier.inbox, p.copy)
+		go timetable.Each(ctx, p.trafficMirror.inbox, p.copy)
 	}
 }
 
 // copy sends one copy to a server of the shadow, and compares what comes.
 func (p *proxy) copy(job copied) {
-	server := p.sight.Load().yard.Home(job.mirror.Shadow, job.place)
+	server := p.snapshot.Load().balancer.Home(job.mirror.Shadow, job.place)
 	if server == nil {
 		job.record.Miss(job.hash, job.era, "the shadow has no server")
 		return
 	}
-	if !p.out.IsFree() || !p.in.IsFree() {
+	if !p.outbound.IsFree() || !p.inbound.IsFree() {
 		// The link is for originals.
 		job.record.Miss(job.hash, job.era, "the link was busy")
 		return
@@ -40,8 +40,8 @@
 	}
 	began := time.Now()
 	due := began.Add(job.due)
-	reply, err := p.copier.rack(server).Deliver(upstream.Order{
-		Inquiry: job.inquiry, Due: due, Last: due, Connect: serverConnect, Buffer: buffer, In: p.in, Out: p.out,
+	reply, err := p.trafficMirror.rack(server).Deliver(upstream.Order{
+		Inquiry: job.inquiry, Due: due, Last: due, Connect: serverConnectTimeout, Buffer: buffer, In: p.inbound, Out: p.outbound,
 		MaySend: func() bool { return p.mayCopy(job.mirror, server) },
 	})
 	took := time.Since(began)
@@ -64,13 +64,13 @@
 // still be listed, under this very address, as one of a shadow that no lane
 // delivers to, and the order must hold.
 func (p *proxy) mayCopy(m *config.Mirror, server *balancer.Siding) bool {
-	s := p.sight.Load()
-	now, isThere := s.yard.Find(server.ID)
+	s := p.snapshot.Load()
+	now, isThere := s.balancer.Find(server.ID)
 	if !isThere || now.Address != server.Address || now.Service != m.Shadow || !now.IsReady || now.IsLeaving() {
 		return false
 	}
 	_, isHeld := s.mirrorGrant(m)
-	return isHeld && s.holdsGrants(p.clock.Steady()) && !s.sheet.IsLive(m.Shadow)
+	return isHeld && s.holdsGrants(p.clock.Steady()) && !s.manifest.IsLive(m.Shadow)
 }
 
 func (c *copied) compare(reply *upstream.Reply, err error, took time.Duration) loopline.Outcome {
--- a/internal/proxy/deliver.go
+++ b/internal/proxy/deliver.go
@@ -19,35 +19,35 @@
 
 // openEnd is the error of a delivery that may have run. The late channel, if
 // there is one, tells what is shown of it later.
-type openEnd struct {
-	kind apierror.Kind
-	late chan lateEnd
+type unresolvedError struct {
+	kind       apierror.Kind
+	lateResult chan lateEnd
 }
 
 // Error names the kind.
-func (o *openEnd) Error() string { return apierror.New(o.kind, "").Error() }
+func (o *unresolvedError) Error() string { return apierror.New(o.kind, "").Error() }
 
 const (
-	serverConnect = 250 * time.Millisecond
-	lateSafe      = 200 * time.Millisecond
-	lateKeyed     = 2 * time.Second
-	unsentLimit   = 3
+	serverConnectTimeout = 250 * time.Millisecond
+	repeatableLateWait   = 200 * time.Millisecond
+	unrepeatableLateWait = 2 * time.Second
+	maxUnsentRetries     = 3
 	// recordedMost is how long a reply may be to be kept in an operation's record.
-	recordedMost = 32 << 20
+	maxRecordedBytes = 32 << 20
 )
 
 // admitting picks the lane's service and refuses at once what nobody can serve.
-func (p *proxy) admitting(next endpoint.Endpoint) endpoint.Endpoint {
+func (p *proxy) admissionMiddleware(next endpoint.Endpoint) endpoint.Endpoint {
 	return func(ctx context.Context, request any) (any, error) {
-		one := request.(*inquiry)
-		one.service = one.lane.Pick(rand.Float64())
-		p.budget(one.service).Ask()
-		one.takePlace()
+		one := request.(*clientRequest)
+		one.service = one.route.Pick(rand.Float64())
+		p.retryBudget(one.service).Ask()
+		one.setRingPosition()
 		if err := p.shed(one); err != nil {
 			return nil, err
 		}
 		p.admitTrial(one)
-		if one.sight.yard.Ready(one.service) == 0 {
+		if one.snapshot.balancer.Ready(one.service) == 0 {
 			return nil, apierror.New(apierror.NoServer, one.service)
 		}
 		return next(ctx, request)
@@ -55,64 +55,64 @@
 }
 
 // result is how one try at one server ended.
-type result struct {
-	siding *balancer.Siding
-	reply  *upstream.Reply
-	err    error
+type attemptResult struct {
+	server   *balancer.Siding
+	response *upstream.Reply
+	err      error
 }
 
 // delivery is one inquiry's tries at servers.
-type delivery struct {
+type forwarder struct {
 	*proxy
-	one     *inquiry
-	pace    *pace
-	results chan result
-	passed  []*balancer.Siding
-	flying  int
-	sent    int
-	unsent  int
+	request     *clientRequest
+	stats       *pace
+	results     chan attemptResult
+	tried       []*balancer.Siding
+	inFlight    int
+	sentCount   int
+	unsentCount int
 	// fallback is what the client gets if no further try does better.
 	fallback *upstream.Reply
 	// isOpen: a try that may not be repeated was sent, and its outcome is not
 	// known.
-	isOpen bool
+	unresolved bool
 	// leave ends the note of a placed operation, once its last try has ended.
-	leave func()
+	untrack func()
 	// places are the places taken at the tries' sites.
-	places *sync.Map
+	siteReservations *sync.Map
 	// left ends when nobody waits any more.
-	left context.Context
+	clientCtx context.Context
 }
 
 // delivering sends the inquiry to a server, and to another where the lane, the
 // budget and what is known of the first allow it.
-func (p *proxy) delivering(ctx context.Context, request any) (any, error) {
-	one := request.(*inquiry)
-	d := &delivery{proxy: p, one: one, pace: p.paceOf(one.lane.Name), leave: p.enter(one), places: &sync.Map{}, left: leaving(ctx, one)}
-	d.results = make(chan result, one.lane.MaxAttempts+unsentLimit+1)
+func (p *proxy) forward(ctx context.Context, request any) (any, error) {
+	one := request.(*clientRequest)
+	d := &forwarder{proxy: p, request: one, stats: p.paceOf(one.route.Name), untrack: p.enter(one), siteReservations: &sync.Map{}, clientCtx: leaving(ctx, one)}
+	d.results = make(chan attemptResult, one.route.MaxAttempts+maxUnsentRetries+1)
 	defer d.sweep()
-	if !d.launch() {
+	if !d.startAttempt() {
 		return nil, apierror.New(apierror.Busy, one.service)
 	}
-	due := time.NewTimer(time.Until(one.due))
+	due := time.NewTimer(time.Until(one.deadline))
 	defer due.Stop()
 	var hedge <-chan time.Time
-	if one.lane.IsRepeatable() && one.lane.MaxAttempts > 1 {
-		alarm := time.NewTimer(d.pace.patience(one.lane.TargetLatency.Std()))
+	if one.route.IsRepeatable() && one.route.MaxAttempts > 1 {
+		alarm := time.NewTimer(d.stats.patience(one.route.TargetLatency.Std()))
 		defer alarm.Stop()
 		hedge = alarm.C
 	}
 	for {
 		select {
 		case got := <-d.results:
-			d.flying--
-			if reply, err, isEnd := d.judge(got); isEnd {
+			d.inFlight--
+			if reply, err, isEnd := d.handleResult(got); isEnd {
 				return reply, err
 			}
 		case <-hedge:
 			hedge = nil
-			d.again()
-		case <-d.left.Done():
+			d.retry()
+		case <-d.clientCtx.Done():
 			return nil, errLeft
 		case <-due.C:
 			return nil, d.late()
@@ -122,67 +122,67 @@
 
 // judge looks at the end of one try: either it ends the inquiry, or another try
 // was launched or is still flying.
-func (d *delivery) judge(got result) (reply any, err error, isEnd bool) {
-	isRepeatable := d.one.lane.IsRepeatable()
+func (d *forwarder) handleResult(got attemptResult) (reply any, err error, isEnd bool) {
+	isRepeatable := d.request.route.IsRepeatable()
 	kind := apierror.Broken
 	switch {
 	case got.err != nil && errors.Is(got.err, upstream.ErrServerLeft):
-		if d.replace() {
+		if d.replaceAttempt() {
 			return nil, nil, false
 		}
-		if d.sent == 0 && d.flying == 0 {
+		if d.sentCount == 0 && d.inFlight == 0 {
 			kind = apierror.NotExecuted
 		}
 	case got.err != nil && errors.Is(got.err, upstream.ErrNotSent):
-		if d.sent--; d.sent == 0 && d.flying == 0 {
+		if d.sentCount--; d.sentCount == 0 && d.inFlight == 0 {
 			kind = apierror.NotExecuted
 		}
-		if d.unsent++; d.unsent <= unsentLimit && d.flying == 0 && d.launch() {
+		if d.unsentCount++; d.unsentCount <= maxUnsentRetries && d.inFlight == 0 && d.startAttempt() {
 			return nil, nil, false
 		}
 	case got.err != nil:
-		d.isOpen = d.isOpen || !isRepeatable
-		if d.isOpen && !d.dedupes() {
-			return nil, &openEnd{kind: apierror.Broken}, true
+		d.unresolved = d.unresolved || !isRepeatable
+		if d.unresolved && !d.serverDeduplicates() {
+			return nil, &unresolvedError{kind: apierror.Broken}, true
 		}
-	case got.reply.IsNotExecuted():
+	case got.response.IsNotExecuted():
 		kind = apierror.NotExecuted
-		got.reply.Finish(false)
-	case !isRepeatable && isPromise(got.reply.Status):
+		got.response.Finish(false)
+	case !isRepeatable && isPromise(got.response.Status):
 		// Without Not-Executed it may have run, and the status would say it did not.
-		return nil, &openEnd{kind: apierror.Broken}, true
-	case !isRepeatable || got.reply.Status/100 != 5:
-		return got.reply, nil, true
+		return nil, &unresolvedError{kind: apierror.Broken}, true
+	case !isRepeatable || got.response.Status/100 != 5:
+		return got.response, nil, true
 	default:
-		d.fallback = got.reply
+		d.fallback = got.response
 	}
-	if d.flying > 0 || d.again() {
+	if d.inFlight > 0 || d.retry() {
 		return nil, nil, false
 	}
 	if d.fallback != nil && !isPromise(d.fallback.Status) {
 		return d.fallback, nil, true
 	}
-	if d.isOpen {
+	if d.unresolved {
 		// An earlier try may have run: nothing that came later undoes that.
-		return nil, &openEnd{kind: apierror.Broken}, true
+		return nil, &unresolvedError{kind: apierror.Broken}, true
 	}
 	return nil, apierror.New(kind, ""), true
 }
 
-func (d *delivery) dedupes() bool {
-	return d.one.sight.sheet.Services[d.one.service].IdempotentDedup && d.one.key.Key != ""
+func (d *forwarder) serverDeduplicates() bool {
+	return d.request.snapshot.manifest.Services[d.request.service].IdempotentDedup && d.request.key.Key != ""
 }
 
 // again launches one more try if lane, time and budget allow it.
-func (d *delivery) again() bool {
-	if d.sent >= d.one.lane.MaxAttempts || time.Until(d.one.due) < d.pace.mean() {
+func (d *forwarder) retry() bool {
+	if d.sentCount >= d.request.route.MaxAttempts || time.Until(d.request.deadline) < d.stats.mean() {
 		return false
 	}
 	siding := d.choose()
 	if siding == nil {
 		return false
 	}
-	if !d.budget(d.one.service).Spend() {
+	if !d.retryBudget(d.request.service).Spend() {
 		d.vacate(siding)
 		return false
 	}
@@ -191,7 +191,7 @@
 }
 
 // launch makes a try that the budget need not pay.
-func (d *delivery) launch() bool {
+func (d *forwarder) startAttempt() bool {
 	siding := d.choose()
 	if siding != nil {
 		d.send(siding)
@@ -199,46 +199,46 @@
 	return siding != nil
 }
 
-func (d *delivery) send(siding *balancer.Siding) {
-	d.passed = append(d.passed, siding)
-	d.flying++
-	d.sent++
+func (d *forwarder) send(siding *balancer.Siding) {
+	d.tried = append(d.tried, siding)
+	d.inFlight++
+	d.sentCount++
 	siding.Begin()
-	d.sentTo(d.one, siding.ID)
-	go d.run(siding, d.mark(siding))
+	d.sentTo(d.request, siding.ID)
+	go d.runAttempt(siding, d.mark(siding))
 }
 
 // run makes one try, to its end, whether the client still waits or not.
-func (d *delivery) run(siding *balancer.Siding, mark outlier.Mark) {
-	late, buffer := lateSafe, int64(d.set.Load().Tuning.BufferBytes)
-	if !d.one.lane.IsRepeatable() {
-		late, buffer = lateKeyed, max(buffer, d.one.sight.sheet.Limits.MaxBodyBytes)
+func (d *forwarder) runAttempt(siding *balancer.Siding, mark outlier.Mark) {
+	late, buffer := repeatableLateWait, int64(d.settings.Load().Tuning.BufferBytes)
+	if !d.request.route.IsRepeatable() {
+		late, buffer = unrepeatableLateWait, max(buffer, d.request.snapshot.manifest.Limits.MaxBodyBytes)
 	}
-	if d.one.lane.RouteType == config.Idempotent {
-		buffer = max(buffer, recordedMost)
+	if d.request.route.RouteType == config.Idempotent {
+		buffer = max(buffer, maxRecordedBytes)
 	}
 	passOn := int64(0)
-	if d.one.lane.RouteType == config.Download && d.in.IsNarrow() {
+	if d.request.route.RouteType == config.Download && d.inbound.IsNarrow() {
 		// Checked whole first, it would take the link's time twice.
 		passOn = bandwidth.BulkLeast
 	}
 	began := d.clock.Steady()
 	reply, err := siding.Rack.Deliver(upstream.Order{
-		Inquiry: d.one.Inquiry, Left: d.breaking(), Due: d.one.due, Last: d.one.due.Add(late), Connect: serverConnect, Buffer: buffer, PassOn: passOn, In: d.in, Out: d.out,
-		IsServing: func() bool { return d.isServing(siding) }, MaySend: d.one.maySend,
+		Inquiry: d.request.Inquiry, Left: d.breaking(), Due: d.request.deadline, Last: d.request.deadline.Add(late), Connect: serverConnectTimeout, Buffer: buffer, PassOn: passOn, In: d.inbound, Out: d.outbound,
+		IsServing: func() bool { return d.acceptsRequests(siding) }, MaySend: d.request.maySend,
 	})
 	now := d.clock.Steady()
 	took := time.Duration(now - began)
-	usual := d.pace.mean()
+	usual := d.stats.mean()
 	if !d.isBrokenOff(err) {
 		d.testify(siding, mark, reply, err, took, usual)
 		d.strainOf(siding, reply, err, took)
 	}
-	outcome := d.outcomeOf(reply, err)
+	outcome := d.serverOutcome(reply, err)
 	if outcome == balancer.Served {
-		d.pace.learn(took, reply.Length)
+		d.stats.learn(took, reply.Length)
 	}
 	d.vacate(siding)
 	siding.End(outcome, took, usual, now)
-	d.results <- result{siding, reply, err}
+	d.results <- attemptResult{siding, reply, err}
 }
--- a/internal/proxy/departed_test.go
+++ b/internal/proxy/departed_test.go
@@ -20,17 +20,17 @@
 			{ID: "i-1", Service: "s", Address: "127.0.0.1:1", Capacity: 1, IsReady: isReady}, {ID: "i-2", Service: "s", Address: "127.0.0.1:2", Capacity: 1, IsReady: true},
 		}}
 	}
-	learn := func(news ...feed.News) { p.learn(news) }
+	learn := func(news ...feed.News) { p.applyUpdates(news) }
 	chosen := func() map[string]bool {
 		out := map[string]bool{}
 		for range 100 {
-			out[p.sight.Load().yard.Choose(balancer.Wish{Service: "s"}, hand).ID] = true
+			out[p.snapshot.Load().balancer.Choose(balancer.Wish{Service: "s"}, hand).ID] = true
 		}
 		return out
 	}
 	isServing := func() bool {
-		server, isListed := p.sight.Load().yard.Find("i-1")
-		return isListed && p.isServing(server)
+		server, isListed := p.snapshot.Load().balancer.Find("i-1")
+		return isListed && p.acceptsRequests(server)
 	}
 
 	BeforeEach(func() {
--- a/internal/proxy/ending.go
+++ b/internal/proxy/ending.go
@@ -17,13 +17,13 @@
 }
 
 // late ends an inquiry whose time is up.
-func (d *delivery) late() error {
-	if d.one.lane.IsRepeatable() || d.flying == 0 {
+func (d *forwarder) late() error {
+	if d.request.route.IsRepeatable() || d.inFlight == 0 {
 		return apierror.New(apierror.Late, "")
 	}
-	open := &openEnd{kind: apierror.Late, late: make(chan lateEnd, 1)}
-	results, flying, leave, isOpen := d.results, d.flying, d.leave, d.isOpen
-	d.flying, d.leave = 0, func() {}
+	open := &unresolvedError{kind: apierror.Late, lateResult: make(chan lateEnd, 1)}
+	results, flying, leave, isOpen := d.results, d.inFlight, d.untrack, d.unresolved
+	d.inFlight, d.untrack = 0, func() {}
 	go func() {
 		defer leave()
 		end := lateEnd{isFree: !isOpen}
@@ -33,31 +33,31 @@
 			case errors.Is(got.err, upstream.ErrNotSent):
 			case got.err != nil:
 				end.isFree = false
-			case got.reply.IsNotExecuted():
+			case got.response.IsNotExecuted():
 			default:
 				end.isFree = false
-				if !isPromise(got.reply.Status) {
-					end.reply = got.reply
+				if !isPromise(got.response.Status) {
+					end.reply = got.response
 				}
 			}
 		}
-		open.late <- end
+		open.lateResult <- end
 	}()
 	return open
 }
 
 // sweep lets the tries that lost run to their end, and frees what they hold.
-func (d *delivery) sweep() {
-	if d.flying == 0 {
-		d.leave()
+func (d *forwarder) sweep() {
+	if d.inFlight == 0 {
+		d.untrack()
 		return
 	}
-	results, flying, leave := d.results, d.flying, d.leave
+	results, flying, leave := d.results, d.inFlight, d.untrack
 	go func() {
 		defer leave()
 		for range flying {
-			if got := <-results; got.reply != nil {
-				got.reply.Finish(false)
+			if got := <-results; got.response != nil {
+				got.response.Finish(false)
 			}
 		}
 	}()
--- a/internal/proxy/front.go
+++ b/internal/proxy/front.go
@@ -9,49 +9,49 @@
 
 // front listens for clients, and bounds how long they may take for a header or stay
 // idle by the manifest's limits: net/http takes such spans at its start only.
-type front struct {
+type clientListener struct {
 	*net.TCPListener
-	limits func() (header, idle time.Duration)
+	timeouts func() (header, idle time.Duration)
 }
 
 // Accept gives the next client's connection.
-func (f *front) Accept() (net.Conn, error) {
+func (f *clientListener) Accept() (net.Conn, error) {
 	conn, err := f.AcceptTCP()
 	if err != nil {
 		return nil, err
 	}
-	return &client{TCPConn: conn, limits: f.limits}, nil
+	return &clientConn{TCPConn: conn, timeouts: f.timeouts}, nil
 }
 
 // client is one client's connection. The server sets a deadline while it waits for
 // a header or for the next inquiry; the connection knows which of them it is, and
 // takes the manifest's in its place.
-type client struct {
+type clientConn struct {
 	*net.TCPConn
-	limits func() (header, idle time.Duration)
-	state  atomic.Int32
+	timeouts func() (header, idle time.Duration)
+	state    atomic.Int32
 	// isHead: the deadline for an idle connection was set; the next one is for the
 	// header of what came.
-	isHead atomic.Bool
+	headerPending atomic.Bool
 }
 
 // noteState is told by the server what a connection waits for.
-func noteState(conn net.Conn, state http.ConnState) {
-	if c, isClient := conn.(*client); isClient {
+func recordConnState(conn net.Conn, state http.ConnState) {
+	if c, isClient := conn.(*clientConn); isClient {
 		c.state.Store(int32(state))
-		c.isHead.Store(false)
+		c.headerPending.Store(false)
 	}
 }
 
 // SetReadDeadline sets the manifest's deadline where the server sets its own.
-func (c *client) SetReadDeadline(at time.Time) error {
-	header, idle := c.limits()
+func (c *clientConn) SetReadDeadline(at time.Time) error {
+	header, idle := c.timeouts()
 	state := http.ConnState(c.state.Load())
 	isWaiting := state == http.StateNew || state == http.StateIdle
 	switch {
 	case !isWaiting || !at.IsZero() && !at.After(time.Now()):
 	case at.IsZero():
-	case state == http.StateNew || c.isHead.Swap(true):
+	case state == http.StateNew || c.headerPending.Swap(true):
 		at = time.Now().Add(header)
 	default:
 		at = time.Now().Add(idle)
@@ -60,13 +60,13 @@
 }
 
 // clientLimits are how long clients may take for a header, and stay idle.
-func (p *proxy) clientLimits() (header, idle time.Duration) {
-	limits := p.sight.Load().sheet.Limits
+func (p *proxy) clientTimeouts() (header, idle time.Duration) {
+	limits := p.snapshot.Load().manifest.Limits
 	if header = limits.HeaderTimeout.Std(); header == 0 {
-		header = headerSpan
+		header = defaultHeaderTimeout
 	}
 	if idle = limits.IdleTimeout.Std(); idle == 0 {
-		idle = idleSpan
+		idle = defaultIdleTimeout
 	}
 	return header, idle
 }
--- a/internal/proxy/inquiry.go
+++ b/internal/proxy/inquiry.go
@@ -20,45 +20,45 @@
 )
 
 // inquiry is one client's inquiry on its way through the proxy.
-type inquiry struct {
+type clientRequest struct {
 	*upstream.Inquiry
-	lane    *config.Route
-	service string
-	sight   *sight
-	arrived time.Time
+	route     *config.Route
+	service   string
+	snapshot  *snapshot
+	arrivedAt time.Time
 	// due is when the client, or the lane, stops waiting.
-	due     time.Time
-	key     idempotency.Key
-	maySend func() bool
+	deadline time.Time
+	key      idempotency.Key
+	maySend  func() bool
 	// place is where the ring of the service puts a keyed operation or a
 	// download.
-	place    balancer.Place
-	isPlaced bool
+	ringPosition    balancer.Place
+	hasRingPosition bool
 	// isTrial: it may go to the version on trial.
-	isTrial bool
+	trialEligible bool
 	// leave ends a download's part of the link.
-	leave func()
+	releaseLink func()
 	// isReplayed: the record answered it.
-	isReplayed bool
+	replayed bool
 	// stage is there where a staged change touches the inquiry.
-	stage *stageMark
+	stagedChange *stageMark
 	// client is where it came from; took is how long its reply took.
-	client string
-	took   time.Duration
+	clientAddress string
+	duration      time.Duration
 }
 
 // takePlace places keyed operations by their key and downloads by their path;
 // the short repeatable inquiries go wherever is best at the moment.
-func (i *inquiry) takePlace() {
-	switch i.lane.RouteType {
+func (i *clientRequest) setRingPosition() {
+	switch i.route.RouteType {
 	case config.Idempotent:
-		i.place, i.isPlaced = balancer.PlaceOf(i.lane.Host, i.Header.Get(upstream.HeaderKey)), true
+		i.ringPosition, i.hasRingPosition = balancer.PlaceOf(i.route.Host, i.Header.Get(upstream.HeaderKey)), true
 	case config.Download:
-		i.place, i.isPlaced = balancer.PlaceOf(i.lane.Host, i.Target), true
+		i.ringPosition, i.hasRingPosition = balancer.PlaceOf(i.route.Host, i.Target), true
 	}
 }
 
-func newLife() string {
+func newIncarnation() string {
 	var text [6]byte
 	_, _ = rand.Read(text[:])
 	return hex.EncodeToString(text[:])
@@ -66,30 +66,30 @@
 
 // handle is the path of every client's inquiry.
 func (p *proxy) handle(w http.ResponseWriter, r *http.Request) {
-	p.active.Add(1)
-	defer p.active.Add(-1)
-	if p.isLeaving.Load() || len(r.TransferEncoding) > 0 {
+	p.activeRequests.Add(1)
+	defer p.activeRequests.Add(-1)
+	if p.draining.Load() || len(r.TransferEncoding) > 0 {
 		// After a body in chunks nothing more is read from the connection:
 		// whatever hides behind it is never taken for an inquiry.
 		w.Header().Set("Connection", "close")
 	}
-	one, err := p.read(w, r)
+	one, err := p.readRequest(w, r)
 	if err != nil {
-		p.refuse(w, r, err)
+		p.writeError(w, r, err)
 		return
 	}
-	one.leave = func() {}
+	one.releaseLink = func() {}
 	reply, err := p.serve(r.Context(), one)
-	one.took = time.Since(one.arrived)
-	defer func() { one.leave() }()
+	one.duration = time.Since(one.arrivedAt)
+	defer func() { one.releaseLink() }()
 	if err != nil {
 		p.settleStage(one, nil, err, false)
-		p.refuse(w, r, err)
-		p.mirror(one, nil, mayHaveRun(err))
+		p.writeError(w, r, err)
+		p.mirror(one, nil, mayHaveExecuted(err))
 		return
 	}
 	out := reply.(*upstream.Reply)
-	isBroken, err := p.answer(w, out)
+	isBroken, err := p.writeResponse(w, out)
 	p.settleStage(one, out, nil, isBroken)
 	if isBroken {
 		out = nil
@@ -103,9 +103,9 @@
 }
 
 // read checks the inquiry and reads it whole.
-func (p *proxy) read(w http.ResponseWriter, r *http.Request) (*inquiry, error) {
-	one := &inquiry{arrived: time.Now(), sight: p.sight.Load(), client: clientOf(r)}
-	limits := one.sight.sheet.Limits
+func (p *proxy) readRequest(w http.ResponseWriter, r *http.Request) (*clientRequest, error) {
+	one := &clientRequest{arrivedAt: time.Now(), snapshot: p.snapshot.Load(), clientAddress: clientOf(r)}
+	limits := one.snapshot.manifest.Limits
 	path, _, _ := strings.Cut(r.RequestURI, "?")
 	attempt := r.Header.Values(upstream.HeaderAttempt)
 	switch {
@@ -113,28 +113,28 @@
 		return nil, apierror.New(apierror.BadInquiry, "the target is not a path")
 	case len(attempt) != 1 || attempt[0] == "":
 		return nil, apierror.New(apierror.BadInquiry, "one attempt id is needed")
-	case limits.MaxHeaderBytes > 0 && headerBytes(r) > limits.MaxHeaderBytes:
+	case limits.MaxHeaderBytes > 0 && headerSize(r) > limits.MaxHeaderBytes:
 		return nil, apierror.New(apierror.HeaderTooLarge, "")
 	case len(r.Header.Values(loopline.Marker)) > 0:
 		return nil, apierror.New(apierror.Shadowed, "")
-	case !one.sight.isWhole:
+	case !one.snapshot.complete:
 		return nil, apierror.New(apierror.NoServer, "the manifest is not here yet")
 	}
-	one.sight.findLane(one, r.Host, path, r.Header.Get(upstream.HeaderKey) != "", p.clock.Steady())
-	if one.lane == nil {
+	one.snapshot.findLane(one, r.Host, path, r.Header.Get(upstream.HeaderKey) != "", p.clock.Steady())
+	if one.route == nil {
 		return nil, apierror.New(apierror.NoLane, "")
 	}
-	one.due = one.arrived.Add(one.lane.Timeout.Std())
+	one.deadline = one.arrivedAt.Add(one.route.Timeout.Std())
 	if text := r.Header.Get(upstream.HeaderDeadline); text != "" {
 		ms, err := strconv.ParseInt(text, 10, 64)
 		if err != nil || ms < 0 {
 			return nil, apierror.New(apierror.BadInquiry, "the deadline is not a number")
 		}
-		if due := one.arrived.Add(time.Duration(min(ms, 1<<32)) * time.Millisecond); due.Before(one.due) {
-			one.due = due
+		if due := one.arrivedAt.Add(time.Duration(min(ms, 1<<32)) * time.Millisecond); due.Before(one.deadline) {
+			one.deadline = due
 		}
 	}
-	_ = http.NewResponseController(w).SetReadDeadline(one.due)
+	_ = http.NewResponseController(w).SetReadDeadline(one.deadline)
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, max(limits.MaxBodyBytes, 1)))
 	if err != nil {
 		var tooLarge *http.MaxBytesError
@@ -152,7 +152,7 @@
 	return one, nil
 }
 
-func headerBytes(r *http.Request) (size int) {
+func headerSize(r *http.Request) (size int) {
 	size = len(r.RequestURI) + len(r.Host)
 	for name, values := range r.Header {
 		for _, value := range values {
@@ -163,7 +163,7 @@
 }
 
 // refuse answers by the table of kinds.
-func (p *proxy) refuse(w http.ResponseWriter, r *http.Request, err error) {
+func (p *proxy) writeError(w http.ResponseWriter, r *http.Request, err error) {
 	kind := apierror.Broken
 	var known *apierror.Error
 	if errors.As(err, &known) {
@@ -191,38 +191,38 @@
 }
 
 // mayHaveRun tells whether an inquiry that ended without a reply may have run.
-func mayHaveRun(err error) bool {
+func mayHaveExecuted(err error) bool {
 	var known *apierror.Error
 	return errors.Is(err, errLeft) || errors.As(err, &known) && (known.Kind == apierror.Broken || known.Kind == apierror.Late)
 }
 
 // answer passes a server's reply on. isBroken tells that the server broke off.
-func (p *proxy) answer(w http.ResponseWriter, reply *upstream.Reply) (isBroken bool, err error) {
+func (p *proxy) writeResponse(w http.ResponseWriter, reply *upstream.Reply) (isBroken bool, err error) {
 	upstream.CopyBack(w.Header(), reply.Header)
 	if reply.Length >= 0 {
 		w.Header().Set("Content-Length", strconv.FormatInt(reply.Length, 10))
 	}
 	w.WriteHeader(reply.Status)
-	to := p.out.Writer(w)
+	to := p.outbound.Writer(w)
 	_, err = to.Write(reply.Body)
 	if reply.Rest == nil {
 		return false, nil
 	}
-	from := &watched{Reader: reply.Rest}
+	from := &errorRecordingReader{Reader: reply.Rest}
 	if err == nil {
-		_, err = io.Copy(p.out.BulkWriter(w), from)
+		_, err = io.Copy(p.outbound.BulkWriter(w), from)
 	}
 	reply.Finish(err == nil)
 	return from.err != nil, err
 }
 
 // watched keeps the error of what it reads from, other than its end.
-type watched struct {
+type errorRecordingReader struct {
 	io.Reader
 	err error
 }
 
-func (w *watched) Read(into []byte) (count int, err error) {
+func (w *errorRecordingReader) Read(into []byte) (count int, err error) {
 	if count, err = w.Reader.Read(into); err != nil && err != io.EOF {
 		w.err = err
 	}
--- a/internal/proxy/leave.go
+++ b/internal/proxy/leave.go
@@ -28,13 +28,13 @@
 // leave goes on serving until the platform sends nothing new, and then until
 // what is at work is done.
 func (p *proxy) leave(server *http.Server) error {
-	grace := p.set.Load().Platform.Bounds.Grace.Std() - graceMargin
-	p.isLeaving.Store(true)
+	grace := p.settings.Load().Platform.Bounds.Grace.Std() - graceMargin
+	p.draining.Store(true)
 	p.clock.Sleep(min(leaveAfter, grace/2))
 	ctx, cancel := context.WithTimeout(context.Background(), max(0, grace-min(leaveAfter, grace/2)))
 	defer cancel()
 	err := server.Shutdown(ctx)
-	for ctx.Err() == nil && p.active.Load() > 0 {
+	for ctx.Err() == nil && p.activeRequests.Load() > 0 {
 		p.clock.Sleep(20 * time.Millisecond)
 	}
 	return errors.Annotate(err, "leaving")
--- a/internal/proxy/left_test.go
+++ b/internal/proxy/left_test.go
@@ -23,7 +23,7 @@
 )
 
 // inquiryOn is an inquiry on a route of a kind that the servers may get, and its proxy.
-func inquiryOn(kind config.RouteKind, servers ...*standin.Server) (*proxy, *inquiry) {
+func inquiryOn(kind config.RouteKind, servers ...*standin.Server) (*proxy, *clientRequest) {
 	set := &settings.Settings{}
 	set.Tuning.BufferBytes = 1 << 20
 	set.Platform.Bounds.RetryBudgetRatio = 1
@@ -35,11 +35,11 @@
 	for _, server := range servers {
 		fleet.Servers = append(fleet.Servers, feed.Server{ID: server.ID, Service: "s", Address: server.Address(), Capacity: 4, IsReady: true, Revision: "v1"})
 	}
-	p.sight.Store(&sight{sheet: p.sight.Load().sheet, yard: yard.Lay(fleet), proxies: 1})
-	return p, &inquiry{
+	p.snapshot.Store(&snapshot{manifest: p.snapshot.Load().manifest, balancer: yard.Lay(fleet), proxyCount: 1})
+	return p, &clientRequest{
 		Inquiry: &upstream.Inquiry{Method: "POST", Target: "/a", Host: "h", Header: http.Header{upstream.HeaderAttempt: {"t"}}, Attempt: "t"},
-		lane:    &config.Route{RouteSpec: config.RouteSpec{Name: "r", RouteType: kind, MaxAttempts: 3}}, sight: p.sight.Load(), service: "s",
-		arrived: time.Now(), due: time.Now().Add(600 * time.Millisecond), leave: func() {},
+		route:   &config.Route{RouteSpec: config.RouteSpec{Name: "r", RouteType: kind, MaxAttempts: 3}}, snapshot: p.snapshot.Load(), service: "s",
+		arrivedAt: time.Now(), deadline: time.Now().Add(600 * time.Millisecond), releaseLink: func() {},
 	}
 }
 
@@ -59,7 +59,7 @@
 			time.AfterFunc(50*time.Millisecond, leave)
 			before, _ := server.Counts()
 			began := time.Now()
-			_, err := p.delivering(ctx, one)
+			_, err := p.forward(ctx, one)
 			Expect(errors.Is(err, errLeft)).To(Equal(isEnded), "%v: %v", routeType, err)
 			Expect(time.Since(began) < 400*time.Millisecond).To(Equal(isEnded), "%v", routeType)
 			after, _ := server.Counts()
@@ -71,26 +71,26 @@
 	It("counts a client that left for nothing against the server", func() {
 		server.Next(standin.Silent)
 		p, one := inquiryOn(config.Safe, server)
-		one.due = time.Now().Add(10 * time.Second)
+		one.deadline = time.Now().Add(10 * time.Second)
 		ctx, leave := context.WithCancel(context.Background())
 		time.AfterFunc(50*time.Millisecond, leave)
-		_, err := p.delivering(ctx, one)
+		_, err := p.forward(ctx, one)
 		Expect(errors.Is(err, errLeft)).To(BeTrue())
-		siding, isThere := p.sight.Load().yard.Find("i-1")
+		siding, isThere := p.snapshot.Load().balancer.Find("i-1")
 		Expect(isThere).To(BeTrue())
-		Eventually(func() int { return p.sight.Load().yard.AtWork("s") }).Should(BeZero())
+		Eventually(func() int { return p.snapshot.Load().balancer.AtWork("s") }).Should(BeZero())
 		Expect(siding.IsSound()).To(BeTrue())
 		outcome, isCounted := stageOutcome(one, nil, err, 0)
 		Expect(isCounted).To(BeFalse(), "%v", outcome)
-		Expect(mayHaveRun(err)).To(BeTrue())
+		Expect(mayHaveExecuted(err)).To(BeTrue())
 	})
 
 	It("passes no status on that promises what nobody knows", func() {
 		for _, status := range []int{408, 429, 503} {
 			_, one := inquiryOn(config.Unsafe, server)
-			d := &delivery{one: one}
-			_, err, isEnd := d.judge(result{reply: &upstream.Reply{Status: status, Header: http.Header{}}})
-			var open *openEnd
+			d := &forwarder{request: one}
+			_, err, isEnd := d.handleResult(attemptResult{response: &upstream.Reply{Status: status, Header: http.Header{}}})
+			var open *unresolvedError
 			Expect(errors.As(err, &open)).To(BeTrue(), "%d: %v", status, err)
 			Expect(open.kind).To(Equal(apierror.Broken))
 			Expect(isEnd).To(BeTrue())
@@ -99,11 +99,11 @@
 
 	It("records no part of a reply as the whole", func() {
 		p, one := inquiryOn(config.Idempotent, server)
-		a := &attempt{proxy: p, one: one, ungranted: map[string]bool{}}
+		a := &keyedAttempt{proxy: p, request: one, ungranted: map[string]bool{}}
 		a.intent = idempotency.Intent{Key: idempotency.Key{Tenant: "h", Key: "k"}, State: idempotency.Reserved}
 		a.round = idempotency.NewRound(a.intent.Hash, 1, p.clock.Steady(), timetable.Steady(time.Second))
 		long := &upstream.Reply{Status: 200, Header: http.Header{}, Body: []byte("part"), Rest: io.NopCloser(strings.NewReader("rest"))}
-		reply, err := a.forward(context.Background(), func(context.Context, any) (any, error) { return long, nil })
+		reply, err := a.execute(context.Background(), func(context.Context, any) (any, error) { return long, nil })
 		Expect(err).NotTo(HaveOccurred())
 		Expect(reply).To(BeIdenticalTo(long))
 		Expect(a.intent.State).To(Equal(idempotency.TimeoutUnresolved))
--- a/internal/proxy/members.go
+++ b/internal/proxy/members.go
@@ -35,7 +35,7 @@
 	for _, member := range view.Members {
 		// A surplus reply, or the cut after a reply, is no other member's vote.
 		var first sync.Once
-		forgets = append(forgets, send(p.line(member), kind, body, func(text []byte, err error) {
+		forgets = append(forgets, send(p.connection(member), kind, body, func(text []byte, err error) {
 			one := said[T]{member: member}
 			if out := new(T); err == nil && rpc.Unpack(text, out) == nil {
 				one.reply = out
--- a/internal/proxy/members_test.go
+++ b/internal/proxy/members_test.go
@@ -27,7 +27,7 @@
 		return listener
 	}
 	// begin is an attempt at a key before such members.
-	begin := func(members ...net.Listener) *attempt {
+	begin := func(members ...net.Listener) *keyedAttempt {
 		set := &settings.Settings{}
 		set.Tuning.VoteSpan = timetable.Span(150 * time.Millisecond)
 		set.Platform.Bounds.Sync = timetable.Span(10 * time.Second)
@@ -36,13 +36,13 @@
 		for _, listener := range members {
 			view.Members = append(view.Members, listener.Addr().String())
 		}
-		p.sight.Store(&sight{sheet: p.sight.Load().sheet, yard: p.sight.Load().yard, view: view})
-		one := &inquiry{
-			Inquiry: &upstream.Inquiry{Header: http.Header{}, Attempt: "t"}, lane: &config.Route{}, sight: p.sight.Load(),
-			due: time.Now().Add(time.Second), arrived: time.Now(),
+		p.snapshot.Store(&snapshot{manifest: p.snapshot.Load().manifest, balancer: p.snapshot.Load().balancer, view: view})
+		one := &clientRequest{
+			Inquiry: &upstream.Inquiry{Header: http.Header{}, Attempt: "t"}, route: &config.Route{}, snapshot: p.snapshot.Load(),
+			deadline: time.Now().Add(time.Second), arrivedAt: time.Now(),
 		}
 		one.key = idempotency.Key{Tenant: "h", Key: "k"}
-		a := &attempt{proxy: p, one: one, ungranted: map[string]bool{}}
+		a := &keyedAttempt{proxy: p, request: one, ungranted: map[string]bool{}}
 		a.intent = idempotency.Intent{Key: one.key, Attempt: "a-1", State: idempotency.Reserved}
 		return a
 	}
@@ -83,8 +83,8 @@
 		Expect(a.reserve()).To(Equal(idempotency.Won))
 		Expect(listener.Close()).To(Succeed())
 		address := listener.Addr().String()
-		Eventually(func() error { return a.line(address).Ask(messages.KindReserve, nil, nil, time.Second) }).ShouldNot(Succeed())
-		a.giveBack()
+		Eventually(func() error { return a.connection(address).Ask(messages.KindReserve, nil, nil, time.Second) }).ShouldNot(Succeed())
+		a.releaseVotes()
 		told := make(chan idempotency.State, 8)
 		member(address, rpc.Handlers{messages.KindRecord: func(call rpc.Call) {
 			var record messages.Record
@@ -93,7 +93,7 @@
 			}
 		}, messages.KindLookup: func(rpc.Call) {}})
 		Eventually(func() error {
-			a.line(address).Send(messages.KindLookup, nil, nil)
+			a.connection(address).Send(messages.KindLookup, nil, nil)
 			select {
 			case state := <-told:
 				Expect(state).To(Equal(idempotency.Released))
--- a/internal/proxy/mirror.go
+++ b/internal/proxy/mirror.go
@@ -104,23 +104,23 @@
 // mirror offers the copy of an inquiry that has ended, once its client has the
 // reply. reply is nil where none came; isOpen tells that it may have run all the
 // same.
-func (p *proxy) mirror(one *inquiry, reply *upstream.Reply, isOpen bool) {
-	if one == nil || one.lane == nil || one.lane.Mirror == nil || one.isReplayed || reply == nil && !isOpen {
+func (p *proxy) mirror(one *clientRequest, reply *upstream.Reply, isOpen bool) {
+	if one == nil || one.route == nil || one.route.Mirror == nil || one.replayed || reply == nil && !isOpen {
 		return
 	}
-	m := one.lane.Mirror
-	grant, isHeld := one.sight.mirrorGrant(m)
+	m := one.route.Mirror
+	grant, isHeld := one.snapshot.mirrorGrant(m)
 	if !isHeld {
 		return
 	}
-	record := p.copier.record(m.Name)
-	conversation := m.Conversation(one.Header, one.key.Key, one.client)
-	draw := m.Draw(one.lane.Host, conversation)
+	record := p.trafficMirror.record(m.Name)
+	conversation := m.Conversation(one.Header, one.key.Key, one.clientAddress)
+	draw := m.Draw(one.route.Host, conversation)
 	if draw >= grant.Share {
 		return
 	}
 	sum := fnv.New64a()
-	_, _ = sum.Write([]byte(one.lane.Host + "\x00" + conversation))
+	_, _ = sum.Write([]byte(one.route.Host + "\x00" + conversation))
 	hash := sum.Sum64()
 	record.Under(grant)
 	number, era := record.Meet(hash, draw)
@@ -128,13 +128,13 @@
 	case reply == nil:
 		record.Miss(hash, era, "the original's outcome is not known")
 		return
-	case !one.sight.holdsGrants(p.clock.Steady()):
+	case !one.snapshot.holdsGrants(p.clock.Steady()):
 		record.Miss(hash, era, "the order had lapsed here")
 		return
 	}
 	job := copied{
-		mirror: m, record: record, lane: one.lane, hash: hash, era: era, place: balancer.Place(hash), due: time.Until(one.due) + time.Since(one.arrived),
-		status: reply.Status, length: reply.Length, tookLive: one.took,
+		mirror: m, record: record, lane: one.route, hash: hash, era: era, place: balancer.Place(hash), due: time.Until(one.deadline) + time.Since(one.arrivedAt),
+		status: reply.Status, length: reply.Length, tookLive: one.duration,
 	}
 	if job.hasBody = reply.Rest == nil; job.hasBody {
 		job.body = sha256.Sum256(reply.Body)
@@ -142,10 +142,10 @@
 	inquiry := *one.Inquiry
 	inquiry.Header = one.Header.Clone()
 	inquiry.Header.Set(loopline.Marker, fmt.Sprintf("%s; version=%d; node=%s; number=%d; at=%d; settled=%t",
-		m.Name, m.Version, p.set.Load().Platform.NodeName, number, p.clock.Wall().UnixMilli(), grant.IsSettled))
+		m.Name, m.Version, p.settings.Load().Platform.NodeName, number, p.clock.Wall().UnixMilli(), grant.IsSettled))
 	job.inquiry = &inquiry
 	select {
-	case p.copier.inbox <- job:
+	case p.trafficMirror.inbox <- job:
 	default:
 		record.Miss(hash, era, "the inbox was full")
 	}
@@ -153,8 +153,8 @@
 
 // mirrorGrant is the grant of a mirror that this node heard last, whether it holds
 // still or not.
-func (s *sight) mirrorGrant(m *config.Mirror) (grant loopline.Grant, isHeld bool) {
-	for _, grant = range s.mirrors {
+func (s *snapshot) mirrorGrant(m *config.Mirror) (grant loopline.Grant, isHeld bool) {
+	for _, grant = range s.mirrorGrants {
 		if grant.Name == m.Name && grant.Version == uint64(m.Version) {
 			return grant, true
 		}
@@ -164,8 +164,8 @@
 
 // mirrored is what this node knows of its copies.
 func (p *proxy) mirrored(struct{}) messages.Mirrored {
-	out := messages.Mirrored{Node: p.set.Load().Platform.NodeName, Life: p.life, Pages: map[string]loopline.Page{}}
-	for name, record := range p.copier.all() {
+	out := messages.Mirrored{Node: p.settings.Load().Platform.NodeName, Life: p.incarnation, Pages: map[string]loopline.Page{}}
+	for name, record := range p.trafficMirror.all() {
 		out.Pages[name] = record.Page()
 	}
 	return out
--- a/internal/proxy/mirror_test.go
+++ b/internal/proxy/mirror_test.go
@@ -43,15 +43,15 @@
 var _ = Describe("the last look before a copy is sent", func() {
 	// sightOf is what a node knows: where x-1 is listed, under which service, the
 	// order granted, and which service the one lane delivers to.
-	sightOf := func(address, service string, isReady bool, version uint64, live string) *sight {
+	sightOf := func(address, service string, isReady bool, version uint64, live string) *snapshot {
 		body, err := json.Marshal(config.RouteSpec{Name: "fee", PathPrefix: "/fee/", RouteType: config.Safe, Service: live, MaxAttempts: 1, Revision: 1})
 		Expect(err).NotTo(HaveOccurred())
 		book := config.Book{}
 		book.Merge([]config.Item{{ID: config.ID{Class: config.RouteItem, Name: "fee"}, Version: 1, Host: "h", Body: body}})
 		fleet := feed.Fleet{Term: 1, Count: 1, Servers: []feed.Server{{ID: "x-1", Service: service, Address: address, Capacity: 2, IsReady: isReady}}}
-		return &sight{
-			sheet: book.Compile(), yard: balancer.NewYard(balancer.Home{Node: "n"}).Lay(fleet), heard: timetable.Steady(time.Hour),
-			mirrors: []loopline.Grant{{Name: "build", Version: version, Share: 1}},
+		return &snapshot{
+			manifest: book.Compile(), balancer: balancer.NewYard(balancer.Home{Node: "n"}).Lay(fleet), fleetReceivedAt: timetable.Steady(time.Hour),
+			mirrorGrants: []loopline.Grant{{Name: "build", Version: version, Share: 1}},
 		}
 	}
 
@@ -60,7 +60,7 @@
 		p := newProxy(&settings.Settings{}, hand, func(string, string, ...any) {})
 		mirror := &config.Mirror{Mirror: loopline.Mirror{Name: "build", Shadow: "next"}, Version: 3}
 		server := &balancer.Siding{Server: feed.Server{ID: "x-1", Service: "next", Address: "a:1", IsReady: true}}
-		may := func(s *sight) bool { p.sight.Store(s); return p.mayCopy(mirror, server) }
+		may := func(s *snapshot) bool { p.snapshot.Store(s); return p.mayCopy(mirror, server) }
 		Expect(may(sightOf("a:1", "next", true, 3, "fees"))).To(BeTrue())
 		Expect(may(sightOf("a:9", "next", true, 3, "fees"))).To(BeFalse(), "the address is another's")
 		Expect(may(sightOf("a:1", "fees", true, 3, "fees"))).To(BeFalse(), "the server is a live one")
--- a/internal/proxy/moves.go
+++ b/internal/proxy/moves.go
@@ -16,24 +16,24 @@
 // placedRun is one placed operation that is running, or whose outcome is still
 // awaited, with the servers it was sent to.
 type placedRun struct {
-	one     *inquiry
+	one     *clientRequest
 	servers []string
 }
 
 // enter notes a placed operation for as long as it runs.
-func (p *proxy) enter(one *inquiry) (leave func()) {
-	if !one.isPlaced {
+func (p *proxy) enter(one *clientRequest) (leave func()) {
+	if !one.hasRingPosition {
 		return func() {}
 	}
-	p.runs.Store(one, &placedRun{one: one})
-	return func() { p.runs.Delete(one) }
+	p.runningOperations.Store(one, &placedRun{one: one})
+	return func() { p.runningOperations.Delete(one) }
 }
 
 // sentTo notes a server of a placed operation.
-func (p *proxy) sentTo(one *inquiry, server string) {
-	if known, isKnown := p.runs.Load(one); isKnown {
+func (p *proxy) sentTo(one *clientRequest, server string) {
+	if known, isKnown := p.runningOperations.Load(one); isKnown {
 		run := known.(*placedRun)
-		p.runs.Store(one, &placedRun{one: one, servers: append(run.servers[:len(run.servers):len(run.servers)], server)})
+		p.runningOperations.Store(one, &placedRun{one: one, servers: append(run.servers[:len(run.servers):len(run.servers)], server)})
 	}
 }
 
@@ -41,20 +41,20 @@
 // on the live ring, and on the ring after the change. It looks at one immutable
 // sight and shifts nothing.
 func (p *proxy) moves(change balancer.Change) messages.Moves {
-	yard := p.sight.Load().yard
+	yard := p.snapshot.Load().balancer
 	after := yard.Trial(change)
-	out := messages.Moves{Node: p.set.Load().Platform.NodeName}
-	p.runs.Range(func(_, value any) bool {
+	out := messages.Moves{Node: p.settings.Load().Platform.NodeName}
+	p.runningOperations.Range(func(_, value any) bool {
 		run := value.(*placedRun)
 		one := run.one
-		home := yard.Home(one.service, one.place)
+		home := yard.Home(one.service, one.ringPosition)
 		if one.service != change.Service || home == nil {
 			return true
 		}
 		move := messages.Move{
-			Lane: one.lane.Name, Tenant: one.lane.Host, From: home.ID, To: after(one.place), At: run.servers, Place: one.place,
+			Lane: one.route.Name, Tenant: one.route.Host, From: home.ID, To: after(one.ringPosition), At: run.servers, Place: one.ringPosition,
 		}
-		if one.lane.RouteType == config.Idempotent {
+		if one.route.RouteType == config.Idempotent {
 			move.Key = one.key.Key
 		} else {
 			move.Attempt, move.Target = one.Attempt, one.Target
@@ -70,7 +70,7 @@
 }
 
 func (p *proxy) homes(asked messages.Homes) (out messages.HomesNow) {
-	yard := p.sight.Load().yard
+	yard := p.snapshot.Load().balancer
 	for _, place := range asked.Places {
 		id := ""
 		if home := yard.Home(asked.Service, place); home != nil {
@@ -83,9 +83,9 @@
 }
 
 func (p *proxy) inForce(struct{}) messages.Sight {
-	s := p.sight.Load()
+	s := p.snapshot.Load()
 	out := messages.Sight{
-		Node: p.set.Load().Platform.NodeName, Digest: s.digest, Epoch: uint64(s.view.Epoch), IsReady: p.isReady(), Servers: s.yard.Size(),
+		Node: p.settings.Load().Platform.NodeName, Digest: s.manifestDigest, Epoch: uint64(s.view.Epoch), IsReady: p.isReady(), Servers: s.balancer.Size(),
 	}
 	cutoffs, isFloor := p.cutoffs(s)
 	for _, cutoff := range cutoffs {
@@ -103,7 +103,7 @@
 
 // answerOperators serves what the inspector asks of a proxy.
 func (p *proxy) answerOperators() (net.Listener, error) {
-	listener, err := net.Listen("tcp4", AskAddress(p.set.Load()))
+	listener, err := net.Listen("tcp4", AskAddress(p.settings.Load()))
 	if err != nil {
 		return nil, errors.Annotate(err, "internal port")
 	}
@@ -113,7 +113,7 @@
 		messages.KindSight: answering(p.inForce),
 
 		messages.KindMirrored: answering(p.mirrored),
-	}, coreSilence)
+	}, controlSilenceTimeout)
 	return listener, nil
 }
 
--- a/internal/proxy/once_test.go
+++ b/internal/proxy/once_test.go
@@ -43,8 +43,8 @@
 				next(act)
 				p, one := inquiryOn(kind, servers...)
 				before := arrivals()
-				_, err := p.delivering(context.Background(), one)
-				var open *openEnd
+				_, err := p.forward(context.Background(), one)
+				var open *unresolvedError
 				Expect(act == standin.Fail500 || errors.As(err, &open)).To(BeTrue(), "act %d: %v", act, err)
 				Expect(arrivals()-before).To(Equal(1), "act %d on a lane that is %s", act, kind)
 				for _, server := range servers {
@@ -59,7 +59,7 @@
 			next(act)
 			p, one := inquiryOn(config.Unsafe, servers...)
 			before := arrivals()
-			_, err := p.delivering(context.Background(), one)
+			_, err := p.forward(context.Background(), one)
 			var known *apierror.Error
 			Expect(errors.As(err, &known)).To(BeTrue())
 			Expect(known.Kind).To(Equal(apierror.NotExecuted))
@@ -72,7 +72,7 @@
 		p, one := inquiryOn(config.Unsafe, servers...)
 		ctx, leave := context.WithCancel(context.Background())
 		time.AfterFunc(50*time.Millisecond, leave)
-		_, err := p.delivering(ctx, one)
+		_, err := p.forward(ctx, one)
 		Expect(errors.Is(err, errLeft)).To(BeTrue())
 		for _, server := range servers {
 			server.Free()
--- a/internal/proxy/pace.go
+++ b/internal/proxy/pace.go
@@ -27,10 +27,10 @@
 )
 
 func (p *proxy) paceOf(lane string) *pace {
-	if known, isKnown := p.paces.Load(lane); isKnown {
+	if known, isKnown := p.routeStats.Load(lane); isKnown {
 		return known.(*pace)
 	}
-	made, _ := p.paces.LoadOrStore(lane, &pace{})
+	made, _ := p.routeStats.LoadOrStore(lane, &pace{})
 	return made.(*pace)
 }
 
--- a/internal/proxy/points.go
+++ b/internal/proxy/points.go
@@ -29,75 +29,75 @@
 )
 
 // Note is how the programs log.
-type Note = func(level, text string, pairs ...any)
+type LogFunc = func(level, text string, pairs ...any)
 
 // sight is what an inquiry reads: one immutable view of everything.
-type sight struct {
-	sheet *config.Sheet
-	yard  *balancer.Yard
+type snapshot struct {
+	manifest *config.Sheet
+	balancer *balancer.Yard
 	// tree is the sites, site this node's own.
-	tree    *branchline.Tree
-	site    string
-	servers []feed.Server
-	view    membership.View
-	digest  string
-	proxies int
+	sites          *branchline.Tree
+	localSite      string
+	servers        []feed.Server
+	view           membership.View
+	manifestDigest string
+	proxyCount     int
 	// shares, holder and reading are those of the fleet, heard when it came.
-	shares  []feed.Share
-	holder  string
-	reading feed.Reading
-	heard   timetable.Steady
+	trialShares     []feed.Share
+	holder          string
+	fleetVersion    feed.Reading
+	fleetReceivedAt timetable.Steady
 	// stages are the staged changes under way.
-	stages  []stage
-	isWhole bool
+	stagedChanges []stage
+	complete      bool
 	// cutoffs are what is turned away, mirrors what is copied, by the fleet's
 	// grants.
-	cutoffs []shedding.Cutoff
-	mirrors []loopline.Grant
+	cutoffs      []shedding.Cutoff
+	mirrorGrants []loopline.Grant
 }
 
 // proxy is one points process.
 type proxy struct {
-	set      atomic.Pointer[settings.Settings]
-	clock    timetable.Clock
-	note     Note
-	sight    atomic.Pointer[sight]
-	loop     *timetable.Loop[feed.News]
-	board    *feed.Board
-	follower *feed.Follower
+	settings   atomic.Pointer[settings.Settings]
+	clock      timetable.Clock
+	log        LogFunc
+	snapshot   atomic.Pointer[snapshot]
+	updateLoop *timetable.Loop[feed.News]
+	replica    *feed.Board
+	follower   *feed.Follower
 	// isLeaving is set by SIGTERM.
-	isLeaving atomic.Bool
-	active    atomic.Int64
-	serve     endpoint.Endpoint
+	draining       atomic.Bool
+	activeRequests atomic.Int64
+	serve          endpoint.Endpoint
 
-	lock    sync.Mutex
-	lines   map[string]*rpc.Line
-	budgets map[string]*balancer.Budget
-	paces   sync.Map
+	mu           sync.Mutex
+	connections  map[string]*rpc.Line
+	retryBudgets map[string]*balancer.Budget
+	routeStats   sync.Map
 	// runs are the placed operations at work, by their inquiry.
-	runs   sync.Map
-	recent recent
-	life   string
-	tries  atomic.Uint64
+	runningOperations sync.Map
+	recentIntents     recentIntents
+	incarnation       string
+	attemptCount      atomic.Uint64
 	// in and out are the two directions of the machine's link.
-	in, out *bandwidth.Track
-	bulk    *bandwidth.Passing
+	inbound, outbound *bandwidth.Track
+	downloads         *bandwidth.Passing
 	// box counts outcomes, allowances what versions on trial may have.
-	box        *outlier.Box
-	allowances sync.Map
+	outcomes        *outlier.Box
+	trialAllowances sync.Map
 	// purse holds what this node may use of other sites' room.
-	purse *branchline.Purse
+	siteCapacity *branchline.Purse
 	// gate decides what is turned away under overload, copier what is copied.
-	gate   *gate
-	copier *copier
+	shedder       *gate
+	trafficMirror *copier
 }
 
 const (
-	coreConnect   = 300 * time.Millisecond
-	coreSilence   = 1500 * time.Millisecond
-	headerSpan    = 3 * time.Second
-	idleSpan      = 15 * time.Second
-	headerCeiling = 256 << 10
+	controlConnectTimeout = 300 * time.Millisecond
+	controlSilenceTimeout = 1500 * time.Millisecond
+	defaultHeaderTimeout  = 3 * time.Second
+	defaultIdleTimeout    = 15 * time.Second
+	maxHeaderBytes        = 256 << 10
 )
 
 // Run runs a proxy until the context ends, and then lets it leave in order.
@@ -105,13 +105,13 @@
 // Example:
 //
 //	err := proxy.Run(ctx, set, path, note)
-func Run(ctx context.Context, set *settings.Settings, path string, note Note) error {
+func Run(ctx context.Context, set *settings.Settings, path string, note LogFunc) error {
 	p := newProxy(set, timetable.Real(), note)
 	outer, err := net.Listen("tcp4", set.Platform.Bind.ClientHttp)
 	if err != nil {
 		return errors.Annotate(err, "client address")
 	}
-	clients := &front{outer.(*net.TCPListener), p.clientLimits}
+	clients := &clientListener{outer.(*net.TCPListener), p.clientTimeouts}
 	ready, err := net.Listen("tcp4", set.Platform.Bind.Readiness)
 	if err != nil {
 		return errors.Annotate(err, "readiness address")
@@ -123,19 +123,19 @@
 	defer asked.Close()
 	inner, stop := context.WithCancel(context.Background())
 	defer stop()
-	go settings.Watch(inner, path, func(changed *settings.Settings) { p.set.Store(changed) }, func(err error) { note("warn", "settings", "error", err) })
-	go p.loop.Run(inner, p.learn, 0, nil)
-	near := rpc.NewLine(agent.LoopbackAddress(set), coreConnect, coreSilence)
-	p.follower = feed.NewFollower("points", near, p.loop.Put, 50*time.Millisecond)
+	go settings.Watch(inner, path, func(changed *settings.Settings) { p.settings.Store(changed) }, func(err error) { note("warn", "settings", "error", err) })
+	go p.updateLoop.Run(inner, p.applyUpdates, 0, nil)
+	near := rpc.NewLine(agent.LoopbackAddress(set), controlConnectTimeout, controlSilenceTimeout)
+	p.follower = feed.NewFollower("points", near, p.updateLoop.Put, 50*time.Millisecond)
 	go p.follower.Run(inner)
 	go p.reportOn(inner)
 	p.copyOn(inner)
 	server := &http.Server{
-		Handler: http.HandlerFunc(p.handle), ReadHeaderTimeout: headerSpan, IdleTimeout: idleSpan,
-		MaxHeaderBytes: headerCeiling, ConnState: noteState,
+		Handler: http.HandlerFunc(p.handle), ReadHeaderTimeout: defaultHeaderTimeout, IdleTimeout: defaultIdleTimeout,
+		MaxHeaderBytes: maxHeaderBytes, ConnState: recordConnState,
 	}
 	go func() {
-		_ = (&http.Server{Handler: http.HandlerFunc(p.ready), ReadHeaderTimeout: headerSpan}).Serve(ready)
+		_ = (&http.Server{Handler: http.HandlerFunc(p.ready), ReadHeaderTimeout: defaultHeaderTimeout}).Serve(ready)
 	}()
 	failed := make(chan error, 1)
 	go func() { failed <- server.Serve(clients) }()
@@ -147,95 +147,95 @@
 	return p.leave(server)
 }
 
-func newProxy(set *settings.Settings, clock timetable.Clock, note Note) *proxy {
+func newProxy(set *settings.Settings, clock timetable.Clock, note LogFunc) *proxy {
 	p := &proxy{
-		clock: clock, note: note, loop: timetable.NewLoop[feed.News](256), board: feed.NewBoard(),
-		lines: map[string]*rpc.Line{}, budgets: map[string]*balancer.Budget{}, life: newLife(), box: outlier.NewBox(), purse: branchline.NewPurse(clock),
-		gate: newGate(clock), copier: newCopier(),
+		clock: clock, log: note, updateLoop: timetable.NewLoop[feed.News](256), replica: feed.NewBoard(),
+		connections: map[string]*rpc.Line{}, retryBudgets: map[string]*balancer.Budget{}, incarnation: newIncarnation(), outcomes: outlier.NewBox(), siteCapacity: branchline.NewPurse(clock),
+		shedder: newGate(clock), trafficMirror: newCopier(),
 	}
-	p.set.Store(set)
+	p.settings.Store(set)
 	home := balancer.Home{Node: set.Platform.NodeName, Cell: set.Platform.Cell, Set: set.Tuning.WorkingSet}
-	p.in = bandwidth.NewTrack(set.Platform.Limits.LinkMbps, clock)
-	p.out = bandwidth.NewTrack(set.Platform.Limits.LinkMbps, clock)
-	p.bulk = bandwidth.NewPassing(p.out)
-	p.sight.Store(&sight{sheet: config.Book{}.Compile(), yard: balancer.NewYard(home)})
-	p.serve = endpoint.Chain(p.admitting, p.passing, p.replaying)(p.delivering)
+	p.inbound = bandwidth.NewTrack(set.Platform.Limits.LinkMbps, clock)
+	p.outbound = bandwidth.NewTrack(set.Platform.Limits.LinkMbps, clock)
+	p.downloads = bandwidth.NewPassing(p.outbound)
+	p.snapshot.Store(&snapshot{manifest: config.Book{}.Compile(), balancer: balancer.NewYard(home)})
+	p.serve = endpoint.Chain(p.admissionMiddleware, p.passing, p.idempotencyMiddleware)(p.forward)
 	return p
 }
 
 // learn is the owner of the board: it merges news and lays a new sight.
-func (p *proxy) learn(batch []feed.News) {
-	old := p.sight.Load()
+func (p *proxy) applyUpdates(batch []feed.News) {
+	old := p.snapshot.Load()
 	next := *old
 	isNew := false
 	var leaving []string
 	for _, news := range batch {
-		if !p.board.Fits(news) {
+		if !p.replica.Fits(news) {
 			p.follower.Again()
 		}
-		fresh, isFresh := p.board.Merge(news)
+		fresh, isFresh := p.replica.Merge(news)
 		isNew = isNew || isFresh
 		if len(fresh.Items) > 0 {
-			next.sheet = nil
+			next.manifest = nil
 		}
 		if fresh.Fleet != nil {
-			next.take(p.board.Serving(), p.clock.Steady())
-			p.copier.keep(next.servers)
+			next.applyFleet(p.replica.Serving(), p.clock.Steady())
+			p.trafficMirror.keep(next.servers)
 		}
 		leaving = append(leaving, fresh.Leaving...)
 	}
-	next.yard.Leave(leaving)
+	next.balancer.Leave(leaving)
 	if !isNew {
 		return
 	}
-	isNewBook := next.sheet == nil
+	isNewBook := next.manifest == nil
 	if isNewBook {
-		next.sheet, next.digest = p.board.Book.Compile(), p.board.Book.Digest()
-		platform := p.set.Load().Platform
-		if tree, err := p.board.Book.Tree(platform.Cells); err == nil {
-			next.tree, next.site = tree, tree.SiteOf("", platform.Cell)
+		next.manifest, next.manifestDigest = p.replica.Book.Compile(), p.replica.Book.Digest()
+		platform := p.settings.Load().Platform
+		if tree, err := p.replica.Book.Tree(platform.Cells); err == nil {
+			next.sites, next.localSite = tree, tree.SiteOf("", platform.Cell)
 		}
 	}
-	if len(next.stages)+len(p.board.Fleet.Stages) > 0 {
-		next.layStages(p.board.Fleet.Stages, p.board.Book, isNewBook, p.set.Load().Platform.NodeName)
+	if len(next.stagedChanges)+len(p.replica.Fleet.Stages) > 0 {
+		next.layStages(p.replica.Fleet.Stages, p.replica.Book, isNewBook, p.settings.Load().Platform.NodeName)
 	}
-	next.isWhole = p.board.IsWhole
-	if p.board.View.Epoch > next.view.Epoch {
-		next.view = p.board.View
+	next.complete = p.replica.IsWhole
+	if p.replica.View.Epoch > next.view.Epoch {
+		next.view = p.replica.View
 	}
 	wasReady := p.isReady()
-	p.sight.Store(&next)
+	p.snapshot.Store(&next)
 	if !wasReady && p.isReady() {
-		p.note("info", "ready", "lanes", next.sheet.Lanes, "servers", next.yard.Size())
+		p.log("info", "ready", "lanes", next.manifest.Lanes, "servers", next.balancer.Size())
 	}
 }
 
 func (p *proxy) isReady() bool {
-	s := p.sight.Load()
-	return s.isWhole && s.sheet.Lanes > 0 && s.yard.Size() > 0 && !p.isLeaving.Load()
+	s := p.snapshot.Load()
+	return s.complete && s.manifest.Lanes > 0 && s.balancer.Size() > 0 && !p.draining.Load()
 }
 
-func (p *proxy) line(address string) *rpc.Line {
-	p.lock.Lock()
-	defer p.lock.Unlock()
-	line := p.lines[address]
+func (p *proxy) connection(address string) *rpc.Line {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	line := p.connections[address]
 	if line == nil {
-		line = rpc.NewLine(address, coreConnect, coreSilence)
-		line.Again, line.Sent = func() { p.retell(line) }, p.out.Note
-		p.lines[address] = line
+		line = rpc.NewLine(address, controlConnectTimeout, controlSilenceTimeout)
+		line.Again, line.Sent = func() { p.resendRecent(line) }, p.outbound.Note
+		p.connections[address] = line
 	}
 	return line
 }
 
-func (p *proxy) budget(service string) *balancer.Budget {
-	p.lock.Lock()
-	defer p.lock.Unlock()
-	budget := p.budgets[service]
+func (p *proxy) retryBudget(service string) *balancer.Budget {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	budget := p.retryBudgets[service]
 	if budget == nil {
-		bounds := p.set.Load().Platform.Bounds
-		floor := func() float64 { return balancer.Floor(bounds.RetrySlack, p.sight.Load().proxies) }
+		bounds := p.settings.Load().Platform.Bounds
+		floor := func() float64 { return balancer.Floor(bounds.RetrySlack, p.snapshot.Load().proxyCount) }
 		budget = balancer.NewBudget(bounds.RetryBudgetRatio, bounds.RetryWindow.Std(), floor, p.clock)
-		p.budgets[service] = budget
+		p.retryBudgets[service] = budget
 	}
 	return budget
 }
--- a/internal/proxy/replay_test.go
+++ b/internal/proxy/replay_test.go
@@ -28,18 +28,18 @@
 		defer rack.Close()
 		hand := &timetable.Hand{Now: time.Hour}
 		p := newProxy(&settings.Settings{}, hand, func(string, string, ...any) {})
-		one := &inquiry{
+		one := &clientRequest{
 			Inquiry: &upstream.Inquiry{Method: "POST", Target: "/fee/", Host: "h", Header: http.Header{upstream.HeaderAttempt: {"t"}}, Attempt: "t"},
-			lane:    &config.Route{}, sight: p.sight.Load(),
+			route:   &config.Route{}, snapshot: p.snapshot.Load(),
 		}
-		a := &attempt{proxy: p, one: one, ungranted: map[string]bool{}}
+		a := &keyedAttempt{proxy: p, request: one, ungranted: map[string]bool{}}
 		a.intent = idempotency.Intent{Key: idempotency.Key{Tenant: "h", Key: "k"}, State: idempotency.Reserved}
 		a.round = idempotency.NewRound(a.intent.Hash, 3, hand.Steady(), timetable.Steady(250*time.Millisecond))
 		for range 2 {
 			a.round.On(&idempotency.Ballot{Verdict: idempotency.Granted})
 		}
 		Expect(a.round.Standing(hand.Steady())).To(Equal(idempotency.Won))
-		_, err = a.forward(context.Background(), func(context.Context, any) (any, error) {
+		_, err = a.execute(context.Background(), func(context.Context, any) (any, error) {
 			hand.Now += frozen
 			due := time.Now().Add(5 * time.Second)
 			reply, err := rack.Deliver(upstream.Order{Inquiry: one.Inquiry, Due: due, Last: due, Connect: time.Second, Buffer: 1 << 20, MaySend: one.maySend})
--- a/internal/proxy/resume.go
+++ b/internal/proxy/resume.go
@@ -12,24 +12,24 @@
 )
 
 const (
-	resumeFirst  = 30 * time.Millisecond
-	resumeShare  = 2
-	resumeMargin = 50 * time.Millisecond
+	initialLookupDelay = 30 * time.Millisecond
+	lookupTimeDivisor  = 2
+	lookupTimeout      = 50 * time.Millisecond
 )
 
 // resume waits a while for the outcome of the attempt that holds the key, and
 // answers that the key is in work if none is shown. Nothing is sent again.
-func (a *attempt) resume(context.Context, endpoint.Endpoint) (any, error) {
-	left := time.Until(a.one.due) - resumeMargin
-	end := time.Now().Add(min(left, a.one.lane.TargetLatency.Std()) / resumeShare)
-	for pause := resumeFirst; time.Now().Add(pause).Before(end); pause *= 2 {
+func (a *keyedAttempt) awaitOutcome(context.Context, endpoint.Endpoint) (any, error) {
+	left := time.Until(a.request.deadline) - lookupTimeout
+	end := time.Now().Add(min(left, a.request.route.TargetLatency.Std()) / lookupTimeDivisor)
+	for pause := initialLookupDelay; time.Now().Add(pause).Before(end); pause *= 2 {
 		a.clock.Sleep(pause)
 		if held := a.lookup(); held != nil && held.Reply != nil {
 			if held.Hash != a.intent.Hash {
 				return nil, apierror.New(apierror.Conflict, "")
 			}
-			a.one.isReplayed = true
-			return replyOf(held.Reply, a.one.Attempt), nil
+			a.request.replayed = true
+			return recordedResponse(held.Reply, a.request.Attempt), nil
 		}
 	}
 	return nil, apierror.New(apierror.AtWork, "")
@@ -37,11 +37,11 @@
 
 // lookup asks every member for the key and returns an ended record, if one has
 // it, or else nil.
-func (a *attempt) lookup() *idempotency.Intent {
-	view := a.sight.Load().view
-	got, forget := askMembers[messages.Found](a.proxy, view, messages.KindLookup, messages.Lookup{Key: a.one.key})
+func (a *keyedAttempt) lookup() *idempotency.Intent {
+	view := a.snapshot.Load().view
+	got, forget := askMembers[messages.Found](a.proxy, view, messages.KindLookup, messages.Lookup{Key: a.request.key})
 	defer forget()
-	alarm := time.NewTimer(resumeMargin)
+	alarm := time.NewTimer(lookupTimeout)
 	defer alarm.Stop()
 	for range view.Members {
 		select {
@@ -49,7 +49,7 @@
 			if found.reply == nil || found.reply.Intent == nil {
 				continue
 			}
-			if held := found.reply.Intent; held.Key == a.one.key && held.Reply != nil {
+			if held := found.reply.Intent; held.Key == a.request.key && held.Reply != nil {
 				return held
 			}
 		case <-alarm.C:
--- a/internal/proxy/serving.go
+++ b/internal/proxy/serving.go
@@ -13,8 +13,8 @@
 // isServing tells, by the newest news, whether the server may still get requests:
 // it is listed under its address, ready, of a version that is open, and not known
 // to leave.
-func (p *proxy) isServing(siding *balancer.Siding) bool {
-	now, isListed := p.sight.Load().yard.Find(siding.ID)
+func (p *proxy) acceptsRequests(siding *balancer.Siding) bool {
+	now, isListed := p.snapshot.Load().balancer.Find(siding.ID)
 	if !isListed || now.Address != siding.Address {
 		return false
 	}
@@ -24,13 +24,13 @@
 // replace makes another try in place of one whose server had left before anything
 // was sent. The try that it replaces had its place in the lane's attempts, and was
 // paid for where it had to be; this one takes both over.
-func (d *delivery) replace() bool {
-	d.sent--
-	return d.left.Err() == nil && d.launch()
+func (d *forwarder) replaceAttempt() bool {
+	d.sentCount--
+	return d.clientCtx.Err() == nil && d.startAttempt()
 }
 
 // outcomeOf is what the end of a try shows of its server.
-func (d *delivery) outcomeOf(reply *upstream.Reply, err error) balancer.Outcome {
+func (d *forwarder) serverOutcome(reply *upstream.Reply, err error) balancer.Outcome {
 	switch {
 	case d.isBrokenOff(err), errors.Is(err, upstream.ErrServerLeft):
 		return balancer.Unasked
--- a/internal/proxy/serving_test.go
+++ b/internal/proxy/serving_test.go
@@ -28,32 +28,32 @@
 	}
 	// tell brings the proxy a list of servers.
 	tell := func(list ...feed.Server) {
-		next := *p.sight.Load()
-		next.take(feed.Fleet{Term: 1, Count: next.reading.Count + 1, Servers: list}, p.clock.Steady())
-		p.sight.Store(&next)
+		next := *p.snapshot.Load()
+		next.applyFleet(feed.Fleet{Term: 1, Count: next.fleetVersion.Count + 1, Servers: list}, p.clock.Steady())
+		p.snapshot.Store(&next)
 	}
 	siding := func(id string) *balancer.Siding {
-		known, isListed := p.sight.Load().yard.Find(id)
+		known, isListed := p.snapshot.Load().balancer.Find(id)
 		Expect(isListed).To(BeTrue())
 		return known
 	}
 	// begin is a delivery of a lane that allows one attempt.
-	begin := func(laneType config.RouteKind) *delivery {
-		one := &inquiry{
+	begin := func(laneType config.RouteKind) *forwarder {
+		one := &clientRequest{
 			Inquiry: &upstream.Inquiry{Method: http.MethodGet, Target: "/a", Host: "h", Header: http.Header{upstream.HeaderAttempt: {"try-1"}}, Attempt: "try-1"},
-			lane:    &config.Route{RouteSpec: config.RouteSpec{Name: "fee", RouteType: laneType, MaxAttempts: 1}}, service: service,
-			sight: p.sight.Load(), due: time.Now().Add(5 * time.Second),
+			route:   &config.Route{RouteSpec: config.RouteSpec{Name: "fee", RouteType: laneType, MaxAttempts: 1}}, service: service,
+			snapshot: p.snapshot.Load(), deadline: time.Now().Add(5 * time.Second),
 		}
-		return &delivery{
-			proxy: p, one: one, pace: p.paceOf("fee"), leave: func() {}, places: &sync.Map{}, results: make(chan result, 8), left: context.Background(),
+		return &forwarder{
+			proxy: p, request: one, stats: p.paceOf("fee"), untrack: func() {}, siteReservations: &sync.Map{}, results: make(chan attemptResult, 8), clientCtx: context.Background(),
 		}
 	}
 
 	// next is what the end of the next try leads to, as in the delivery's own loop.
-	next := func(d *delivery) (reply any, err error, isEnd bool) {
+	next := func(d *forwarder) (reply any, err error, isEnd bool) {
 		got := <-d.results
-		d.flying--
-		return d.judge(got)
+		d.inFlight--
+		return d.handleResult(got)
 	}
 
 	BeforeEach(func() {
@@ -85,7 +85,7 @@
 			moved.Address = listed("x-2").Address
 			tell(moved, listed("x-2"))
 		},
-		"is reported to leave": func() { p.sight.Load().yard.Leave([]string{"x-1"}) },
+		"is reported to leave": func() { p.snapshot.Load().balancer.Leave([]string{"x-1"}) },
 	}
 	for how, leave := range leaves {
 		for _, laneType := range []config.RouteKind{config.Safe, config.Unsafe, config.Idempotent} {
@@ -102,19 +102,19 @@
 				Expect(string(reply.(*upstream.Reply).Body)).To(HaveSuffix("by x-2"))
 				Expect(servers["x-1"].Runs()).To(BeEmpty())
 				Expect(servers["x-2"].Runs()).To(HaveLen(1))
-				Expect([]int{d.sent, d.unsent}).To(Equal([]int{1, 0}))
+				Expect([]int{d.sentCount, d.unsentCount}).To(Equal([]int{1, 0}))
 				Expect(chosen.IsSound()).To(BeTrue(), "leaving is no failure")
 			})
 		}
 	}
 
 	It("hears from the news that a server leaves", func() {
-		p.learn([]feed.News{{Fleet: &feed.Fleet{Term: 1, Count: 9, Servers: []feed.Server{listed("x-1"), listed("x-2")}}}})
+		p.applyUpdates([]feed.News{{Fleet: &feed.Fleet{Term: 1, Count: 9, Servers: []feed.Server{listed("x-1"), listed("x-2")}}}})
 		chosen := siding("x-1")
-		Expect(p.isServing(chosen)).To(BeTrue())
-		p.learn([]feed.News{{Leaving: []string{"x-1"}}})
-		Expect(p.isServing(chosen)).To(BeFalse())
-		Expect(p.isServing(siding("x-2"))).To(BeTrue())
+		Expect(p.acceptsRequests(chosen)).To(BeTrue())
+		p.applyUpdates([]feed.News{{Leaving: []string{"x-1"}}})
+		Expect(p.acceptsRequests(chosen)).To(BeFalse())
+		Expect(p.acceptsRequests(siding("x-2"))).To(BeTrue())
 	})
 
 	It("promises that nothing ran where no other server is left", func() {
@@ -124,17 +124,17 @@
 		d.send(chosen)
 		_, err, isEnd := next(d)
 		Expect(isEnd).To(BeTrue())
-		Expect(mayHaveRun(err)).To(BeFalse())
+		Expect(mayHaveExecuted(err)).To(BeFalse())
 		Expect(servers["x-1"].Runs()).To(BeEmpty())
 	})
 
 	It("holds the votes' own look after it: a keyed request whose round is over goes nowhere", func() {
 		d := begin(config.Idempotent)
-		d.one.maySend = func() bool { return false }
+		d.request.maySend = func() bool { return false }
 		chosen := siding("x-1")
 		tell(listed("x-2"))
-		_, err := p.delivering(context.Background(), d.one)
-		Expect(mayHaveRun(err)).To(BeFalse())
+		_, err := p.forward(context.Background(), d.request)
+		Expect(mayHaveExecuted(err)).To(BeFalse())
 		d.send(chosen)
 		Expect((<-d.results).err).To(MatchError(upstream.ErrServerLeft))
 		Expect(servers["x-1"].Runs()).To(BeEmpty())
--- a/internal/proxy/shed.go
+++ b/internal/proxy/shed.go
@@ -36,38 +36,38 @@
 	return &gate{counter: shedding.NewCounter(), floor: shedding.NewGauge(clock, func() uint64 { return 0 })}
 }
 
-func (p *proxy) isGauging() bool { return p.set.Load().Tuning.Loadgauge == settings.GaugeOn }
+func (p *proxy) isGauging() bool { return p.settings.Load().Tuning.Loadgauge == settings.GaugeOn }
 
 // cutoffs are those in force: the holder's while its grant holds, or else, after
 // a silence of the core, the node's own floor.
-func (p *proxy) cutoffs(s *sight) (out []shedding.Cutoff, isFloor bool) {
+func (p *proxy) cutoffs(s *snapshot) (out []shedding.Cutoff, isFloor bool) {
 	now := p.clock.Steady()
 	if len(s.cutoffs) > 0 && s.holdsGrants(now) {
 		return s.cutoffs, false
 	}
-	p.gate.lock.Lock()
-	defer p.gate.lock.Unlock()
-	if time.Duration(now-p.gate.heardAt) < aloneSpan {
+	p.shedder.lock.Lock()
+	defer p.shedder.lock.Unlock()
+	if time.Duration(now-p.shedder.heardAt) < aloneSpan {
 		return nil, false
 	}
-	return p.gate.floor.Cutoffs(), true
+	return p.shedder.floor.Cutoffs(), true
 }
 
 // shed tells whether the inquiry is turned away by the cutoff. Whether a keyed
 // operation is, the core's members say when its intent is to be created: the
 // same whichever node asks, and never of one that has an intent.
-func (p *proxy) shed(one *inquiry) error {
+func (p *proxy) shed(one *clientRequest) error {
 	if !p.isGauging() {
 		return nil
 	}
-	tier, isShed := one.lane.Tier, false
-	if one.lane.RouteType != config.Idempotent {
-		cutoffs, _ := p.cutoffs(one.sight)
+	tier, isShed := one.route.Tier, false
+	if one.route.RouteType != config.Idempotent {
+		cutoffs, _ := p.cutoffs(one.snapshot)
 		for _, cutoff := range cutoffs {
 			isShed = isShed || cutoff.Service == one.service && cutoff.Sheds(tier, one.names()...)
 		}
 	}
-	p.gate.counter.Offer(one.service, tier, one.lane.RouteType == config.Idempotent, isShed)
+	p.shedder.counter.Offer(one.service, tier, one.route.RouteType == config.Idempotent, isShed)
 	if isShed {
 		return one.comeBack()
 	}
@@ -75,19 +75,19 @@
 }
 
 // names are what an inquiry that bears no key goes by: its tenant and its client.
-func (i *inquiry) names() []string {
-	if header := i.sight.sheet.Plan.Conversation; header != "" {
+func (i *clientRequest) names() []string {
+	if header := i.snapshot.manifest.Plan.Conversation; header != "" {
 		if value := i.Header.Get(header); value != "" {
-			return []string{i.lane.Host, value}
+			return []string{i.route.Host, value}
 		}
 	}
-	return []string{i.lane.Host, i.client, i.Target}
+	return []string{i.route.Host, i.clientAddress, i.Target}
 }
 
 // comeBack is the refusal of a tier that waits: at once, with a time to come back
 // that is spread over the lane's aim, so that they do not all come at once.
-func (i *inquiry) comeBack() error {
-	aim := i.lane.TargetLatency.Std()
+func (i *clientRequest) comeBack() error {
+	aim := i.route.TargetLatency.Std()
 	if aim == 0 {
 		aim = apierror.AnswerOf(apierror.Shed).RetryAfter
 	}
@@ -108,21 +108,21 @@
 const lateTimes = 2
 
 // strainOf counts what the end of a try shows of the service's load.
-func (d *delivery) strainOf(siding *balancer.Siding, reply *upstream.Reply, err error, took time.Duration) {
+func (d *forwarder) strainOf(siding *balancer.Siding, reply *upstream.Reply, err error, took time.Duration) {
 	if !d.isGauging() || err != nil || reply.Status == http.StatusMisdirectedRequest {
 		return
 	}
-	outcome, lane := shedding.InTime, d.one.lane
+	outcome, lane := shedding.InTime, d.request.route
 	switch {
 	case reply.IsNotExecuted():
 		outcome = shedding.Turned
 	case lane.RouteType == config.Download:
 		// How long bulk takes says more of this node's link than of the service.
-	case lane.TargetLatency > 0 && took > max(lane.TargetLatency.Std(), lateTimes*d.pace.least()):
+	case lane.TargetLatency > 0 && took > max(lane.TargetLatency.Std(), lateTimes*d.stats.least()):
 		outcome = shedding.Late
 	}
-	d.gate.counter.Try(d.one.service, lane.Tier, siding.ID, outcome)
-	d.box.NoteStrain(siding.ID, outcome != shedding.InTime)
+	d.shedder.counter.Try(d.request.service, lane.Tier, siding.ID, outcome)
+	d.outcomes.NoteStrain(siding.ID, outcome != shedding.InTime)
 }
 
 // measure takes what was counted into the node's own measure, and tells whether
@@ -131,26 +131,26 @@
 	if !p.isGauging() {
 		return false
 	}
-	loads, isStrained := p.gate.counter.Take()
-	p.gate.lock.Lock()
-	defer p.gate.lock.Unlock()
-	p.gate.pending = shedding.Sum(p.gate.pending, loads)
-	p.gate.floor.Hear("", loads)
-	p.gate.floor.Decide(p.gate.counter.Strained)
+	loads, isStrained := p.shedder.counter.Take()
+	p.shedder.lock.Lock()
+	defer p.shedder.lock.Unlock()
+	p.shedder.pending = shedding.Sum(p.shedder.pending, loads)
+	p.shedder.floor.Hear("", loads)
+	p.shedder.floor.Decide(p.shedder.counter.Strained)
 	return isStrained
 }
 
 // loads are what is reported now.
 func (p *proxy) loads() []shedding.Load {
-	p.gate.lock.Lock()
-	defer p.gate.lock.Unlock()
-	out := p.gate.pending
-	p.gate.pending = nil
+	p.shedder.lock.Lock()
+	defer p.shedder.lock.Unlock()
+	out := p.shedder.pending
+	p.shedder.pending = nil
 	return out
 }
 
 func (p *proxy) heard() {
-	p.gate.lock.Lock()
-	defer p.gate.lock.Unlock()
-	p.gate.heardAt = p.clock.Steady()
+	p.shedder.lock.Lock()
+	defer p.shedder.lock.Unlock()
+	p.shedder.heardAt = p.clock.Steady()
 }
--- a/internal/proxy/sight.go
+++ b/internal/proxy/sight.go
@@ -8,16 +8,16 @@
 )
 
 // take is the sight after a new reading of the fleet.
-func (s *sight) take(fleet feed.Fleet, now timetable.Steady) {
+func (s *snapshot) applyFleet(fleet feed.Fleet, now timetable.Steady) {
 	switch {
 	case slices.Equal(s.servers, fleet.Servers):
 	case feed.IsKeptAs(s.servers, fleet.Servers):
-		s.yard.Hear(fleet)
+		s.balancer.Hear(fleet)
 	default:
-		s.yard = s.yard.Lay(fleet)
+		s.balancer = s.balancer.Lay(fleet)
 	}
 	s.servers = fleet.Servers
-	s.proxies, s.shares, s.holder = fleet.Proxies, fleet.Shares, fleet.Holder
-	s.reading, s.heard = fleet.Reading(), now
-	s.cutoffs, s.mirrors = fleet.Cutoffs, fleet.Mirrors
+	s.proxyCount, s.trialShares, s.holder = fleet.Proxies, fleet.Shares, fleet.Holder
+	s.fleetVersion, s.fleetReceivedAt = fleet.Reading(), now
+	s.cutoffs, s.mirrorGrants = fleet.Cutoffs, fleet.Mirrors
 }
--- a/internal/proxy/stage.go
+++ b/internal/proxy/stage.go
@@ -25,19 +25,19 @@
 
 // layStages makes ready the staged changes that the fleet's news bring. News that
 // only renew a change keep its manifest, unless the book has changed.
-func (s *sight) layStages(stages []feed.Stage, book config.Book, isNewBook bool, node string) {
-	laid := s.stages
-	s.stages = nil
+func (s *snapshot) layStages(stages []feed.Stage, book config.Book, isNewBook bool, node string) {
+	laid := s.stagedChanges
+	s.stagedChanges = nil
 	for _, told := range stages {
 		isMine := slices.Contains(told.Nodes, node)
 		at := slices.IndexFunc(laid, func(l stage) bool { return l.Subject == told.Subject && l.Number == told.Number })
 		if at >= 0 && !isNewBook {
-			s.stages = append(s.stages, stage{told, laid[at].sheet, isMine})
+			s.stagedChanges = append(s.stagedChanges, stage{told, laid[at].sheet, isMine})
 			continue
 		}
 		changed := book.Clone()
 		changed.Merge(changed.Newer(told.Items))
-		s.stages = append(s.stages, stage{told, changed.Compile(), isMine})
+		s.stagedChanges = append(s.stagedChanges, stage{told, changed.Compile(), isMine})
 	}
 }
 
@@ -52,13 +52,13 @@
 
 // findLane picks the inquiry's lane: the manifest's, or that of a staged change
 // which has reached this node and whose grant holds.
-func (s *sight) findLane(one *inquiry, host, path string, isKeyed bool, now timetable.Steady) {
-	one.lane = s.sheet.Find(host, path)
-	if len(s.stages) == 0 || !s.holdsGrants(now) {
+func (s *snapshot) findLane(one *clientRequest, host, path string, isKeyed bool, now timetable.Steady) {
+	one.route = s.manifest.Find(host, path)
+	if len(s.stagedChanges) == 0 || !s.holdsGrants(now) {
 		return
 	}
-	for _, staged := range s.stages {
-		base, next := one.lane, staged.sheet.Find(host, path)
+	for _, staged := range s.stagedChanges {
+		base, next := one.route, staged.sheet.Find(host, path)
 		if sameLane(base, next) {
 			continue
 		}
@@ -66,20 +66,20 @@
 		if named == nil {
 			named = next
 		}
-		one.stage = &stageMark{mark: outlier.Mark{Subject: staged.Subject, Number: staged.Number, Lane: named.Name, IsTrial: staged.isMine}}
-		if one.stage.aim = named.TargetLatency.Std(); one.stage.aim == 0 {
-			one.stage.aim = named.Timeout.Std()
+		one.stagedChange = &stageMark{mark: outlier.Mark{Subject: staged.Subject, Number: staged.Number, Lane: named.Name, IsTrial: staged.isMine}}
+		if one.stagedChange.aim = named.TargetLatency.Std(); one.stagedChange.aim == 0 {
+			one.stagedChange.aim = named.Timeout.Std()
 		}
 		if !staged.isMine {
 			continue
 		}
-		one.stage.mark.Wave = staged.Wave
+		one.stagedChange.mark.Wave = staged.Wave
 		isKept := base != nil && base.RouteType == config.Idempotent
-		if one.lane = next; next != nil && isKeyed && isKept && next.RouteType != config.Idempotent {
+		if one.route = next; next != nil && isKeyed && isKept && next.RouteType != config.Idempotent {
 			// Whatever the change says, the operation keeps its record.
 			kept := *next
 			kept.RouteType = config.Idempotent
-			one.lane, one.stage.isUnkept = &kept, true
+			one.route, one.stagedChange.isUnkept = &kept, true
 		}
 	}
 }
@@ -90,19 +90,19 @@
 
 // settleStage counts how an inquiry ended for the staged change that touched it. What
 // the record answered shows nothing of the change.
-func (p *proxy) settleStage(one *inquiry, reply *upstream.Reply, err error, isBroken bool) {
-	if one == nil || one.stage == nil || one.isReplayed {
+func (p *proxy) settleStage(one *clientRequest, reply *upstream.Reply, err error, isBroken bool) {
+	if one == nil || one.stagedChange == nil || one.replayed {
 		return
 	}
-	outcome, isCounted := stageOutcome(one, reply, err, time.Since(one.arrived))
+	outcome, isCounted := stageOutcome(one, reply, err, time.Since(one.arrivedAt))
 	if isBroken {
 		outcome, isCounted = outlier.Broken, true
 	}
-	if one.stage.isUnkept {
+	if one.stagedChange.isUnkept {
 		outcome, isCounted = outlier.Doubled, true
 	}
 	if isCounted {
-		p.box.Note(one.stage.mark, outcome)
+		p.outcomes.Note(one.stagedChange.mark, outcome)
 	}
 }
 
@@ -113,8 +113,8 @@
 	apierror.Busy: outlier.Failed,
 }
 
-func stageOutcome(one *inquiry, reply *upstream.Reply, err error, took time.Duration) (outcome outlier.Outcome, isCounted bool) {
-	isKeyed := one.lane != nil && one.lane.RouteType == config.Idempotent
+func stageOutcome(one *clientRequest, reply *upstream.Reply, err error, took time.Duration) (outcome outlier.Outcome, isCounted bool) {
+	isKeyed := one.route != nil && one.route.RouteType == config.Idempotent
 	var known *apierror.Error
 	switch {
 	case err != nil && errors.As(err, &known):
@@ -130,7 +130,7 @@
 		return outlier.Failed, true
 	case reply.Status >= http.StatusInternalServerError:
 		return outlier.Failed, true
-	case took > one.stage.aim:
+	case took > one.stagedChange.aim:
 		return outlier.Slow, true
 	}
 	return outlier.Good, true
--- a/internal/proxy/trial.go
+++ b/internal/proxy/trial.go
@@ -31,16 +31,16 @@
 )
 
 // holdsGrants tells whether the grants in the fleet's news have not lapsed.
-func (s *sight) holdsGrants(now timetable.Steady) bool {
-	return time.Duration(now-s.heard) <= feed.GrantSpan
+func (s *snapshot) holdsGrants(now timetable.Steady) bool {
+	return time.Duration(now-s.fleetReceivedAt) <= feed.GrantSpan
 }
 
 // grant is the share of the service's version on trial, while it holds.
-func (s *sight) grant(service string, now timetable.Steady) (share feed.Share, isGranted bool) {
+func (s *snapshot) grant(service string, now timetable.Steady) (share feed.Share, isGranted bool) {
 	if !s.holdsGrants(now) {
 		return share, false
 	}
-	for _, share = range s.shares {
+	for _, share = range s.trialShares {
 		if share.Service == service {
 			return share, true
 		}
@@ -49,33 +49,33 @@
 }
 
 // admitTrial decides whether an inquiry may go to the version on trial.
-func (p *proxy) admitTrial(one *inquiry) {
-	if len(one.sight.shares) == 0 {
+func (p *proxy) admitTrial(one *clientRequest) {
+	if len(one.snapshot.trialShares) == 0 {
 		return
 	}
-	if share, isGranted := one.sight.grant(one.service, p.clock.Steady()); isGranted {
-		one.isTrial = p.allowance(one.service).Take(share.Number, share.Part, one.lane.Name)
+	if share, isGranted := one.snapshot.grant(one.service, p.clock.Steady()); isGranted {
+		one.trialEligible = p.allowance(one.service).Take(share.Number, share.Part, one.route.Name)
 	}
 }
 
 func (p *proxy) allowance(service string) *balancer.Allowance {
-	known, _ := p.allowances.LoadOrStore(service, &balancer.Allowance{})
+	known, _ := p.trialAllowances.LoadOrStore(service, &balancer.Allowance{})
 	return known.(*balancer.Allowance)
 }
 
 // mayTry tells whether the next try may go to the version on trial: the first
 // one of an inquiry that was admitted to it, under a grant that still holds; or
 // any, once it has everything.
-func (d *delivery) mayTry(s *sight) bool {
-	if !d.one.isTrial {
+func (d *forwarder) mayTry(s *snapshot) bool {
+	if !d.request.trialEligible {
 		return false
 	}
-	share, isGranted := s.grant(d.one.service, d.clock.Steady())
-	return isGranted && (len(d.passed) == 0 || share.Part >= 1)
+	share, isGranted := s.grant(d.request.service, d.clock.Steady())
+	return isGranted && (len(d.tried) == 0 || share.Part >= 1)
 }
 
 // testify counts what a try showed of the server and of its version.
-func (d *delivery) testify(siding *balancer.Siding, mark outlier.Mark, reply *upstream.Reply, err error, took, usual time.Duration) {
+func (d *forwarder) testify(siding *balancer.Siding, mark outlier.Mark, reply *upstream.Reply, err error, took, usual time.Duration) {
 	outcome := outlier.Good
 	isWarming := siding.WarmLeft(d.clock.Wall()) > 0
 	isSlow := usual > 0 && took > max(slowTimes*usual, slowLeast)
@@ -98,16 +98,16 @@
 	if usual > 0 && !isWarming {
 		pace = float64(took) / float64(usual)
 	}
-	d.box.NoteServer(siding.ID, outcome, pace)
+	d.outcomes.NoteServer(siding.ID, outcome, pace)
 	if mark.Number > 0 && (outcome != outlier.Slow || !isWarming) {
-		d.box.Note(mark, outcome)
+		d.outcomes.Note(mark, outcome)
 	}
 }
 
 // mark is what a try counts for: the trial that was on when it was sent.
-func (d *delivery) mark(siding *balancer.Siding) (mark outlier.Mark) {
-	if share, isGranted := d.sight.Load().grant(d.one.service, d.clock.Steady()); isGranted {
-		mark = outlier.Mark{Subject: d.one.service, Number: share.Number, Lane: d.one.lane.Name, IsTrial: siding.Grade == feed.OnTrial}
+func (d *forwarder) mark(siding *balancer.Siding) (mark outlier.Mark) {
+	if share, isGranted := d.snapshot.Load().grant(d.request.service, d.clock.Steady()); isGranted {
+		mark = outlier.Mark{Subject: d.request.service, Number: share.Number, Lane: d.request.route.Name, IsTrial: siding.Grade == feed.OnTrial}
 	}
 	return mark
 }
@@ -118,28 +118,28 @@
 	periods := 0
 	timetable.Every(ctx, reportPeriod, func() {
 		periods++
-		s := p.sight.Load()
+		s := p.snapshot.Load()
 		isStrained := p.measure()
-		if s.holder == "" || len(s.shares)+len(s.stages) == 0 && !p.isShort() && !isStrained && periods%restPeriods > 0 {
+		if s.holder == "" || len(s.trialShares)+len(s.stagedChanges) == 0 && !p.isShort() && !isStrained && periods%restPeriods > 0 {
 			return
 		}
-		set, sentAt := p.set.Load(), p.clock.Steady()
-		report := p.box.Report(set.Platform.NodeName, p.life)
-		report.Term, report.Count = s.reading.Term, s.reading.Count
-		for _, share := range s.shares {
-			report.Works = append(report.Works, outlier.Work{Subject: share.Service, AtWork: s.yard.AtWork(share.Service)})
+		set, sentAt := p.settings.Load(), p.clock.Steady()
+		report := p.outcomes.Report(set.Platform.NodeName, p.incarnation)
+		report.Term, report.Count = s.fleetVersion.Term, s.fleetVersion.Count
+		for _, share := range s.trialShares {
+			report.Works = append(report.Works, outlier.Work{Subject: share.Service, AtWork: s.balancer.AtWork(share.Service)})
 		}
 		out := messages.Report{Evidence: report, Cell: set.Platform.Cell}
 		if set.Tuning.Branchline != settings.BranchOff {
-			out.Uses = p.purse.Uses()
+			out.Uses = p.siteCapacity.Uses()
 		}
-		out.Loads, out.Mirrored = p.loads(), p.copier.tallies()
-		line := p.line(s.holder)
+		out.Loads, out.Mirrored = p.loads(), p.trafficMirror.tallies()
+		line := p.connection(s.holder)
 		go func() {
 			var told messages.Lots
 			if line.Ask(messages.KindReport, out, &told, reportSpan) == nil {
 				p.heard()
-				p.purse.Take(told.Lots, sentAt)
+				p.siteCapacity.Take(told.Lots, sentAt)
 			}
 		}()
 	})
--- a/internal/proxy/vote.go
+++ b/internal/proxy/vote.go
@@ -10,18 +10,18 @@
 )
 
 // reserve asks every member of the core at once.
-func (a *attempt) reserve() idempotency.Standing {
-	view := a.sight.Load().view
-	began, span := a.clock.Steady(), a.set.Load().Tuning.VoteSpan
+func (a *keyedAttempt) reserve() idempotency.Standing {
+	view := a.snapshot.Load().view
+	began, span := a.clock.Steady(), a.settings.Load().Tuning.VoteSpan
 	a.round = idempotency.NewRound(a.intent.Hash, max(1, len(view.Members)), began, timetable.Steady(span))
 	votes, forget := askMembers[messages.Vote](a.proxy, view, messages.KindReserve, messages.Reserve{Epoch: view.Epoch, Intent: a.intent})
 	defer forget()
-	alarm := time.NewTimer(min(span.Std(), time.Until(a.one.due), a.patience()))
+	alarm := time.NewTimer(min(span.Std(), time.Until(a.request.deadline), a.voteTimeout()))
 	defer alarm.Stop()
 	for range view.Members {
 		select {
 		case got := <-votes:
-			a.take(got)
+			a.addVote(got)
 		case <-alarm.C:
 			return a.round.Standing(began + timetable.Steady(span) + 1)
 		}
@@ -35,21 +35,21 @@
 const (
 	// voteShare is the part of the lane's aim that a round may take: a client
 	// that is refused early enough can still be served in time.
-	voteShare  = 5
-	voteLeast  = 60 * time.Millisecond
-	voteMargin = 10 * time.Millisecond
+	voteTargetDivisor = 5
+	minVoteTimeout    = 60 * time.Millisecond
+	voteMargin        = 10 * time.Millisecond
 )
 
 // patience is how long a round that comes to nothing may hold the client.
-func (a *attempt) patience() time.Duration {
-	aim := a.one.lane.TargetLatency.Std()
+func (a *keyedAttempt) voteTimeout() time.Duration {
+	aim := a.request.route.TargetLatency.Std()
 	if aim == 0 {
-		aim = a.one.lane.Timeout.Std()
+		aim = a.request.route.Timeout.Std()
 	}
-	return max(voteLeast, aim/voteShare-time.Since(a.one.arrived)-voteMargin)
+	return max(minVoteTimeout, aim/voteTargetDivisor-time.Since(a.request.arrivedAt)-voteMargin)
 }
 
-func (a *attempt) take(got said[messages.Vote]) {
+func (a *keyedAttempt) addVote(got said[messages.Vote]) {
 	if got.reply == nil || got.reply.Ballot.Held != nil && got.reply.Ballot.Held.Key != a.intent.Key {
 		// A ballot on another key is none.
 		a.round.On(nil)
@@ -59,7 +59,7 @@
 		a.ungranted[got.member] = true
 	}
 	if got.reply.View != nil {
-		a.loop.Offer(feed.News{View: got.reply.View})
+		a.updateLoop.Offer(feed.News{View: got.reply.View})
 	}
 	a.round.On(&got.reply.Ballot)
 }
@@ -68,15 +68,15 @@
 // this proxy could have delivered it, so freeing them is safe. A member whose line
 // broke on the way is told again once the line is made anew: its vote would
 // otherwise hold the key.
-func (a *attempt) giveBack() {
+func (a *keyedAttempt) releaseVotes() {
 	a.intent.State = idempotency.Released
-	view := a.sight.Load().view
+	view := a.snapshot.Load().view
 	if len(a.ungranted) < len(view.Members) {
-		a.recent.add(a.intent, a.clock.Steady(), timetable.Steady(a.set.Load().Platform.Bounds.Sync))
+		a.recentIntents.add(a.intent, a.clock.Steady(), timetable.Steady(a.settings.Load().Platform.Bounds.Sync))
 	}
 	for _, member := range view.Members {
 		if !a.ungranted[member] {
-			a.line(member).Send(messages.KindRecord, messages.Record{Intent: a.intent}, nil)
+			a.connection(member).Send(messages.KindRecord, messages.Record{Intent: a.intent}, nil)
 		}
 	}
 }
