--- a/internal/proxy/await.go
+++ b/internal/proxy/await.go
@@ -20,16 +20,16 @@
 // resume waits a while for the outcome of the attempt that holds the key, and
 // answers that the key is in work if none is shown. Nothing is sent again.
 func (a *keyedAttempt) awaitOutcome(context.Context, endpoint.Endpoint) (any, error) {
-	left := time.Until(a.request.deadline) - lookupTimeout
-	end := time.Now().Add(min(left, a.request.route.TargetLatency.Std()) / lookupTimeDivisor)
-	for pause := initialLookupDelay; time.Now().Add(pause).Before(end); pause *= 2 {
-		a.clock.Sleep(pause)
-		if held := a.lookup(); held != nil && held.Reply != nil {
-			if held.Hash != a.intent.Hash {
+	remaining := time.Until(a.request.deadline) - lookupTimeout
+	lookupDeadline := time.Now().Add(min(remaining, a.request.route.TargetLatency.Std()) / lookupTimeDivisor)
+	for delay := initialLookupDelay; time.Now().Add(delay).Before(lookupDeadline); delay *= 2 {
+		a.clock.Sleep(delay)
+		if recorded := a.lookup(); recorded != nil && recorded.Reply != nil {
+			if recorded.Hash != a.intent.Hash {
 				return nil, apierror.New(apierror.Conflict, "")
 			}
 			a.request.replayed = true
-			return recordedResponse(held.Reply, a.request.Attempt), nil
+			return recordedResponse(recorded.Reply, a.request.Attempt), nil
 		}
 	}
 	return nil, apierror.New(apierror.AtWork, "")
@@ -39,20 +39,20 @@
 // it, or else nil.
 func (a *keyedAttempt) lookup() *idempotency.Intent {
 	view := a.snapshot.Load().view
-	got, forget := askMembers[messages.Found](a.proxy, view, messages.KindLookup, messages.Lookup{Key: a.request.key})
-	defer forget()
-	alarm := time.NewTimer(lookupTimeout)
-	defer alarm.Stop()
+	replies, cancel := askMembers[messages.Found](a.proxy, view, messages.KindLookup, messages.Lookup{Key: a.request.key})
+	defer cancel()
+	timer := time.NewTimer(lookupTimeout)
+	defer timer.Stop()
 	for range view.Members {
 		select {
-		case found := <-got:
-			if found.reply == nil || found.reply.Intent == nil {
+		case reply := <-replies:
+			if reply.reply == nil || reply.reply.Intent == nil {
 				continue
 			}
-			if held := found.reply.Intent; held.Key == a.request.key && held.Reply != nil {
-				return held
+			if recorded := reply.reply.Intent; recorded.Key == a.request.key && recorded.Reply != nil {
+				return recorded
 			}
-		case <-alarm.C:
+		case <-timer.C:
 			return nil
 		}
 	}
--- a/internal/proxy/eligibility.go
+++ b/internal/proxy/eligibility.go
@@ -13,12 +13,12 @@
 // isServing tells, by the newest news, whether the server may still get requests:
 // it is listed under its address, ready, of a version that is open, and not known
 // to leave.
-func (p *proxy) acceptsRequests(siding *balancer.Siding) bool {
-	now, isListed := p.snapshot.Load().balancer.Find(siding.ID)
-	if !isListed || now.Address != siding.Address {
+func (p *proxy) acceptsRequests(server *balancer.Siding) bool {
+	current, listed := p.snapshot.Load().balancer.Find(server.ID)
+	if !listed || current.Address != server.Address {
 		return false
 	}
-	return now.IsReady && now.Grade != feed.Shut && !now.IsLeaving()
+	return current.IsReady && current.Grade != feed.Shut && !current.IsLeaving()
 }
 
 // replace makes another try in place of one whose server had left before anything
@@ -30,7 +30,7 @@
 }
 
 // outcomeOf is what the end of a try shows of its server.
-func (d *forwarder) serverOutcome(reply *upstream.Reply, err error) balancer.Outcome {
+func (d *forwarder) serverOutcome(response *upstream.Reply, err error) balancer.Outcome {
 	switch {
 	case d.isBrokenOff(err), errors.Is(err, upstream.ErrServerLeft):
 		return balancer.Unasked
@@ -38,9 +38,9 @@
 		return balancer.Unasked
 	case err != nil:
 		return balancer.Failed
-	case reply.Status == http.StatusMisdirectedRequest:
+	case response.Status == http.StatusMisdirectedRequest:
 		return balancer.Misdirected
-	case reply.IsNotExecuted():
+	case response.IsNotExecuted():
 		return balancer.Full
 	default:
 		return balancer.Served
--- a/internal/proxy/eligibility_test.go
+++ b/internal/proxy/eligibility_test.go
@@ -23,37 +23,37 @@
 	var p *proxy
 	var servers map[string]*standin.Server
 
-	listed := func(id string) feed.Server {
+	listedServer := func(id string) feed.Server {
 		return feed.Server{ID: id, Service: service, Address: servers[id].Address(), Capacity: 2, IsReady: true}
 	}
 	// tell brings the proxy a list of servers.
-	tell := func(list ...feed.Server) {
-		next := *p.snapshot.Load()
-		next.applyFleet(feed.Fleet{Term: 1, Count: next.fleetVersion.Count + 1, Servers: list}, p.clock.Steady())
-		p.snapshot.Store(&next)
+	updateServers := func(list ...feed.Server) {
+		handleNext := *p.snapshot.Load()
+		handleNext.applyFleet(feed.Fleet{Term: 1, Count: handleNext.fleetVersion.Count + 1, Servers: list}, p.clock.Steady())
+		p.snapshot.Store(&handleNext)
 	}
-	siding := func(id string) *balancer.Siding {
-		known, isListed := p.snapshot.Load().balancer.Find(id)
-		Expect(isListed).To(BeTrue())
-		return known
+	findServer := func(id string) *balancer.Siding {
+		server, found := p.snapshot.Load().balancer.Find(id)
+		Expect(found).To(BeTrue())
+		return server
 	}
 	// begin is a delivery of a lane that allows one attempt.
-	begin := func(laneType config.RouteKind) *forwarder {
-		one := &clientRequest{
+	newForwarder := func(routeType config.RouteKind) *forwarder {
+		req := &clientRequest{
 			Inquiry: &upstream.Inquiry{Method: http.MethodGet, Target: "/a", Host: "h", Header: http.Header{upstream.HeaderAttempt: {"try-1"}}, Attempt: "try-1"},
-			route:   &config.Route{RouteSpec: config.RouteSpec{Name: "fee", RouteType: laneType, MaxAttempts: 1}}, service: service,
+			route:   &config.Route{RouteSpec: config.RouteSpec{Name: "fee", RouteType: routeType, MaxAttempts: 1}}, service: service,
 			snapshot: p.snapshot.Load(), deadline: time.Now().Add(5 * time.Second),
 		}
 		return &forwarder{
-			proxy: p, request: one, stats: p.paceOf("fee"), untrack: func() {}, siteReservations: &sync.Map{}, results: make(chan attemptResult, 8), clientCtx: context.Background(),
+			proxy: p, request: req, stats: p.paceOf("fee"), untrack: func() {}, siteReservations: &sync.Map{}, results: make(chan attemptResult, 8), clientCtx: context.Background(),
 		}
 	}
 
 	// next is what the end of the next try leads to, as in the delivery's own loop.
-	next := func(d *forwarder) (reply any, err error, isEnd bool) {
-		got := <-d.results
-		d.inFlight--
-		return d.handleResult(got)
+	handleNext := func(fwd *forwarder) (response any, err error, done bool) {
+		result := <-fwd.results
+		fwd.inFlight--
+		return fwd.handleResult(result)
 	}
 
 	BeforeEach(func() {
@@ -65,78 +65,78 @@
 			servers[id] = server
 		}
 		p = newProxy(&settings.Settings{Tuning: settings.Tuning{BufferBytes: 1 << 20}}, timetable.Real(), func(string, string, ...any) {})
-		tell(listed("x-1"), listed("x-2"))
+		updateServers(listedServer("x-1"), listedServer("x-2"))
 	})
 
-	leaves := map[string]func(){
+	departures := map[string]func(){
 		"is listed as draining": func() {
-			draining := listed("x-1")
+			draining := listedServer("x-1")
 			draining.IsReady = false
-			tell(draining, listed("x-2"))
+			updateServers(draining, listedServer("x-2"))
 		},
-		"is gone from the list": func() { tell(listed("x-2")) },
+		"is gone from the list": func() { updateServers(listedServer("x-2")) },
 		"shows a version that was shut": func() {
-			shut := listed("x-1")
+			shut := listedServer("x-1")
 			shut.Grade = feed.Shut
-			tell(shut, listed("x-2"))
+			updateServers(shut, listedServer("x-2"))
 		},
 		"lost its address to another": func() {
-			moved := listed("x-1")
-			moved.Address = listed("x-2").Address
-			tell(moved, listed("x-2"))
+			moved := listedServer("x-1")
+			moved.Address = listedServer("x-2").Address
+			updateServers(moved, listedServer("x-2"))
 		},
 		"is reported to leave": func() { p.snapshot.Load().balancer.Leave([]string{"x-1"}) },
 	}
-	for how, leave := range leaves {
-		for _, laneType := range []config.RouteKind{config.Safe, config.Unsafe, config.Idempotent} {
-			It("chooses another server for a "+string(laneType)+" request, at no price, where the first "+how, func() {
-				d := begin(laneType)
-				chosen := siding("x-1")
-				leave()
-				d.send(chosen)
-				_, _, isEnd := next(d)
-				Expect(isEnd).To(BeFalse())
-				reply, err, isEnd := next(d)
+	for condition, depart := range departures {
+		for _, routeType := range []config.RouteKind{config.Safe, config.Unsafe, config.Idempotent} {
+			It("chooses another server for a "+string(routeType)+" request, at no price, where the first "+condition, func() {
+				fwd := newForwarder(routeType)
+				server := findServer("x-1")
+				depart()
+				fwd.send(server)
+				_, _, done := handleNext(fwd)
+				Expect(done).To(BeFalse())
+				response, err, done := handleNext(fwd)
 				Expect(err).NotTo(HaveOccurred())
-				Expect(isEnd).To(BeTrue())
-				Expect(string(reply.(*upstream.Reply).Body)).To(HaveSuffix("by x-2"))
+				Expect(done).To(BeTrue())
+				Expect(string(response.(*upstream.Reply).Body)).To(HaveSuffix("by x-2"))
 				Expect(servers["x-1"].Runs()).To(BeEmpty())
 				Expect(servers["x-2"].Runs()).To(HaveLen(1))
-				Expect([]int{d.sentCount, d.unsentCount}).To(Equal([]int{1, 0}))
-				Expect(chosen.IsSound()).To(BeTrue(), "leaving is no failure")
+				Expect([]int{fwd.sentCount, fwd.unsentCount}).To(Equal([]int{1, 0}))
+				Expect(server.IsSound()).To(BeTrue(), "leaving is no failure")
 			})
 		}
 	}
 
 	It("hears from the news that a server leaves", func() {
-		p.applyUpdates([]feed.News{{Fleet: &feed.Fleet{Term: 1, Count: 9, Servers: []feed.Server{listed("x-1"), listed("x-2")}}}})
-		chosen := siding("x-1")
-		Expect(p.acceptsRequests(chosen)).To(BeTrue())
+		p.applyUpdates([]feed.News{{Fleet: &feed.Fleet{Term: 1, Count: 9, Servers: []feed.Server{listedServer("x-1"), listedServer("x-2")}}}})
+		server := findServer("x-1")
+		Expect(p.acceptsRequests(server)).To(BeTrue())
 		p.applyUpdates([]feed.News{{Leaving: []string{"x-1"}}})
-		Expect(p.acceptsRequests(chosen)).To(BeFalse())
-		Expect(p.acceptsRequests(siding("x-2"))).To(BeTrue())
+		Expect(p.acceptsRequests(server)).To(BeFalse())
+		Expect(p.acceptsRequests(findServer("x-2"))).To(BeTrue())
 	})
 
 	It("promises that nothing ran where no other server is left", func() {
-		d := begin(config.Idempotent)
-		chosen := siding("x-1")
-		tell()
-		d.send(chosen)
-		_, err, isEnd := next(d)
-		Expect(isEnd).To(BeTrue())
+		fwd := newForwarder(config.Idempotent)
+		server := findServer("x-1")
+		updateServers()
+		fwd.send(server)
+		_, err, done := handleNext(fwd)
+		Expect(done).To(BeTrue())
 		Expect(mayHaveExecuted(err)).To(BeFalse())
 		Expect(servers["x-1"].Runs()).To(BeEmpty())
 	})
 
 	It("holds the votes' own look after it: a keyed request whose round is over goes nowhere", func() {
-		d := begin(config.Idempotent)
-		d.request.maySend = func() bool { return false }
-		chosen := siding("x-1")
-		tell(listed("x-2"))
-		_, err := p.forward(context.Background(), d.request)
+		fwd := newForwarder(config.Idempotent)
+		fwd.request.maySend = func() bool { return false }
+		server := findServer("x-1")
+		updateServers(listedServer("x-2"))
+		_, err := p.forward(context.Background(), fwd.request)
 		Expect(mayHaveExecuted(err)).To(BeFalse())
-		d.send(chosen)
-		Expect((<-d.results).err).To(MatchError(upstream.ErrServerLeft))
+		fwd.send(server)
+		Expect((<-fwd.results).err).To(MatchError(upstream.ErrServerLeft))
 		Expect(servers["x-1"].Runs()).To(BeEmpty())
 		Expect(servers["x-2"].Runs()).To(BeEmpty())
 	})
--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -25,7 +25,7 @@
 }
 
 // Error names the kind.
-func (o *unresolvedError) Error() string { return apierror.New(o.kind, "").Error() }
+func (e *unresolvedError) Error() string { return apierror.New(e.kind, "").Error() }
 
 const (
 	serverConnectTimeout = 250 * time.Millisecond
@@ -39,16 +39,16 @@
 // admitting picks the lane's service and refuses at once what nobody can serve.
 func (p *proxy) admissionMiddleware(next endpoint.Endpoint) endpoint.Endpoint {
 	return func(ctx context.Context, request any) (any, error) {
-		one := request.(*clientRequest)
-		one.service = one.route.Pick(rand.Float64())
-		p.retryBudget(one.service).Ask()
-		one.setRingPosition()
-		if err := p.shed(one); err != nil {
+		req := request.(*clientRequest)
+		req.service = req.route.Pick(rand.Float64())
+		p.retryBudget(req.service).Ask()
+		req.setRingPosition()
+		if err := p.shed(req); err != nil {
 			return nil, err
 		}
-		p.admitTrial(one)
-		if one.snapshot.balancer.Ready(one.service) == 0 {
-			return nil, apierror.New(apierror.NoServer, one.service)
+		p.admitTrial(req)
+		if req.snapshot.balancer.Ready(req.service) == 0 {
+			return nil, apierror.New(apierror.NoServer, req.service)
 		}
 		return next(ctx, request)
 	}
@@ -87,34 +87,34 @@
 // delivering sends the inquiry to a server, and to another where the lane, the
 // budget and what is known of the first allow it.
 func (p *proxy) forward(ctx context.Context, request any) (any, error) {
-	one := request.(*clientRequest)
-	d := &forwarder{proxy: p, request: one, stats: p.paceOf(one.route.Name), untrack: p.enter(one), siteReservations: &sync.Map{}, clientCtx: leaving(ctx, one)}
-	d.results = make(chan attemptResult, one.route.MaxAttempts+maxUnsentRetries+1)
+	req := request.(*clientRequest)
+	d := &forwarder{proxy: p, request: req, stats: p.paceOf(req.route.Name), untrack: p.enter(req), siteReservations: &sync.Map{}, clientCtx: leaving(ctx, req)}
+	d.results = make(chan attemptResult, req.route.MaxAttempts+maxUnsentRetries+1)
 	defer d.sweep()
 	if !d.startAttempt() {
-		return nil, apierror.New(apierror.Busy, one.service)
+		return nil, apierror.New(apierror.Busy, req.service)
 	}
-	due := time.NewTimer(time.Until(one.deadline))
-	defer due.Stop()
+	deadlineTimer := time.NewTimer(time.Until(req.deadline))
+	defer deadlineTimer.Stop()
 	var hedge <-chan time.Time
-	if one.route.IsRepeatable() && one.route.MaxAttempts > 1 {
-		alarm := time.NewTimer(d.stats.patience(one.route.TargetLatency.Std()))
-		defer alarm.Stop()
-		hedge = alarm.C
+	if req.route.IsRepeatable() && req.route.MaxAttempts > 1 {
+		hedgeTimer := time.NewTimer(d.stats.patience(req.route.TargetLatency.Std()))
+		defer hedgeTimer.Stop()
+		hedge = hedgeTimer.C
 	}
 	for {
 		select {
-		case got := <-d.results:
+		case result := <-d.results:
 			d.inFlight--
-			if reply, err, isEnd := d.handleResult(got); isEnd {
-				return reply, err
+			if response, err, done := d.handleResult(result); done {
+				return response, err
 			}
 		case <-hedge:
 			hedge = nil
 			d.retry()
 		case <-d.clientCtx.Done():
 			return nil, errLeft
-		case <-due.C:
+		case <-deadlineTimer.C:
 			return nil, d.late()
 		}
 	}
@@ -122,39 +122,39 @@
 
 // judge looks at the end of one try: either it ends the inquiry, or another try
 // was launched or is still flying.
-func (d *forwarder) handleResult(got attemptResult) (reply any, err error, isEnd bool) {
-	isRepeatable := d.request.route.IsRepeatable()
+func (d *forwarder) handleResult(result attemptResult) (response any, err error, done bool) {
+	repeatable := d.request.route.IsRepeatable()
 	kind := apierror.Broken
 	switch {
-	case got.err != nil && errors.Is(got.err, upstream.ErrServerLeft):
+	case result.err != nil && errors.Is(result.err, upstream.ErrServerLeft):
 		if d.replaceAttempt() {
 			return nil, nil, false
 		}
 		if d.sentCount == 0 && d.inFlight == 0 {
 			kind = apierror.NotExecuted
 		}
-	case got.err != nil && errors.Is(got.err, upstream.ErrNotSent):
+	case result.err != nil && errors.Is(result.err, upstream.ErrNotSent):
 		if d.sentCount--; d.sentCount == 0 && d.inFlight == 0 {
 			kind = apierror.NotExecuted
 		}
 		if d.unsentCount++; d.unsentCount <= maxUnsentRetries && d.inFlight == 0 && d.startAttempt() {
 			return nil, nil, false
 		}
-	case got.err != nil:
-		d.unresolved = d.unresolved || !isRepeatable
+	case result.err != nil:
+		d.unresolved = d.unresolved || !repeatable
 		if d.unresolved && !d.serverDeduplicates() {
 			return nil, &unresolvedError{kind: apierror.Broken}, true
 		}
-	case got.response.IsNotExecuted():
+	case result.response.IsNotExecuted():
 		kind = apierror.NotExecuted
-		got.response.Finish(false)
-	case !isRepeatable && isPromise(got.response.Status):
+		result.response.Finish(false)
+	case !repeatable && isPromise(result.response.Status):
 		// Without Not-Executed it may have run, and the status would say it did not.
 		return nil, &unresolvedError{kind: apierror.Broken}, true
-	case !isRepeatable || got.response.Status/100 != 5:
-		return got.response, nil, true
+	case !repeatable || result.response.Status/100 != 5:
+		return result.response, nil, true
 	default:
-		d.fallback = got.response
+		d.fallback = result.response
 	}
 	if d.inFlight > 0 || d.retry() {
 		return nil, nil, false
@@ -178,67 +178,67 @@
 	if d.sentCount >= d.request.route.MaxAttempts || time.Until(d.request.deadline) < d.stats.mean() {
 		return false
 	}
-	siding := d.choose()
-	if siding == nil {
+	server := d.choose()
+	if server == nil {
 		return false
 	}
 	if !d.retryBudget(d.request.service).Spend() {
-		d.vacate(siding)
+		d.vacate(server)
 		return false
 	}
-	d.send(siding)
+	d.send(server)
 	return true
 }
 
 // launch makes a try that the budget need not pay.
 func (d *forwarder) startAttempt() bool {
-	siding := d.choose()
-	if siding != nil {
-		d.send(siding)
+	server := d.choose()
+	if server != nil {
+		d.send(server)
 	}
-	return siding != nil
+	return server != nil
 }
 
-func (d *forwarder) send(siding *balancer.Siding) {
-	d.tried = append(d.tried, siding)
+func (d *forwarder) send(server *balancer.Siding) {
+	d.tried = append(d.tried, server)
 	d.inFlight++
 	d.sentCount++
-	siding.Begin()
-	d.sentTo(d.request, siding.ID)
-	go d.runAttempt(siding, d.mark(siding))
+	server.Begin()
+	d.sentTo(d.request, server.ID)
+	go d.runAttempt(server, d.mark(server))
 }
 
 // run makes one try, to its end, whether the client still waits or not.
-func (d *forwarder) runAttempt(siding *balancer.Siding, mark outlier.Mark) {
-	late, buffer := repeatableLateWait, int64(d.settings.Load().Tuning.BufferBytes)
+func (d *forwarder) runAttempt(server *balancer.Siding, mark outlier.Mark) {
+	lateWait, bufferLimit := repeatableLateWait, int64(d.settings.Load().Tuning.BufferBytes)
 	if !d.request.route.IsRepeatable() {
-		late, buffer = unrepeatableLateWait, max(buffer, d.request.snapshot.manifest.Limits.MaxBodyBytes)
+		lateWait, bufferLimit = unrepeatableLateWait, max(bufferLimit, d.request.snapshot.manifest.Limits.MaxBodyBytes)
 	}
 	if d.request.route.RouteType == config.Idempotent {
-		buffer = max(buffer, maxRecordedBytes)
+		bufferLimit = max(bufferLimit, maxRecordedBytes)
 	}
-	passOn := int64(0)
+	streamAfter := int64(0)
 	if d.request.route.RouteType == config.Download && d.inbound.IsNarrow() {
 		// Checked whole first, it would take the link's time twice.
-		passOn = bandwidth.BulkLeast
+		streamAfter = bandwidth.BulkLeast
 	}
-	began := d.clock.Steady()
-	reply, err := siding.Rack.Deliver(upstream.Order{
-		Inquiry: d.request.Inquiry, Left: d.breaking(), Due: d.request.deadline, Last: d.request.deadline.Add(late), Connect: serverConnectTimeout, Buffer: buffer, PassOn: passOn, In: d.inbound, Out: d.outbound,
-		IsServing: func() bool { return d.acceptsRequests(siding) }, MaySend: d.request.maySend,
+	start := d.clock.Steady()
+	response, err := server.Rack.Deliver(upstream.Order{
+		Inquiry: d.request.Inquiry, Left: d.breaking(), Due: d.request.deadline, Last: d.request.deadline.Add(lateWait), Connect: serverConnectTimeout, Buffer: bufferLimit, PassOn: streamAfter, In: d.inbound, Out: d.outbound,
+		IsServing: func() bool { return d.acceptsRequests(server) }, MaySend: d.request.maySend,
 	})
 	now := d.clock.Steady()
-	took := time.Duration(now - began)
-	usual := d.stats.mean()
+	elapsed := time.Duration(now - start)
+	expected := d.stats.mean()
 	if !d.isBrokenOff(err) {
-		d.testify(siding, mark, reply, err, took, usual)
-		d.strainOf(siding, reply, err, took)
+		d.testify(server, mark, response, err, elapsed, expected)
+		d.strainOf(server, response, err, elapsed)
 	}
-	outcome := d.serverOutcome(reply, err)
+	outcome := d.serverOutcome(response, err)
 	if outcome == balancer.Served {
-		d.stats.learn(took, reply.Length)
+		d.stats.learn(elapsed, response.Length)
 	}
-	d.vacate(siding)
-	siding.End(outcome, took, usual, now)
-	d.results <- attemptResult{siding, reply, err}
+	d.vacate(server)
+	server.End(outcome, elapsed, expected, now)
+	d.results <- attemptResult{server, response, err}
 }
--- a/internal/proxy/idempotency.go
+++ b/internal/proxy/idempotency.go
@@ -48,20 +48,20 @@
 // anything reaches a server.
 func (p *proxy) idempotencyMiddleware(next endpoint.Endpoint) endpoint.Endpoint {
 	return func(ctx context.Context, request any) (any, error) {
-		one := request.(*clientRequest)
-		if one.route.RouteType != config.Idempotent {
+		req := request.(*clientRequest)
+		if req.route.RouteType != config.Idempotent {
 			return next(ctx, request)
 		}
-		keys := one.Header.Values(upstream.HeaderKey)
+		keys := req.Header.Values(upstream.HeaderKey)
 		if len(keys) != 1 || keys[0] == "" {
 			return nil, apierror.New(apierror.BadInquiry, "one operation key is needed")
 		}
-		one.key = idempotency.Key{Tenant: one.route.Host, Key: keys[0]}
-		a := &keyedAttempt{proxy: p, request: one, ungranted: map[string]bool{}}
-		name := p.incarnation + "-" + strconv.FormatUint(p.attemptCount.Add(1), 36)
+		req.key = idempotency.Key{Tenant: req.route.Host, Key: keys[0]}
+		a := &keyedAttempt{proxy: p, request: req, ungranted: map[string]bool{}}
+		attemptID := p.incarnation + "-" + strconv.FormatUint(p.attemptCount.Add(1), 36)
 		a.intent = idempotency.Intent{
-			Key: one.key, Attempt: idempotency.Attempt(name), Hash: idempotency.HashOf(one.Method, one.Target, one.Body),
-			Lane: one.route.Name, Service: one.service, Manifest: uint64(one.route.Revision), Reservation: name,
+			Key: req.key, Attempt: idempotency.Attempt(attemptID), Hash: idempotency.HashOf(req.Method, req.Target, req.Body),
+			Lane: req.route.Name, Service: req.service, Manifest: uint64(req.route.Revision), Reservation: attemptID,
 			State: idempotency.Reserved, CreatedMs: p.clock.Wall().UnixMilli(),
 		}
 		standing := a.reserve()
@@ -83,15 +83,15 @@
 func (a *keyedAttempt) execute(ctx context.Context, next endpoint.Endpoint) (any, error) {
 	a.request.maySend = func() bool { return a.round.Standing(a.clock.Steady()) == idempotency.Won }
 	a.transition(idempotency.AuthorizationPending)
-	reply, err := next(ctx, a.request)
-	var open *unresolvedError
-	switch known := err.(type) {
+	result, err := next(ctx, a.request)
+	var unresolved *unresolvedError
+	switch typed := err.(type) {
 	case nil:
-		out := reply.(*upstream.Reply)
-		a.complete(out)
-		return out, nil
+		response := result.(*upstream.Reply)
+		a.complete(response)
+		return response, nil
 	case *unresolvedError:
-		open = known
+		unresolved = typed
 	default:
 		// Nothing ran: the key is free again.
 		a.releaseVotes()
@@ -99,10 +99,10 @@
 	}
 	a.transition(idempotency.TimeoutUnresolved)
 	a.recordIntent(a.intent, 0)
-	if open.lateResult != nil {
+	if unresolved.lateResult != nil {
 		// The first connection is kept: a late reply still shows the outcome.
 		go func() {
-			switch late := <-open.lateResult; {
+			switch late := <-unresolved.lateResult; {
 			case late.reply != nil:
 				a.complete(late.reply)
 				late.reply.Finish(false)
@@ -111,21 +111,21 @@
 			}
 		}()
 	}
-	return nil, apierror.New(open.kind, "")
+	return nil, apierror.New(unresolved.kind, "")
 }
 
-func (a *keyedAttempt) transition(to idempotency.State) {
-	if next, err := a.intent.Step(to); err == nil {
+func (a *keyedAttempt) transition(target idempotency.State) {
+	if next, err := a.intent.Step(target); err == nil {
 		a.intent = next
 		return
 	}
-	a.log("error", "intent step", "from", a.intent.State, "to", to)
+	a.log("error", "intent step", "from", a.intent.State, "to", target)
 }
 
 // complete records the reply. One that is not at hand whole is not recorded: a part
 // would be replayed as if it were all, so the outcome stays open.
-func (a *keyedAttempt) complete(reply *upstream.Reply) {
-	if reply.Rest != nil {
+func (a *keyedAttempt) complete(response *upstream.Reply) {
+	if response.Rest != nil {
 		if a.intent.State != idempotency.TimeoutUnresolved {
 			a.transition(idempotency.TimeoutUnresolved)
 			a.recordIntent(a.intent, 0)
@@ -134,31 +134,31 @@
 	}
 	a.transition(idempotency.Completed)
 	a.intent.Reply = &idempotency.Reply{
-		Status: reply.Status, Seal: reply.Header.Get(upstream.HeaderSeal),
-		ContentType: reply.Header.Get("Content-Type"), Body: reply.Body,
+		Status: response.Status, Seal: response.Header.Get(upstream.HeaderSeal),
+		ContentType: response.Header.Get("Content-Type"), Body: response.Body,
 	}
 	a.recordIntent(a.intent, a.settings.Load().Tuning.RecordWait.Std())
 }
 
 // tell records the intent with every member, and waits until a majority has it
 // on disk, or the span ends.
-func (a *keyedAttempt) recordIntent(intent idempotency.Intent, wait time.Duration) {
+func (a *keyedAttempt) recordIntent(intent idempotency.Intent, timeout time.Duration) {
 	a.recentIntents.add(intent, a.clock.Steady(), timetable.Steady(a.settings.Load().Platform.Bounds.Sync))
 	view := a.snapshot.Load().view
-	kept, forget := tellMembers[messages.Done](a.proxy, view, messages.KindRecord, messages.Record{Intent: intent})
-	defer forget()
-	if wait == 0 {
+	acknowledgements, cancel := tellMembers[messages.Done](a.proxy, view, messages.KindRecord, messages.Record{Intent: intent})
+	defer cancel()
+	if timeout == 0 {
 		return
 	}
-	alarm := time.NewTimer(wait)
-	defer alarm.Stop()
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	for count := 0; count < view.Majority(); {
 		select {
-		case done := <-kept:
-			if done.reply != nil && done.reply.OK {
+		case ack := <-acknowledgements:
+			if ack.reply != nil && ack.reply.OK {
 				count++
 			}
-		case <-alarm.C:
+		case <-timer.C:
 			return
 		}
 	}
@@ -170,8 +170,8 @@
 	return recordedResponse(a.round.Terminal().Reply, a.request.Attempt), nil
 }
 
-func recordedResponse(recorded *idempotency.Reply, attempt string) *upstream.Reply {
-	header := http.Header{upstream.HeaderAttempt: {attempt}}
+func recordedResponse(recorded *idempotency.Reply, attemptID string) *upstream.Reply {
+	header := http.Header{upstream.HeaderAttempt: {attemptID}}
 	if recorded.Seal != "" {
 		header[upstream.HeaderSeal] = []string{recorded.Seal}
 	}
--- a/internal/proxy/idempotency_test.go
+++ b/internal/proxy/idempotency_test.go
@@ -20,48 +20,48 @@
 
 var _ = Describe("a proxy that its machine froze", func() {
 	// try wins a round, stands still for so long after that, and then delivers.
-	try := func(frozen time.Duration) (runs int, state idempotency.State, err error) {
+	execute := func(pause time.Duration) (executions int, state idempotency.State, err error) {
 		server, err := standin.NewServer("i-1", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		defer server.Close()
-		rack := &upstream.Rack{Address: server.Address(), Instance: "i-1"}
-		defer rack.Close()
-		hand := &timetable.Hand{Now: time.Hour}
-		p := newProxy(&settings.Settings{}, hand, func(string, string, ...any) {})
-		one := &clientRequest{
+		pool := &upstream.Rack{Address: server.Address(), Instance: "i-1"}
+		defer pool.Close()
+		clock := &timetable.Hand{Now: time.Hour}
+		p := newProxy(&settings.Settings{}, clock, func(string, string, ...any) {})
+		req := &clientRequest{
 			Inquiry: &upstream.Inquiry{Method: "POST", Target: "/fee/", Host: "h", Header: http.Header{upstream.HeaderAttempt: {"t"}}, Attempt: "t"},
 			route:   &config.Route{}, snapshot: p.snapshot.Load(),
 		}
-		a := &keyedAttempt{proxy: p, request: one, ungranted: map[string]bool{}}
+		a := &keyedAttempt{proxy: p, request: req, ungranted: map[string]bool{}}
 		a.intent = idempotency.Intent{Key: idempotency.Key{Tenant: "h", Key: "k"}, State: idempotency.Reserved}
-		a.round = idempotency.NewRound(a.intent.Hash, 3, hand.Steady(), timetable.Steady(250*time.Millisecond))
+		a.round = idempotency.NewRound(a.intent.Hash, 3, clock.Steady(), timetable.Steady(250*time.Millisecond))
 		for range 2 {
 			a.round.On(&idempotency.Ballot{Verdict: idempotency.Granted})
 		}
-		Expect(a.round.Standing(hand.Steady())).To(Equal(idempotency.Won))
+		Expect(a.round.Standing(clock.Steady())).To(Equal(idempotency.Won))
 		_, err = a.execute(context.Background(), func(context.Context, any) (any, error) {
-			hand.Now += frozen
-			due := time.Now().Add(5 * time.Second)
-			reply, err := rack.Deliver(upstream.Order{Inquiry: one.Inquiry, Due: due, Last: due, Connect: time.Second, Buffer: 1 << 20, MaySend: one.maySend})
+			clock.Now += pause
+			deadline := time.Now().Add(5 * time.Second)
+			response, err := pool.Deliver(upstream.Order{Inquiry: req.Inquiry, Due: deadline, Last: deadline, Connect: time.Second, Buffer: 1 << 20, MaySend: req.maySend})
 			if errors.Is(err, upstream.ErrNotSent) {
 				return nil, apierror.New(apierror.NotExecuted, "")
 			}
-			return reply, err
+			return response, err
 		})
 		return len(server.Runs()), a.intent.State, err
 	}
 
 	It("delivers while its votes hold, and records the reply", func() {
-		runs, state, err := try(250 * time.Millisecond)
+		executions, state, err := execute(250 * time.Millisecond)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(runs).To(Equal(1))
+		Expect(executions).To(Equal(1))
 		Expect(state).To(Equal(idempotency.Completed))
 	})
 
 	It("delivers nothing once they lapsed, and gives them back", func() {
-		runs, state, err := try(251 * time.Millisecond)
+		executions, state, err := execute(251 * time.Millisecond)
 		Expect(err).To(HaveOccurred())
-		Expect(runs).To(BeZero())
+		Expect(executions).To(BeZero())
 		Expect(state).To(Equal(idempotency.Released))
 	})
 })
--- a/internal/proxy/listener.go
+++ b/internal/proxy/listener.go
@@ -15,12 +15,12 @@
 }
 
 // Accept gives the next client's connection.
-func (f *clientListener) Accept() (net.Conn, error) {
-	conn, err := f.AcceptTCP()
+func (l *clientListener) Accept() (net.Conn, error) {
+	conn, err := l.AcceptTCP()
 	if err != nil {
 		return nil, err
 	}
-	return &clientConn{TCPConn: conn, timeouts: f.timeouts}, nil
+	return &clientConn{TCPConn: conn, timeouts: l.timeouts}, nil
 }
 
 // client is one client's connection. The server sets a deadline while it waits for
@@ -37,26 +37,26 @@
 
 // noteState is told by the server what a connection waits for.
 func recordConnState(conn net.Conn, state http.ConnState) {
-	if c, isClient := conn.(*clientConn); isClient {
+	if c, ok := conn.(*clientConn); ok {
 		c.state.Store(int32(state))
 		c.headerPending.Store(false)
 	}
 }
 
 // SetReadDeadline sets the manifest's deadline where the server sets its own.
-func (c *clientConn) SetReadDeadline(at time.Time) error {
+func (c *clientConn) SetReadDeadline(deadline time.Time) error {
 	header, idle := c.timeouts()
 	state := http.ConnState(c.state.Load())
-	isWaiting := state == http.StateNew || state == http.StateIdle
+	waiting := state == http.StateNew || state == http.StateIdle
 	switch {
-	case !isWaiting || !at.IsZero() && !at.After(time.Now()):
-	case at.IsZero():
+	case !waiting || !deadline.IsZero() && !deadline.After(time.Now()):
+	case deadline.IsZero():
 	case state == http.StateNew || c.headerPending.Swap(true):
-		at = time.Now().Add(header)
+		deadline = time.Now().Add(header)
 	default:
-		at = time.Now().Add(idle)
+		deadline = time.Now().Add(idle)
 	}
-	return c.TCPConn.SetReadDeadline(at)
+	return c.TCPConn.SetReadDeadline(deadline)
 }
 
 // clientLimits are how long clients may take for a header, and stay idle.
--- a/internal/proxy/once_test.go
+++ b/internal/proxy/once_test.go
@@ -24,14 +24,14 @@
 			servers = append(servers, server)
 		}
 	})
-	arrivals := func() (sum int) {
+	requestCount := func() (sum int) {
 		for _, server := range servers {
 			count, _ := server.Counts()
 			sum += count
 		}
 		return sum
 	}
-	next := func(act standin.Act) {
+	setBehavior := func(act standin.Act) {
 		for _, server := range servers {
 			server.Next(act)
 		}
@@ -39,14 +39,14 @@
 
 	It("is offered to no second server after its first byte, whatever becomes of it", func() {
 		for _, act := range []standin.Act{standin.CutBefore, standin.CutWithin, standin.Garbage, standin.NoSeal, standin.Fail500, standin.Silent, standin.SilentCut} {
-			for _, kind := range []config.RouteKind{config.Unsafe, config.Idempotent} {
-				next(act)
-				p, one := inquiryOn(kind, servers...)
-				before := arrivals()
-				_, err := p.forward(context.Background(), one)
-				var open *unresolvedError
-				Expect(act == standin.Fail500 || errors.As(err, &open)).To(BeTrue(), "act %d: %v", act, err)
-				Expect(arrivals()-before).To(Equal(1), "act %d on a lane that is %s", act, kind)
+			for _, routeType := range []config.RouteKind{config.Unsafe, config.Idempotent} {
+				setBehavior(act)
+				p, req := inquiryOn(routeType, servers...)
+				before := requestCount()
+				_, err := p.forward(context.Background(), req)
+				var unresolved *unresolvedError
+				Expect(act == standin.Fail500 || errors.As(err, &unresolved)).To(BeTrue(), "act %d: %v", act, err)
+				Expect(requestCount()-before).To(Equal(1), "act %d on a lane that is %s", act, routeType)
 				for _, server := range servers {
 					server.Free()
 				}
@@ -56,27 +56,27 @@
 
 	It("is offered again where a server showed that it did not run", func() {
 		for _, act := range []standin.Act{standin.Shed, standin.Misdirect} {
-			next(act)
-			p, one := inquiryOn(config.Unsafe, servers...)
-			before := arrivals()
-			_, err := p.forward(context.Background(), one)
-			var known *apierror.Error
-			Expect(errors.As(err, &known)).To(BeTrue())
-			Expect(known.Kind).To(Equal(apierror.NotExecuted))
-			Expect(arrivals() - before).To(Equal(3))
+			setBehavior(act)
+			p, req := inquiryOn(config.Unsafe, servers...)
+			before := requestCount()
+			_, err := p.forward(context.Background(), req)
+			var apiErr *apierror.Error
+			Expect(errors.As(err, &apiErr)).To(BeTrue())
+			Expect(apiErr.Kind).To(Equal(apierror.NotExecuted))
+			Expect(requestCount() - before).To(Equal(3))
 		}
 	})
 
 	It("is no more offered once its client has left", func() {
-		next(standin.SilentShed)
-		p, one := inquiryOn(config.Unsafe, servers...)
-		ctx, leave := context.WithCancel(context.Background())
-		time.AfterFunc(50*time.Millisecond, leave)
-		_, err := p.forward(ctx, one)
+		setBehavior(standin.SilentShed)
+		p, req := inquiryOn(config.Unsafe, servers...)
+		ctx, cancel := context.WithCancel(context.Background())
+		time.AfterFunc(50*time.Millisecond, cancel)
+		_, err := p.forward(ctx, req)
 		Expect(errors.Is(err, errLeft)).To(BeTrue())
 		for _, server := range servers {
 			server.Free()
 		}
-		Consistently(arrivals, "200ms").Should(Equal(1))
+		Consistently(requestCount, "200ms").Should(Equal(1))
 	})
 })
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -105,99 +105,99 @@
 // Example:
 //
 //	err := proxy.Run(ctx, set, path, note)
-func Run(ctx context.Context, set *settings.Settings, path string, note LogFunc) error {
-	p := newProxy(set, timetable.Real(), note)
-	outer, err := net.Listen("tcp4", set.Platform.Bind.ClientHttp)
+func Run(ctx context.Context, cfg *settings.Settings, settingsPath string, log LogFunc) error {
+	p := newProxy(cfg, timetable.Real(), log)
+	tcpListener, err := net.Listen("tcp4", cfg.Platform.Bind.ClientHttp)
 	if err != nil {
 		return errors.Annotate(err, "client address")
 	}
-	clients := &clientListener{outer.(*net.TCPListener), p.clientTimeouts}
-	ready, err := net.Listen("tcp4", set.Platform.Bind.Readiness)
+	listener := &clientListener{tcpListener.(*net.TCPListener), p.clientTimeouts}
+	readinessListener, err := net.Listen("tcp4", cfg.Platform.Bind.Readiness)
 	if err != nil {
 		return errors.Annotate(err, "readiness address")
 	}
-	asked, err := p.answerOperators()
+	operatorListener, err := p.answerOperators()
 	if err != nil {
 		return err
 	}
-	defer asked.Close()
-	inner, stop := context.WithCancel(context.Background())
-	defer stop()
-	go settings.Watch(inner, path, func(changed *settings.Settings) { p.settings.Store(changed) }, func(err error) { note("warn", "settings", "error", err) })
-	go p.updateLoop.Run(inner, p.applyUpdates, 0, nil)
-	near := rpc.NewLine(agent.LoopbackAddress(set), controlConnectTimeout, controlSilenceTimeout)
-	p.follower = feed.NewFollower("points", near, p.updateLoop.Put, 50*time.Millisecond)
-	go p.follower.Run(inner)
-	go p.reportOn(inner)
-	p.copyOn(inner)
+	defer operatorListener.Close()
+	runCtx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	go settings.Watch(runCtx, settingsPath, func(updated *settings.Settings) { p.settings.Store(updated) }, func(err error) { log("warn", "settings", "error", err) })
+	go p.updateLoop.Run(runCtx, p.applyUpdates, 0, nil)
+	agentConn := rpc.NewLine(agent.LoopbackAddress(cfg), controlConnectTimeout, controlSilenceTimeout)
+	p.follower = feed.NewFollower("points", agentConn, p.updateLoop.Put, 50*time.Millisecond)
+	go p.follower.Run(runCtx)
+	go p.reportOn(runCtx)
+	p.copyOn(runCtx)
 	server := &http.Server{
 		Handler: http.HandlerFunc(p.handle), ReadHeaderTimeout: defaultHeaderTimeout, IdleTimeout: defaultIdleTimeout,
 		MaxHeaderBytes: maxHeaderBytes, ConnState: recordConnState,
 	}
 	go func() {
-		_ = (&http.Server{Handler: http.HandlerFunc(p.ready), ReadHeaderTimeout: defaultHeaderTimeout}).Serve(ready)
+		_ = (&http.Server{Handler: http.HandlerFunc(p.ready), ReadHeaderTimeout: defaultHeaderTimeout}).Serve(readinessListener)
 	}()
-	failed := make(chan error, 1)
-	go func() { failed <- server.Serve(clients) }()
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- server.Serve(listener) }()
 	select {
-	case err := <-failed:
+	case err := <-serveErr:
 		return errors.Trace(err)
 	case <-ctx.Done():
 	}
 	return p.leave(server)
 }
 
-func newProxy(set *settings.Settings, clock timetable.Clock, note LogFunc) *proxy {
+func newProxy(cfg *settings.Settings, clock timetable.Clock, log LogFunc) *proxy {
 	p := &proxy{
-		clock: clock, log: note, updateLoop: timetable.NewLoop[feed.News](256), replica: feed.NewBoard(),
+		clock: clock, log: log, updateLoop: timetable.NewLoop[feed.News](256), replica: feed.NewBoard(),
 		connections: map[string]*rpc.Line{}, retryBudgets: map[string]*balancer.Budget{}, incarnation: newIncarnation(), outcomes: outlier.NewBox(), siteCapacity: branchline.NewPurse(clock),
 		shedder: newGate(clock), trafficMirror: newCopier(),
 	}
-	p.settings.Store(set)
-	home := balancer.Home{Node: set.Platform.NodeName, Cell: set.Platform.Cell, Set: set.Tuning.WorkingSet}
-	p.inbound = bandwidth.NewTrack(set.Platform.Limits.LinkMbps, clock)
-	p.outbound = bandwidth.NewTrack(set.Platform.Limits.LinkMbps, clock)
+	p.settings.Store(cfg)
+	locality := balancer.Home{Node: cfg.Platform.NodeName, Cell: cfg.Platform.Cell, Set: cfg.Tuning.WorkingSet}
+	p.inbound = bandwidth.NewTrack(cfg.Platform.Limits.LinkMbps, clock)
+	p.outbound = bandwidth.NewTrack(cfg.Platform.Limits.LinkMbps, clock)
 	p.downloads = bandwidth.NewPassing(p.outbound)
-	p.snapshot.Store(&snapshot{manifest: config.Book{}.Compile(), balancer: balancer.NewYard(home)})
+	p.snapshot.Store(&snapshot{manifest: config.Book{}.Compile(), balancer: balancer.NewYard(locality)})
 	p.serve = endpoint.Chain(p.admissionMiddleware, p.passing, p.idempotencyMiddleware)(p.forward)
 	return p
 }
 
 // learn is the owner of the board: it merges news and lays a new sight.
 func (p *proxy) applyUpdates(batch []feed.News) {
-	old := p.snapshot.Load()
-	next := *old
-	isNew := false
-	var leaving []string
-	for _, news := range batch {
-		if !p.replica.Fits(news) {
+	previous := p.snapshot.Load()
+	next := *previous
+	changed := false
+	var leavingIDs []string
+	for _, update := range batch {
+		if !p.replica.Fits(update) {
 			p.follower.Again()
 		}
-		fresh, isFresh := p.replica.Merge(news)
-		isNew = isNew || isFresh
-		if len(fresh.Items) > 0 {
+		merged, updated := p.replica.Merge(update)
+		changed = changed || updated
+		if len(merged.Items) > 0 {
 			next.manifest = nil
 		}
-		if fresh.Fleet != nil {
+		if merged.Fleet != nil {
 			next.applyFleet(p.replica.Serving(), p.clock.Steady())
 			p.trafficMirror.keep(next.servers)
 		}
-		leaving = append(leaving, fresh.Leaving...)
+		leavingIDs = append(leavingIDs, merged.Leaving...)
 	}
-	next.balancer.Leave(leaving)
-	if !isNew {
+	next.balancer.Leave(leavingIDs)
+	if !changed {
 		return
 	}
-	isNewBook := next.manifest == nil
-	if isNewBook {
+	manifestChanged := next.manifest == nil
+	if manifestChanged {
 		next.manifest, next.manifestDigest = p.replica.Book.Compile(), p.replica.Book.Digest()
 		platform := p.settings.Load().Platform
-		if tree, err := p.replica.Book.Tree(platform.Cells); err == nil {
-			next.sites, next.localSite = tree, tree.SiteOf("", platform.Cell)
+		if sites, err := p.replica.Book.Tree(platform.Cells); err == nil {
+			next.sites, next.localSite = sites, sites.SiteOf("", platform.Cell)
 		}
 	}
 	if len(next.stagedChanges)+len(p.replica.Fleet.Stages) > 0 {
-		next.layStages(p.replica.Fleet.Stages, p.replica.Book, isNewBook, p.settings.Load().Platform.NodeName)
+		next.layStages(p.replica.Fleet.Stages, p.replica.Book, manifestChanged, p.settings.Load().Platform.NodeName)
 	}
 	next.complete = p.replica.IsWhole
 	if p.replica.View.Epoch > next.view.Epoch {
@@ -218,13 +218,13 @@
 func (p *proxy) connection(address string) *rpc.Line {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	line := p.connections[address]
-	if line == nil {
-		line = rpc.NewLine(address, controlConnectTimeout, controlSilenceTimeout)
-		line.Again, line.Sent = func() { p.resendRecent(line) }, p.outbound.Note
-		p.connections[address] = line
+	conn := p.connections[address]
+	if conn == nil {
+		conn = rpc.NewLine(address, controlConnectTimeout, controlSilenceTimeout)
+		conn.Again, conn.Sent = func() { p.resendRecent(conn) }, p.outbound.Note
+		p.connections[address] = conn
 	}
-	return line
+	return conn
 }
 
 func (p *proxy) retryBudget(service string) *balancer.Budget {
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -59,9 +59,9 @@
 }
 
 func newIncarnation() string {
-	var text [6]byte
-	_, _ = rand.Read(text[:])
-	return hex.EncodeToString(text[:])
+	var raw [6]byte
+	_, _ = rand.Read(raw[:])
+	return hex.EncodeToString(raw[:])
 }
 
 // handle is the path of every client's inquiry.
@@ -73,28 +73,28 @@
 		// whatever hides behind it is never taken for an inquiry.
 		w.Header().Set("Connection", "close")
 	}
-	one, err := p.readRequest(w, r)
+	req, err := p.readRequest(w, r)
 	if err != nil {
 		p.writeError(w, r, err)
 		return
 	}
-	one.releaseLink = func() {}
-	reply, err := p.serve(r.Context(), one)
-	one.duration = time.Since(one.arrivedAt)
-	defer func() { one.releaseLink() }()
+	req.releaseLink = func() {}
+	result, err := p.serve(r.Context(), req)
+	req.duration = time.Since(req.arrivedAt)
+	defer func() { req.releaseLink() }()
 	if err != nil {
-		p.settleStage(one, nil, err, false)
+		p.settleStage(req, nil, err, false)
 		p.writeError(w, r, err)
-		p.mirror(one, nil, mayHaveExecuted(err))
+		p.mirror(req, nil, mayHaveExecuted(err))
 		return
 	}
-	out := reply.(*upstream.Reply)
-	isBroken, err := p.writeResponse(w, out)
-	p.settleStage(one, out, nil, isBroken)
-	if isBroken {
-		out = nil
+	response := result.(*upstream.Reply)
+	upstreamFailed, err := p.writeResponse(w, response)
+	p.settleStage(req, response, nil, upstreamFailed)
+	if upstreamFailed {
+		response = nil
 	}
-	p.mirror(one, out, isBroken)
+	p.mirror(req, response, upstreamFailed)
 	if err != nil {
 		// One that breaks off after its start must not look complete, so the
 		// client's connection is broken too.
@@ -104,37 +104,37 @@
 
 // read checks the inquiry and reads it whole.
 func (p *proxy) readRequest(w http.ResponseWriter, r *http.Request) (*clientRequest, error) {
-	one := &clientRequest{arrivedAt: time.Now(), snapshot: p.snapshot.Load(), clientAddress: clientOf(r)}
-	limits := one.snapshot.manifest.Limits
+	req := &clientRequest{arrivedAt: time.Now(), snapshot: p.snapshot.Load(), clientAddress: clientOf(r)}
+	limits := req.snapshot.manifest.Limits
 	path, _, _ := strings.Cut(r.RequestURI, "?")
-	attempt := r.Header.Values(upstream.HeaderAttempt)
+	attemptIDs := r.Header.Values(upstream.HeaderAttempt)
 	switch {
 	case !strings.HasPrefix(path, "/"):
 		return nil, apierror.New(apierror.BadInquiry, "the target is not a path")
-	case len(attempt) != 1 || attempt[0] == "":
+	case len(attemptIDs) != 1 || attemptIDs[0] == "":
 		return nil, apierror.New(apierror.BadInquiry, "one attempt id is needed")
 	case limits.MaxHeaderBytes > 0 && headerSize(r) > limits.MaxHeaderBytes:
 		return nil, apierror.New(apierror.HeaderTooLarge, "")
 	case len(r.Header.Values(loopline.Marker)) > 0:
 		return nil, apierror.New(apierror.Shadowed, "")
-	case !one.snapshot.complete:
+	case !req.snapshot.complete:
 		return nil, apierror.New(apierror.NoServer, "the manifest is not here yet")
 	}
-	one.snapshot.findLane(one, r.Host, path, r.Header.Get(upstream.HeaderKey) != "", p.clock.Steady())
-	if one.route == nil {
+	req.snapshot.findLane(req, r.Host, path, r.Header.Get(upstream.HeaderKey) != "", p.clock.Steady())
+	if req.route == nil {
 		return nil, apierror.New(apierror.NoLane, "")
 	}
-	one.deadline = one.arrivedAt.Add(one.route.Timeout.Std())
-	if text := r.Header.Get(upstream.HeaderDeadline); text != "" {
-		ms, err := strconv.ParseInt(text, 10, 64)
+	req.deadline = req.arrivedAt.Add(req.route.Timeout.Std())
+	if deadlineText := r.Header.Get(upstream.HeaderDeadline); deadlineText != "" {
+		ms, err := strconv.ParseInt(deadlineText, 10, 64)
 		if err != nil || ms < 0 {
 			return nil, apierror.New(apierror.BadInquiry, "the deadline is not a number")
 		}
-		if due := one.arrivedAt.Add(time.Duration(min(ms, 1<<32)) * time.Millisecond); due.Before(one.deadline) {
-			one.deadline = due
+		if clientDeadline := req.arrivedAt.Add(time.Duration(min(ms, 1<<32)) * time.Millisecond); clientDeadline.Before(req.deadline) {
+			req.deadline = clientDeadline
 		}
 	}
-	_ = http.NewResponseController(w).SetReadDeadline(one.deadline)
+	_ = http.NewResponseController(w).SetReadDeadline(req.deadline)
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, max(limits.MaxBodyBytes, 1)))
 	if err != nil {
 		var tooLarge *http.MaxBytesError
@@ -144,12 +144,12 @@
 		return nil, apierror.New(apierror.BadInquiry, "the body cannot be read")
 	}
 	_ = http.NewResponseController(w).SetReadDeadline(time.Time{})
-	one.Inquiry = &upstream.Inquiry{
+	req.Inquiry = &upstream.Inquiry{
 		Method: r.Method, Target: r.RequestURI, Host: r.Host, Header: r.Header, Body: body,
 		HasBody: r.ContentLength > 0 || len(r.TransferEncoding) > 0 || r.Method != http.MethodGet && r.Method != http.MethodHead,
-		Attempt: attempt[0],
+		Attempt: attemptIDs[0],
 	}
-	return one, nil
+	return req, nil
 }
 
 func headerSize(r *http.Request) (size int) {
@@ -165,13 +165,13 @@
 // refuse answers by the table of kinds.
 func (p *proxy) writeError(w http.ResponseWriter, r *http.Request, err error) {
 	kind := apierror.Broken
-	var known *apierror.Error
-	if errors.As(err, &known) {
-		kind = known.Kind
+	var apiErr *apierror.Error
+	if errors.As(err, &apiErr) {
+		kind = apiErr.Kind
 	}
 	answer := apierror.AnswerOf(kind)
-	if known != nil && known.After > 0 {
-		answer.RetryAfter = known.After
+	if apiErr != nil && apiErr.After > 0 {
+		answer.RetryAfter = apiErr.After
 	}
 	header := w.Header()
 	if id := r.Header.Get(upstream.HeaderAttempt); id != "" {
@@ -192,28 +192,28 @@
 
 // mayHaveRun tells whether an inquiry that ended without a reply may have run.
 func mayHaveExecuted(err error) bool {
-	var known *apierror.Error
-	return errors.Is(err, errLeft) || errors.As(err, &known) && (known.Kind == apierror.Broken || known.Kind == apierror.Late)
+	var apiErr *apierror.Error
+	return errors.Is(err, errLeft) || errors.As(err, &apiErr) && (apiErr.Kind == apierror.Broken || apiErr.Kind == apierror.Late)
 }
 
 // answer passes a server's reply on. isBroken tells that the server broke off.
-func (p *proxy) writeResponse(w http.ResponseWriter, reply *upstream.Reply) (isBroken bool, err error) {
-	upstream.CopyBack(w.Header(), reply.Header)
-	if reply.Length >= 0 {
-		w.Header().Set("Content-Length", strconv.FormatInt(reply.Length, 10))
-	}
-	w.WriteHeader(reply.Status)
-	to := p.outbound.Writer(w)
-	_, err = to.Write(reply.Body)
-	if reply.Rest == nil {
+func (p *proxy) writeResponse(w http.ResponseWriter, response *upstream.Reply) (upstreamFailed bool, err error) {
+	upstream.CopyBack(w.Header(), response.Header)
+	if response.Length >= 0 {
+		w.Header().Set("Content-Length", strconv.FormatInt(response.Length, 10))
+	}
+	w.WriteHeader(response.Status)
+	writer := p.outbound.Writer(w)
+	_, err = writer.Write(response.Body)
+	if response.Rest == nil {
 		return false, nil
 	}
-	from := &errorRecordingReader{Reader: reply.Rest}
+	reader := &errorRecordingReader{Reader: response.Rest}
 	if err == nil {
-		_, err = io.Copy(p.outbound.BulkWriter(w), from)
+		_, err = io.Copy(p.outbound.BulkWriter(w), reader)
 	}
-	reply.Finish(err == nil)
-	return from.err != nil, err
+	response.Finish(err == nil)
+	return reader.err != nil, err
 }
 
 // watched keeps the error of what it reads from, other than its end.
@@ -222,9 +222,9 @@
 	err error
 }
 
-func (w *errorRecordingReader) Read(into []byte) (count int, err error) {
-	if count, err = w.Reader.Read(into); err != nil && err != io.EOF {
-		w.err = err
+func (r *errorRecordingReader) Read(buf []byte) (n int, err error) {
+	if n, err = r.Reader.Read(buf); err != nil && err != io.EOF {
+		r.err = err
 	}
-	return count, err
+	return n, err
 }
--- a/internal/proxy/vote.go
+++ b/internal/proxy/vote.go
@@ -12,24 +12,24 @@
 // reserve asks every member of the core at once.
 func (a *keyedAttempt) reserve() idempotency.Standing {
 	view := a.snapshot.Load().view
-	began, span := a.clock.Steady(), a.settings.Load().Tuning.VoteSpan
-	a.round = idempotency.NewRound(a.intent.Hash, max(1, len(view.Members)), began, timetable.Steady(span))
-	votes, forget := askMembers[messages.Vote](a.proxy, view, messages.KindReserve, messages.Reserve{Epoch: view.Epoch, Intent: a.intent})
-	defer forget()
-	alarm := time.NewTimer(min(span.Std(), time.Until(a.request.deadline), a.voteTimeout()))
-	defer alarm.Stop()
+	start, voteSpan := a.clock.Steady(), a.settings.Load().Tuning.VoteSpan
+	a.round = idempotency.NewRound(a.intent.Hash, max(1, len(view.Members)), start, timetable.Steady(voteSpan))
+	votes, cancel := askMembers[messages.Vote](a.proxy, view, messages.KindReserve, messages.Reserve{Epoch: view.Epoch, Intent: a.intent})
+	defer cancel()
+	timer := time.NewTimer(min(voteSpan.Std(), time.Until(a.request.deadline), a.voteTimeout()))
+	defer timer.Stop()
 	for range view.Members {
 		select {
-		case got := <-votes:
-			a.addVote(got)
-		case <-alarm.C:
-			return a.round.Standing(began + timetable.Steady(span) + 1)
+		case vote := <-votes:
+			a.addVote(vote)
+		case <-timer.C:
+			return a.round.Standing(start + timetable.Steady(voteSpan) + 1)
 		}
 		if standing := a.round.Standing(a.clock.Steady()); standing != idempotency.Undecided {
 			return standing
 		}
 	}
-	return a.round.Standing(began + timetable.Steady(span) + 1)
+	return a.round.Standing(start + timetable.Steady(voteSpan) + 1)
 }
 
 const (
@@ -42,26 +42,26 @@
 
 // patience is how long a round that comes to nothing may hold the client.
 func (a *keyedAttempt) voteTimeout() time.Duration {
-	aim := a.request.route.TargetLatency.Std()
-	if aim == 0 {
-		aim = a.request.route.Timeout.Std()
+	target := a.request.route.TargetLatency.Std()
+	if target == 0 {
+		target = a.request.route.Timeout.Std()
 	}
-	return max(minVoteTimeout, aim/voteTargetDivisor-time.Since(a.request.arrivedAt)-voteMargin)
+	return max(minVoteTimeout, target/voteTargetDivisor-time.Since(a.request.arrivedAt)-voteMargin)
 }
 
-func (a *keyedAttempt) addVote(got said[messages.Vote]) {
-	if got.reply == nil || got.reply.Ballot.Held != nil && got.reply.Ballot.Held.Key != a.intent.Key {
+func (a *keyedAttempt) addVote(vote said[messages.Vote]) {
+	if vote.reply == nil || vote.reply.Ballot.Held != nil && vote.reply.Ballot.Held.Key != a.intent.Key {
 		// A ballot on another key is none.
 		a.round.On(nil)
 		return
 	}
-	if got.reply.Ballot.Verdict != idempotency.Granted {
-		a.ungranted[got.member] = true
+	if vote.reply.Ballot.Verdict != idempotency.Granted {
+		a.ungranted[vote.member] = true
 	}
-	if got.reply.View != nil {
-		a.updateLoop.Offer(feed.News{View: got.reply.View})
+	if vote.reply.View != nil {
+		a.updateLoop.Offer(feed.News{View: vote.reply.View})
 	}
-	a.round.On(&got.reply.Ballot)
+	a.round.On(&vote.reply.Ballot)
 }
 
 // giveBack frees the votes of an attempt that will never be delivered. Only
