--- a/internal/proxy/await.go
+++ b/internal/proxy/await.go
@@ -13,12 +13,16 @@
 
 const (
 	initialLookupDelay = 30 * time.Millisecond
-	lookupTimeDivisor  = 2
-	lookupTimeout      = 50 * time.Millisecond
+	// lookupTimeDivisor: lookups take at most this fraction of the remaining time and
+	// of the route's target latency.
+	lookupTimeDivisor = 2
+	// lookupTimeout limits one lookup, and is kept free before the request's deadline.
+	lookupTimeout = 50 * time.Millisecond
 )
 
-// resume waits a while for the outcome of the attempt that holds the key, and
-// answers that the key is in work if none is shown. Nothing is sent again.
+// awaitOutcome polls for the outcome of the attempt that holds the key, and answers that
+// the operation is still in progress if there is none in time. It sends nothing to a
+// server.
 func (a *keyedAttempt) awaitOutcome(context.Context, endpoint.Endpoint) (any, error) {
 	remaining := time.Until(a.request.deadline) - lookupTimeout
 	lookupDeadline := time.Now().Add(min(remaining, a.request.route.TargetLatency.Std()) / lookupTimeDivisor)
@@ -35,8 +39,8 @@
 	return nil, apierror.New(apierror.AtWork, "")
 }
 
-// lookup asks every member for the key and returns an ended record, if one has
-// it, or else nil.
+// lookup asks every member for the key, and returns the first record with a response,
+// or nil if no member has one.
 func (a *keyedAttempt) lookup() *idempotency.Intent {
 	view := a.snapshot.Load().view
 	replies, cancel := askMembers[messages.Found](a.proxy, view, messages.KindLookup, messages.Lookup{Key: a.request.key})
--- a/internal/proxy/eligibility.go
+++ b/internal/proxy/eligibility.go
@@ -10,9 +10,9 @@
 	"ploverhitch/internal/upstream"
 )
 
-// isServing tells, by the newest news, whether the server may still get requests:
-// it is listed under its address, ready, of a version that is open, and not known
-// to leave.
+// acceptsRequests reports whether the server may still get requests by the newest
+// snapshot: it is listed under the same address, is ready, runs a version that is not
+// shut, and is not known to be leaving.
 func (p *proxy) acceptsRequests(server *balancer.Siding) bool {
 	current, listed := p.snapshot.Load().balancer.Find(server.ID)
 	if !listed || current.Address != server.Address {
@@ -21,15 +21,15 @@
 	return current.IsReady && current.Grade != feed.Shut && !current.IsLeaving()
 }
 
-// replace makes another try in place of one whose server had left before anything
-// was sent. The try that it replaces had its place in the lane's attempts, and was
-// paid for where it had to be; this one takes both over.
+// replaceAttempt starts an attempt in place of one whose server left before anything was
+// sent. The replaced attempt was counted against the route's maximum and charged to the
+// retry budget where necessary, so this one is neither counted nor charged again.
 func (d *forwarder) replaceAttempt() bool {
 	d.sentCount--
 	return d.clientCtx.Err() == nil && d.startAttempt()
 }
 
-// outcomeOf is what the end of a try shows of its server.
+// serverOutcome classifies what the end of an attempt shows about its server.
 func (d *forwarder) serverOutcome(response *upstream.Reply, err error) balancer.Outcome {
 	switch {
 	case d.isBrokenOff(err), errors.Is(err, upstream.ErrServerLeft):
--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -17,26 +17,29 @@
 	"ploverhitch/internal/upstream"
 )
 
-// openEnd is the error of a delivery that may have run. The late channel, if
-// there is one, tells what is shown of it later.
+// unresolvedError reports a forwarded request that a server may have executed.
+// lateResult, if set, delivers what the attempts reveal after the client was answered.
 type unresolvedError struct {
 	kind       apierror.Kind
 	lateResult chan lateEnd
 }
 
-// Error names the kind.
+// Error returns the text of the error's kind.
 func (e *unresolvedError) Error() string { return apierror.New(e.kind, "").Error() }
 
 const (
 	serverConnectTimeout = 250 * time.Millisecond
+	// The late waits are how long an attempt waits for its response past the
+	// request's deadline, on routes that may and may not be executed repeatedly.
 	repeatableLateWait   = 200 * time.Millisecond
 	unrepeatableLateWait = 2 * time.Second
 	maxUnsentRetries     = 3
-	// recordedMost is how long a reply may be to be kept in an operation's record.
+	// maxRecordedBytes bounds the responses that are stored for replay.
 	maxRecordedBytes = 32 << 20
 )
 
-// admitting picks the lane's service and refuses at once what nobody can serve.
+// admissionMiddleware selects the route's service and rejects a request at once when
+// it is shed or when the service has no ready server.
 func (p *proxy) admissionMiddleware(next endpoint.Endpoint) endpoint.Endpoint {
 	return func(ctx context.Context, request any) (any, error) {
 		req := request.(*clientRequest)
@@ -54,14 +57,14 @@
 	}
 }
 
-// result is how one try at one server ended.
+// attemptResult is the result of one attempt at one server.
 type attemptResult struct {
 	server   *balancer.Siding
 	response *upstream.Reply
 	err      error
 }
 
-// delivery is one inquiry's tries at servers.
+// forwarder makes the attempts of one client request.
 type forwarder struct {
 	*proxy
 	request     *clientRequest
@@ -71,21 +74,20 @@
 	inFlight    int
 	sentCount   int
 	unsentCount int
-	// fallback is what the client gets if no further try does better.
+	// fallback is the response to return if no other attempt yields a better one.
 	fallback *upstream.Reply
-	// isOpen: a try that may not be repeated was sent, and its outcome is not
-	// known.
+	// unresolved: an unrepeatable attempt was sent and its outcome is unknown.
 	unresolved bool
-	// leave ends the note of a placed operation, once its last try has ended.
+	// untrack ends the tracking of a ring-placed request after its last attempt.
 	untrack func()
-	// places are the places taken at the tries' sites.
+	// siteReservations holds the release functions of capacity reserved at servers' sites.
 	siteReservations *sync.Map
-	// left ends when nobody waits any more.
+	// clientCtx ends when nobody waits for the response any more.
 	clientCtx context.Context
 }
 
-// delivering sends the inquiry to a server, and to another where the lane, the
-// budget and what is known of the first allow it.
+// forward sends the request to a server. It hedges or retries at another server where
+// the route, the retry budget and the result of the first attempt allow it.
 func (p *proxy) forward(ctx context.Context, request any) (any, error) {
 	req := request.(*clientRequest)
 	d := &forwarder{proxy: p, request: req, stats: p.paceOf(req.route.Name), untrack: p.enter(req), siteReservations: &sync.Map{}, clientCtx: leaving(ctx, req)}
@@ -120,8 +122,8 @@
 	}
 }
 
-// judge looks at the end of one try: either it ends the inquiry, or another try
-// was launched or is still flying.
+// handleResult evaluates the result of one attempt. done reports that it ends the
+// request; otherwise another attempt was started or is still in flight.
 func (d *forwarder) handleResult(result attemptResult) (response any, err error, done bool) {
 	repeatable := d.request.route.IsRepeatable()
 	kind := apierror.Broken
@@ -149,7 +151,8 @@
 		kind = apierror.NotExecuted
 		result.response.Finish(false)
 	case !repeatable && isPromise(result.response.Status):
-		// Without Not-Executed it may have run, and the status would say it did not.
+		// Without a Not-Executed header the request may have run, although the status
+		// says that it did not.
 		return nil, &unresolvedError{kind: apierror.Broken}, true
 	case !repeatable || result.response.Status/100 != 5:
 		return result.response, nil, true
@@ -163,17 +166,20 @@
 		return d.fallback, nil, true
 	}
 	if d.unresolved {
-		// An earlier try may have run: nothing that came later undoes that.
+		// An earlier attempt may have run; later results do not change that.
 		return nil, &unresolvedError{kind: apierror.Broken}, true
 	}
 	return nil, apierror.New(kind, ""), true
 }
 
+// serverDeduplicates reports whether the service deduplicates by operation key, so that
+// a keyed request may be sent again.
 func (d *forwarder) serverDeduplicates() bool {
 	return d.request.snapshot.manifest.Services[d.request.service].IdempotentDedup && d.request.key.Key != ""
 }
 
-// again launches one more try if lane, time and budget allow it.
+// retry starts another attempt if the route, the remaining time and the retry budget
+// allow it.
 func (d *forwarder) retry() bool {
 	if d.sentCount >= d.request.route.MaxAttempts || time.Until(d.request.deadline) < d.stats.mean() {
 		return false
@@ -190,7 +196,7 @@
 	return true
 }
 
-// launch makes a try that the budget need not pay.
+// startAttempt starts an attempt that is not charged to the retry budget.
 func (d *forwarder) startAttempt() bool {
 	server := d.choose()
 	if server != nil {
@@ -208,7 +214,7 @@
 	go d.runAttempt(server, d.mark(server))
 }
 
-// run makes one try, to its end, whether the client still waits or not.
+// runAttempt runs one attempt to its end, even if the client no longer waits.
 func (d *forwarder) runAttempt(server *balancer.Siding, mark outlier.Mark) {
 	lateWait, bufferLimit := repeatableLateWait, int64(d.settings.Load().Tuning.BufferBytes)
 	if !d.request.route.IsRepeatable() {
@@ -219,7 +225,7 @@
 	}
 	streamAfter := int64(0)
 	if d.request.route.RouteType == config.Download && d.inbound.IsNarrow() {
-		// Checked whole first, it would take the link's time twice.
+		// Buffering the whole download first would take a narrow link's time twice.
 		streamAfter = bandwidth.BulkLeast
 	}
 	start := d.clock.Steady()
--- a/internal/proxy/idempotency.go
+++ b/internal/proxy/idempotency.go
@@ -16,18 +16,19 @@
 	"ploverhitch/internal/upstream"
 )
 
-// attempt is one try of this proxy at one key.
+// keyedAttempt is one attempt of this proxy to execute the operation of one key.
 type keyedAttempt struct {
 	*proxy
 	request *clientRequest
 	intent  idempotency.Intent
 	round   *idempotency.Round
-	// ungranted are the members whose vote is surely not ours to give back.
+	// ungranted holds the members that are known to have granted no vote to this
+	// attempt, so that there is none to release.
 	ungranted map[string]bool
 }
 
-// decisions is the paper's replay matrix: from what the vote round came to, to
-// what is done with the inquiry.
+// standingHandlers is the replay decision table: it maps the result of the vote round
+// to the handling of the request.
 var standingHandlers = map[idempotency.Standing]func(*keyedAttempt, context.Context, endpoint.Endpoint) (any, error){
 	idempotency.Won:         (*keyedAttempt).execute,
 	idempotency.Replayable:  (*keyedAttempt).replay,
@@ -38,14 +39,15 @@
 	idempotency.TurnedAway:  (*keyedAttempt).rejectOverload,
 }
 
+// rejectWith returns a handler that fails every request with an error of the kind.
 func rejectWith(kind apierror.Kind) func(*keyedAttempt, context.Context, endpoint.Endpoint) (any, error) {
 	return func(*keyedAttempt, context.Context, endpoint.Endpoint) (any, error) {
 		return nil, apierror.New(kind, "")
 	}
 }
 
-// replaying secures an intent for every inquiry of an idempotent lane before
-// anything reaches a server.
+// idempotencyMiddleware reserves an intent for every request on an idempotent route
+// before anything is sent to a server.
 func (p *proxy) idempotencyMiddleware(next endpoint.Endpoint) endpoint.Endpoint {
 	return func(ctx context.Context, request any) (any, error) {
 		req := request.(*clientRequest)
@@ -54,7 +56,7 @@
 		}
 		keys := req.Header.Values(upstream.HeaderKey)
 		if len(keys) != 1 || keys[0] == "" {
-			return nil, apierror.New(apierror.BadInquiry, "one operation key is needed")
+			return nil, apierror.New(apierror.BadInquiry, "exactly one operation key is required")
 		}
 		req.key = idempotency.Key{Tenant: req.route.Host, Key: keys[0]}
 		a := &keyedAttempt{proxy: p, request: req, ungranted: map[string]bool{}}
@@ -72,14 +74,15 @@
 	}
 }
 
-// turnAway refuses the creation of an intent, as a majority of the core says.
+// rejectOverload sheds the request because the control-plane members refused to create
+// its intent under overload.
 func (a *keyedAttempt) rejectOverload(context.Context, endpoint.Endpoint) (any, error) {
 	a.shedder.counter.Shed(a.request.service, a.request.route.Tier)
 	return nil, a.request.comeBack()
 }
 
-// forward delivers the inquiry of a won round, and records the outcome on a
-// majority before the client gets it.
+// execute forwards the request after a won round, and records the outcome on a majority
+// before the response is returned to the client.
 func (a *keyedAttempt) execute(ctx context.Context, next endpoint.Endpoint) (any, error) {
 	a.request.maySend = func() bool { return a.round.Standing(a.clock.Steady()) == idempotency.Won }
 	a.transition(idempotency.AuthorizationPending)
@@ -93,14 +96,15 @@
 	case *unresolvedError:
 		unresolved = typed
 	default:
-		// Nothing ran: the key is free again.
+		// Nothing was executed, so the key is released.
 		a.releaseVotes()
 		return nil, err
 	}
 	a.transition(idempotency.TimeoutUnresolved)
 	a.recordIntent(a.intent, 0)
 	if unresolved.lateResult != nil {
-		// The first connection is kept: a late reply still shows the outcome.
+		// The attempt's connection stays open, because a late response still shows the
+		// outcome.
 		go func() {
 			switch late := <-unresolved.lateResult; {
 			case late.reply != nil:
@@ -114,16 +118,18 @@
 	return nil, apierror.New(unresolved.kind, "")
 }
 
+// transition moves the intent to the target state, and logs a transition that is not
+// allowed.
 func (a *keyedAttempt) transition(target idempotency.State) {
 	if next, err := a.intent.Step(target); err == nil {
 		a.intent = next
 		return
 	}
-	a.log("error", "intent step", "from", a.intent.State, "to", target)
+	a.log("error", "invalid intent state transition", "from", a.intent.State, "to", target)
 }
 
-// complete records the reply. One that is not at hand whole is not recorded: a part
-// would be replayed as if it were all, so the outcome stays open.
+// complete records the response. A response that is not buffered whole is not recorded,
+// because a part of it would be replayed as the whole; its outcome stays unresolved.
 func (a *keyedAttempt) complete(response *upstream.Reply) {
 	if response.Rest != nil {
 		if a.intent.State != idempotency.TimeoutUnresolved {
@@ -140,8 +146,8 @@
 	a.recordIntent(a.intent, a.settings.Load().Tuning.RecordWait.Std())
 }
 
-// tell records the intent with every member, and waits until a majority has it
-// on disk, or the span ends.
+// recordIntent sends the intent to every member, and waits until a majority has stored
+// it on disk or the timeout passes. A timeout of zero does not wait.
 func (a *keyedAttempt) recordIntent(intent idempotency.Intent, timeout time.Duration) {
 	a.recentIntents.add(intent, a.clock.Steady(), timetable.Steady(a.settings.Load().Platform.Bounds.Sync))
 	view := a.snapshot.Load().view
@@ -164,12 +170,13 @@
 	}
 }
 
-// replay answers from the record: no server, no quota.
+// replay answers from the stored record, without a server or quota.
 func (a *keyedAttempt) replay(context.Context, endpoint.Endpoint) (any, error) {
 	a.request.replayed = true
 	return recordedResponse(a.round.Terminal().Reply, a.request.Attempt), nil
 }
 
+// recordedResponse rebuilds a response from its record, under the given attempt ID.
 func recordedResponse(recorded *idempotency.Reply, attemptID string) *upstream.Reply {
 	header := http.Header{upstream.HeaderAttempt: {attemptID}}
 	if recorded.Seal != "" {
--- a/internal/proxy/listener.go
+++ b/internal/proxy/listener.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// front listens for clients, and bounds how long they may take for a header or stay
-// idle by the manifest's limits: net/http takes such spans at its start only.
+// clientListener accepts client connections and applies the configured header and idle
+// timeouts, which may change at run time: net/http reads its own only at start.
 type clientListener struct {
 	*net.TCPListener
 	timeouts func() (header, idle time.Duration)
 }
 
-// Accept gives the next client's connection.
+// Accept waits for the next client connection.
 func (l *clientListener) Accept() (net.Conn, error) {
 	conn, err := l.AcceptTCP()
 	if err != nil {
@@ -23,19 +23,19 @@
 	return &clientConn{TCPConn: conn, timeouts: l.timeouts}, nil
 }
 
-// client is one client's connection. The server sets a deadline while it waits for
-// a header or for the next inquiry; the connection knows which of them it is, and
-// takes the manifest's in its place.
+// clientConn is one client connection. The HTTP server sets a read deadline while it
+// waits for a header or for the next request; the connection tells the two apart and
+// applies the configured timeout instead.
 type clientConn struct {
 	*net.TCPConn
 	timeouts func() (header, idle time.Duration)
 	state    atomic.Int32
-	// isHead: the deadline for an idle connection was set; the next one is for the
-	// header of what came.
+	// headerPending is set once the idle deadline was set; the next deadline is for the
+	// header of the next request.
 	headerPending atomic.Bool
 }
 
-// noteState is told by the server what a connection waits for.
+// recordConnState is the server's ConnState hook.
 func recordConnState(conn net.Conn, state http.ConnState) {
 	if c, ok := conn.(*clientConn); ok {
 		c.state.Store(int32(state))
@@ -43,7 +43,8 @@
 	}
 }
 
-// SetReadDeadline sets the manifest's deadline where the server sets its own.
+// SetReadDeadline sets the read deadline, and replaces the server's header and idle
+// deadlines by the configured ones.
 func (c *clientConn) SetReadDeadline(deadline time.Time) error {
 	header, idle := c.timeouts()
 	state := http.ConnState(c.state.Load())
@@ -59,7 +60,7 @@
 	return c.TCPConn.SetReadDeadline(deadline)
 }
 
-// clientLimits are how long clients may take for a header, and stay idle.
+// clientTimeouts returns the header and idle timeouts for client connections.
 func (p *proxy) clientTimeouts() (header, idle time.Duration) {
 	limits := p.snapshot.Load().manifest.Limits
 	if header = limits.HeaderTimeout.Std(); header == 0 {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,5 +1,6 @@
-// Package proxy is the proxy: it takes clients' inquiries and decides for each
-// whether it is delivered, replayed, resumed or refused.
+// Package proxy implements the proxy process. It accepts client requests and decides for
+// each whether it is forwarded to a server, answered from a stored record, held until the
+// outcome of an earlier attempt is known, or rejected.
 package proxy
 
 import (
@@ -28,35 +29,38 @@
 	"ploverhitch/internal/timetable"
 )
 
-// Note is how the programs log.
+// LogFunc writes a log line of the given level with key-value pairs.
 type LogFunc = func(level, text string, pairs ...any)
 
-// sight is what an inquiry reads: one immutable view of everything.
+// snapshot is the configuration and fleet state that a request is handled with. It is
+// replaced as a whole.
 type snapshot struct {
 	manifest *config.Sheet
 	balancer *balancer.Yard
-	// tree is the sites, site this node's own.
+	// localSite is this node's site.
 	sites          *branchline.Tree
 	localSite      string
 	servers        []feed.Server
 	view           membership.View
 	manifestDigest string
 	proxyCount     int
-	// shares, holder and reading are those of the fleet, heard when it came.
+	// trialShares, holder and fleetVersion come from the fleet state received at
+	// fleetReceivedAt; holder is the address that reports are sent to.
 	trialShares     []feed.Share
 	holder          string
 	fleetVersion    feed.Reading
 	fleetReceivedAt timetable.Steady
-	// stages are the staged changes under way.
+	// stagedChanges are the staged changes in progress.
 	stagedChanges []stage
-	complete      bool
-	// cutoffs are what is turned away, mirrors what is copied, by the fleet's
-	// grants.
+	// complete is set once the whole configuration has been received.
+	complete bool
+	// cutoffs and mirrorGrants are the fleet's grants to shed load and to mirror
+	// requests.
 	cutoffs      []shedding.Cutoff
 	mirrorGrants []loopline.Grant
 }
 
-// proxy is one points process.
+// proxy is the state of one proxy process.
 type proxy struct {
 	settings   atomic.Pointer[settings.Settings]
 	clock      timetable.Clock
@@ -65,7 +69,7 @@
 	updateLoop *timetable.Loop[feed.News]
 	replica    *feed.Board
 	follower   *feed.Follower
-	// isLeaving is set by SIGTERM.
+	// draining is set on SIGTERM.
 	draining       atomic.Bool
 	activeRequests atomic.Int64
 	serve          endpoint.Endpoint
@@ -74,20 +78,22 @@
 	connections  map[string]*rpc.Line
 	retryBudgets map[string]*balancer.Budget
 	routeStats   sync.Map
-	// runs are the placed operations at work, by their inquiry.
+	// runningOperations holds the running ring-placed operations by their request.
 	runningOperations sync.Map
 	recentIntents     recentIntents
 	incarnation       string
 	attemptCount      atomic.Uint64
-	// in and out are the two directions of the machine's link.
+	// inbound and outbound track the two directions of the machine's network link.
 	inbound, outbound *bandwidth.Track
 	downloads         *bandwidth.Passing
-	// box counts outcomes, allowances what versions on trial may have.
-	outcomes        *outlier.Box
+	// outcomes counts attempt outcomes for the reports to the control plane.
+	outcomes *outlier.Box
+	// trialAllowances holds by service how many requests a version on trial may get.
 	trialAllowances sync.Map
-	// purse holds what this node may use of other sites' room.
+	// siteCapacity holds what this node may use of other sites' capacity.
 	siteCapacity *branchline.Purse
-	// gate decides what is turned away under overload, copier what is copied.
+	// shedder decides which requests are shed under overload, trafficMirror sends copies
+	// of requests to mirrors.
 	shedder       *gate
 	trafficMirror *copier
 }
@@ -100,21 +106,18 @@
 	maxHeaderBytes        = 256 << 10
 )
 
-// Run runs a proxy until the context ends, and then lets it leave in order.
-//
-// Example:
-//
-//	err := proxy.Run(ctx, set, path, note)
+// Run runs a proxy until ctx ends and then drains it. It reloads the settings from
+// settingsPath when the file changes.
 func Run(ctx context.Context, cfg *settings.Settings, settingsPath string, log LogFunc) error {
 	p := newProxy(cfg, timetable.Real(), log)
 	tcpListener, err := net.Listen("tcp4", cfg.Platform.Bind.ClientHttp)
 	if err != nil {
-		return errors.Annotate(err, "client address")
+		return errors.Annotate(err, "listen on the client address")
 	}
 	listener := &clientListener{tcpListener.(*net.TCPListener), p.clientTimeouts}
 	readinessListener, err := net.Listen("tcp4", cfg.Platform.Bind.Readiness)
 	if err != nil {
-		return errors.Annotate(err, "readiness address")
+		return errors.Annotate(err, "listen on the readiness address")
 	}
 	operatorListener, err := p.answerOperators()
 	if err != nil {
@@ -123,9 +126,10 @@
 	defer operatorListener.Close()
 	runCtx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go settings.Watch(runCtx, settingsPath, func(updated *settings.Settings) { p.settings.Store(updated) }, func(err error) { log("warn", "settings", "error", err) })
+	go settings.Watch(runCtx, settingsPath, func(updated *settings.Settings) { p.settings.Store(updated) }, func(err error) { log("warn", "cannot reload settings", "error", err) })
 	go p.updateLoop.Run(runCtx, p.applyUpdates, 0, nil)
 	agentConn := rpc.NewLine(agent.LoopbackAddress(cfg), controlConnectTimeout, controlSilenceTimeout)
+	// The follower's name is sent to the agent.
 	p.follower = feed.NewFollower("points", agentConn, p.updateLoop.Put, 50*time.Millisecond)
 	go p.follower.Run(runCtx)
 	go p.reportOn(runCtx)
@@ -163,7 +167,8 @@
 	return p
 }
 
-// learn is the owner of the board: it merges news and lays a new sight.
+// applyUpdates merges a batch of updates into the replica and stores a new snapshot. Only
+// the update loop calls it, so it needs no lock on the replica.
 func (p *proxy) applyUpdates(batch []feed.News) {
 	previous := p.snapshot.Load()
 	next := *previous
@@ -206,15 +211,18 @@
 	wasReady := p.isReady()
 	p.snapshot.Store(&next)
 	if !wasReady && p.isReady() {
-		p.log("info", "ready", "lanes", next.manifest.Lanes, "servers", next.balancer.Size())
+		p.log("info", "proxy is ready", "routes", next.manifest.Lanes, "servers", next.balancer.Size())
 	}
 }
 
+// isReady reports whether the proxy has its whole configuration with a route and a
+// server, and is not draining.
 func (p *proxy) isReady() bool {
 	s := p.snapshot.Load()
 	return s.complete && s.manifest.Lanes > 0 && s.balancer.Size() > 0 && !p.draining.Load()
 }
 
+// connection returns the connection to a control node, created on first use.
 func (p *proxy) connection(address string) *rpc.Line {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -227,6 +235,7 @@
 	return conn
 }
 
+// retryBudget returns the service's retry budget, created on first use.
 func (p *proxy) retryBudget(service string) *balancer.Budget {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -19,36 +19,36 @@
 	"ploverhitch/internal/upstream"
 )
 
-// inquiry is one client's inquiry on its way through the proxy.
+// clientRequest is one client's request with the state that the proxy keeps for it.
 type clientRequest struct {
 	*upstream.Inquiry
 	route     *config.Route
 	service   string
 	snapshot  *snapshot
 	arrivedAt time.Time
-	// due is when the client, or the lane, stops waiting.
+	// deadline is the earlier of the client's deadline and the route's timeout.
 	deadline time.Time
 	key      idempotency.Key
-	maySend  func() bool
-	// place is where the ring of the service puts a keyed operation or a
-	// download.
+	// maySend, if set, is checked immediately before the first byte is sent.
+	maySend func() bool
+	// ringPosition places a keyed operation or a download on the service's hash ring.
 	ringPosition    balancer.Place
 	hasRingPosition bool
-	// isTrial: it may go to the version on trial.
+	// trialEligible is set if the request may go to the version on trial.
 	trialEligible bool
-	// leave ends a download's part of the link.
+	// releaseLink returns the link capacity that a download reserved.
 	releaseLink func()
-	// isReplayed: the record answered it.
+	// replayed is set if the response comes from a stored record.
 	replayed bool
-	// stage is there where a staged change touches the inquiry.
+	// stagedChange is set if a staged change affects the request.
 	stagedChange *stageMark
-	// client is where it came from; took is how long its reply took.
+	// clientAddress has no port; duration is how long the response took.
 	clientAddress string
 	duration      time.Duration
 }
 
-// takePlace places keyed operations by their key and downloads by their path;
-// the short repeatable inquiries go wherever is best at the moment.
+// setRingPosition places keyed operations by their key and downloads by their path.
+// Other requests have no position and go to whichever server is best at the time.
 func (i *clientRequest) setRingPosition() {
 	switch i.route.RouteType {
 	case config.Idempotent:
@@ -58,19 +58,20 @@
 	}
 }
 
+// newIncarnation returns a random identifier for this run of the process.
 func newIncarnation() string {
 	var raw [6]byte
 	_, _ = rand.Read(raw[:])
 	return hex.EncodeToString(raw[:])
 }
 
-// handle is the path of every client's inquiry.
+// handle serves one client request.
 func (p *proxy) handle(w http.ResponseWriter, r *http.Request) {
 	p.activeRequests.Add(1)
 	defer p.activeRequests.Add(-1)
 	if p.draining.Load() || len(r.TransferEncoding) > 0 {
-		// After a body in chunks nothing more is read from the connection:
-		// whatever hides behind it is never taken for an inquiry.
+		// Nothing more is read from the connection after a chunked body, so that bytes
+		// smuggled behind it are never parsed as a request.
 		w.Header().Set("Connection", "close")
 	}
 	req, err := p.readRequest(w, r)
@@ -96,13 +97,13 @@
 	}
 	p.mirror(req, response, upstreamFailed)
 	if err != nil {
-		// One that breaks off after its start must not look complete, so the
-		// client's connection is broken too.
+		// A response that fails after its start must not look complete, so the
+		// client's connection is aborted too.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// read checks the inquiry and reads it whole.
+// readRequest validates the request, finds its route and reads the whole body.
 func (p *proxy) readRequest(w http.ResponseWriter, r *http.Request) (*clientRequest, error) {
 	req := &clientRequest{arrivedAt: time.Now(), snapshot: p.snapshot.Load(), clientAddress: clientOf(r)}
 	limits := req.snapshot.manifest.Limits
@@ -110,15 +111,15 @@
 	attemptIDs := r.Header.Values(upstream.HeaderAttempt)
 	switch {
 	case !strings.HasPrefix(path, "/"):
-		return nil, apierror.New(apierror.BadInquiry, "the target is not a path")
+		return nil, apierror.New(apierror.BadInquiry, "request target is not a path")
 	case len(attemptIDs) != 1 || attemptIDs[0] == "":
-		return nil, apierror.New(apierror.BadInquiry, "one attempt id is needed")
+		return nil, apierror.New(apierror.BadInquiry, "exactly one attempt ID is required")
 	case limits.MaxHeaderBytes > 0 && headerSize(r) > limits.MaxHeaderBytes:
 		return nil, apierror.New(apierror.HeaderTooLarge, "")
 	case len(r.Header.Values(loopline.Marker)) > 0:
 		return nil, apierror.New(apierror.Shadowed, "")
 	case !req.snapshot.complete:
-		return nil, apierror.New(apierror.NoServer, "the manifest is not here yet")
+		return nil, apierror.New(apierror.NoServer, "the configuration has not been received yet")
 	}
 	req.snapshot.findLane(req, r.Host, path, r.Header.Get(upstream.HeaderKey) != "", p.clock.Steady())
 	if req.route == nil {
@@ -128,7 +129,7 @@
 	if deadlineText := r.Header.Get(upstream.HeaderDeadline); deadlineText != "" {
 		ms, err := strconv.ParseInt(deadlineText, 10, 64)
 		if err != nil || ms < 0 {
-			return nil, apierror.New(apierror.BadInquiry, "the deadline is not a number")
+			return nil, apierror.New(apierror.BadInquiry, "the deadline is not a non-negative number of milliseconds")
 		}
 		if clientDeadline := req.arrivedAt.Add(time.Duration(min(ms, 1<<32)) * time.Millisecond); clientDeadline.Before(req.deadline) {
 			req.deadline = clientDeadline
@@ -141,7 +142,7 @@
 		if errors.As(err, &tooLarge) {
 			return nil, apierror.New(apierror.TooLarge, "")
 		}
-		return nil, apierror.New(apierror.BadInquiry, "the body cannot be read")
+		return nil, apierror.New(apierror.BadInquiry, "cannot read the request body")
 	}
 	_ = http.NewResponseController(w).SetReadDeadline(time.Time{})
 	req.Inquiry = &upstream.Inquiry{
@@ -152,6 +153,7 @@
 	return req, nil
 }
 
+// headerSize returns the size of the request line and header fields in bytes.
 func headerSize(r *http.Request) (size int) {
 	size = len(r.RequestURI) + len(r.Host)
 	for name, values := range r.Header {
@@ -162,7 +164,7 @@
 	return size
 }
 
-// refuse answers by the table of kinds.
+// writeError writes the response that belongs to the error's kind.
 func (p *proxy) writeError(w http.ResponseWriter, r *http.Request, err error) {
 	kind := apierror.Broken
 	var apiErr *apierror.Error
@@ -190,13 +192,14 @@
 	_, _ = io.WriteString(w, answer.Reason+"\n")
 }
 
-// mayHaveRun tells whether an inquiry that ended without a reply may have run.
+// mayHaveExecuted reports whether a request that failed with err may have been executed.
 func mayHaveExecuted(err error) bool {
 	var apiErr *apierror.Error
 	return errors.Is(err, errLeft) || errors.As(err, &apiErr) && (apiErr.Kind == apierror.Broken || apiErr.Kind == apierror.Late)
 }
 
-// answer passes a server's reply on. isBroken tells that the server broke off.
+// writeResponse passes a server's response to the client. upstreamFailed reports that
+// the server broke off within the body.
 func (p *proxy) writeResponse(w http.ResponseWriter, response *upstream.Reply) (upstreamFailed bool, err error) {
 	upstream.CopyBack(w.Header(), response.Header)
 	if response.Length >= 0 {
@@ -216,7 +219,7 @@
 	return reader.err != nil, err
 }
 
-// watched keeps the error of what it reads from, other than its end.
+// errorRecordingReader keeps the last read error other than io.EOF.
 type errorRecordingReader struct {
 	io.Reader
 	err error
--- a/internal/proxy/resend.go
+++ b/internal/proxy/resend.go
@@ -9,7 +9,7 @@
 	"ploverhitch/internal/timetable"
 )
 
-// recent is what this proxy told the core a short while ago.
+// recentIntents holds the intents that this proxy recently sent to the control plane.
 type recentIntents struct {
 	mu      sync.Mutex
 	intents []sentIntent
@@ -20,6 +20,7 @@
 	intent idempotency.Intent
 }
 
+// add appends an intent and drops those older than the retention.
 func (r *recentIntents) add(intent idempotency.Intent, now, retention timetable.Steady) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -30,9 +31,9 @@
 	r.intents = append(r.intents[expired:], sentIntent{now, intent})
 }
 
-// retell tells a core node again what it may have lost, once the line to it is
-// made anew: whoever told it first. A node that holds it takes no notice, and
-// what it did not hold is only added; no vote is granted by it.
+// resendRecent sends the recent intents again after a reconnect, because the control node
+// may have missed them. A node that has an intent ignores the repetition, and one that
+// lacks it only adds the record; no vote is granted by it.
 func (p *proxy) resendRecent(conn *rpc.Line) {
 	p.recentIntents.mu.Lock()
 	intents := append([]sentIntent(nil), p.recentIntents.intents...)
--- a/internal/proxy/snapshot.go
+++ b/internal/proxy/snapshot.go
@@ -7,7 +7,7 @@
 	"ploverhitch/internal/timetable"
 )
 
-// take is the sight after a new reading of the fleet.
+// applyFleet updates the snapshot to a new state of the fleet, received at now.
 func (s *snapshot) applyFleet(fleet feed.Fleet, now timetable.Steady) {
 	switch {
 	case slices.Equal(s.servers, fleet.Servers):
--- a/internal/proxy/vote.go
+++ b/internal/proxy/vote.go
@@ -9,7 +9,8 @@
 	"ploverhitch/internal/timetable"
 )
 
-// reserve asks every member of the core at once.
+// reserve requests the votes of all control-plane members in parallel, and returns the
+// result of the round.
 func (a *keyedAttempt) reserve() idempotency.Standing {
 	view := a.snapshot.Load().view
 	start, voteSpan := a.clock.Steady(), a.settings.Load().Tuning.VoteSpan
@@ -33,14 +34,14 @@
 }
 
 const (
-	// voteShare is the part of the lane's aim that a round may take: a client
-	// that is refused early enough can still be served in time.
+	// voteTargetDivisor: a round may take this fraction of the route's target latency,
+	// so that a client rejected by it still has time to be served elsewhere.
 	voteTargetDivisor = 5
 	minVoteTimeout    = 60 * time.Millisecond
 	voteMargin        = 10 * time.Millisecond
 )
 
-// patience is how long a round that comes to nothing may hold the client.
+// voteTimeout returns how long a round without a result may delay the client.
 func (a *keyedAttempt) voteTimeout() time.Duration {
 	target := a.request.route.TargetLatency.Std()
 	if target == 0 {
@@ -49,9 +50,11 @@
 	return max(minVoteTimeout, target/voteTargetDivisor-time.Since(a.request.arrivedAt)-voteMargin)
 }
 
+// addVote counts one member's vote, and takes over a newer membership view that comes
+// with it.
 func (a *keyedAttempt) addVote(vote said[messages.Vote]) {
 	if vote.reply == nil || vote.reply.Ballot.Held != nil && vote.reply.Ballot.Held.Key != a.intent.Key {
-		// A ballot on another key is none.
+		// A ballot on another key counts as no vote.
 		a.round.On(nil)
 		return
 	}
@@ -64,10 +67,10 @@
 	a.round.On(&vote.reply.Ballot)
 }
 
-// giveBack frees the votes of an attempt that will never be delivered. Only
-// this proxy could have delivered it, so freeing them is safe. A member whose line
-// broke on the way is told again once the line is made anew: its vote would
-// otherwise hold the key.
+// releaseVotes releases the votes of an attempt that will never be sent to a server.
+// This is safe because only this proxy could have sent it. A member whose connection
+// breaks meanwhile gets the release again after the reconnect; otherwise its vote would
+// keep the key reserved.
 func (a *keyedAttempt) releaseVotes() {
 	a.intent.State = idempotency.Released
 	view := a.snapshot.Load().view
