--- a/internal/proxy/eligibility_test.go
+++ b/internal/proxy/eligibility_test.go
@@ -18,7 +18,7 @@
 	"ploverhitch/internal/upstream"
 )
 
-var _ = Describe("the last look before a request is sent", func() {
+var _ = Describe("the eligibility check immediately before a request is sent", func() {
 	const service = "fees"
 	var p *proxy
 	var servers map[string]*standin.Server
@@ -26,18 +26,18 @@
 	listedServer := func(id string) feed.Server {
 		return feed.Server{ID: id, Service: service, Address: servers[id].Address(), Capacity: 2, IsReady: true}
 	}
-	// tell brings the proxy a list of servers.
+	// updateServers replaces the proxy's list of servers.
 	updateServers := func(list ...feed.Server) {
-		handleNext := *p.snapshot.Load()
-		handleNext.applyFleet(feed.Fleet{Term: 1, Count: handleNext.fleetVersion.Count + 1, Servers: list}, p.clock.Steady())
-		p.snapshot.Store(&handleNext)
+		updated := *p.snapshot.Load()
+		updated.applyFleet(feed.Fleet{Term: 1, Count: updated.fleetVersion.Count + 1, Servers: list}, p.clock.Steady())
+		p.snapshot.Store(&updated)
 	}
 	findServer := func(id string) *balancer.Siding {
 		server, found := p.snapshot.Load().balancer.Find(id)
 		Expect(found).To(BeTrue())
 		return server
 	}
-	// begin is a delivery of a lane that allows one attempt.
+	// newForwarder returns a forwarder for a route that allows one attempt.
 	newForwarder := func(routeType config.RouteKind) *forwarder {
 		req := &clientRequest{
 			Inquiry: &upstream.Inquiry{Method: http.MethodGet, Target: "/a", Host: "h", Header: http.Header{upstream.HeaderAttempt: {"try-1"}}, Attempt: "try-1"},
@@ -49,7 +49,7 @@
 		}
 	}
 
-	// next is what the end of the next try leads to, as in the delivery's own loop.
+	// handleNext handles the next attempt result as the loop in forward does.
 	handleNext := func(fwd *forwarder) (response any, err error, done bool) {
 		result := <-fwd.results
 		fwd.inFlight--
@@ -74,25 +74,25 @@
 			draining.IsReady = false
 			updateServers(draining, listedServer("x-2"))
 		},
-		"is gone from the list": func() { updateServers(listedServer("x-2")) },
-		"shows a version that was shut": func() {
+		"is no longer listed": func() { updateServers(listedServer("x-2")) },
+		"runs a version that was shut": func() {
 			shut := listedServer("x-1")
 			shut.Grade = feed.Shut
 			updateServers(shut, listedServer("x-2"))
 		},
-		"lost its address to another": func() {
+		"has lost its address to another server": func() {
 			moved := listedServer("x-1")
 			moved.Address = listedServer("x-2").Address
 			updateServers(moved, listedServer("x-2"))
 		},
-		"is reported to leave": func() { p.snapshot.Load().balancer.Leave([]string{"x-1"}) },
+		"is reported to be leaving": func() { p.snapshot.Load().balancer.Leave([]string{"x-1"}) },
 	}
-	for condition, depart := range departures {
+	for condition, removeServer := range departures {
 		for _, routeType := range []config.RouteKind{config.Safe, config.Unsafe, config.Idempotent} {
-			It("chooses another server for a "+string(routeType)+" request, at no price, where the first "+condition, func() {
+			It("sends a "+string(routeType)+" request to another server, without charging an attempt, when the first "+condition, func() {
 				fwd := newForwarder(routeType)
 				server := findServer("x-1")
-				depart()
+				removeServer()
 				fwd.send(server)
 				_, _, done := handleNext(fwd)
 				Expect(done).To(BeFalse())
@@ -103,12 +103,12 @@
 				Expect(servers["x-1"].Runs()).To(BeEmpty())
 				Expect(servers["x-2"].Runs()).To(HaveLen(1))
 				Expect([]int{fwd.sentCount, fwd.unsentCount}).To(Equal([]int{1, 0}))
-				Expect(server.IsSound()).To(BeTrue(), "leaving is no failure")
+				Expect(server.IsSound()).To(BeTrue(), "leaving does not count as a failure")
 			})
 		}
 	}
 
-	It("hears from the news that a server leaves", func() {
+	It("learns from a feed update that a server is leaving", func() {
 		p.applyUpdates([]feed.News{{Fleet: &feed.Fleet{Term: 1, Count: 9, Servers: []feed.Server{listedServer("x-1"), listedServer("x-2")}}}})
 		server := findServer("x-1")
 		Expect(p.acceptsRequests(server)).To(BeTrue())
@@ -117,7 +117,7 @@
 		Expect(p.acceptsRequests(findServer("x-2"))).To(BeTrue())
 	})
 
-	It("promises that nothing ran where no other server is left", func() {
+	It("reports that nothing was executed when no other server remains", func() {
 		fwd := newForwarder(config.Idempotent)
 		server := findServer("x-1")
 		updateServers()
@@ -128,7 +128,7 @@
 		Expect(servers["x-1"].Runs()).To(BeEmpty())
 	})
 
-	It("holds the votes' own look after it: a keyed request whose round is over goes nowhere", func() {
+	It("still checks the votes afterwards: a keyed request whose round has expired is not sent", func() {
 		fwd := newForwarder(config.Idempotent)
 		fwd.request.maySend = func() bool { return false }
 		server := findServer("x-1")
--- a/internal/proxy/idempotency_test.go
+++ b/internal/proxy/idempotency_test.go
@@ -18,8 +18,8 @@
 	"ploverhitch/internal/upstream"
 )
 
-var _ = Describe("a proxy that its machine froze", func() {
-	// try wins a round, stands still for so long after that, and then delivers.
+var _ = Describe("a keyed request on a proxy that is paused after winning the vote", func() {
+	// execute wins a round, lets the pause pass, and then sends the request.
 	execute := func(pause time.Duration) (executions int, state idempotency.State, err error) {
 		server, err := standin.NewServer("i-1", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
@@ -51,14 +51,14 @@
 		return len(server.Runs()), a.intent.State, err
 	}
 
-	It("delivers while its votes hold, and records the reply", func() {
+	It("is sent while its votes are valid, and its response is recorded", func() {
 		executions, state, err := execute(250 * time.Millisecond)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(executions).To(Equal(1))
 		Expect(state).To(Equal(idempotency.Completed))
 	})
 
-	It("delivers nothing once they lapsed, and gives them back", func() {
+	It("is not sent once its votes have expired, and the votes are released", func() {
 		executions, state, err := execute(251 * time.Millisecond)
 		Expect(err).To(HaveOccurred())
 		Expect(executions).To(BeZero())
--- a/internal/proxy/once_test.go
+++ b/internal/proxy/once_test.go
@@ -13,7 +13,7 @@
 	"ploverhitch/internal/standin"
 )
 
-var _ = Describe("what may run once", func() {
+var _ = Describe("a request that must not be executed twice", func() {
 	var servers []*standin.Server
 	BeforeEach(func() {
 		servers = nil
@@ -24,29 +24,29 @@
 			servers = append(servers, server)
 		}
 	})
-	requestCount := func() (sum int) {
+	requestCount := func() (total int) {
 		for _, server := range servers {
 			count, _ := server.Counts()
-			sum += count
+			total += count
 		}
-		return sum
+		return total
 	}
-	setBehavior := func(act standin.Act) {
+	setBehavior := func(behavior standin.Act) {
 		for _, server := range servers {
-			server.Next(act)
+			server.Next(behavior)
 		}
 	}
 
-	It("is offered to no second server after its first byte, whatever becomes of it", func() {
-		for _, act := range []standin.Act{standin.CutBefore, standin.CutWithin, standin.Garbage, standin.NoSeal, standin.Fail500, standin.Silent, standin.SilentCut} {
+	It("is sent to no second server once its first byte was sent, however the attempt ends", func() {
+		for _, behavior := range []standin.Act{standin.CutBefore, standin.CutWithin, standin.Garbage, standin.NoSeal, standin.Fail500, standin.Silent, standin.SilentCut} {
 			for _, routeType := range []config.RouteKind{config.Unsafe, config.Idempotent} {
-				setBehavior(act)
+				setBehavior(behavior)
 				p, req := inquiryOn(routeType, servers...)
 				before := requestCount()
 				_, err := p.forward(context.Background(), req)
 				var unresolved *unresolvedError
-				Expect(act == standin.Fail500 || errors.As(err, &unresolved)).To(BeTrue(), "act %d: %v", act, err)
-				Expect(requestCount()-before).To(Equal(1), "act %d on a lane that is %s", act, routeType)
+				Expect(behavior == standin.Fail500 || errors.As(err, &unresolved)).To(BeTrue(), "behavior %d: %v", behavior, err)
+				Expect(requestCount()-before).To(Equal(1), "behavior %d on a route of type %s", behavior, routeType)
 				for _, server := range servers {
 					server.Free()
 				}
@@ -54,9 +54,9 @@
 		}
 	})
 
-	It("is offered again where a server showed that it did not run", func() {
-		for _, act := range []standin.Act{standin.Shed, standin.Misdirect} {
-			setBehavior(act)
+	It("is retried when a server reports that it was not executed", func() {
+		for _, behavior := range []standin.Act{standin.Shed, standin.Misdirect} {
+			setBehavior(behavior)
 			p, req := inquiryOn(config.Unsafe, servers...)
 			before := requestCount()
 			_, err := p.forward(context.Background(), req)
@@ -67,7 +67,7 @@
 		}
 	})
 
-	It("is no more offered once its client has left", func() {
+	It("is not retried once its client has closed the connection", func() {
 		setBehavior(standin.SilentShed)
 		p, req := inquiryOn(config.Unsafe, servers...)
 		ctx, cancel := context.WithCancel(context.Background())
