--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -106,8 +106,8 @@
 	maxHeaderBytes        = 256 << 10
 )
 
-// Run runs a proxy until ctx ends and then drains it. It reloads the settings from
-// settingsPath when the file changes.
+// Run runs a proxy until ctx ends and then drains it. It reloads the settings on SIGHUP
+// or when the file at settingsPath changes.
 func Run(ctx context.Context, cfg *settings.Settings, settingsPath string, log LogFunc) error {
 	p := newProxy(cfg, timetable.Real(), log)
 	tcpListener, err := net.Listen("tcp4", cfg.Platform.Bind.ClientHttp)
--- a/internal/proxy/vote.go
+++ b/internal/proxy/vote.go
@@ -35,7 +35,7 @@
 
 const (
 	// voteTargetDivisor: a round may take this fraction of the route's target latency,
-	// so that a client rejected by it still has time to be served elsewhere.
+	// so that a client rejected early enough can still be served in time.
 	voteTargetDivisor = 5
 	minVoteTimeout    = 60 * time.Millisecond
 	voteMargin        = 10 * time.Millisecond
