--- a/internal/proxy/branch.go
+++ b/internal/proxy/branch.go
@@ -11,28 +11,28 @@
 // lesserPart is how much of the room at another site inquiries may fill that are
 // not of the service's highest rank: those are turned away last.
 const (
-	lesserPart = 0.7
+	lowPriorityShare = 0.7
 	// probeOne: of so many choices that meet a failing server of a fallen site,
 	// one may try it.
-	probeOne = 40
+	probeInterval = 40
 )
 
-func (d *delivery) choose() *balancer.Siding {
+func (d *delivery) chooseServer() *balancer.Siding {
 	s := d.sight.Load()
 	wish := balancer.Wish{
-		Service: d.one.service, Passed: d.passed, Crossing: d.pace.crossing(d.set.Load().Tuning.CrossingPerKB.Std()),
-		Place: d.one.place, IsPlaced: d.one.isPlaced, Limit: d.limit(), IsTrial: d.mayTry(s), Usual: d.pace.mean(),
+		Service: d.one.service, Passed: d.passed, Crossing: d.pace.zoneCost(d.set.Load().Tuning.CrossingPerKB.Std()),
+		Place: d.one.place, IsPlaced: d.one.isPlaced, Limit: d.connectionLimit(), IsTrial: d.mayUseCanary(s), Usual: d.pace.mean(),
 	}
-	if siding := d.chooseWithin(s, wish); siding != nil || !wish.IsTrial {
+	if siding := d.chooseAtSite(s, wish); siding != nil || !wish.IsTrial {
 		return siding
 	}
 	wish.IsTrial = false
-	return d.chooseWithin(s, wish)
+	return d.chooseAtSite(s, wish)
 }
 
 // limit is this node's part of the connections that one server accepts from
 // all proxies together; a quarter is left for proxies that are just coming.
-func (d *delivery) limit() int {
+func (d *delivery) connectionLimit() int {
 	s := d.sight.Load()
 	most := s.sheet.Services[d.one.service].MaxConnections
 	if most == 0 || s.proxies == 0 {
@@ -42,21 +42,21 @@
 }
 
 // rankPart is the part of a lot that the inquiry may fill.
-func (s *sight) rankPart(one *inquiry) float64 {
+func (s *sight) slotShare(one *inquiry) float64 {
 	if one.lane.Priority <= s.sheet.HighestRank(one.service) {
 		return 1
 	}
-	return lesserPart
+	return lowPriorityShare
 }
 
 // chooseWithin chooses a server at the node's own site, or at another one that
 // has room for it, and takes the place there.
-func (d *delivery) chooseWithin(s *sight, wish balancer.Wish) *balancer.Siding {
+func (d *delivery) chooseAtSite(s *sight, wish balancer.Wish) *balancer.Siding {
 	mode := d.set.Load().Tuning.Branchline
 	if mode == settings.BranchOff || s.tree == nil {
 		return s.yard.Choose(wish, d.clock)
 	}
-	service, part := d.one.service, s.rankPart(d.one)
+	service, part := d.one.service, s.slotShare(d.one)
 	if mode == settings.BranchFallen && !s.yard.IsFallen(service) {
 		// While the own site stands, its servers' own refusals bound the load.
 		siding := s.yard.Choose(wish, d.clock)
@@ -70,7 +70,7 @@
 		if site == s.site {
 			// What failed when last asked is no place to wait at: without room
 			// elsewhere the inquiry is refused at once.
-			return siding.IsSound() || rand.IntN(probeOne) == 0
+			return siding.IsSound() || rand.IntN(probeInterval) == 0
 		}
 		return d.purse.HasRoom(service, site, part)
 	}
@@ -89,7 +89,7 @@
 }
 
 // vacate gives back the place that a try took at its server's site.
-func (d *delivery) vacate(siding *balancer.Siding) {
+func (d *delivery) releaseSlot(siding *balancer.Siding) {
 	if leave, isIn := d.places.LoadAndDelete(siding); isIn {
 		leave.(func())()
 	}
@@ -97,6 +97,6 @@
 
 // isShort tells whether callers wait for room elsewhere; then reports are sent
 // at once.
-func (p *proxy) isShort() bool {
+func (p *proxy) needsSlots() bool {
 	return p.set.Load().Tuning.Branchline != settings.BranchOff && p.purse.IsShort()
 }
--- a/internal/proxy/bulk.go
+++ b/internal/proxy/bulk.go
@@ -14,28 +14,28 @@
 )
 
 // turnShare is the part of the lane's aim that a download may wait for its turn.
-const turnShare = 6
+const turnWaitDivisor = 6
 
 // passing admits downloads only while the machine's link can carry them in the
 // lane's aim, and lets few servers answer with one at the same time. Refused at
 // once, a client still has the time to ask another node.
-func (p *proxy) passing(next endpoint.Endpoint) endpoint.Endpoint {
+func (p *proxy) limitingDownloads(next endpoint.Endpoint) endpoint.Endpoint {
 	return func(ctx context.Context, request any) (any, error) {
 		one := request.(*inquiry)
 		if one.lane.RouteType != config.Download {
 			return next(ctx, request)
 		}
-		pace := p.paceOf(one.lane.Name)
+		pace := p.latencyStatsOf(one.lane.Name)
 		aim := one.lane.TargetLatency.Std()
 		if aim == 0 {
 			aim = time.Until(one.due)
 		}
-		leave, isAdmitted := p.bulk.Enter(pace.size(), aim-pace.mean())
+		leave, isAdmitted := p.bulk.Enter(pace.expectedBytes(), aim-pace.mean())
 		if !isAdmitted {
 			return nil, apierror.New(apierror.Busy, "the link")
 		}
 		one.leave = leave
-		waiting, cancel := context.WithTimeout(ctx, aim/turnShare)
+		waiting, cancel := context.WithTimeout(ctx, aim/turnWaitDivisor)
 		defer cancel()
 		end, isTurn := p.bulk.Turn(waiting)
 		if !isTurn {
@@ -45,7 +45,7 @@
 		reply, err := next(ctx, request)
 		if out, isReply := reply.(*upstream.Reply); isReply && out.Rest != nil {
 			// Its sender is answering until the rest has come.
-			out.Rest = &closing{out.Rest, end}
+			out.Rest = &notifyingReader{out.Rest, end}
 			one.leave = func() { leave(); end() }
 			return reply, err
 		}
@@ -55,14 +55,14 @@
 }
 
 // closing calls end once what it reads from is over.
-type closing struct {
+type notifyingReader struct {
 	io.Reader
-	end func()
+	done func()
 }
 
-func (c *closing) Read(into []byte) (count int, err error) {
+func (c *notifyingReader) Read(into []byte) (count int, err error) {
 	if count, err = c.Reader.Read(into); err != nil {
-		c.end()
+		c.done()
 	}
 	return count, err
 }
--- a/internal/proxy/copy.go
+++ b/internal/proxy/copy.go
@@ -16,15 +16,15 @@
 )
 
 // copyOn works through the inbox until the context ends.
-func (p *proxy) copyOn(ctx context.Context) {
-	for range copyWorkers {
-		go timetable.Each(ctx, p.copier.inbox, p.copy)
+func (p *proxy) startMirrorWorkers(ctx context.Context) {
+	for range mirrorWorkers {
+		go timetable.Each(ctx, p.copier.queue, p.sendMirrored)
 	}
 }
 
 // copy sends one copy to a server of the shadow, and compares what comes.
-func (p *proxy) copy(job copied) {
-	server := p.sight.Load().yard.Home(job.mirror.Shadow, job.place)
+func (p *proxy) sendMirrored(job mirrorJob) {
+	server := p.sight.Load().yard.Home(job.mirror.Shadow, job.position)
 	if server == nil {
 		job.record.Miss(job.hash, job.era, "the shadow has no server")
 		return
@@ -34,15 +34,15 @@
 		job.record.Miss(job.hash, job.era, "the link was busy")
 		return
 	}
-	buffer := int64(copyBytes)
-	if job.lane.RouteType == config.Download || !job.hasBody {
+	buffer := int64(mirrorBufferBytes)
+	if job.route.RouteType == config.Download || !job.bodyComplete {
 		buffer = 0
 	}
 	began := time.Now()
-	due := began.Add(job.due)
-	reply, err := p.copier.rack(server).Deliver(upstream.Order{
-		Inquiry: job.inquiry, Due: due, Last: due, Connect: serverConnect, Buffer: buffer, In: p.in, Out: p.out,
-		MaySend: func() bool { return p.mayCopy(job.mirror, server) },
+	due := began.Add(job.timeout)
+	reply, err := p.copier.poolOf(server).Deliver(upstream.Order{
+		Inquiry: job.request, Due: due, Last: due, Connect: serverConnect, Buffer: buffer, In: p.in, Out: p.out,
+		MaySend: func() bool { return p.maySendMirrored(job.mirror, server) },
 	})
 	took := time.Since(began)
 	if err != nil && errors.Is(err, upstream.ErrNotSent) {
@@ -50,8 +50,8 @@
 		return
 	}
 	found := loopline.Example{
-		Lane: job.lane.Name, Attempt: job.inquiry.Attempt, Outcome: job.compare(reply, err, took), Live: job.status,
-		LiveMs: job.tookLive.Milliseconds(), TookMs: took.Milliseconds(),
+		Lane: job.route.Name, Attempt: job.request.Attempt, Outcome: job.compare(reply, err, took), Live: job.status,
+		LiveMs: job.liveLatency.Milliseconds(), TookMs: took.Milliseconds(),
 	}
 	if reply != nil {
 		found.Shadow = reply.Status
@@ -63,17 +63,17 @@
 // mayCopy looks again, immediately before the first byte is sent: the server must
 // still be listed, under this very address, as one of a shadow that no lane
 // delivers to, and the order must hold.
-func (p *proxy) mayCopy(m *config.Mirror, server *balancer.Siding) bool {
+func (p *proxy) maySendMirrored(m *config.Mirror, server *balancer.Siding) bool {
 	s := p.sight.Load()
 	now, isThere := s.yard.Find(server.ID)
 	if !isThere || now.Address != server.Address || now.Service != m.Shadow || !now.IsReady || now.IsLeaving() {
 		return false
 	}
 	_, isHeld := s.mirrorGrant(m)
-	return isHeld && s.holdsGrants(p.clock.Steady()) && !s.sheet.IsLive(m.Shadow)
+	return isHeld && s.grantsValid(p.clock.Steady()) && !s.sheet.IsLive(m.Shadow)
 }
 
-func (c *copied) compare(reply *upstream.Reply, err error, took time.Duration) loopline.Outcome {
+func (c *mirrorJob) compare(reply *upstream.Reply, err error, took time.Duration) loopline.Outcome {
 	switch {
 	case err != nil:
 		return loopline.Silent
@@ -81,16 +81,16 @@
 		return loopline.Turned
 	case reply.Status/100 != c.status/100:
 		return loopline.Status
-	case reply.Rest != nil || !c.hasBody:
+	case reply.Rest != nil || !c.bodyComplete:
 		if reply.Length != c.length {
 			return loopline.Body
 		}
 	default:
-		if sum := sha256.Sum256(reply.Body); !bytes.Equal(sum[:], c.body[:]) {
+		if sum := sha256.Sum256(reply.Body); !bytes.Equal(sum[:], c.bodyDigest[:]) {
 			return loopline.Body
 		}
 	}
-	if loopline.IsSlow(c.tookLive, took) {
+	if loopline.IsSlow(c.liveLatency, took) {
 		return loopline.Slow
 	}
 	return loopline.Same
--- a/internal/proxy/deliver.go
+++ b/internal/proxy/deliver.go
@@ -21,7 +21,7 @@
 // there is one, tells what is shown of it later.
 type openEnd struct {
 	kind apierror.Kind
-	late chan lateEnd
+	late chan lateResult
 }
 
 // Error names the kind.
@@ -43,10 +43,10 @@
 		one.service = one.lane.Pick(rand.Float64())
 		p.budget(one.service).Ask()
 		one.takePlace()
-		if err := p.shed(one); err != nil {
+		if err := p.checkOverload(one); err != nil {
 			return nil, err
 		}
-		p.admitTrial(one)
+		p.admitToCanary(one)
 		if one.sight.yard.Ready(one.service) == 0 {
 			return nil, apierror.New(apierror.NoServer, one.service)
 		}
@@ -65,7 +65,7 @@
 type delivery struct {
 	*proxy
 	one     *inquiry
-	pace    *pace
+	pace    *latencyStats
 	results chan result
 	passed  []*balancer.Siding
 	flying  int
@@ -88,9 +88,9 @@
 // budget and what is known of the first allow it.
 func (p *proxy) delivering(ctx context.Context, request any) (any, error) {
 	one := request.(*inquiry)
-	d := &delivery{proxy: p, one: one, pace: p.paceOf(one.lane.Name), leave: p.enter(one), places: &sync.Map{}, left: leaving(ctx, one)}
+	d := &delivery{proxy: p, one: one, pace: p.latencyStatsOf(one.lane.Name), leave: p.trackOperation(one), places: &sync.Map{}, left: deliveryContext(ctx, one)}
 	d.results = make(chan result, one.lane.MaxAttempts+unsentLimit+1)
-	defer d.sweep()
+	defer d.drainAttempts()
 	if !d.launch() {
 		return nil, apierror.New(apierror.Busy, one.service)
 	}
@@ -98,7 +98,7 @@
 	defer due.Stop()
 	var hedge <-chan time.Time
 	if one.lane.IsRepeatable() && one.lane.MaxAttempts > 1 {
-		alarm := time.NewTimer(d.pace.patience(one.lane.TargetLatency.Std()))
+		alarm := time.NewTimer(d.pace.hedgeDelay(one.lane.TargetLatency.Std()))
 		defer alarm.Stop()
 		hedge = alarm.C
 	}
@@ -113,9 +113,9 @@
 			hedge = nil
 			d.again()
 		case <-d.left.Done():
-			return nil, errLeft
+			return nil, errClientGone
 		case <-due.C:
-			return nil, d.late()
+			return nil, d.deadlineExceeded()
 		}
 	}
 }
@@ -148,7 +148,7 @@
 	case got.reply.IsNotExecuted():
 		kind = apierror.NotExecuted
 		got.reply.Finish(false)
-	case !isRepeatable && isPromise(got.reply.Status):
+	case !isRepeatable && impliesNotExecuted(got.reply.Status):
 		// Without Not-Executed it may have run, and the status would say it did not.
 		return nil, &openEnd{kind: apierror.Broken}, true
 	case !isRepeatable || got.reply.Status/100 != 5:
@@ -159,7 +159,7 @@
 	if d.flying > 0 || d.again() {
 		return nil, nil, false
 	}
-	if d.fallback != nil && !isPromise(d.fallback.Status) {
+	if d.fallback != nil && !impliesNotExecuted(d.fallback.Status) {
 		return d.fallback, nil, true
 	}
 	if d.isOpen {
@@ -178,12 +178,12 @@
 	if d.sent >= d.one.lane.MaxAttempts || time.Until(d.one.due) < d.pace.mean() {
 		return false
 	}
-	siding := d.choose()
+	siding := d.chooseServer()
 	if siding == nil {
 		return false
 	}
 	if !d.budget(d.one.service).Spend() {
-		d.vacate(siding)
+		d.releaseSlot(siding)
 		return false
 	}
 	d.send(siding)
@@ -192,7 +192,7 @@
 
 // launch makes a try that the budget need not pay.
 func (d *delivery) launch() bool {
-	siding := d.choose()
+	siding := d.chooseServer()
 	if siding != nil {
 		d.send(siding)
 	}
@@ -204,8 +204,8 @@
 	d.flying++
 	d.sent++
 	siding.Begin()
-	d.sentTo(d.one, siding.ID)
-	go d.run(siding, d.mark(siding))
+	d.trackServer(d.one, siding.ID)
+	go d.run(siding, d.canaryMark(siding))
 }
 
 // run makes one try, to its end, whether the client still waits or not.
@@ -224,21 +224,21 @@
 	}
 	began := d.clock.Steady()
 	reply, err := siding.Rack.Deliver(upstream.Order{
-		Inquiry: d.one.Inquiry, Left: d.breaking(), Due: d.one.due, Last: d.one.due.Add(late), Connect: serverConnect, Buffer: buffer, PassOn: passOn, In: d.in, Out: d.out,
+		Inquiry: d.one.Inquiry, Left: d.abortContext(), Due: d.one.due, Last: d.one.due.Add(late), Connect: serverConnect, Buffer: buffer, PassOn: passOn, In: d.in, Out: d.out,
 		IsServing: func() bool { return d.isServing(siding) }, MaySend: d.one.maySend,
 	})
 	now := d.clock.Steady()
 	took := time.Duration(now - began)
 	usual := d.pace.mean()
-	if !d.isBrokenOff(err) {
-		d.testify(siding, mark, reply, err, took, usual)
-		d.strainOf(siding, reply, err, took)
+	if !d.abortedByClient(err) {
+		d.recordOutcome(siding, mark, reply, err, took, usual)
+		d.countLoad(siding, reply, err, took)
 	}
 	outcome := d.outcomeOf(reply, err)
 	if outcome == balancer.Served {
-		d.pace.learn(took, reply.Length)
+		d.pace.record(took, reply.Length)
 	}
-	d.vacate(siding)
+	d.releaseSlot(siding)
 	siding.End(outcome, took, usual, now)
 	d.results <- result{siding, reply, err}
 }
--- a/internal/proxy/ending.go
+++ b/internal/proxy/ending.go
@@ -11,33 +11,33 @@
 
 // lateEnd is what a try showed after its client was answered: a reply, or that
 // nothing ran after all.
-type lateEnd struct {
-	reply  *upstream.Reply
-	isFree bool
+type lateResult struct {
+	response    *upstream.Reply
+	notExecuted bool
 }
 
 // late ends an inquiry whose time is up.
-func (d *delivery) late() error {
+func (d *delivery) deadlineExceeded() error {
 	if d.one.lane.IsRepeatable() || d.flying == 0 {
 		return apierror.New(apierror.Late, "")
 	}
-	open := &openEnd{kind: apierror.Late, late: make(chan lateEnd, 1)}
+	open := &openEnd{kind: apierror.Late, late: make(chan lateResult, 1)}
 	results, flying, leave, isOpen := d.results, d.flying, d.leave, d.isOpen
 	d.flying, d.leave = 0, func() {}
 	go func() {
 		defer leave()
-		end := lateEnd{isFree: !isOpen}
+		end := lateResult{notExecuted: !isOpen}
 		for range flying {
 			got := <-results
 			switch {
 			case errors.Is(got.err, upstream.ErrNotSent):
 			case got.err != nil:
-				end.isFree = false
+				end.notExecuted = false
 			case got.reply.IsNotExecuted():
 			default:
-				end.isFree = false
-				if !isPromise(got.reply.Status) {
-					end.reply = got.reply
+				end.notExecuted = false
+				if !impliesNotExecuted(got.reply.Status) {
+					end.response = got.reply
 				}
 			}
 		}
@@ -47,7 +47,7 @@
 }
 
 // sweep lets the tries that lost run to their end, and frees what they hold.
-func (d *delivery) sweep() {
+func (d *delivery) drainAttempts() {
 	if d.flying == 0 {
 		d.leave()
 		return
@@ -65,7 +65,7 @@
 
 // isPromise tells whether a status says that the inquiry did not run; only a
 // server's Not-Executed may be told to a client that way.
-func isPromise(status int) bool {
+func impliesNotExecuted(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests ||
 		status == http.StatusRequestTimeout || status == http.StatusMisdirectedRequest
 }
--- a/internal/proxy/inquiry.go
+++ b/internal/proxy/inquiry.go
@@ -41,7 +41,7 @@
 	// isReplayed: the record answered it.
 	isReplayed bool
 	// stage is there where a staged change touches the inquiry.
-	stage *stageMark
+	stage *stagedMark
 	// client is where it came from; took is how long its reply took.
 	client string
 	took   time.Duration
@@ -83,18 +83,18 @@
 	one.took = time.Since(one.arrived)
 	defer func() { one.leave() }()
 	if err != nil {
-		p.settleStage(one, nil, err, false)
+		p.recordStagedOutcome(one, nil, err, false)
 		p.refuse(w, r, err)
-		p.mirror(one, nil, mayHaveRun(err))
+		p.offerMirror(one, nil, mayHaveRun(err))
 		return
 	}
 	out := reply.(*upstream.Reply)
 	isBroken, err := p.answer(w, out)
-	p.settleStage(one, out, nil, isBroken)
+	p.recordStagedOutcome(one, out, nil, isBroken)
 	if isBroken {
 		out = nil
 	}
-	p.mirror(one, out, isBroken)
+	p.offerMirror(one, out, isBroken)
 	if err != nil {
 		// One that breaks off after its start must not look complete, so the
 		// client's connection is broken too.
@@ -104,7 +104,7 @@
 
 // read checks the inquiry and reads it whole.
 func (p *proxy) read(w http.ResponseWriter, r *http.Request) (*inquiry, error) {
-	one := &inquiry{arrived: time.Now(), sight: p.sight.Load(), client: clientOf(r)}
+	one := &inquiry{arrived: time.Now(), sight: p.sight.Load(), client: clientAddress(r)}
 	limits := one.sight.sheet.Limits
 	path, _, _ := strings.Cut(r.RequestURI, "?")
 	attempt := r.Header.Values(upstream.HeaderAttempt)
@@ -120,7 +120,7 @@
 	case !one.sight.isWhole:
 		return nil, apierror.New(apierror.NoServer, "the manifest is not here yet")
 	}
-	one.sight.findLane(one, r.Host, path, r.Header.Get(upstream.HeaderKey) != "", p.clock.Steady())
+	one.sight.findRoute(one, r.Host, path, r.Header.Get(upstream.HeaderKey) != "", p.clock.Steady())
 	if one.lane == nil {
 		return nil, apierror.New(apierror.NoLane, "")
 	}
@@ -193,7 +193,7 @@
 // mayHaveRun tells whether an inquiry that ended without a reply may have run.
 func mayHaveRun(err error) bool {
 	var known *apierror.Error
-	return errors.Is(err, errLeft) || errors.As(err, &known) && (known.Kind == apierror.Broken || known.Kind == apierror.Late)
+	return errors.Is(err, errClientGone) || errors.As(err, &known) && (known.Kind == apierror.Broken || known.Kind == apierror.Late)
 }
 
 // answer passes a server's reply on. isBroken tells that the server broke off.
--- a/internal/proxy/leave.go
+++ b/internal/proxy/leave.go
@@ -8,7 +8,7 @@
 	"github.com/juju/errors"
 )
 
-func (p *proxy) ready(w http.ResponseWriter, r *http.Request) {
+func (p *proxy) handleReady(w http.ResponseWriter, r *http.Request) {
 	switch {
 	case r.URL.Path != "/v1/ready":
 		w.WriteHeader(http.StatusNotFound)
@@ -21,17 +21,17 @@
 
 const (
 	// leaveAfter is for the platform to see twice that the node is not ready.
-	leaveAfter  = 2800 * time.Millisecond
+	drainDelay  = 2800 * time.Millisecond
 	graceMargin = 700 * time.Millisecond
 )
 
 // leave goes on serving until the platform sends nothing new, and then until
 // what is at work is done.
-func (p *proxy) leave(server *http.Server) error {
+func (p *proxy) shutDown(server *http.Server) error {
 	grace := p.set.Load().Platform.Bounds.Grace.Std() - graceMargin
 	p.isLeaving.Store(true)
-	p.clock.Sleep(min(leaveAfter, grace/2))
-	ctx, cancel := context.WithTimeout(context.Background(), max(0, grace-min(leaveAfter, grace/2)))
+	p.clock.Sleep(min(drainDelay, grace/2))
+	ctx, cancel := context.WithTimeout(context.Background(), max(0, grace-min(drainDelay, grace/2)))
 	defer cancel()
 	err := server.Shutdown(ctx)
 	for ctx.Err() == nil && p.active.Load() > 0 {
--- a/internal/proxy/left.go
+++ b/internal/proxy/left.go
@@ -10,11 +10,11 @@
 
 // errLeft: the client closed its connection before it had an answer. It says nothing
 // of the server.
-const errLeft = errors.ConstError("the client has left")
+const errClientGone = errors.ConstError("the client has left")
 
 // leaving is what ends when nobody waits for the inquiry any more. A keyed operation
 // is wanted by its record, whoever sent it.
-func leaving(ctx context.Context, one *inquiry) context.Context {
+func deliveryContext(ctx context.Context, one *inquiry) context.Context {
 	if one.lane.RouteType == config.Idempotent {
 		return context.WithoutCancel(ctx)
 	}
@@ -23,7 +23,7 @@
 
 // breaking is what ends when the connection of a try may be broken: only what may
 // run again is stopped in the middle.
-func (d *delivery) breaking() context.Context {
+func (d *delivery) abortContext() context.Context {
 	if d.one.lane.IsRepeatable() {
 		return d.left
 	}
@@ -31,6 +31,6 @@
 }
 
 // isBrokenOff tells whether a try ended because its client had left.
-func (d *delivery) isBrokenOff(err error) bool {
+func (d *delivery) abortedByClient(err error) bool {
 	return err != nil && d.one.lane.IsRepeatable() && d.left.Err() != nil
 }
--- a/internal/proxy/left_test.go
+++ b/internal/proxy/left_test.go
@@ -23,7 +23,7 @@
 )
 
 // inquiryOn is an inquiry on a route of a kind that the servers may get, and its proxy.
-func inquiryOn(kind config.RouteKind, servers ...*standin.Server) (*proxy, *inquiry) {
+func newTestRequest(kind config.RouteKind, servers ...*standin.Server) (*proxy, *inquiry) {
 	set := &settings.Settings{}
 	set.Tuning.BufferBytes = 1 << 20
 	set.Platform.Bounds.RetryBudgetRatio = 1
@@ -54,13 +54,13 @@
 	It("ends with its client, but a keyed one with its operation", func() {
 		for routeType, isEnded := range map[config.RouteKind]bool{config.Safe: true, config.Unsafe: true, config.Idempotent: false} {
 			server.Next(standin.Silent)
-			p, one := inquiryOn(routeType, server)
+			p, one := newTestRequest(routeType, server)
 			ctx, leave := context.WithCancel(context.Background())
 			time.AfterFunc(50*time.Millisecond, leave)
 			before, _ := server.Counts()
 			began := time.Now()
 			_, err := p.delivering(ctx, one)
-			Expect(errors.Is(err, errLeft)).To(Equal(isEnded), "%v: %v", routeType, err)
+			Expect(errors.Is(err, errClientGone)).To(Equal(isEnded), "%v: %v", routeType, err)
 			Expect(time.Since(began) < 400*time.Millisecond).To(Equal(isEnded), "%v", routeType)
 			after, _ := server.Counts()
 			Expect(after - before).To(Equal(1))
@@ -70,24 +70,24 @@
 
 	It("counts a client that left for nothing against the server", func() {
 		server.Next(standin.Silent)
-		p, one := inquiryOn(config.Safe, server)
+		p, one := newTestRequest(config.Safe, server)
 		one.due = time.Now().Add(10 * time.Second)
 		ctx, leave := context.WithCancel(context.Background())
 		time.AfterFunc(50*time.Millisecond, leave)
 		_, err := p.delivering(ctx, one)
-		Expect(errors.Is(err, errLeft)).To(BeTrue())
+		Expect(errors.Is(err, errClientGone)).To(BeTrue())
 		siding, isThere := p.sight.Load().yard.Find("i-1")
 		Expect(isThere).To(BeTrue())
 		Eventually(func() int { return p.sight.Load().yard.AtWork("s") }).Should(BeZero())
 		Expect(siding.IsSound()).To(BeTrue())
-		outcome, isCounted := stageOutcome(one, nil, err, 0)
+		outcome, isCounted := stagedOutcome(one, nil, err, 0)
 		Expect(isCounted).To(BeFalse(), "%v", outcome)
 		Expect(mayHaveRun(err)).To(BeTrue())
 	})
 
 	It("passes no status on that promises what nobody knows", func() {
 		for _, status := range []int{408, 429, 503} {
-			_, one := inquiryOn(config.Unsafe, server)
+			_, one := newTestRequest(config.Unsafe, server)
 			d := &delivery{one: one}
 			_, err, isEnd := d.judge(result{reply: &upstream.Reply{Status: status, Header: http.Header{}}})
 			var open *openEnd
@@ -98,7 +98,7 @@
 	})
 
 	It("records no part of a reply as the whole", func() {
-		p, one := inquiryOn(config.Idempotent, server)
+		p, one := newTestRequest(config.Idempotent, server)
 		a := &attempt{proxy: p, one: one, ungranted: map[string]bool{}}
 		a.intent = idempotency.Intent{Key: idempotency.Key{Tenant: "h", Key: "k"}, State: idempotency.Reserved}
 		a.round = idempotency.NewRound(a.intent.Hash, 1, p.clock.Steady(), timetable.Steady(time.Second))
--- a/internal/proxy/members.go
+++ b/internal/proxy/members.go
@@ -8,35 +8,35 @@
 )
 
 // said is one member's reply to a call, or nil if it could not be asked.
-type said[T any] struct {
+type memberReply[T any] struct {
 	member string
 	reply  *T
 }
 
 // sender makes one call over a line, as Send and SendRevocable do.
-type sender = func(line *rpc.Line, kind rpc.Kind, body any, take func([]byte, error)) (forget func())
+type callFunc = func(line *rpc.Line, kind rpc.Kind, body any, take func([]byte, error)) (forget func())
 
 // askMembers makes a call to every member of the view at once. Each member's
 // reply comes once; forget must be called when no more are wanted, and a call that
 // was not sent by then never is.
-func askMembers[T any](p *proxy, view membership.View, kind rpc.Kind, body any) (replies <-chan said[T], forget func()) {
-	return callMembers[T](p, view, (*rpc.Line).SendRevocable, kind, body)
+func callMembers[T any](p *proxy, view membership.View, kind rpc.Kind, body any) (replies <-chan memberReply[T], forget func()) {
+	return fanOut[T](p, view, (*rpc.Line).SendRevocable, kind, body)
 }
 
 // tellMembers is askMembers for what every member is to have, whether its reply is
 // waited for or not.
-func tellMembers[T any](p *proxy, view membership.View, kind rpc.Kind, body any) (replies <-chan said[T], forget func()) {
-	return callMembers[T](p, view, (*rpc.Line).Send, kind, body)
+func notifyMembers[T any](p *proxy, view membership.View, kind rpc.Kind, body any) (replies <-chan memberReply[T], forget func()) {
+	return fanOut[T](p, view, (*rpc.Line).Send, kind, body)
 }
 
-func callMembers[T any](p *proxy, view membership.View, send sender, kind rpc.Kind, body any) (replies <-chan said[T], forget func()) {
-	got := make(chan said[T], len(view.Members))
+func fanOut[T any](p *proxy, view membership.View, send callFunc, kind rpc.Kind, body any) (replies <-chan memberReply[T], forget func()) {
+	got := make(chan memberReply[T], len(view.Members))
 	forgets := make([]func(), 0, len(view.Members))
 	for _, member := range view.Members {
 		// A surplus reply, or the cut after a reply, is no other member's vote.
 		var first sync.Once
 		forgets = append(forgets, send(p.line(member), kind, body, func(text []byte, err error) {
-			one := said[T]{member: member}
+			one := memberReply[T]{member: member}
 			if out := new(T); err == nil && rpc.Unpack(text, out) == nil {
 				one.reply = out
 			}
--- a/internal/proxy/mirror.go
+++ b/internal/proxy/mirror.go
@@ -16,68 +16,68 @@
 )
 
 const (
-	copyInbox   = 64
-	copyWorkers = 2
-	copyBytes   = 64 << 10
+	mirrorQueueSize   = 64
+	mirrorWorkers     = 2
+	mirrorBufferBytes = 64 << 10
 	// copyWindow bounds what a shadow may put on its way of a reply that is not
 	// read to its end.
-	copyWindow = 4 << 10
+	mirrorWindowBytes = 4 << 10
 )
 
 // copied is one original whose copy waits for its turn.
-type copied struct {
-	mirror  *config.Mirror
-	record  *loopline.Record
-	inquiry *upstream.Inquiry
-	lane    *config.Route
-	hash    uint64
-	era     uint64
-	place   balancer.Place
-	due     time.Duration
+type mirrorJob struct {
+	mirror   *config.Mirror
+	record   *loopline.Record
+	request  *upstream.Inquiry
+	route    *config.Route
+	hash     uint64
+	era      uint64
+	position balancer.Place
+	timeout  time.Duration
 	// The original's reply: its status, its length, the digest of its body if all
 	// of that was at hand, and how long it took.
-	status   int
-	length   int64
-	body     [sha256.Size]byte
-	hasBody  bool
-	tookLive time.Duration
+	status       int
+	length       int64
+	bodyDigest   [sha256.Size]byte
+	bodyComplete bool
+	liveLatency  time.Duration
 }
 
 // copier copies originals beside the path of inquiries. Its inbox drops what it
 // cannot hold.
-type copier struct {
-	inbox   chan copied
+type mirrorSender struct {
+	queue   chan mirrorJob
 	lock    sync.Mutex
 	records map[string]*loopline.Record
-	racks   map[string]*upstream.Rack
+	pools   map[string]*upstream.Rack
 }
 
-func newCopier() *copier {
-	return &copier{inbox: make(chan copied, copyInbox), records: map[string]*loopline.Record{}, racks: map[string]*upstream.Rack{}}
+func newMirrorSender() *mirrorSender {
+	return &mirrorSender{queue: make(chan mirrorJob, mirrorQueueSize), records: map[string]*loopline.Record{}, pools: map[string]*upstream.Rack{}}
 }
 
 // keep closes the connections to servers that are no longer listed under their address.
-func (c *copier) keep(servers []feed.Server) {
+func (c *mirrorSender) closeUnlisted(servers []feed.Server) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	if len(c.racks) == 0 {
+	if len(c.pools) == 0 {
 		return
 	}
 	listed := make(map[string]bool, len(servers))
 	for _, server := range servers {
-		listed[rackName(server)] = true
+		listed[poolName(server)] = true
 	}
-	for name, rack := range c.racks {
+	for name, rack := range c.pools {
 		if !listed[name] {
 			rack.Close()
-			delete(c.racks, name)
+			delete(c.pools, name)
 		}
 	}
 }
 
-func rackName(server feed.Server) string { return server.ID + " " + server.Address }
+func poolName(server feed.Server) string { return server.ID + " " + server.Address }
 
-func (c *copier) record(name string) *loopline.Record {
+func (c *mirrorSender) recordOf(name string) *loopline.Record {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	record := c.records[name]
@@ -89,14 +89,14 @@
 }
 
 // rack holds the connections to one shadow server, apart from all others.
-func (c *copier) rack(server *balancer.Siding) *upstream.Rack {
+func (c *mirrorSender) poolOf(server *balancer.Siding) *upstream.Rack {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	name := rackName(server.Server)
-	rack := c.racks[name]
+	name := poolName(server.Server)
+	rack := c.pools[name]
 	if rack == nil {
-		rack = &upstream.Rack{Address: server.Address, Instance: server.ID, Window: copyWindow}
-		c.racks[name] = rack
+		rack = &upstream.Rack{Address: server.Address, Instance: server.ID, Window: mirrorWindowBytes}
+		c.pools[name] = rack
 	}
 	return rack
 }
@@ -104,7 +104,7 @@
 // mirror offers the copy of an inquiry that has ended, once its client has the
 // reply. reply is nil where none came; isOpen tells that it may have run all the
 // same.
-func (p *proxy) mirror(one *inquiry, reply *upstream.Reply, isOpen bool) {
+func (p *proxy) offerMirror(one *inquiry, reply *upstream.Reply, isOpen bool) {
 	if one == nil || one.lane == nil || one.lane.Mirror == nil || one.isReplayed || reply == nil && !isOpen {
 		return
 	}
@@ -113,7 +113,7 @@
 	if !isHeld {
 		return
 	}
-	record := p.copier.record(m.Name)
+	record := p.copier.recordOf(m.Name)
 	conversation := m.Conversation(one.Header, one.key.Key, one.client)
 	draw := m.Draw(one.lane.Host, conversation)
 	if draw >= grant.Share {
@@ -128,24 +128,24 @@
 	case reply == nil:
 		record.Miss(hash, era, "the original's outcome is not known")
 		return
-	case !one.sight.holdsGrants(p.clock.Steady()):
+	case !one.sight.grantsValid(p.clock.Steady()):
 		record.Miss(hash, era, "the order had lapsed here")
 		return
 	}
-	job := copied{
-		mirror: m, record: record, lane: one.lane, hash: hash, era: era, place: balancer.Place(hash), due: time.Until(one.due) + time.Since(one.arrived),
-		status: reply.Status, length: reply.Length, tookLive: one.took,
+	job := mirrorJob{
+		mirror: m, record: record, route: one.lane, hash: hash, era: era, position: balancer.Place(hash), timeout: time.Until(one.due) + time.Since(one.arrived),
+		status: reply.Status, length: reply.Length, liveLatency: one.took,
 	}
-	if job.hasBody = reply.Rest == nil; job.hasBody {
-		job.body = sha256.Sum256(reply.Body)
+	if job.bodyComplete = reply.Rest == nil; job.bodyComplete {
+		job.bodyDigest = sha256.Sum256(reply.Body)
 	}
 	inquiry := *one.Inquiry
 	inquiry.Header = one.Header.Clone()
 	inquiry.Header.Set(loopline.Marker, fmt.Sprintf("%s; version=%d; node=%s; number=%d; at=%d; settled=%t",
 		m.Name, m.Version, p.set.Load().Platform.NodeName, number, p.clock.Wall().UnixMilli(), grant.IsSettled))
-	job.inquiry = &inquiry
+	job.request = &inquiry
 	select {
-	case p.copier.inbox <- job:
+	case p.copier.queue <- job:
 	default:
 		record.Miss(hash, era, "the inbox was full")
 	}
@@ -163,15 +163,15 @@
 }
 
 // mirrored is what this node knows of its copies.
-func (p *proxy) mirrored(struct{}) messages.Mirrored {
+func (p *proxy) mirrorPages(struct{}) messages.Mirrored {
 	out := messages.Mirrored{Node: p.set.Load().Platform.NodeName, Life: p.life, Pages: map[string]loopline.Page{}}
-	for name, record := range p.copier.all() {
+	for name, record := range p.copier.allRecords() {
 		out.Pages[name] = record.Page()
 	}
 	return out
 }
 
-func (c *copier) all() map[string]*loopline.Record {
+func (c *mirrorSender) allRecords() map[string]*loopline.Record {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	out := map[string]*loopline.Record{}
@@ -182,8 +182,8 @@
 }
 
 // tallies are what is reported of the copies.
-func (c *copier) tallies() (out []loopline.Tally) {
-	for name, record := range c.all() {
+func (c *mirrorSender) tallies() (out []loopline.Tally) {
+	for name, record := range c.allRecords() {
 		out = append(out, record.Tell(name))
 	}
 	return out
--- a/internal/proxy/mirror_test.go
+++ b/internal/proxy/mirror_test.go
@@ -23,20 +23,20 @@
 
 var _ = Describe("the connections to a shadow", func() {
 	It("are kept while the server is listed under its address, and no longer", func() {
-		c := newCopier()
+		c := newMirrorSender()
 		one, two := feed.Server{ID: "x-1", Address: "a:1"}, feed.Server{ID: "x-2", Address: "a:2"}
 		racks := map[string]any{}
 		for _, server := range []feed.Server{one, two} {
-			racks[server.ID] = c.rack(&balancer.Siding{Server: server})
+			racks[server.ID] = c.poolOf(&balancer.Siding{Server: server})
 		}
-		c.keep([]feed.Server{two, one})
-		Expect(c.racks).To(HaveLen(2))
+		c.closeUnlisted([]feed.Server{two, one})
+		Expect(c.pools).To(HaveLen(2))
 		moved := one
 		moved.Address = "a:9"
-		c.keep([]feed.Server{moved, two})
-		Expect(c.racks).To(HaveLen(1))
-		Expect(c.rack(&balancer.Siding{Server: two})).To(BeIdenticalTo(racks["x-2"]))
-		Expect(c.rack(&balancer.Siding{Server: one})).NotTo(BeIdenticalTo(racks["x-1"]))
+		c.closeUnlisted([]feed.Server{moved, two})
+		Expect(c.pools).To(HaveLen(1))
+		Expect(c.poolOf(&balancer.Siding{Server: two})).To(BeIdenticalTo(racks["x-2"]))
+		Expect(c.poolOf(&balancer.Siding{Server: one})).NotTo(BeIdenticalTo(racks["x-1"]))
 	})
 })
 
@@ -60,7 +60,7 @@
 		p := newProxy(&settings.Settings{}, hand, func(string, string, ...any) {})
 		mirror := &config.Mirror{Mirror: loopline.Mirror{Name: "build", Shadow: "next"}, Version: 3}
 		server := &balancer.Siding{Server: feed.Server{ID: "x-1", Service: "next", Address: "a:1", IsReady: true}}
-		may := func(s *sight) bool { p.sight.Store(s); return p.mayCopy(mirror, server) }
+		may := func(s *sight) bool { p.sight.Store(s); return p.maySendMirrored(mirror, server) }
 		Expect(may(sightOf("a:1", "next", true, 3, "fees"))).To(BeTrue())
 		Expect(may(sightOf("a:9", "next", true, 3, "fees"))).To(BeFalse(), "the address is another's")
 		Expect(may(sightOf("a:1", "fees", true, 3, "fees"))).To(BeFalse(), "the server is a live one")
--- a/internal/proxy/moves.go
+++ b/internal/proxy/moves.go
@@ -15,38 +15,38 @@
 
 // placedRun is one placed operation that is running, or whose outcome is still
 // awaited, with the servers it was sent to.
-type placedRun struct {
-	one     *inquiry
+type runningOperation struct {
+	request *inquiry
 	servers []string
 }
 
 // enter notes a placed operation for as long as it runs.
-func (p *proxy) enter(one *inquiry) (leave func()) {
+func (p *proxy) trackOperation(one *inquiry) (leave func()) {
 	if !one.isPlaced {
 		return func() {}
 	}
-	p.runs.Store(one, &placedRun{one: one})
+	p.runs.Store(one, &runningOperation{request: one})
 	return func() { p.runs.Delete(one) }
 }
 
 // sentTo notes a server of a placed operation.
-func (p *proxy) sentTo(one *inquiry, server string) {
+func (p *proxy) trackServer(one *inquiry, server string) {
 	if known, isKnown := p.runs.Load(one); isKnown {
-		run := known.(*placedRun)
-		p.runs.Store(one, &placedRun{one: one, servers: append(run.servers[:len(run.servers):len(run.servers)], server)})
+		run := known.(*runningOperation)
+		p.runs.Store(one, &runningOperation{request: one, servers: append(run.servers[:len(run.servers):len(run.servers)], server)})
 	}
 }
 
 // moves tells where the change would leave the running operations: their home
 // on the live ring, and on the ring after the change. It looks at one immutable
 // sight and shifts nothing.
-func (p *proxy) moves(change balancer.Change) messages.Moves {
+func (p *proxy) plannedMoves(change balancer.Change) messages.Moves {
 	yard := p.sight.Load().yard
 	after := yard.Trial(change)
 	out := messages.Moves{Node: p.set.Load().Platform.NodeName}
 	p.runs.Range(func(_, value any) bool {
-		run := value.(*placedRun)
-		one := run.one
+		run := value.(*runningOperation)
+		one := run.request
 		home := yard.Home(one.service, one.place)
 		if one.service != change.Service || home == nil {
 			return true
@@ -69,7 +69,7 @@
 	return out
 }
 
-func (p *proxy) homes(asked messages.Homes) (out messages.HomesNow) {
+func (p *proxy) ringHomes(asked messages.Homes) (out messages.HomesNow) {
 	yard := p.sight.Load().yard
 	for _, place := range asked.Places {
 		id := ""
@@ -82,12 +82,12 @@
 	return out
 }
 
-func (p *proxy) inForce(struct{}) messages.Sight {
+func (p *proxy) nodeStatus(struct{}) messages.Sight {
 	s := p.sight.Load()
 	out := messages.Sight{
 		Node: p.set.Load().Platform.NodeName, Digest: s.digest, Epoch: uint64(s.view.Epoch), IsReady: p.isReady(), Servers: s.yard.Size(),
 	}
-	cutoffs, isFloor := p.cutoffs(s)
+	cutoffs, isFloor := p.activeCutoffs(s)
 	for _, cutoff := range cutoffs {
 		out.Cutoff, out.IsFloor = max(out.Cutoff, cutoff.Number), isFloor
 	}
@@ -102,22 +102,22 @@
 func AskAddress(set *settings.Settings) string { return set.InternalAddress(set.Platform.Ip, 1) }
 
 // answerOperators serves what the inspector asks of a proxy.
-func (p *proxy) answerOperators() (net.Listener, error) {
+func (p *proxy) serveOperators() (net.Listener, error) {
 	listener, err := net.Listen("tcp4", AskAddress(p.set.Load()))
 	if err != nil {
 		return nil, errors.Annotate(err, "internal port")
 	}
 	go rpc.Serve(listener, rpc.Handlers{
-		messages.KindMoves: answering(p.moves),
-		messages.KindHomes: answering(p.homes),
-		messages.KindSight: answering(p.inForce),
+		messages.KindMoves: replyWith(p.plannedMoves),
+		messages.KindHomes: replyWith(p.ringHomes),
+		messages.KindSight: replyWith(p.nodeStatus),
 
-		messages.KindMirrored: answering(p.mirrored),
+		messages.KindMirrored: replyWith(p.mirrorPages),
 	}, coreSilence)
 	return listener, nil
 }
 
-func answering[T, R any](look func(T) R) func(rpc.Call) {
+func replyWith[T, R any](look func(T) R) func(rpc.Call) {
 	return func(call rpc.Call) {
 		var in T
 		if len(call.Body) == 0 || rpc.Unpack(call.Body, &in) == nil {
--- a/internal/proxy/once_test.go
+++ b/internal/proxy/once_test.go
@@ -41,7 +41,7 @@
 		for _, act := range []standin.Act{standin.CutBefore, standin.CutWithin, standin.Garbage, standin.NoSeal, standin.Fail500, standin.Silent, standin.SilentCut} {
 			for _, kind := range []config.RouteKind{config.Unsafe, config.Idempotent} {
 				next(act)
-				p, one := inquiryOn(kind, servers...)
+				p, one := newTestRequest(kind, servers...)
 				before := arrivals()
 				_, err := p.delivering(context.Background(), one)
 				var open *openEnd
@@ -57,7 +57,7 @@
 	It("is offered again where a server showed that it did not run", func() {
 		for _, act := range []standin.Act{standin.Shed, standin.Misdirect} {
 			next(act)
-			p, one := inquiryOn(config.Unsafe, servers...)
+			p, one := newTestRequest(config.Unsafe, servers...)
 			before := arrivals()
 			_, err := p.delivering(context.Background(), one)
 			var known *apierror.Error
@@ -69,11 +69,11 @@
 
 	It("is no more offered once its client has left", func() {
 		next(standin.SilentShed)
-		p, one := inquiryOn(config.Unsafe, servers...)
+		p, one := newTestRequest(config.Unsafe, servers...)
 		ctx, leave := context.WithCancel(context.Background())
 		time.AfterFunc(50*time.Millisecond, leave)
 		_, err := p.delivering(ctx, one)
-		Expect(errors.Is(err, errLeft)).To(BeTrue())
+		Expect(errors.Is(err, errClientGone)).To(BeTrue())
 		for _, server := range servers {
 			server.Free()
 		}
--- a/internal/proxy/points.go
+++ b/internal/proxy/points.go
@@ -48,7 +48,7 @@
 	reading feed.Reading
 	heard   timetable.Steady
 	// stages are the staged changes under way.
-	stages  []stage
+	stages  []stagedChange
 	isWhole bool
 	// cutoffs are what is turned away, mirrors what is copied, by the fleet's
 	// grants.
@@ -88,8 +88,8 @@
 	// purse holds what this node may use of other sites' room.
 	purse *branchline.Purse
 	// gate decides what is turned away under overload, copier what is copied.
-	gate   *gate
-	copier *copier
+	gate   *loadShedder
+	copier *mirrorSender
 }
 
 const (
@@ -116,7 +116,7 @@
 	if err != nil {
 		return errors.Annotate(err, "readiness address")
 	}
-	asked, err := p.answerOperators()
+	asked, err := p.serveOperators()
 	if err != nil {
 		return err
 	}
@@ -128,14 +128,14 @@
 	near := rpc.NewLine(agent.LoopbackAddress(set), coreConnect, coreSilence)
 	p.follower = feed.NewFollower("points", near, p.loop.Put, 50*time.Millisecond)
 	go p.follower.Run(inner)
-	go p.reportOn(inner)
-	p.copyOn(inner)
+	go p.reportPeriodically(inner)
+	p.startMirrorWorkers(inner)
 	server := &http.Server{
 		Handler: http.HandlerFunc(p.handle), ReadHeaderTimeout: headerSpan, IdleTimeout: idleSpan,
 		MaxHeaderBytes: headerCeiling, ConnState: noteState,
 	}
 	go func() {
-		_ = (&http.Server{Handler: http.HandlerFunc(p.ready), ReadHeaderTimeout: headerSpan}).Serve(ready)
+		_ = (&http.Server{Handler: http.HandlerFunc(p.handleReady), ReadHeaderTimeout: headerSpan}).Serve(ready)
 	}()
 	failed := make(chan error, 1)
 	go func() { failed <- server.Serve(clients) }()
@@ -144,14 +144,14 @@
 		return errors.Trace(err)
 	case <-ctx.Done():
 	}
-	return p.leave(server)
+	return p.shutDown(server)
 }
 
 func newProxy(set *settings.Settings, clock timetable.Clock, note Note) *proxy {
 	p := &proxy{
 		clock: clock, note: note, loop: timetable.NewLoop[feed.News](256), board: feed.NewBoard(),
 		lines: map[string]*rpc.Line{}, budgets: map[string]*balancer.Budget{}, life: newLife(), box: outlier.NewBox(), purse: branchline.NewPurse(clock),
-		gate: newGate(clock), copier: newCopier(),
+		gate: newLoadShedder(clock), copier: newMirrorSender(),
 	}
 	p.set.Store(set)
 	home := balancer.Home{Node: set.Platform.NodeName, Cell: set.Platform.Cell, Set: set.Tuning.WorkingSet}
@@ -159,7 +159,7 @@
 	p.out = bandwidth.NewTrack(set.Platform.Limits.LinkMbps, clock)
 	p.bulk = bandwidth.NewPassing(p.out)
 	p.sight.Store(&sight{sheet: config.Book{}.Compile(), yard: balancer.NewYard(home)})
-	p.serve = endpoint.Chain(p.admitting, p.passing, p.replaying)(p.delivering)
+	p.serve = endpoint.Chain(p.admitting, p.limitingDownloads, p.replaying)(p.delivering)
 	return p
 }
 
@@ -180,7 +180,7 @@
 		}
 		if fresh.Fleet != nil {
 			next.take(p.board.Serving(), p.clock.Steady())
-			p.copier.keep(next.servers)
+			p.copier.closeUnlisted(next.servers)
 		}
 		leaving = append(leaving, fresh.Leaving...)
 	}
@@ -197,7 +197,7 @@
 		}
 	}
 	if len(next.stages)+len(p.board.Fleet.Stages) > 0 {
-		next.layStages(p.board.Fleet.Stages, p.board.Book, isNewBook, p.set.Load().Platform.NodeName)
+		next.updateStaged(p.board.Fleet.Stages, p.board.Book, isNewBook, p.set.Load().Platform.NodeName)
 	}
 	next.isWhole = p.board.IsWhole
 	if p.board.View.Epoch > next.view.Epoch {
--- a/internal/proxy/replay.go
+++ b/internal/proxy/replay.go
@@ -73,7 +73,7 @@
 // turnAway refuses the creation of an intent, as a majority of the core says.
 func (a *attempt) turnAway(context.Context, endpoint.Endpoint) (any, error) {
 	a.gate.counter.Shed(a.one.service, a.one.lane.Tier)
-	return nil, a.one.comeBack()
+	return nil, a.one.overloadError()
 }
 
 // forward delivers the inquiry of a won round, and records the outcome on a
@@ -101,10 +101,10 @@
 		// The first connection is kept: a late reply still shows the outcome.
 		go func() {
 			switch late := <-open.late; {
-			case late.reply != nil:
-				a.complete(late.reply)
-				late.reply.Finish(false)
-			case late.isFree:
+			case late.response != nil:
+				a.complete(late.response)
+				late.response.Finish(false)
+			case late.notExecuted:
 				a.giveBack()
 			}
 		}()
@@ -143,7 +143,7 @@
 func (a *attempt) tell(intent idempotency.Intent, wait time.Duration) {
 	a.recent.add(intent, a.clock.Steady(), timetable.Steady(a.set.Load().Platform.Bounds.Sync))
 	view := a.sight.Load().view
-	kept, forget := tellMembers[messages.Done](a.proxy, view, messages.KindRecord, messages.Record{Intent: intent})
+	kept, forget := notifyMembers[messages.Done](a.proxy, view, messages.KindRecord, messages.Record{Intent: intent})
 	defer forget()
 	if wait == 0 {
 		return
--- a/internal/proxy/resume.go
+++ b/internal/proxy/resume.go
@@ -39,7 +39,7 @@
 // it, or else nil.
 func (a *attempt) lookup() *idempotency.Intent {
 	view := a.sight.Load().view
-	got, forget := askMembers[messages.Found](a.proxy, view, messages.KindLookup, messages.Lookup{Key: a.one.key})
+	got, forget := callMembers[messages.Found](a.proxy, view, messages.KindLookup, messages.Lookup{Key: a.one.key})
 	defer forget()
 	alarm := time.NewTimer(resumeMargin)
 	defer alarm.Stop()
--- a/internal/proxy/serving.go
+++ b/internal/proxy/serving.go
@@ -32,7 +32,7 @@
 // outcomeOf is what the end of a try shows of its server.
 func (d *delivery) outcomeOf(reply *upstream.Reply, err error) balancer.Outcome {
 	switch {
-	case d.isBrokenOff(err), errors.Is(err, upstream.ErrServerLeft):
+	case d.abortedByClient(err), errors.Is(err, upstream.ErrServerLeft):
 		return balancer.Unasked
 	case errors.Is(err, upstream.ErrNotSent) && errors.Is(err, errors.Timeout):
 		return balancer.Unasked
--- a/internal/proxy/trial.go
+++ b/internal/proxy/trial.go
@@ -21,23 +21,23 @@
 	reportPeriod = 250 * time.Millisecond
 	// restPeriods is how many periods pass between reports while nothing is on
 	// trial.
-	restPeriods = 4
+	idleReportPeriods = 4
 	// reportSpan is how long the reply to a report is waited for.
-	reportSpan = time.Second
+	reportTimeout = time.Second
 	// slowTimes is how many times as long as usual a slow reply takes, slowLeast
 	// what is never slow.
-	slowTimes = 3
-	slowLeast = 20 * time.Millisecond
+	slowFactor = 3
+	slowMin    = 20 * time.Millisecond
 )
 
 // holdsGrants tells whether the grants in the fleet's news have not lapsed.
-func (s *sight) holdsGrants(now timetable.Steady) bool {
+func (s *sight) grantsValid(now timetable.Steady) bool {
 	return time.Duration(now-s.heard) <= feed.GrantSpan
 }
 
 // grant is the share of the service's version on trial, while it holds.
-func (s *sight) grant(service string, now timetable.Steady) (share feed.Share, isGranted bool) {
-	if !s.holdsGrants(now) {
+func (s *sight) canaryShare(service string, now timetable.Steady) (share feed.Share, isGranted bool) {
+	if !s.grantsValid(now) {
 		return share, false
 	}
 	for _, share = range s.shares {
@@ -49,16 +49,16 @@
 }
 
 // admitTrial decides whether an inquiry may go to the version on trial.
-func (p *proxy) admitTrial(one *inquiry) {
+func (p *proxy) admitToCanary(one *inquiry) {
 	if len(one.sight.shares) == 0 {
 		return
 	}
-	if share, isGranted := one.sight.grant(one.service, p.clock.Steady()); isGranted {
-		one.isTrial = p.allowance(one.service).Take(share.Number, share.Part, one.lane.Name)
+	if share, isGranted := one.sight.canaryShare(one.service, p.clock.Steady()); isGranted {
+		one.isTrial = p.canaryAllowance(one.service).Take(share.Number, share.Part, one.lane.Name)
 	}
 }
 
-func (p *proxy) allowance(service string) *balancer.Allowance {
+func (p *proxy) canaryAllowance(service string) *balancer.Allowance {
 	known, _ := p.allowances.LoadOrStore(service, &balancer.Allowance{})
 	return known.(*balancer.Allowance)
 }
@@ -66,19 +66,19 @@
 // mayTry tells whether the next try may go to the version on trial: the first
 // one of an inquiry that was admitted to it, under a grant that still holds; or
 // any, once it has everything.
-func (d *delivery) mayTry(s *sight) bool {
+func (d *delivery) mayUseCanary(s *sight) bool {
 	if !d.one.isTrial {
 		return false
 	}
-	share, isGranted := s.grant(d.one.service, d.clock.Steady())
+	share, isGranted := s.canaryShare(d.one.service, d.clock.Steady())
 	return isGranted && (len(d.passed) == 0 || share.Part >= 1)
 }
 
 // testify counts what a try showed of the server and of its version.
-func (d *delivery) testify(siding *balancer.Siding, mark outlier.Mark, reply *upstream.Reply, err error, took, usual time.Duration) {
+func (d *delivery) recordOutcome(siding *balancer.Siding, mark outlier.Mark, reply *upstream.Reply, err error, took, usual time.Duration) {
 	outcome := outlier.Good
 	isWarming := siding.WarmLeft(d.clock.Wall()) > 0
-	isSlow := usual > 0 && took > max(slowTimes*usual, slowLeast)
+	isSlow := usual > 0 && took > max(slowFactor*usual, slowMin)
 	var timed net.Error
 	switch {
 	case err != nil && errors.Is(err, upstream.ErrNotSent):
@@ -105,8 +105,8 @@
 }
 
 // mark is what a try counts for: the trial that was on when it was sent.
-func (d *delivery) mark(siding *balancer.Siding) (mark outlier.Mark) {
-	if share, isGranted := d.sight.Load().grant(d.one.service, d.clock.Steady()); isGranted {
+func (d *delivery) canaryMark(siding *balancer.Siding) (mark outlier.Mark) {
+	if share, isGranted := d.sight.Load().canaryShare(d.one.service, d.clock.Steady()); isGranted {
 		mark = outlier.Mark{Subject: d.one.service, Number: share.Number, Lane: d.one.lane.Name, IsTrial: siding.Grade == feed.OnTrial}
 	}
 	return mark
@@ -114,13 +114,13 @@
 
 // reportOn tells the holder of the duty what was counted, often while something
 // is on trial.
-func (p *proxy) reportOn(ctx context.Context) {
+func (p *proxy) reportPeriodically(ctx context.Context) {
 	periods := 0
 	timetable.Every(ctx, reportPeriod, func() {
 		periods++
 		s := p.sight.Load()
-		isStrained := p.measure()
-		if s.holder == "" || len(s.shares)+len(s.stages) == 0 && !p.isShort() && !isStrained && periods%restPeriods > 0 {
+		isStrained := p.updateGauge()
+		if s.holder == "" || len(s.shares)+len(s.stages) == 0 && !p.needsSlots() && !isStrained && periods%idleReportPeriods > 0 {
 			return
 		}
 		set, sentAt := p.set.Load(), p.clock.Steady()
@@ -133,12 +133,12 @@
 		if set.Tuning.Branchline != settings.BranchOff {
 			out.Uses = p.purse.Uses()
 		}
-		out.Loads, out.Mirrored = p.loads(), p.copier.tallies()
+		out.Loads, out.Mirrored = p.takeLoads(), p.copier.tallies()
 		line := p.line(s.holder)
 		go func() {
 			var told messages.Lots
-			if line.Ask(messages.KindReport, out, &told, reportSpan) == nil {
-				p.heard()
+			if line.Ask(messages.KindReport, out, &told, reportTimeout) == nil {
+				p.noteReportAnswer()
 				p.purse.Take(told.Lots, sentAt)
 			}
 		}()
--- a/internal/proxy/vote.go
+++ b/internal/proxy/vote.go
@@ -14,7 +14,7 @@
 	view := a.sight.Load().view
 	began, span := a.clock.Steady(), a.set.Load().Tuning.VoteSpan
 	a.round = idempotency.NewRound(a.intent.Hash, max(1, len(view.Members)), began, timetable.Steady(span))
-	votes, forget := askMembers[messages.Vote](a.proxy, view, messages.KindReserve, messages.Reserve{Epoch: view.Epoch, Intent: a.intent})
+	votes, forget := callMembers[messages.Vote](a.proxy, view, messages.KindReserve, messages.Reserve{Epoch: view.Epoch, Intent: a.intent})
 	defer forget()
 	alarm := time.NewTimer(min(span.Std(), time.Until(a.one.due), a.patience()))
 	defer alarm.Stop()
@@ -49,7 +49,7 @@
 	return max(voteLeast, aim/voteShare-time.Since(a.one.arrived)-voteMargin)
 }
 
-func (a *attempt) take(got said[messages.Vote]) {
+func (a *attempt) take(got memberReply[messages.Vote]) {
 	if got.reply == nil || got.reply.Ballot.Held != nil && got.reply.Ballot.Held.Key != a.intent.Key {
 		// A ballot on another key is none.
 		a.round.On(nil)
