--- a/internal/proxy/branch.go
+++ b/internal/proxy/branch.go
@@ -19,31 +19,31 @@
 
 func (d *delivery) chooseServer() *balancer.Siding {
 	s := d.sight.Load()
-	wish := balancer.Wish{
+	criteria := balancer.Wish{
 		Service: d.one.service, Passed: d.passed, Crossing: d.pace.zoneCost(d.set.Load().Tuning.CrossingPerKB.Std()),
 		Place: d.one.place, IsPlaced: d.one.isPlaced, Limit: d.connectionLimit(), IsTrial: d.mayUseCanary(s), Usual: d.pace.mean(),
 	}
-	if siding := d.chooseAtSite(s, wish); siding != nil || !wish.IsTrial {
-		return siding
+	if server := d.chooseAtSite(s, criteria); server != nil || !criteria.IsTrial {
+		return server
 	}
-	wish.IsTrial = false
-	return d.chooseAtSite(s, wish)
+	criteria.IsTrial = false
+	return d.chooseAtSite(s, criteria)
 }
 
 // limit is this node's part of the connections that one server accepts from
 // all proxies together; a quarter is left for proxies that are just coming.
 func (d *delivery) connectionLimit() int {
 	s := d.sight.Load()
-	most := s.sheet.Services[d.one.service].MaxConnections
-	if most == 0 || s.proxies == 0 {
+	maxConnections := s.sheet.Services[d.one.service].MaxConnections
+	if maxConnections == 0 || s.proxies == 0 {
 		return 0
 	}
-	return max(1, most*3/4/s.proxies)
+	return max(1, maxConnections*3/4/s.proxies)
 }
 
 // rankPart is the part of a lot that the inquiry may fill.
-func (s *sight) slotShare(one *inquiry) float64 {
-	if one.lane.Priority <= s.sheet.HighestRank(one.service) {
+func (s *sight) slotShare(req *inquiry) float64 {
+	if req.lane.Priority <= s.sheet.HighestRank(req.service) {
 		return 1
 	}
 	return lowPriorityShare
@@ -51,47 +51,47 @@
 
 // chooseWithin chooses a server at the node's own site, or at another one that
 // has room for it, and takes the place there.
-func (d *delivery) chooseAtSite(s *sight, wish balancer.Wish) *balancer.Siding {
+func (d *delivery) chooseAtSite(s *sight, criteria balancer.Wish) *balancer.Siding {
 	mode := d.set.Load().Tuning.Branchline
 	if mode == settings.BranchOff || s.tree == nil {
-		return s.yard.Choose(wish, d.clock)
+		return s.yard.Choose(criteria, d.clock)
 	}
-	service, part := d.one.service, s.slotShare(d.one)
+	service, share := d.one.service, s.slotShare(d.one)
 	if mode == settings.BranchFallen && !s.yard.IsFallen(service) {
 		// While the own site stands, its servers' own refusals bound the load.
-		siding := s.yard.Choose(wish, d.clock)
-		if siding != nil {
-			d.places.Store(siding, d.purse.Note(service, s.tree.SiteOf(siding.ID, siding.Cell)))
+		server := s.yard.Choose(criteria, d.clock)
+		if server != nil {
+			d.places.Store(server, d.purse.Note(service, s.tree.SiteOf(server.ID, server.Cell)))
 		}
-		return siding
+		return server
 	}
-	wish.Allows = func(siding *balancer.Siding) bool {
-		site := s.tree.SiteOf(siding.ID, siding.Cell)
+	criteria.Allows = func(server *balancer.Siding) bool {
+		site := s.tree.SiteOf(server.ID, server.Cell)
 		if site == s.site {
 			// What failed when last asked is no place to wait at: without room
 			// elsewhere the inquiry is refused at once.
-			return siding.IsSound() || rand.IntN(probeInterval) == 0
+			return server.IsSound() || rand.IntN(probeInterval) == 0
 		}
-		return d.purse.HasRoom(service, site, part)
+		return d.purse.HasRoom(service, site, share)
 	}
 	for range len(s.yard.Names(service)) + 1 {
-		siding := s.yard.Choose(wish, d.clock)
-		if siding == nil {
+		server := s.yard.Choose(criteria, d.clock)
+		if server == nil {
 			d.purse.Turn(service, max(d.pace.mean(), time.Millisecond))
 			return nil
 		}
-		if leave, isIn := d.purse.Enter(service, s.tree.SiteOf(siding.ID, siding.Cell), s.site, part); isIn {
-			d.places.Store(siding, leave)
-			return siding
+		if release, ok := d.purse.Enter(service, s.tree.SiteOf(server.ID, server.Cell), s.site, share); ok {
+			d.places.Store(server, release)
+			return server
 		}
 	}
 	return nil
 }
 
 // vacate gives back the place that a try took at its server's site.
-func (d *delivery) releaseSlot(siding *balancer.Siding) {
-	if leave, isIn := d.places.LoadAndDelete(siding); isIn {
-		leave.(func())()
+func (d *delivery) releaseSlot(server *balancer.Siding) {
+	if release, ok := d.places.LoadAndDelete(server); ok {
+		release.(func())()
 	}
 }
 
--- a/internal/proxy/bulk.go
+++ b/internal/proxy/bulk.go
@@ -21,36 +21,36 @@
 // once, a client still has the time to ask another node.
 func (p *proxy) limitingDownloads(next endpoint.Endpoint) endpoint.Endpoint {
 	return func(ctx context.Context, request any) (any, error) {
-		one := request.(*inquiry)
-		if one.lane.RouteType != config.Download {
+		req := request.(*inquiry)
+		if req.lane.RouteType != config.Download {
 			return next(ctx, request)
 		}
-		pace := p.latencyStatsOf(one.lane.Name)
-		aim := one.lane.TargetLatency.Std()
-		if aim == 0 {
-			aim = time.Until(one.due)
+		stats := p.latencyStatsOf(req.lane.Name)
+		targetLatency := req.lane.TargetLatency.Std()
+		if targetLatency == 0 {
+			targetLatency = time.Until(req.due)
 		}
-		leave, isAdmitted := p.bulk.Enter(pace.expectedBytes(), aim-pace.mean())
-		if !isAdmitted {
+		release, admitted := p.bulk.Enter(stats.expectedBytes(), targetLatency-stats.mean())
+		if !admitted {
 			return nil, apierror.New(apierror.Busy, "the link")
 		}
-		one.leave = leave
-		waiting, cancel := context.WithTimeout(ctx, aim/turnWaitDivisor)
+		req.leave = release
+		turnCtx, cancel := context.WithTimeout(ctx, targetLatency/turnWaitDivisor)
 		defer cancel()
-		end, isTurn := p.bulk.Turn(waiting)
-		if !isTurn {
+		endTurn, ok := p.bulk.Turn(turnCtx)
+		if !ok {
 			return nil, apierror.New(apierror.Busy, "the link")
 		}
-		end = sync.OnceFunc(end)
-		reply, err := next(ctx, request)
-		if out, isReply := reply.(*upstream.Reply); isReply && out.Rest != nil {
+		endTurn = sync.OnceFunc(endTurn)
+		answer, err := next(ctx, request)
+		if response, ok := answer.(*upstream.Reply); ok && response.Rest != nil {
 			// Its sender is answering until the rest has come.
-			out.Rest = &notifyingReader{out.Rest, end}
-			one.leave = func() { leave(); end() }
-			return reply, err
+			response.Rest = &notifyingReader{response.Rest, endTurn}
+			req.leave = func() { release(); endTurn() }
+			return answer, err
 		}
-		end()
-		return reply, err
+		endTurn()
+		return answer, err
 	}
 }
 
@@ -60,9 +60,9 @@
 	done func()
 }
 
-func (c *notifyingReader) Read(into []byte) (count int, err error) {
-	if count, err = c.Reader.Read(into); err != nil {
-		c.done()
+func (r *notifyingReader) Read(buffer []byte) (count int, err error) {
+	if count, err = r.Reader.Read(buffer); err != nil {
+		r.done()
 	}
 	return count, err
 }
--- a/internal/proxy/copy.go
+++ b/internal/proxy/copy.go
@@ -34,30 +34,30 @@
 		job.record.Miss(job.hash, job.era, "the link was busy")
 		return
 	}
-	buffer := int64(mirrorBufferBytes)
+	bufferBytes := int64(mirrorBufferBytes)
 	if job.route.RouteType == config.Download || !job.bodyComplete {
-		buffer = 0
+		bufferBytes = 0
 	}
-	began := time.Now()
-	due := began.Add(job.timeout)
-	reply, err := p.copier.poolOf(server).Deliver(upstream.Order{
-		Inquiry: job.request, Due: due, Last: due, Connect: serverConnect, Buffer: buffer, In: p.in, Out: p.out,
+	start := time.Now()
+	deadline := start.Add(job.timeout)
+	response, err := p.copier.poolOf(server).Deliver(upstream.Order{
+		Inquiry: job.request, Due: deadline, Last: deadline, Connect: serverConnect, Buffer: bufferBytes, In: p.in, Out: p.out,
 		MaySend: func() bool { return p.maySendMirrored(job.mirror, server) },
 	})
-	took := time.Since(began)
+	latency := time.Since(start)
 	if err != nil && errors.Is(err, upstream.ErrNotSent) {
 		job.record.Miss(job.hash, job.era, "the copy could not be sent")
 		return
 	}
-	found := loopline.Example{
-		Lane: job.route.Name, Attempt: job.request.Attempt, Outcome: job.compare(reply, err, took), Live: job.status,
-		LiveMs: job.liveLatency.Milliseconds(), TookMs: took.Milliseconds(),
+	example := loopline.Example{
+		Lane: job.route.Name, Attempt: job.request.Attempt, Outcome: job.compare(response, err, latency), Live: job.status,
+		LiveMs: job.liveLatency.Milliseconds(), TookMs: latency.Milliseconds(),
 	}
-	if reply != nil {
-		found.Shadow = reply.Status
-		reply.Finish(false)
+	if response != nil {
+		example.Shadow = response.Status
+		response.Finish(false)
 	}
-	job.record.Compare(job.hash, job.era, found)
+	job.record.Compare(job.hash, job.era, example)
 }
 
 // mayCopy looks again, immediately before the first byte is sent: the server must
@@ -65,32 +65,32 @@
 // delivers to, and the order must hold.
 func (p *proxy) maySendMirrored(m *config.Mirror, server *balancer.Siding) bool {
 	s := p.sight.Load()
-	now, isThere := s.yard.Find(server.ID)
-	if !isThere || now.Address != server.Address || now.Service != m.Shadow || !now.IsReady || now.IsLeaving() {
+	current, listed := s.yard.Find(server.ID)
+	if !listed || current.Address != server.Address || current.Service != m.Shadow || !current.IsReady || current.IsLeaving() {
 		return false
 	}
-	_, isHeld := s.mirrorGrant(m)
-	return isHeld && s.grantsValid(p.clock.Steady()) && !s.sheet.IsLive(m.Shadow)
+	_, granted := s.mirrorGrant(m)
+	return granted && s.grantsValid(p.clock.Steady()) && !s.sheet.IsLive(m.Shadow)
 }
 
-func (c *mirrorJob) compare(reply *upstream.Reply, err error, took time.Duration) loopline.Outcome {
+func (j *mirrorJob) compare(response *upstream.Reply, err error, latency time.Duration) loopline.Outcome {
 	switch {
 	case err != nil:
 		return loopline.Silent
-	case reply.IsNotExecuted():
+	case response.IsNotExecuted():
 		return loopline.Turned
-	case reply.Status/100 != c.status/100:
+	case response.Status/100 != j.status/100:
 		return loopline.Status
-	case reply.Rest != nil || !c.bodyComplete:
-		if reply.Length != c.length {
+	case response.Rest != nil || !j.bodyComplete:
+		if response.Length != j.length {
 			return loopline.Body
 		}
 	default:
-		if sum := sha256.Sum256(reply.Body); !bytes.Equal(sum[:], c.bodyDigest[:]) {
+		if sum := sha256.Sum256(response.Body); !bytes.Equal(sum[:], j.bodyDigest[:]) {
 			return loopline.Body
 		}
 	}
-	if loopline.IsSlow(c.liveLatency, took) {
+	if loopline.IsSlow(j.liveLatency, latency) {
 		return loopline.Slow
 	}
 	return loopline.Same
--- a/internal/proxy/ending.go
+++ b/internal/proxy/ending.go
@@ -21,29 +21,29 @@
 	if d.one.lane.IsRepeatable() || d.flying == 0 {
 		return apierror.New(apierror.Late, "")
 	}
-	open := &openEnd{kind: apierror.Late, late: make(chan lateResult, 1)}
-	results, flying, leave, isOpen := d.results, d.flying, d.leave, d.isOpen
+	unknown := &openEnd{kind: apierror.Late, late: make(chan lateResult, 1)}
+	results, inFlight, release, mayHaveExecuted := d.results, d.flying, d.leave, d.isOpen
 	d.flying, d.leave = 0, func() {}
 	go func() {
-		defer leave()
-		end := lateResult{notExecuted: !isOpen}
-		for range flying {
-			got := <-results
+		defer release()
+		outcome := lateResult{notExecuted: !mayHaveExecuted}
+		for range inFlight {
+			attempt := <-results
 			switch {
-			case errors.Is(got.err, upstream.ErrNotSent):
-			case got.err != nil:
-				end.notExecuted = false
-			case got.reply.IsNotExecuted():
+			case errors.Is(attempt.err, upstream.ErrNotSent):
+			case attempt.err != nil:
+				outcome.notExecuted = false
+			case attempt.reply.IsNotExecuted():
 			default:
-				end.notExecuted = false
-				if !impliesNotExecuted(got.reply.Status) {
-					end.response = got.reply
+				outcome.notExecuted = false
+				if !impliesNotExecuted(attempt.reply.Status) {
+					outcome.response = attempt.reply
 				}
 			}
 		}
-		open.late <- end
+		unknown.late <- outcome
 	}()
-	return open
+	return unknown
 }
 
 // sweep lets the tries that lost run to their end, and frees what they hold.
@@ -52,12 +52,12 @@
 		d.leave()
 		return
 	}
-	results, flying, leave := d.results, d.flying, d.leave
+	results, inFlight, release := d.results, d.flying, d.leave
 	go func() {
-		defer leave()
-		for range flying {
-			if got := <-results; got.reply != nil {
-				got.reply.Finish(false)
+		defer release()
+		for range inFlight {
+			if attempt := <-results; attempt.reply != nil {
+				attempt.reply.Finish(false)
 			}
 		}
 	}()
--- a/internal/proxy/left.go
+++ b/internal/proxy/left.go
@@ -14,8 +14,8 @@
 
 // leaving is what ends when nobody waits for the inquiry any more. A keyed operation
 // is wanted by its record, whoever sent it.
-func deliveryContext(ctx context.Context, one *inquiry) context.Context {
-	if one.lane.RouteType == config.Idempotent {
+func deliveryContext(ctx context.Context, req *inquiry) context.Context {
+	if req.lane.RouteType == config.Idempotent {
 		return context.WithoutCancel(ctx)
 	}
 	return ctx
--- a/internal/proxy/left_test.go
+++ b/internal/proxy/left_test.go
@@ -23,22 +23,22 @@
 )
 
 // inquiryOn is an inquiry on a route of a kind that the servers may get, and its proxy.
-func newTestRequest(kind config.RouteKind, servers ...*standin.Server) (*proxy, *inquiry) {
-	set := &settings.Settings{}
-	set.Tuning.BufferBytes = 1 << 20
-	set.Platform.Bounds.RetryBudgetRatio = 1
-	set.Platform.Bounds.RetrySlack = 100
-	set.Platform.Bounds.RetryWindow = timetable.Span(10 * time.Second)
-	p := newProxy(set, timetable.Real(), func(string, string, ...any) {})
-	yard := balancer.NewYard(balancer.Home{Node: "n", Set: 8})
+func newTestRequest(routeType config.RouteKind, servers ...*standin.Server) (*proxy, *inquiry) {
+	conf := &settings.Settings{}
+	conf.Tuning.BufferBytes = 1 << 20
+	conf.Platform.Bounds.RetryBudgetRatio = 1
+	conf.Platform.Bounds.RetrySlack = 100
+	conf.Platform.Bounds.RetryWindow = timetable.Span(10 * time.Second)
+	p := newProxy(conf, timetable.Real(), func(string, string, ...any) {})
+	serverSet := balancer.NewYard(balancer.Home{Node: "n", Set: 8})
 	fleet := feed.Fleet{Term: 1, Count: 1, Proxies: 1}
 	for _, server := range servers {
 		fleet.Servers = append(fleet.Servers, feed.Server{ID: server.ID, Service: "s", Address: server.Address(), Capacity: 4, IsReady: true, Revision: "v1"})
 	}
-	p.sight.Store(&sight{sheet: p.sight.Load().sheet, yard: yard.Lay(fleet), proxies: 1})
+	p.sight.Store(&sight{sheet: p.sight.Load().sheet, yard: serverSet.Lay(fleet), proxies: 1})
 	return p, &inquiry{
 		Inquiry: &upstream.Inquiry{Method: "POST", Target: "/a", Host: "h", Header: http.Header{upstream.HeaderAttempt: {"t"}}, Attempt: "t"},
-		lane:    &config.Route{RouteSpec: config.RouteSpec{Name: "r", RouteType: kind, MaxAttempts: 3}}, sight: p.sight.Load(), service: "s",
+		lane:    &config.Route{RouteSpec: config.RouteSpec{Name: "r", RouteType: routeType, MaxAttempts: 3}}, sight: p.sight.Load(), service: "s",
 		arrived: time.Now(), due: time.Now().Add(600 * time.Millisecond), leave: func() {},
 	}
 }
--- a/internal/proxy/members.go
+++ b/internal/proxy/members.go
@@ -14,38 +14,38 @@
 }
 
 // sender makes one call over a line, as Send and SendRevocable do.
-type callFunc = func(line *rpc.Line, kind rpc.Kind, body any, take func([]byte, error)) (forget func())
+type callFunc = func(line *rpc.Line, kind rpc.Kind, body any, take func([]byte, error)) (cancel func())
 
 // askMembers makes a call to every member of the view at once. Each member's
 // reply comes once; forget must be called when no more are wanted, and a call that
 // was not sent by then never is.
-func callMembers[T any](p *proxy, view membership.View, kind rpc.Kind, body any) (replies <-chan memberReply[T], forget func()) {
+func callMembers[T any](p *proxy, view membership.View, kind rpc.Kind, body any) (replies <-chan memberReply[T], cancel func()) {
 	return fanOut[T](p, view, (*rpc.Line).SendRevocable, kind, body)
 }
 
 // tellMembers is askMembers for what every member is to have, whether its reply is
 // waited for or not.
-func notifyMembers[T any](p *proxy, view membership.View, kind rpc.Kind, body any) (replies <-chan memberReply[T], forget func()) {
+func notifyMembers[T any](p *proxy, view membership.View, kind rpc.Kind, body any) (replies <-chan memberReply[T], cancel func()) {
 	return fanOut[T](p, view, (*rpc.Line).Send, kind, body)
 }
 
-func fanOut[T any](p *proxy, view membership.View, send callFunc, kind rpc.Kind, body any) (replies <-chan memberReply[T], forget func()) {
-	got := make(chan memberReply[T], len(view.Members))
-	forgets := make([]func(), 0, len(view.Members))
+func fanOut[T any](p *proxy, view membership.View, call callFunc, kind rpc.Kind, body any) (replies <-chan memberReply[T], cancel func()) {
+	received := make(chan memberReply[T], len(view.Members))
+	cancels := make([]func(), 0, len(view.Members))
 	for _, member := range view.Members {
 		// A surplus reply, or the cut after a reply, is no other member's vote.
 		var first sync.Once
-		forgets = append(forgets, send(p.line(member), kind, body, func(text []byte, err error) {
-			one := memberReply[T]{member: member}
-			if out := new(T); err == nil && rpc.Unpack(text, out) == nil {
-				one.reply = out
+		cancels = append(cancels, call(p.line(member), kind, body, func(encoded []byte, err error) {
+			answer := memberReply[T]{member: member}
+			if out := new(T); err == nil && rpc.Unpack(encoded, out) == nil {
+				answer.reply = out
 			}
-			first.Do(func() { got <- one })
+			first.Do(func() { received <- answer })
 		}))
 	}
-	return got, func() {
-		for _, forget := range forgets {
-			forget()
+	return received, func() {
+		for _, cancel := range cancels {
+			cancel()
 		}
 	}
 }
--- a/internal/proxy/mirror.go
+++ b/internal/proxy/mirror.go
@@ -57,93 +57,93 @@
 }
 
 // keep closes the connections to servers that are no longer listed under their address.
-func (c *mirrorSender) closeUnlisted(servers []feed.Server) {
-	c.lock.Lock()
-	defer c.lock.Unlock()
-	if len(c.pools) == 0 {
+func (m *mirrorSender) closeUnlisted(servers []feed.Server) {
+	m.lock.Lock()
+	defer m.lock.Unlock()
+	if len(m.pools) == 0 {
 		return
 	}
 	listed := make(map[string]bool, len(servers))
 	for _, server := range servers {
 		listed[poolName(server)] = true
 	}
-	for name, rack := range c.pools {
+	for name, pool := range m.pools {
 		if !listed[name] {
-			rack.Close()
-			delete(c.pools, name)
+			pool.Close()
+			delete(m.pools, name)
 		}
 	}
 }
 
 func poolName(server feed.Server) string { return server.ID + " " + server.Address }
 
-func (c *mirrorSender) recordOf(name string) *loopline.Record {
-	c.lock.Lock()
-	defer c.lock.Unlock()
-	record := c.records[name]
+func (m *mirrorSender) recordOf(name string) *loopline.Record {
+	m.lock.Lock()
+	defer m.lock.Unlock()
+	record := m.records[name]
 	if record == nil {
 		record = loopline.NewRecord()
-		c.records[name] = record
+		m.records[name] = record
 	}
 	return record
 }
 
 // rack holds the connections to one shadow server, apart from all others.
-func (c *mirrorSender) poolOf(server *balancer.Siding) *upstream.Rack {
-	c.lock.Lock()
-	defer c.lock.Unlock()
+func (m *mirrorSender) poolOf(server *balancer.Siding) *upstream.Rack {
+	m.lock.Lock()
+	defer m.lock.Unlock()
 	name := poolName(server.Server)
-	rack := c.pools[name]
-	if rack == nil {
-		rack = &upstream.Rack{Address: server.Address, Instance: server.ID, Window: mirrorWindowBytes}
-		c.pools[name] = rack
+	pool := m.pools[name]
+	if pool == nil {
+		pool = &upstream.Rack{Address: server.Address, Instance: server.ID, Window: mirrorWindowBytes}
+		m.pools[name] = pool
 	}
-	return rack
+	return pool
 }
 
 // mirror offers the copy of an inquiry that has ended, once its client has the
 // reply. reply is nil where none came; isOpen tells that it may have run all the
 // same.
-func (p *proxy) offerMirror(one *inquiry, reply *upstream.Reply, isOpen bool) {
-	if one == nil || one.lane == nil || one.lane.Mirror == nil || one.isReplayed || reply == nil && !isOpen {
+func (p *proxy) offerMirror(req *inquiry, response *upstream.Reply, mayHaveExecuted bool) {
+	if req == nil || req.lane == nil || req.lane.Mirror == nil || req.isReplayed || response == nil && !mayHaveExecuted {
 		return
 	}
-	m := one.lane.Mirror
-	grant, isHeld := one.sight.mirrorGrant(m)
-	if !isHeld {
+	m := req.lane.Mirror
+	grant, granted := req.sight.mirrorGrant(m)
+	if !granted {
 		return
 	}
 	record := p.copier.recordOf(m.Name)
-	conversation := m.Conversation(one.Header, one.key.Key, one.client)
-	draw := m.Draw(one.lane.Host, conversation)
+	conversation := m.Conversation(req.Header, req.key.Key, req.client)
+	draw := m.Draw(req.lane.Host, conversation)
 	if draw >= grant.Share {
 		return
 	}
-	sum := fnv.New64a()
-	_, _ = sum.Write([]byte(one.lane.Host + "\x00" + conversation))
-	hash := sum.Sum64()
+	hasher := fnv.New64a()
+	_, _ = hasher.Write([]byte(req.lane.Host + "\x00" + conversation))
+	hash := hasher.Sum64()
 	record.Under(grant)
 	number, era := record.Meet(hash, draw)
 	switch {
-	case reply == nil:
+	case response == nil:
 		record.Miss(hash, era, "the original's outcome is not known")
 		return
-	case !one.sight.grantsValid(p.clock.Steady()):
+	case !req.sight.grantsValid(p.clock.Steady()):
 		record.Miss(hash, era, "the order had lapsed here")
 		return
 	}
 	job := mirrorJob{
-		mirror: m, record: record, route: one.lane, hash: hash, era: era, position: balancer.Place(hash), timeout: time.Until(one.due) + time.Since(one.arrived),
-		status: reply.Status, length: reply.Length, liveLatency: one.took,
+		mirror: m, record: record, route: req.lane, hash: hash, era: era, position: balancer.Place(hash), timeout: time.Until(req.due) + time.Since(req.arrived),
+		status: response.Status, length: response.Length, liveLatency: req.took,
 	}
-	if job.bodyComplete = reply.Rest == nil; job.bodyComplete {
-		job.bodyDigest = sha256.Sum256(reply.Body)
+	if job.bodyComplete = response.Rest == nil; job.bodyComplete {
+		job.bodyDigest = sha256.Sum256(response.Body)
 	}
-	inquiry := *one.Inquiry
-	inquiry.Header = one.Header.Clone()
-	inquiry.Header.Set(loopline.Marker, fmt.Sprintf("%s; version=%d; node=%s; number=%d; at=%d; settled=%t",
+	mirrored := *req.Inquiry
+	mirrored.Header = req.Header.Clone()
+	mirrored.Header.Set(loopline.Marker, fmt.Sprintf("%s; version=%d; node=%s; number=%d; at=%d; settled=%t",
 		m.Name, m.Version, p.set.Load().Platform.NodeName, number, p.clock.Wall().UnixMilli(), grant.IsSettled))
-	job.request = &inquiry
+	job.request = &mirrored
 	select {
 	case p.copier.queue <- job:
 	default:
@@ -153,7 +153,7 @@
 
 // mirrorGrant is the grant of a mirror that this node heard last, whether it holds
 // still or not.
-func (s *sight) mirrorGrant(m *config.Mirror) (grant loopline.Grant, isHeld bool) {
+func (s *sight) mirrorGrant(m *config.Mirror) (grant loopline.Grant, ok bool) {
 	for _, grant = range s.mirrors {
 		if grant.Name == m.Name && grant.Version == uint64(m.Version) {
 			return grant, true
@@ -171,19 +171,19 @@
 	return out
 }
 
-func (c *mirrorSender) allRecords() map[string]*loopline.Record {
-	c.lock.Lock()
-	defer c.lock.Unlock()
+func (m *mirrorSender) allRecords() map[string]*loopline.Record {
+	m.lock.Lock()
+	defer m.lock.Unlock()
 	out := map[string]*loopline.Record{}
-	for name, record := range c.records {
+	for name, record := range m.records {
 		out[name] = record
 	}
 	return out
 }
 
 // tallies are what is reported of the copies.
-func (c *mirrorSender) tallies() (out []loopline.Tally) {
-	for name, record := range c.allRecords() {
+func (m *mirrorSender) tallies() (out []loopline.Tally) {
+	for name, record := range m.allRecords() {
 		out = append(out, record.Tell(name))
 	}
 	return out
--- a/internal/proxy/moves.go
+++ b/internal/proxy/moves.go
@@ -21,19 +21,19 @@
 }
 
 // enter notes a placed operation for as long as it runs.
-func (p *proxy) trackOperation(one *inquiry) (leave func()) {
-	if !one.isPlaced {
+func (p *proxy) trackOperation(req *inquiry) (done func()) {
+	if !req.isPlaced {
 		return func() {}
 	}
-	p.runs.Store(one, &runningOperation{request: one})
-	return func() { p.runs.Delete(one) }
+	p.runs.Store(req, &runningOperation{request: req})
+	return func() { p.runs.Delete(req) }
 }
 
 // sentTo notes a server of a placed operation.
-func (p *proxy) trackServer(one *inquiry, server string) {
-	if known, isKnown := p.runs.Load(one); isKnown {
-		run := known.(*runningOperation)
-		p.runs.Store(one, &runningOperation{request: one, servers: append(run.servers[:len(run.servers):len(run.servers)], server)})
+func (p *proxy) trackServer(req *inquiry, server string) {
+	if known, ok := p.runs.Load(req); ok {
+		operation := known.(*runningOperation)
+		p.runs.Store(req, &runningOperation{request: req, servers: append(operation.servers[:len(operation.servers):len(operation.servers)], server)})
 	}
 }
 
@@ -41,44 +41,44 @@
 // on the live ring, and on the ring after the change. It looks at one immutable
 // sight and shifts nothing.
 func (p *proxy) plannedMoves(change balancer.Change) messages.Moves {
-	yard := p.sight.Load().yard
-	after := yard.Trial(change)
+	current := p.sight.Load().yard
+	homeAfter := current.Trial(change)
 	out := messages.Moves{Node: p.set.Load().Platform.NodeName}
 	p.runs.Range(func(_, value any) bool {
-		run := value.(*runningOperation)
-		one := run.request
-		home := yard.Home(one.service, one.place)
-		if one.service != change.Service || home == nil {
+		operation := value.(*runningOperation)
+		req := operation.request
+		home := current.Home(req.service, req.place)
+		if req.service != change.Service || home == nil {
 			return true
 		}
 		move := messages.Move{
-			Lane: one.lane.Name, Tenant: one.lane.Host, From: home.ID, To: after(one.place), At: run.servers, Place: one.place,
+			Lane: req.lane.Name, Tenant: req.lane.Host, From: home.ID, To: homeAfter(req.place), At: operation.servers, Place: req.place,
 		}
-		if one.lane.RouteType == config.Idempotent {
-			move.Key = one.key.Key
+		if req.lane.RouteType == config.Idempotent {
+			move.Key = req.key.Key
 		} else {
-			move.Attempt, move.Target = one.Attempt, one.Target
+			move.Attempt, move.Target = req.Attempt, req.Target
 		}
 		out.Runs = append(out.Runs, move)
 		return true
 	})
 	sort.Slice(out.Runs, func(i, j int) bool {
-		a, z := out.Runs[i], out.Runs[j]
-		return a.Key+a.Target+a.Attempt < z.Key+z.Target+z.Attempt
+		a, b := out.Runs[i], out.Runs[j]
+		return a.Key+a.Target+a.Attempt < b.Key+b.Target+b.Attempt
 	})
 	return out
 }
 
-func (p *proxy) ringHomes(asked messages.Homes) (out messages.HomesNow) {
-	yard := p.sight.Load().yard
-	for _, place := range asked.Places {
+func (p *proxy) ringHomes(query messages.Homes) (out messages.HomesNow) {
+	servers := p.sight.Load().yard
+	for _, place := range query.Places {
 		id := ""
-		if home := yard.Home(asked.Service, place); home != nil {
+		if home := servers.Home(query.Service, place); home != nil {
 			id = home.ID
 		}
 		out.Homes = append(out.Homes, id)
 	}
-	out.Ring = yard.Names(asked.Service)
+	out.Ring = servers.Names(query.Service)
 	return out
 }
 
@@ -87,9 +87,9 @@
 	out := messages.Sight{
 		Node: p.set.Load().Platform.NodeName, Digest: s.digest, Epoch: uint64(s.view.Epoch), IsReady: p.isReady(), Servers: s.yard.Size(),
 	}
-	cutoffs, isFloor := p.activeCutoffs(s)
+	cutoffs, isLocal := p.activeCutoffs(s)
 	for _, cutoff := range cutoffs {
-		out.Cutoff, out.IsFloor = max(out.Cutoff, cutoff.Number), isFloor
+		out.Cutoff, out.IsFloor = max(out.Cutoff, cutoff.Number), isLocal
 	}
 	return out
 }
@@ -117,11 +117,11 @@
 	return listener, nil
 }
 
-func replyWith[T, R any](look func(T) R) func(rpc.Call) {
+func replyWith[T, R any](query func(T) R) func(rpc.Call) {
 	return func(call rpc.Call) {
 		var in T
 		if len(call.Body) == 0 || rpc.Unpack(call.Body, &in) == nil {
-			call.Reply(look(in))
+			call.Reply(query(in))
 		}
 	}
 }
--- a/internal/proxy/pace.go
+++ b/internal/proxy/pace.go
@@ -26,64 +26,64 @@
 	baseDriftWeight  = 0.0005
 )
 
-func (p *proxy) latencyStatsOf(lane string) *latencyStats {
-	if known, isKnown := p.paces.Load(lane); isKnown {
+func (s *proxy) latencyStatsOf(route string) *latencyStats {
+	if known, ok := s.paces.Load(route); ok {
 		return known.(*latencyStats)
 	}
-	made, _ := p.paces.LoadOrStore(lane, &latencyStats{})
-	return made.(*latencyStats)
+	stored, _ := s.paces.LoadOrStore(route, &latencyStats{})
+	return stored.(*latencyStats)
 }
 
-func (p *latencyStats) record(took time.Duration, bytes int64) {
-	p.lock.Lock()
-	defer p.lock.Unlock()
-	p.count++
-	weight := max(statsWeight, 1/float64(p.count))
-	off := took.Seconds() - p.meanSeconds
-	p.meanSeconds += weight * off
-	if p.baseSeconds == 0 || p.meanSeconds < p.baseSeconds {
-		p.baseSeconds = p.meanSeconds
+func (s *latencyStats) record(latency time.Duration, bytes int64) {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	s.count++
+	weight := max(statsWeight, 1/float64(s.count))
+	deviation := latency.Seconds() - s.meanSeconds
+	s.meanSeconds += weight * deviation
+	if s.baseSeconds == 0 || s.meanSeconds < s.baseSeconds {
+		s.baseSeconds = s.meanSeconds
 	}
-	p.baseSeconds += baseDriftWeight * (p.meanSeconds - p.baseSeconds)
-	p.deviationSeconds += weight * (max(off, -off) - p.deviationSeconds)
+	s.baseSeconds += baseDriftWeight * (s.meanSeconds - s.baseSeconds)
+	s.deviationSeconds += weight * (max(deviation, -deviation) - s.deviationSeconds)
 	if bytes >= 0 {
-		p.meanBytes += weight * (float64(bytes) - p.meanBytes)
+		s.meanBytes += weight * (float64(bytes) - s.meanBytes)
 	}
 }
 
 // size is how large a reply is expected to be.
-func (p *latencyStats) expectedBytes() int64 {
-	p.lock.Lock()
-	defer p.lock.Unlock()
-	return int64(p.meanBytes)
+func (s *latencyStats) expectedBytes() int64 {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	return int64(s.meanBytes)
 }
 
-func (p *latencyStats) mean() time.Duration {
-	p.lock.Lock()
-	defer p.lock.Unlock()
-	return time.Duration(p.meanSeconds * float64(time.Second))
+func (s *latencyStats) mean() time.Duration {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	return time.Duration(s.meanSeconds * float64(time.Second))
 }
 
 // least is what replies take while nothing is overloaded.
-func (p *latencyStats) base() time.Duration {
-	p.lock.Lock()
-	defer p.lock.Unlock()
-	return time.Duration(p.baseSeconds * float64(time.Second))
+func (s *latencyStats) base() time.Duration {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	return time.Duration(s.baseSeconds * float64(time.Second))
 }
 
 // patience is how long a first try is given before another server is asked
 // too: what replies usually take and a wide margin, and never less than a good
 // part of what the operator aims at.
-func (p *latencyStats) hedgeDelay(aim time.Duration) time.Duration {
-	p.lock.Lock()
-	defer p.lock.Unlock()
-	usual := time.Duration((p.meanSeconds + hedgeDeviations*p.deviationSeconds) * float64(time.Second))
-	return max(usual, time.Duration(hedgeTargetShare*float64(aim)), 20*time.Millisecond)
+func (s *latencyStats) hedgeDelay(targetLatency time.Duration) time.Duration {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	usualMax := time.Duration((s.meanSeconds + hedgeDeviations*s.deviationSeconds) * float64(time.Second))
+	return max(usualMax, time.Duration(hedgeTargetShare*float64(targetLatency)), 20*time.Millisecond)
 }
 
 // crossing is how much delay is borne to keep a reply in the cell.
-func (p *latencyStats) zoneCost(perKB time.Duration) time.Duration {
-	p.lock.Lock()
-	defer p.lock.Unlock()
-	return zoneCostMin + time.Duration(p.meanBytes/1024*float64(perKB))
+func (s *latencyStats) zoneCost(perKB time.Duration) time.Duration {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	return zoneCostMin + time.Duration(s.meanBytes/1024*float64(perKB))
 }
--- a/internal/proxy/shed.go
+++ b/internal/proxy/shed.go
@@ -40,7 +40,7 @@
 
 // cutoffs are those in force: the holder's while its grant holds, or else, after
 // a silence of the core, the node's own floor.
-func (p *proxy) activeCutoffs(s *sight) (out []shedding.Cutoff, isFloor bool) {
+func (p *proxy) activeCutoffs(s *sight) (cutoffs []shedding.Cutoff, isLocal bool) {
 	now := p.clock.Steady()
 	if len(s.cutoffs) > 0 && s.grantsValid(now) {
 		return s.cutoffs, false
@@ -56,20 +56,20 @@
 // shed tells whether the inquiry is turned away by the cutoff. Whether a keyed
 // operation is, the core's members say when its intent is to be created: the
 // same whichever node asks, and never of one that has an intent.
-func (p *proxy) checkOverload(one *inquiry) error {
+func (p *proxy) checkOverload(req *inquiry) error {
 	if !p.sheddingEnabled() {
 		return nil
 	}
-	tier, isShed := one.lane.Tier, false
-	if one.lane.RouteType != config.Idempotent {
-		cutoffs, _ := p.activeCutoffs(one.sight)
+	tier, rejected := req.lane.Tier, false
+	if req.lane.RouteType != config.Idempotent {
+		cutoffs, _ := p.activeCutoffs(req.sight)
 		for _, cutoff := range cutoffs {
-			isShed = isShed || cutoff.Service == one.service && cutoff.Sheds(tier, one.shedNames()...)
+			rejected = rejected || cutoff.Service == req.service && cutoff.Sheds(tier, req.shedNames()...)
 		}
 	}
-	p.gate.counter.Offer(one.service, tier, one.lane.RouteType == config.Idempotent, isShed)
-	if isShed {
-		return one.overloadError()
+	p.gate.counter.Offer(req.service, tier, req.lane.RouteType == config.Idempotent, rejected)
+	if rejected {
+		return req.overloadError()
 	}
 	return nil
 }
@@ -87,12 +87,12 @@
 // comeBack is the refusal of a tier that waits: at once, with a time to come back
 // that is spread over the lane's aim, so that they do not all come at once.
 func (i *inquiry) overloadError() error {
-	aim := i.lane.TargetLatency.Std()
-	if aim == 0 {
-		aim = apierror.AnswerOf(apierror.Shed).RetryAfter
+	target := i.lane.TargetLatency.Std()
+	if target == 0 {
+		target = apierror.AnswerOf(apierror.Shed).RetryAfter
 	}
-	after := aim/2 + time.Duration(shedding.Draw(1, i.Attempt)*float64(aim))
-	return &apierror.Error{Kind: apierror.Shed, Detail: i.service, After: after.Round(time.Millisecond)}
+	retryAfter := target/2 + time.Duration(shedding.Draw(1, i.Attempt)*float64(target))
+	return &apierror.Error{Kind: apierror.Shed, Detail: i.service, After: retryAfter.Round(time.Millisecond)}
 }
 
 // clientOf is the address of an inquiry's client, without its port.
@@ -108,45 +108,45 @@
 const lateFactor = 2
 
 // strainOf counts what the end of a try shows of the service's load.
-func (d *delivery) countLoad(siding *balancer.Siding, reply *upstream.Reply, err error, took time.Duration) {
-	if !d.sheddingEnabled() || err != nil || reply.Status == http.StatusMisdirectedRequest {
+func (d *delivery) countLoad(server *balancer.Siding, response *upstream.Reply, err error, latency time.Duration) {
+	if !d.sheddingEnabled() || err != nil || response.Status == http.StatusMisdirectedRequest {
 		return
 	}
-	outcome, lane := shedding.InTime, d.one.lane
+	outcome, route := shedding.InTime, d.one.lane
 	switch {
-	case reply.IsNotExecuted():
+	case response.IsNotExecuted():
 		outcome = shedding.Turned
-	case lane.RouteType == config.Download:
+	case route.RouteType == config.Download:
 		// How long bulk takes says more of this node's link than of the service.
-	case lane.TargetLatency > 0 && took > max(lane.TargetLatency.Std(), lateFactor*d.pace.base()):
+	case route.TargetLatency > 0 && latency > max(route.TargetLatency.Std(), lateFactor*d.pace.base()):
 		outcome = shedding.Late
 	}
-	d.gate.counter.Try(d.one.service, lane.Tier, siding.ID, outcome)
-	d.box.NoteStrain(siding.ID, outcome != shedding.InTime)
+	d.gate.counter.Try(d.one.service, route.Tier, server.ID, outcome)
+	d.box.NoteStrain(server.ID, outcome != shedding.InTime)
 }
 
 // measure takes what was counted into the node's own measure, and tells whether
 // anything shows a strain.
-func (p *proxy) updateGauge() (isStrained bool) {
+func (p *proxy) updateGauge() (overloaded bool) {
 	if !p.sheddingEnabled() {
 		return false
 	}
-	loads, isStrained := p.gate.counter.Take()
+	loads, overloaded := p.gate.counter.Take()
 	p.gate.lock.Lock()
 	defer p.gate.lock.Unlock()
 	p.gate.pending = shedding.Sum(p.gate.pending, loads)
 	p.gate.localGauge.Hear("", loads)
 	p.gate.localGauge.Decide(p.gate.counter.Strained)
-	return isStrained
+	return overloaded
 }
 
 // loads are what is reported now.
 func (p *proxy) takeLoads() []shedding.Load {
 	p.gate.lock.Lock()
 	defer p.gate.lock.Unlock()
-	out := p.gate.pending
+	loads := p.gate.pending
 	p.gate.pending = nil
-	return out
+	return loads
 }
 
 func (p *proxy) noteReportAnswer() {
--- a/internal/proxy/stage.go
+++ b/internal/proxy/stage.go
@@ -25,19 +25,19 @@
 
 // layStages makes ready the staged changes that the fleet's news bring. News that
 // only renew a change keep its manifest, unless the book has changed.
-func (s *sight) updateStaged(stages []feed.Stage, book config.Book, isNewBook bool, node string) {
-	laid := s.stages
+func (s *sight) updateStaged(published []feed.Stage, items config.Book, configChanged bool, node string) {
+	previous := s.stages
 	s.stages = nil
-	for _, told := range stages {
-		isMine := slices.Contains(told.Nodes, node)
-		at := slices.IndexFunc(laid, func(l stagedChange) bool { return l.Subject == told.Subject && l.Number == told.Number })
-		if at >= 0 && !isNewBook {
-			s.stages = append(s.stages, stagedChange{told, laid[at].compiled, isMine})
+	for _, change := range published {
+		applies := slices.Contains(change.Nodes, node)
+		index := slices.IndexFunc(previous, func(p stagedChange) bool { return p.Subject == change.Subject && p.Number == change.Number })
+		if index >= 0 && !configChanged {
+			s.stages = append(s.stages, stagedChange{change, previous[index].compiled, applies})
 			continue
 		}
-		changed := book.Clone()
-		changed.Merge(changed.Newer(told.Items))
-		s.stages = append(s.stages, stagedChange{told, changed.Compile(), isMine})
+		changed := items.Clone()
+		changed.Merge(changed.Newer(change.Items))
+		s.stages = append(s.stages, stagedChange{change, changed.Compile(), applies})
 	}
 }
 
@@ -52,13 +52,13 @@
 
 // findLane picks the inquiry's lane: the manifest's, or that of a staged change
 // which has reached this node and whose grant holds.
-func (s *sight) findRoute(one *inquiry, host, path string, isKeyed bool, now timetable.Steady) {
-	one.lane = s.sheet.Find(host, path)
+func (s *sight) findRoute(req *inquiry, host, path string, hasKey bool, now timetable.Steady) {
+	req.lane = s.sheet.Find(host, path)
 	if len(s.stages) == 0 || !s.grantsValid(now) {
 		return
 	}
-	for _, staged := range s.stages {
-		base, next := one.lane, staged.compiled.Find(host, path)
+	for _, change := range s.stages {
+		base, next := req.lane, change.compiled.Find(host, path)
 		if sameRoute(base, next) {
 			continue
 		}
@@ -66,20 +66,20 @@
 		if named == nil {
 			named = next
 		}
-		one.stage = &stagedMark{mark: outlier.Mark{Subject: staged.Subject, Number: staged.Number, Lane: named.Name, IsTrial: staged.applies}}
-		if one.stage.targetLatency = named.TargetLatency.Std(); one.stage.targetLatency == 0 {
-			one.stage.targetLatency = named.Timeout.Std()
+		req.stage = &stagedMark{mark: outlier.Mark{Subject: change.Subject, Number: change.Number, Lane: named.Name, IsTrial: change.applies}}
+		if req.stage.targetLatency = named.TargetLatency.Std(); req.stage.targetLatency == 0 {
+			req.stage.targetLatency = named.Timeout.Std()
 		}
-		if !staged.applies {
+		if !change.applies {
 			continue
 		}
-		one.stage.mark.Wave = staged.Wave
-		isKept := base != nil && base.RouteType == config.Idempotent
-		if one.lane = next; next != nil && isKeyed && isKept && next.RouteType != config.Idempotent {
+		req.stage.mark.Wave = change.Wave
+		recorded := base != nil && base.RouteType == config.Idempotent
+		if req.lane = next; next != nil && hasKey && recorded && next.RouteType != config.Idempotent {
 			// Whatever the change says, the operation keeps its record.
 			kept := *next
 			kept.RouteType = config.Idempotent
-			one.lane, one.stage.dropsRecord = &kept, true
+			req.lane, req.stage.dropsRecord = &kept, true
 		}
 	}
 }
@@ -90,19 +90,19 @@
 
 // settleStage counts how an inquiry ended for the staged change that touched it. What
 // the record answered shows nothing of the change.
-func (p *proxy) recordStagedOutcome(one *inquiry, reply *upstream.Reply, err error, isBroken bool) {
-	if one == nil || one.stage == nil || one.isReplayed {
+func (p *proxy) recordStagedOutcome(req *inquiry, response *upstream.Reply, err error, truncated bool) {
+	if req == nil || req.stage == nil || req.isReplayed {
 		return
 	}
-	outcome, isCounted := stagedOutcome(one, reply, err, time.Since(one.arrived))
-	if isBroken {
-		outcome, isCounted = outlier.Broken, true
+	outcome, counted := stagedOutcome(req, response, err, time.Since(req.arrived))
+	if truncated {
+		outcome, counted = outlier.Broken, true
 	}
-	if one.stage.dropsRecord {
-		outcome, isCounted = outlier.Doubled, true
+	if req.stage.dropsRecord {
+		outcome, counted = outlier.Doubled, true
 	}
-	if isCounted {
-		p.box.Note(one.stage.mark, outcome)
+	if counted {
+		p.box.Note(req.stage.mark, outcome)
 	}
 }
 
@@ -113,24 +113,24 @@
 	apierror.Busy: outlier.Failed,
 }
 
-func stagedOutcome(one *inquiry, reply *upstream.Reply, err error, took time.Duration) (outcome outlier.Outcome, isCounted bool) {
-	isKeyed := one.lane != nil && one.lane.RouteType == config.Idempotent
+func stagedOutcome(req *inquiry, response *upstream.Reply, err error, latency time.Duration) (outcome outlier.Outcome, counted bool) {
+	keyed := req.lane != nil && req.lane.RouteType == config.Idempotent
 	var known *apierror.Error
 	switch {
 	case err != nil && errors.As(err, &known):
-		outcome, isCounted = outcomesByKind[known.Kind]
-		if isKeyed && (known.Kind == apierror.Broken || known.Kind == apierror.Late) {
+		outcome, counted = outcomesByKind[known.Kind]
+		if keyed && (known.Kind == apierror.Broken || known.Kind == apierror.Late) {
 			// It may have run, and nobody can say: the operation is missing.
 			outcome = outlier.Missing
 		}
-		return outcome, isCounted
+		return outcome, counted
 	case errors.Is(err, errClientGone):
 		return outcome, false
 	case err != nil:
 		return outlier.Failed, true
-	case reply.Status >= http.StatusInternalServerError:
+	case response.Status >= http.StatusInternalServerError:
 		return outlier.Failed, true
-	case took > one.stage.targetLatency:
+	case latency > req.stage.targetLatency:
 		return outlier.Slow, true
 	}
 	return outlier.Good, true
--- a/internal/proxy/trial.go
+++ b/internal/proxy/trial.go
@@ -36,7 +36,7 @@
 }
 
 // grant is the share of the service's version on trial, while it holds.
-func (s *sight) canaryShare(service string, now timetable.Steady) (share feed.Share, isGranted bool) {
+func (s *sight) canaryShare(service string, now timetable.Steady) (share feed.Share, granted bool) {
 	if !s.grantsValid(now) {
 		return share, false
 	}
@@ -49,18 +49,18 @@
 }
 
 // admitTrial decides whether an inquiry may go to the version on trial.
-func (p *proxy) admitToCanary(one *inquiry) {
-	if len(one.sight.shares) == 0 {
+func (p *proxy) admitToCanary(req *inquiry) {
+	if len(req.sight.shares) == 0 {
 		return
 	}
-	if share, isGranted := one.sight.canaryShare(one.service, p.clock.Steady()); isGranted {
-		one.isTrial = p.canaryAllowance(one.service).Take(share.Number, share.Part, one.lane.Name)
+	if share, granted := req.sight.canaryShare(req.service, p.clock.Steady()); granted {
+		req.isTrial = p.canaryAllowance(req.service).Take(share.Number, share.Part, req.lane.Name)
 	}
 }
 
 func (p *proxy) canaryAllowance(service string) *balancer.Allowance {
-	known, _ := p.allowances.LoadOrStore(service, &balancer.Allowance{})
-	return known.(*balancer.Allowance)
+	allowance, _ := p.allowances.LoadOrStore(service, &balancer.Allowance{})
+	return allowance.(*balancer.Allowance)
 }
 
 // mayTry tells whether the next try may go to the version on trial: the first
@@ -70,44 +70,44 @@
 	if !d.one.isTrial {
 		return false
 	}
-	share, isGranted := s.canaryShare(d.one.service, d.clock.Steady())
-	return isGranted && (len(d.passed) == 0 || share.Part >= 1)
+	share, granted := s.canaryShare(d.one.service, d.clock.Steady())
+	return granted && (len(d.passed) == 0 || share.Part >= 1)
 }
 
 // testify counts what a try showed of the server and of its version.
-func (d *delivery) recordOutcome(siding *balancer.Siding, mark outlier.Mark, reply *upstream.Reply, err error, took, usual time.Duration) {
+func (d *delivery) recordOutcome(server *balancer.Siding, mark outlier.Mark, response *upstream.Reply, err error, latency, usualLatency time.Duration) {
 	outcome := outlier.Good
-	isWarming := siding.WarmLeft(d.clock.Wall()) > 0
-	isSlow := usual > 0 && took > max(slowFactor*usual, slowMin)
-	var timed net.Error
+	warming := server.WarmLeft(d.clock.Wall()) > 0
+	slow := usualLatency > 0 && latency > max(slowFactor*usualLatency, slowMin)
+	var netErr net.Error
 	switch {
 	case err != nil && errors.Is(err, upstream.ErrNotSent):
 		return
-	case err != nil && errors.As(err, &timed) && timed.Timeout():
+	case err != nil && errors.As(err, &netErr) && netErr.Timeout():
 		outcome = outlier.Slow
 	case err != nil:
 		outcome = outlier.Broken
-	case reply.IsNotExecuted():
+	case response.IsNotExecuted():
 		return
-	case reply.Status == http.StatusInternalServerError || reply.Status == http.StatusBadGateway || reply.Status == http.StatusServiceUnavailable:
+	case response.Status == http.StatusInternalServerError || response.Status == http.StatusBadGateway || response.Status == http.StatusServiceUnavailable:
 		outcome = outlier.Failed
-	case isSlow || reply.Status == http.StatusGatewayTimeout:
+	case slow || response.Status == http.StatusGatewayTimeout:
 		outcome = outlier.Slow
 	}
-	pace := 0.0
-	if usual > 0 && !isWarming {
-		pace = float64(took) / float64(usual)
+	relativeLatency := 0.0
+	if usualLatency > 0 && !warming {
+		relativeLatency = float64(latency) / float64(usualLatency)
 	}
-	d.box.NoteServer(siding.ID, outcome, pace)
-	if mark.Number > 0 && (outcome != outlier.Slow || !isWarming) {
+	d.box.NoteServer(server.ID, outcome, relativeLatency)
+	if mark.Number > 0 && (outcome != outlier.Slow || !warming) {
 		d.box.Note(mark, outcome)
 	}
 }
 
 // mark is what a try counts for: the trial that was on when it was sent.
-func (d *delivery) canaryMark(siding *balancer.Siding) (mark outlier.Mark) {
-	if share, isGranted := d.sight.Load().canaryShare(d.one.service, d.clock.Steady()); isGranted {
-		mark = outlier.Mark{Subject: d.one.service, Number: share.Number, Lane: d.one.lane.Name, IsTrial: siding.Grade == feed.OnTrial}
+func (d *delivery) canaryMark(server *balancer.Siding) (mark outlier.Mark) {
+	if share, granted := d.sight.Load().canaryShare(d.one.service, d.clock.Steady()); granted {
+		mark = outlier.Mark{Subject: d.one.service, Number: share.Number, Lane: d.one.lane.Name, IsTrial: server.Grade == feed.OnTrial}
 	}
 	return mark
 }
@@ -119,27 +119,27 @@
 	timetable.Every(ctx, reportPeriod, func() {
 		periods++
 		s := p.sight.Load()
-		isStrained := p.updateGauge()
-		if s.holder == "" || len(s.shares)+len(s.stages) == 0 && !p.needsSlots() && !isStrained && periods%idleReportPeriods > 0 {
+		overloaded := p.updateGauge()
+		if s.holder == "" || len(s.shares)+len(s.stages) == 0 && !p.needsSlots() && !overloaded && periods%idleReportPeriods > 0 {
 			return
 		}
-		set, sentAt := p.set.Load(), p.clock.Steady()
-		report := p.box.Report(set.Platform.NodeName, p.life)
-		report.Term, report.Count = s.reading.Term, s.reading.Count
+		conf, sentAt := p.set.Load(), p.clock.Steady()
+		evidence := p.box.Report(conf.Platform.NodeName, p.life)
+		evidence.Term, evidence.Count = s.reading.Term, s.reading.Count
 		for _, share := range s.shares {
-			report.Works = append(report.Works, outlier.Work{Subject: share.Service, AtWork: s.yard.AtWork(share.Service)})
+			evidence.Works = append(evidence.Works, outlier.Work{Subject: share.Service, AtWork: s.yard.AtWork(share.Service)})
 		}
-		out := messages.Report{Evidence: report, Cell: set.Platform.Cell}
-		if set.Tuning.Branchline != settings.BranchOff {
-			out.Uses = p.purse.Uses()
+		report := messages.Report{Evidence: evidence, Cell: conf.Platform.Cell}
+		if conf.Tuning.Branchline != settings.BranchOff {
+			report.Uses = p.purse.Uses()
 		}
-		out.Loads, out.Mirrored = p.takeLoads(), p.copier.tallies()
+		report.Loads, report.Mirrored = p.takeLoads(), p.copier.tallies()
 		line := p.line(s.holder)
 		go func() {
-			var told messages.Lots
-			if line.Ask(messages.KindReport, out, &told, reportTimeout) == nil {
+			var answer messages.Lots
+			if line.Ask(messages.KindReport, report, &answer, reportTimeout) == nil {
 				p.noteReportAnswer()
-				p.purse.Take(told.Lots, sentAt)
+				p.purse.Take(answer.Lots, sentAt)
 			}
 		}()
 	})
