--- a/internal/proxy/canary.go
+++ b/internal/proxy/canary.go
@@ -19,23 +19,23 @@
 
 const (
 	reportPeriod = 250 * time.Millisecond
-	// restPeriods is how many periods pass between reports while nothing is on
-	// trial.
+	// idleReportPeriods is how many periods pass between reports while there is no
+	// canary, staged change, overload or lack of slots.
 	idleReportPeriods = 4
-	// reportSpan is how long the reply to a report is waited for.
 	reportTimeout = time.Second
-	// slowTimes is how many times as long as usual a slow reply takes, slowLeast
-	// what is never slow.
+	// A response is slow if it takes more than slowFactor times the usual latency
+	// of its route, and more than slowMin.
 	slowFactor = 3
 	slowMin    = 20 * time.Millisecond
 )
 
-// holdsGrants tells whether the grants in the fleet's news have not lapsed.
+// grantsValid reports whether the grants in the last fleet state have not expired.
 func (s *sight) grantsValid(now timetable.Steady) bool {
 	return time.Duration(now-s.heard) <= feed.GrantSpan
 }
 
-// grant is the share of the service's version on trial, while it holds.
+// canaryShare returns the traffic share of the service's canary version while its
+// grant is valid.
 func (s *sight) canaryShare(service string, now timetable.Steady) (share feed.Share, granted bool) {
 	if !s.grantsValid(now) {
 		return share, false
@@ -48,7 +48,7 @@
 	return feed.Share{}, false
 }
 
-// admitTrial decides whether an inquiry may go to the version on trial.
+// admitToCanary decides whether a request may go to the canary version.
 func (p *proxy) admitToCanary(req *inquiry) {
 	if len(req.sight.shares) == 0 {
 		return
@@ -63,9 +63,9 @@
 	return allowance.(*balancer.Allowance)
 }
 
-// mayTry tells whether the next try may go to the version on trial: the first
-// one of an inquiry that was admitted to it, under a grant that still holds; or
-// any, once it has everything.
+// mayUseCanary reports whether the next attempt may go to the canary version. The
+// request must have been admitted and the grant must still be valid. Only the first
+// attempt may go there until the canary has all traffic.
 func (d *delivery) mayUseCanary(s *sight) bool {
 	if !d.one.isTrial {
 		return false
@@ -74,7 +74,8 @@
 	return granted && (len(d.passed) == 0 || share.Part >= 1)
 }
 
-// testify counts what a try showed of the server and of its version.
+// recordOutcome counts the outcome of an attempt for its server and for the canary
+// that it belongs to.
 func (d *delivery) recordOutcome(server *balancer.Siding, mark outlier.Mark, response *upstream.Reply, err error, latency, usualLatency time.Duration) {
 	outcome := outlier.Good
 	warming := server.WarmLeft(d.clock.Wall()) > 0
@@ -104,7 +105,8 @@
 	}
 }
 
-// mark is what a try counts for: the trial that was on when it was sent.
+// canaryMark identifies the canary that was active when an attempt was sent. The
+// outcome of the attempt counts for it.
 func (d *delivery) canaryMark(server *balancer.Siding) (mark outlier.Mark) {
 	if share, granted := d.sight.Load().canaryShare(d.one.service, d.clock.Steady()); granted {
 		mark = outlier.Mark{Subject: d.one.service, Number: share.Number, Lane: d.one.lane.Name, IsTrial: server.Grade == feed.OnTrial}
@@ -112,8 +114,9 @@
 	return mark
 }
 
-// reportOn tells the holder of the duty what was counted, often while something
-// is on trial.
+// reportPeriodically sends the counts to the term holder: in every period while
+// there is a canary, a staged change, overload or a lack of slots, and less often
+// otherwise.
 func (p *proxy) reportPeriodically(ctx context.Context) {
 	periods := 0
 	timetable.Every(ctx, reportPeriod, func() {
--- a/internal/proxy/download.go
+++ b/internal/proxy/download.go
@@ -13,12 +13,13 @@
 	"ploverhitch/internal/upstream"
 )
 
-// turnShare is the part of the lane's aim that a download may wait for its turn.
+// turnWaitDivisor: a download waits for its turn for at most the target latency
+// divided by this.
 const turnWaitDivisor = 6
 
-// passing admits downloads only while the machine's link can carry them in the
-// lane's aim, and lets few servers answer with one at the same time. Refused at
-// once, a client still has the time to ask another node.
+// limitingDownloads admits a download only if the machine's link can carry it within
+// the target latency, and limits how many servers send downloads at the same time.
+// A client that is rejected at once still has time to try another node.
 func (p *proxy) limitingDownloads(next endpoint.Endpoint) endpoint.Endpoint {
 	return func(ctx context.Context, request any) (any, error) {
 		req := request.(*inquiry)
@@ -44,7 +45,7 @@
 		endTurn = sync.OnceFunc(endTurn)
 		answer, err := next(ctx, request)
 		if response, ok := answer.(*upstream.Reply); ok && response.Rest != nil {
-			// Its sender is answering until the rest has come.
+			// The server sends until the rest of the body has been read.
 			response.Rest = &notifyingReader{response.Rest, endTurn}
 			req.leave = func() { release(); endTurn() }
 			return answer, err
@@ -54,7 +55,7 @@
 	}
 }
 
-// closing calls end once what it reads from is over.
+// notifyingReader calls done when the underlying reader ends or fails.
 type notifyingReader struct {
 	io.Reader
 	done func()
--- a/internal/proxy/late_result.go
+++ b/internal/proxy/late_result.go
@@ -9,14 +9,16 @@
 	"ploverhitch/internal/upstream"
 )
 
-// lateEnd is what a try showed after its client was answered: a reply, or that
-// nothing ran after all.
+// lateResult is what the attempts in flight showed after the client had its
+// answer: a response, or that the request was not executed.
 type lateResult struct {
 	response    *upstream.Reply
 	notExecuted bool
 }
 
-// late ends an inquiry whose time is up.
+// deadlineExceeded ends a delivery whose deadline has passed. If a non-repeatable
+// request is still in flight, the returned error carries a channel with its late
+// result.
 func (d *delivery) deadlineExceeded() error {
 	if d.one.lane.IsRepeatable() || d.flying == 0 {
 		return apierror.New(apierror.Late, "")
@@ -46,7 +48,8 @@
 	return unknown
 }
 
-// sweep lets the tries that lost run to their end, and frees what they hold.
+// drainAttempts lets the attempts still in flight run to their end and releases
+// what they hold.
 func (d *delivery) drainAttempts() {
 	if d.flying == 0 {
 		d.leave()
@@ -63,8 +66,8 @@
 	}()
 }
 
-// isPromise tells whether a status says that the inquiry did not run; only a
-// server's Not-Executed may be told to a client that way.
+// impliesNotExecuted reports whether clients read the status as "not executed".
+// Such a status may reach a client only if the server sent Not-Executed.
 func impliesNotExecuted(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests ||
 		status == http.StatusRequestTimeout || status == http.StatusMisdirectedRequest
--- a/internal/proxy/latency.go
+++ b/internal/proxy/latency.go
@@ -5,32 +5,37 @@
 	"time"
 )
 
-// pace is what the proxy has learnt of one lane's replies: how long they take,
-// how much that varies, and how large they are.
+// latencyStats holds moving averages over the responses of one route: latency, its
+// deviation, and size.
 type latencyStats struct {
 	lock             sync.Mutex
 	meanSeconds      float64
 	deviationSeconds float64
 	meanBytes        float64
 	count            int
-	// base is the least that the mean was, drifting up slowly: what replies take
-	// while nothing is overloaded.
+	// baseSeconds is the lowest mean seen, drifting up slowly towards the current
+	// mean: the latency without overload.
 	baseSeconds float64
 }
 
 const (
-	statsWeight      = 0.05
+	// statsWeight is the weight of one response in the moving averages.
+	statsWeight = 0.05
+	// hedgeDeviations and hedgeTargetShare (of the target latency) bound the hedge
+	// delay from below.
 	hedgeDeviations  = 4.0
 	hedgeTargetShare = 0.35
 	zoneCostMin      = 2 * time.Millisecond
-	baseDriftWeight  = 0.0005
+	// baseDriftWeight is the part of the distance to the mean that baseSeconds
+	// moves up per response.
+	baseDriftWeight = 0.0005
 )
 
-func (s *proxy) latencyStatsOf(route string) *latencyStats {
-	if known, ok := s.paces.Load(route); ok {
+func (p *proxy) latencyStatsOf(route string) *latencyStats {
+	if known, ok := p.paces.Load(route); ok {
 		return known.(*latencyStats)
 	}
-	stored, _ := s.paces.LoadOrStore(route, &latencyStats{})
+	stored, _ := p.paces.LoadOrStore(route, &latencyStats{})
 	return stored.(*latencyStats)
 }
 
@@ -51,7 +56,7 @@
 	}
 }
 
-// size is how large a reply is expected to be.
+// expectedBytes returns the expected size of a response.
 func (s *latencyStats) expectedBytes() int64 {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -64,16 +69,16 @@
 	return time.Duration(s.meanSeconds * float64(time.Second))
 }
 
-// least is what replies take while nothing is overloaded.
+// base returns the latency without overload.
 func (s *latencyStats) base() time.Duration {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return time.Duration(s.baseSeconds * float64(time.Second))
 }
 
-// patience is how long a first try is given before another server is asked
-// too: what replies usually take and a wide margin, and never less than a good
-// part of what the operator aims at.
+// hedgeDelay is how long the first attempt runs before a second server gets the
+// request too: the mean latency and hedgeDeviations deviations, but at least
+// hedgeTargetShare of the configured target latency.
 func (s *latencyStats) hedgeDelay(targetLatency time.Duration) time.Duration {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -81,7 +86,7 @@
 	return max(usualMax, time.Duration(hedgeTargetShare*float64(targetLatency)), 20*time.Millisecond)
 }
 
-// crossing is how much delay is borne to keep a reply in the cell.
+// zoneCost is the extra latency that is accepted to keep a request within the zone.
 func (s *latencyStats) zoneCost(perKB time.Duration) time.Duration {
 	s.lock.Lock()
 	defer s.lock.Unlock()
--- a/internal/proxy/selection.go
+++ b/internal/proxy/selection.go
@@ -8,15 +8,18 @@
 	"ploverhitch/internal/settings"
 )
 
-// lesserPart is how much of the room at another site inquiries may fill that are
-// not of the service's highest rank: those are turned away last.
 const (
+	// lowPriorityShare is the share of the slots at another site that requests
+	// below the highest priority of the service may use, so that requests of the
+	// highest priority are rejected last.
 	lowPriorityShare = 0.7
-	// probeOne: of so many choices that meet a failing server of a fallen site,
-	// one may try it.
+	// probeInterval: one in so many requests may probe a failing server of an
+	// unhealthy site.
 	probeInterval = 40
 )
 
+// chooseServer chooses the server of the next attempt, or nil. It prefers the canary
+// version if the request may go there.
 func (d *delivery) chooseServer() *balancer.Siding {
 	s := d.sight.Load()
 	criteria := balancer.Wish{
@@ -30,8 +33,8 @@
 	return d.chooseAtSite(s, criteria)
 }
 
-// limit is this node's part of the connections that one server accepts from
-// all proxies together; a quarter is left for proxies that are just coming.
+// connectionLimit is this node's share of the connections that one server accepts
+// from all proxies together. A quarter is reserved for proxies that are starting.
 func (d *delivery) connectionLimit() int {
 	s := d.sight.Load()
 	maxConnections := s.sheet.Services[d.one.service].MaxConnections
@@ -41,7 +44,7 @@
 	return max(1, maxConnections*3/4/s.proxies)
 }
 
-// rankPart is the part of a lot that the inquiry may fill.
+// slotShare is the share of the slots at another site that the request may use.
 func (s *sight) slotShare(req *inquiry) float64 {
 	if req.lane.Priority <= s.sheet.HighestRank(req.service) {
 		return 1
@@ -49,8 +52,8 @@
 	return lowPriorityShare
 }
 
-// chooseWithin chooses a server at the node's own site, or at another one that
-// has room for it, and takes the place there.
+// chooseAtSite chooses a server at the local site, or at another site with free
+// slots, and takes a slot there.
 func (d *delivery) chooseAtSite(s *sight, criteria balancer.Wish) *balancer.Siding {
 	mode := d.set.Load().Tuning.Branchline
 	if mode == settings.BranchOff || s.tree == nil {
@@ -58,7 +61,8 @@
 	}
 	service, share := d.one.service, s.slotShare(d.one)
 	if mode == settings.BranchFallen && !s.yard.IsFallen(service) {
-		// While the own site stands, its servers' own refusals bound the load.
+		// While the local site is healthy, its servers limit the load by rejecting
+		// requests themselves.
 		server := s.yard.Choose(criteria, d.clock)
 		if server != nil {
 			d.places.Store(server, d.purse.Note(service, s.tree.SiteOf(server.ID, server.Cell)))
@@ -68,8 +72,8 @@
 	criteria.Allows = func(server *balancer.Siding) bool {
 		site := s.tree.SiteOf(server.ID, server.Cell)
 		if site == s.site {
-			// What failed when last asked is no place to wait at: without room
-			// elsewhere the inquiry is refused at once.
+			// A server that failed its last request is not worth waiting for:
+			// without free slots elsewhere the request is rejected at once.
 			return server.IsSound() || rand.IntN(probeInterval) == 0
 		}
 		return d.purse.HasRoom(service, site, share)
@@ -88,15 +92,15 @@
 	return nil
 }
 
-// vacate gives back the place that a try took at its server's site.
+// releaseSlot releases the slot that an attempt holds at the site of its server.
 func (d *delivery) releaseSlot(server *balancer.Siding) {
 	if release, ok := d.places.LoadAndDelete(server); ok {
 		release.(func())()
 	}
 }
 
-// isShort tells whether callers wait for room elsewhere; then reports are sent
-// at once.
+// needsSlots reports whether requests lack slots at other sites. Reports are then
+// sent in every period.
 func (p *proxy) needsSlots() bool {
 	return p.set.Load().Tuning.Branchline != settings.BranchOff && p.purse.IsShort()
 }
--- a/internal/proxy/shed.go
+++ b/internal/proxy/shed.go
@@ -15,31 +15,33 @@
 	"ploverhitch/internal/upstream"
 )
 
-// aloneSpan is after how long without a word from the holder of the duty a node
-// goes by its own measure.
+// holderSilenceLimit is how long the term holder may leave reports unanswered
+// before a node applies the cutoffs of its local gauge.
 const holderSilenceLimit = 3 * time.Second
 
-// gate decides what is turned away because its service is overloaded.
+// loadShedder decides which requests are rejected because their service is
+// overloaded.
 type loadShedder struct {
 	counter *shedding.Counter
-	// lock guards the node's own measure, and the loads that wait to be reported.
+	// lock guards localGauge, pending and lastReportAnswer.
 	lock       sync.Mutex
 	localGauge *shedding.Gauge
 	pending    []shedding.Load
-	// heardAt is when the holder answered a report last.
+	// lastReportAnswer is when the term holder last answered a report.
 	lastReportAnswer timetable.Steady
 }
 
 func newLoadShedder(clock timetable.Clock) *loadShedder {
-	// The floor's seed is the same at all nodes, so that nodes which go by their
-	// own measures differ in how much they turn away, and hardly in whom.
+	// All nodes use the same seed, so nodes that apply their local gauges differ
+	// in how much they reject, but hardly in which clients.
 	return &loadShedder{counter: shedding.NewCounter(), localGauge: shedding.NewGauge(clock, func() uint64 { return 0 })}
 }
 
 func (p *proxy) sheddingEnabled() bool { return p.set.Load().Tuning.Loadgauge == settings.GaugeOn }
 
-// cutoffs are those in force: the holder's while its grant holds, or else, after
-// a silence of the core, the node's own floor.
+// activeCutoffs returns the cutoffs in force: those of the term holder while its
+// grant is valid, or those of the local gauge once the term holder has been silent
+// for holderSilenceLimit.
 func (p *proxy) activeCutoffs(s *sight) (cutoffs []shedding.Cutoff, isLocal bool) {
 	now := p.clock.Steady()
 	if len(s.cutoffs) > 0 && s.grantsValid(now) {
@@ -53,9 +55,10 @@
 	return p.gate.localGauge.Cutoffs(), true
 }
 
-// shed tells whether the inquiry is turned away by the cutoff. Whether a keyed
-// operation is, the core's members say when its intent is to be created: the
-// same whichever node asks, and never of one that has an intent.
+// checkOverload returns an error if a cutoff rejects the request. It rejects no
+// request with an idempotency key: for those the control-plane members decide when
+// the intent is created, so the decision is the same whichever node asks and a key
+// that has an intent is never rejected.
 func (p *proxy) checkOverload(req *inquiry) error {
 	if !p.sheddingEnabled() {
 		return nil
@@ -74,7 +77,8 @@
 	return nil
 }
 
-// names are what an inquiry that bears no key goes by: its tenant and its client.
+// shedNames returns the tenant and the client that a cutoff hashes for a request
+// without an idempotency key.
 func (i *inquiry) shedNames() []string {
 	if header := i.sight.sheet.Plan.Conversation; header != "" {
 		if value := i.Header.Get(header); value != "" {
@@ -84,8 +88,8 @@
 	return []string{i.lane.Host, i.client, i.Target}
 }
 
-// comeBack is the refusal of a tier that waits: at once, with a time to come back
-// that is spread over the lane's aim, so that they do not all come at once.
+// overloadError is the error of a rejected request. Its Retry-After is spread over
+// the target latency of the route, so that clients do not all retry at once.
 func (i *inquiry) overloadError() error {
 	target := i.lane.TargetLatency.Std()
 	if target == 0 {
@@ -95,7 +99,7 @@
 	return &apierror.Error{Kind: apierror.Shed, Detail: i.service, After: retryAfter.Round(time.Millisecond)}
 }
 
-// clientOf is the address of an inquiry's client, without its port.
+// clientAddress returns the client's address without the port.
 func clientAddress(r *http.Request) string {
 	host, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
@@ -104,10 +108,11 @@
 	return host
 }
 
-// lateTimes is how many times its usual a late reply takes at least.
+// lateFactor is the multiple of the base latency that a response must exceed to
+// count as late.
 const lateFactor = 2
 
-// strainOf counts what the end of a try shows of the service's load.
+// countLoad counts what the end of an attempt shows about the load of its service.
 func (d *delivery) countLoad(server *balancer.Siding, response *upstream.Reply, err error, latency time.Duration) {
 	if !d.sheddingEnabled() || err != nil || response.Status == http.StatusMisdirectedRequest {
 		return
@@ -117,7 +122,8 @@
 	case response.IsNotExecuted():
 		outcome = shedding.Turned
 	case route.RouteType == config.Download:
-		// How long bulk takes says more of this node's link than of the service.
+		// The duration of a download depends on this node's link more than on the
+		// service.
 	case route.TargetLatency > 0 && latency > max(route.TargetLatency.Std(), lateFactor*d.pace.base()):
 		outcome = shedding.Late
 	}
@@ -125,8 +131,8 @@
 	d.box.NoteStrain(server.ID, outcome != shedding.InTime)
 }
 
-// measure takes what was counted into the node's own measure, and tells whether
-// anything shows a strain.
+// updateGauge feeds the counts since the last call to the local gauge and reports
+// whether any of them shows overload.
 func (p *proxy) updateGauge() (overloaded bool) {
 	if !p.sheddingEnabled() {
 		return false
@@ -140,7 +146,7 @@
 	return overloaded
 }
 
-// loads are what is reported now.
+// takeLoads returns the loads not yet reported and clears them.
 func (p *proxy) takeLoads() []shedding.Load {
 	p.gate.lock.Lock()
 	defer p.gate.lock.Unlock()
--- a/internal/proxy/staged.go
+++ b/internal/proxy/staged.go
@@ -15,16 +15,16 @@
 	"ploverhitch/internal/upstream"
 )
 
-// stage is a staged change as this node knows it: the manifest with it, and
-// whether this node is to serve by it.
+// stagedChange is a staged change with the configuration that results from it.
+// applies tells whether this node serves by it.
 type stagedChange struct {
 	feed.Stage
 	compiled *config.Sheet
 	applies  bool
 }
 
-// layStages makes ready the staged changes that the fleet's news bring. News that
-// only renew a change keep its manifest, unless the book has changed.
+// updateStaged compiles the published staged changes. A change that is only renewed
+// keeps its compiled configuration, unless the items have changed.
 func (s *sight) updateStaged(published []feed.Stage, items config.Book, configChanged bool, node string) {
 	previous := s.stages
 	s.stages = nil
@@ -41,17 +41,19 @@
 	}
 }
 
-// stageMark is a staged change's hold on an inquiry: its outcome counts for it.
+// stagedMark identifies the staged change that affects a request. The outcome of the
+// request counts for it.
 type stagedMark struct {
 	mark outlier.Mark
-	// aim is within what the lane's reply is on time.
+	// targetLatency is the latency above which a response counts as slow.
 	targetLatency time.Duration
-	// isUnkept: the change would run a keyed operation without its record.
+	// dropsRecord: with the change, a request with an idempotency key would run
+	// without a record.
 	dropsRecord bool
 }
 
-// findLane picks the inquiry's lane: the manifest's, or that of a staged change
-// which has reached this node and whose grant holds.
+// findRoute finds the route of a request: that of the configuration, or that of a
+// staged change which applies to this node and whose grant is valid.
 func (s *sight) findRoute(req *inquiry, host, path string, hasKey bool, now timetable.Steady) {
 	req.lane = s.sheet.Find(host, path)
 	if len(s.stages) == 0 || !s.grantsValid(now) {
@@ -76,7 +78,7 @@
 		req.stage.mark.Wave = change.Wave
 		recorded := base != nil && base.RouteType == config.Idempotent
 		if req.lane = next; next != nil && hasKey && recorded && next.RouteType != config.Idempotent {
-			// Whatever the change says, the operation keeps its record.
+			// Whatever the change says, the request keeps its record.
 			kept := *next
 			kept.RouteType = config.Idempotent
 			req.lane, req.stage.dropsRecord = &kept, true
@@ -88,8 +90,8 @@
 	return a == nil && z == nil || a != nil && z != nil && a.Name == z.Name && a.Revision == z.Revision
 }
 
-// settleStage counts how an inquiry ended for the staged change that touched it. What
-// the record answered shows nothing of the change.
+// recordStagedOutcome counts the outcome of a request for the staged change that
+// affects it. A replayed response shows nothing about the change and is not counted.
 func (p *proxy) recordStagedOutcome(req *inquiry, response *upstream.Reply, err error, truncated bool) {
 	if req == nil || req.stage == nil || req.isReplayed {
 		return
@@ -106,8 +108,8 @@
 	}
 }
 
-// ends is the table from a kind of derailment to what it shows of a change;
-// other kinds show nothing.
+// outcomesByKind maps error kinds to the outcome they count as for a staged change.
+// Other kinds are not counted.
 var outcomesByKind = map[apierror.Kind]outlier.Outcome{
 	apierror.Broken: outlier.Broken, apierror.Late: outlier.Slow, apierror.NoServer: outlier.Failed, apierror.NotExecuted: outlier.Failed,
 	apierror.Busy: outlier.Failed,
@@ -120,7 +122,8 @@
 	case err != nil && errors.As(err, &known):
 		outcome, counted = outcomesByKind[known.Kind]
 		if keyed && (known.Kind == apierror.Broken || known.Kind == apierror.Late) {
-			// It may have run, and nobody can say: the operation is missing.
+			// The request may have run, and its outcome is unknown: it counts as
+			// missing.
 			outcome = outlier.Missing
 		}
 		return outcome, counted
