--- a/internal/proxy/canary.go
+++ b/internal/proxy/canary.go
@@ -22,7 +22,7 @@
 	// idleReportPeriods is how many periods pass between reports while there is no
 	// canary, staged change, overload or lack of slots.
 	idleReportPeriods = 4
-	reportTimeout = time.Second
+	reportTimeout     = time.Second
 	// A response is slow if it takes more than slowFactor times the usual latency
 	// of its route, and more than slowMin.
 	slowFactor = 3
