--- a/internal/proxy/operator.go
+++ b/internal/proxy/operator.go
@@ -99,11 +99,11 @@
 // Example:
 //
 //	address := proxy.AskAddress(set) // "10.1.0.39:7201"
-func AskAddress(set *settings.Settings) string { return set.InternalAddress(set.Platform.Ip, 1) }
+func OperatorAddress(set *settings.Settings) string { return set.InternalAddress(set.Platform.Ip, 1) }
 
 // answerOperators serves what the inspector asks of a proxy.
 func (p *proxy) serveOperators() (net.Listener, error) {
-	listener, err := net.Listen("tcp4", AskAddress(p.set.Load()))
+	listener, err := net.Listen("tcp4", OperatorAddress(p.set.Load()))
 	if err != nil {
 		return nil, errors.Annotate(err, "internal port")
 	}
