--- a/internal/proxy/cancellation_test.go
+++ b/internal/proxy/cancellation_test.go
@@ -52,16 +52,16 @@
 		DeferCleanup(server.Close)
 	})
 	It("ends with its client, but a keyed one with its operation", func() {
-		for routeType, isEnded := range map[config.RouteKind]bool{config.Safe: true, config.Unsafe: true, config.Idempotent: false} {
+		for routeType, canceled := range map[config.RouteKind]bool{config.Safe: true, config.Unsafe: true, config.Idempotent: false} {
 			server.Next(standin.Silent)
-			p, one := newTestRequest(routeType, server)
-			ctx, leave := context.WithCancel(context.Background())
-			time.AfterFunc(50*time.Millisecond, leave)
+			p, req := newTestRequest(routeType, server)
+			ctx, cancel := context.WithCancel(context.Background())
+			time.AfterFunc(50*time.Millisecond, cancel)
 			before, _ := server.Counts()
-			began := time.Now()
-			_, err := p.delivering(ctx, one)
-			Expect(errors.Is(err, errClientGone)).To(Equal(isEnded), "%v: %v", routeType, err)
-			Expect(time.Since(began) < 400*time.Millisecond).To(Equal(isEnded), "%v", routeType)
+			start := time.Now()
+			_, err := p.delivering(ctx, req)
+			Expect(errors.Is(err, errClientGone)).To(Equal(canceled), "%v: %v", routeType, err)
+			Expect(time.Since(start) < 400*time.Millisecond).To(Equal(canceled), "%v", routeType)
 			after, _ := server.Counts()
 			Expect(after - before).To(Equal(1))
 			server.Free()
@@ -70,42 +70,42 @@
 
 	It("counts a client that left for nothing against the server", func() {
 		server.Next(standin.Silent)
-		p, one := newTestRequest(config.Safe, server)
-		one.due = time.Now().Add(10 * time.Second)
-		ctx, leave := context.WithCancel(context.Background())
-		time.AfterFunc(50*time.Millisecond, leave)
-		_, err := p.delivering(ctx, one)
+		p, req := newTestRequest(config.Safe, server)
+		req.due = time.Now().Add(10 * time.Second)
+		ctx, cancel := context.WithCancel(context.Background())
+		time.AfterFunc(50*time.Millisecond, cancel)
+		_, err := p.delivering(ctx, req)
 		Expect(errors.Is(err, errClientGone)).To(BeTrue())
-		siding, isThere := p.sight.Load().yard.Find("i-1")
-		Expect(isThere).To(BeTrue())
+		listed, found := p.sight.Load().yard.Find("i-1")
+		Expect(found).To(BeTrue())
 		Eventually(func() int { return p.sight.Load().yard.AtWork("s") }).Should(BeZero())
-		Expect(siding.IsSound()).To(BeTrue())
-		outcome, isCounted := stagedOutcome(one, nil, err, 0)
-		Expect(isCounted).To(BeFalse(), "%v", outcome)
+		Expect(listed.IsSound()).To(BeTrue())
+		outcome, counted := stagedOutcome(req, nil, err, 0)
+		Expect(counted).To(BeFalse(), "%v", outcome)
 		Expect(mayHaveRun(err)).To(BeTrue())
 	})
 
 	It("passes no status on that promises what nobody knows", func() {
 		for _, status := range []int{408, 429, 503} {
-			_, one := newTestRequest(config.Unsafe, server)
-			d := &delivery{one: one}
-			_, err, isEnd := d.judge(result{reply: &upstream.Reply{Status: status, Header: http.Header{}}})
-			var open *openEnd
-			Expect(errors.As(err, &open)).To(BeTrue(), "%d: %v", status, err)
-			Expect(open.kind).To(Equal(apierror.Broken))
-			Expect(isEnd).To(BeTrue())
+			_, req := newTestRequest(config.Unsafe, server)
+			d := &delivery{one: req}
+			_, err, final := d.judge(result{reply: &upstream.Reply{Status: status, Header: http.Header{}}})
+			var unknown *openEnd
+			Expect(errors.As(err, &unknown)).To(BeTrue(), "%d: %v", status, err)
+			Expect(unknown.kind).To(Equal(apierror.Broken))
+			Expect(final).To(BeTrue())
 		}
 	})
 
 	It("records no part of a reply as the whole", func() {
-		p, one := newTestRequest(config.Idempotent, server)
-		a := &attempt{proxy: p, one: one, ungranted: map[string]bool{}}
+		p, req := newTestRequest(config.Idempotent, server)
+		a := &attempt{proxy: p, one: req, ungranted: map[string]bool{}}
 		a.intent = idempotency.Intent{Key: idempotency.Key{Tenant: "h", Key: "k"}, State: idempotency.Reserved}
 		a.round = idempotency.NewRound(a.intent.Hash, 1, p.clock.Steady(), timetable.Steady(time.Second))
-		long := &upstream.Reply{Status: 200, Header: http.Header{}, Body: []byte("part"), Rest: io.NopCloser(strings.NewReader("rest"))}
-		reply, err := a.forward(context.Background(), func(context.Context, any) (any, error) { return long, nil })
+		partial := &upstream.Reply{Status: 200, Header: http.Header{}, Body: []byte("part"), Rest: io.NopCloser(strings.NewReader("rest"))}
+		reply, err := a.forward(context.Background(), func(context.Context, any) (any, error) { return partial, nil })
 		Expect(err).NotTo(HaveOccurred())
-		Expect(reply).To(BeIdenticalTo(long))
+		Expect(reply).To(BeIdenticalTo(partial))
 		Expect(a.intent.State).To(Equal(idempotency.TimeoutUnresolved))
 		Expect(a.intent.Reply).To(BeNil())
 	})
--- a/internal/proxy/download.go
+++ b/internal/proxy/download.go
@@ -38,13 +38,13 @@
 		req.leave = release
 		turnCtx, cancel := context.WithTimeout(ctx, targetLatency/turnWaitDivisor)
 		defer cancel()
-		endTurn, ok := p.bulk.Turn(turnCtx)
-		if !ok {
+		endTurn, gotTurn := p.bulk.Turn(turnCtx)
+		if !gotTurn {
 			return nil, apierror.New(apierror.Busy, "the link")
 		}
 		endTurn = sync.OnceFunc(endTurn)
 		answer, err := next(ctx, request)
-		if response, ok := answer.(*upstream.Reply); ok && response.Rest != nil {
+		if response, gotTurn := answer.(*upstream.Reply); gotTurn && response.Rest != nil {
 			// The server sends until the rest of the body has been read.
 			response.Rest = &notifyingReader{response.Rest, endTurn}
 			req.leave = func() { release(); endTurn() }
--- a/internal/proxy/leaving_server_test.go
+++ b/internal/proxy/leaving_server_test.go
@@ -14,19 +14,19 @@
 
 var _ = Describe("a proxy that has heard that a server leaves", func() {
 	var p *proxy
-	var hand *timetable.Hand
+	var clock *timetable.Hand
 	fleet := func(term, count uint64, isReady bool) *feed.Fleet {
 		return &feed.Fleet{Term: term, Count: count, Servers: []feed.Server{
 			{ID: "i-1", Service: "s", Address: "127.0.0.1:1", Capacity: 1, IsReady: isReady}, {ID: "i-2", Service: "s", Address: "127.0.0.1:2", Capacity: 1, IsReady: true},
 		}}
 	}
 	learn := func(news ...feed.News) { p.learn(news) }
-	chosen := func() map[string]bool {
-		out := map[string]bool{}
+	chosenServers := func() map[string]bool {
+		servers := map[string]bool{}
 		for range 100 {
-			out[p.sight.Load().yard.Choose(balancer.Wish{Service: "s"}, hand).ID] = true
+			servers[p.sight.Load().yard.Choose(balancer.Wish{Service: "s"}, clock).ID] = true
 		}
-		return out
+		return servers
 	}
 	isServing := func() bool {
 		server, isListed := p.sight.Load().yard.Find("i-1")
@@ -34,25 +34,25 @@
 	}
 
 	BeforeEach(func() {
-		hand = &timetable.Hand{Now: time.Hour}
-		p = newProxy(&settings.Settings{}, hand, func(string, string, ...any) {})
+		clock = &timetable.Hand{Now: time.Hour}
+		p = newProxy(&settings.Settings{}, clock, func(string, string, ...any) {})
 		learn(feed.News{Fleet: fleet(1, 1, true)})
-		Expect(chosen()).To(HaveKey("i-1"))
+		Expect(chosenServers()).To(HaveKey("i-1"))
 	})
 
 	It("sends it nothing more, though the holder of a new term still calls it ready", func() {
 		learn(feed.News{Fleet: fleet(1, 2, false)})
-		Expect(chosen()).To(Equal(map[string]bool{"i-2": true}))
+		Expect(chosenServers()).To(Equal(map[string]bool{"i-2": true}))
 		learn(feed.News{Fleet: fleet(2, 1, true)})
-		Expect(chosen()).To(Equal(map[string]bool{"i-2": true}))
+		Expect(chosenServers()).To(Equal(map[string]bool{"i-2": true}))
 		Expect(isServing()).To(BeFalse())
 	})
 
 	It("sends it nothing more, though no fleet says so for however long", func() {
 		learn(feed.News{Leaving: []string{"i-1"}})
-		Expect(chosen()).To(Equal(map[string]bool{"i-2": true}))
-		hand.Sleep(time.Minute)
-		Expect(chosen()).To(Equal(map[string]bool{"i-2": true}))
+		Expect(chosenServers()).To(Equal(map[string]bool{"i-2": true}))
+		clock.Sleep(time.Minute)
+		Expect(chosenServers()).To(Equal(map[string]bool{"i-2": true}))
 		Expect(isServing()).To(BeFalse())
 	})
 
@@ -61,7 +61,7 @@
 		late := fleet(1, 2, true)
 		late.Servers = append(late.Servers, feed.Server{ID: "i-3", Service: "s", Address: "127.0.0.1:3", Capacity: 1, IsReady: true})
 		learn(feed.News{Fleet: late})
-		Expect(chosen()).NotTo(HaveKey("i-3"))
+		Expect(chosenServers()).NotTo(HaveKey("i-3"))
 	})
 
 	It("sends it nothing after a fleet that lacked it lists it again", func() {
@@ -69,6 +69,6 @@
 		without := fleet(1, 2, true)
 		without.Servers = without.Servers[1:]
 		learn(feed.News{Fleet: without}, feed.News{Fleet: fleet(2, 1, true)})
-		Expect(chosen()).To(Equal(map[string]bool{"i-2": true}))
+		Expect(chosenServers()).To(Equal(map[string]bool{"i-2": true}))
 	})
 })
--- a/internal/proxy/members_test.go
+++ b/internal/proxy/members_test.go
@@ -19,7 +19,7 @@
 )
 
 var _ = Describe("a round of calls to the members", func() {
-	member := func(address string, handlers rpc.Handlers) net.Listener {
+	startMember := func(address string, handlers rpc.Handlers) net.Listener {
 		listener, err := net.Listen("tcp4", address)
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(func() { _ = listener.Close() })
@@ -27,27 +27,27 @@
 		return listener
 	}
 	// begin is an attempt at a key before such members.
-	begin := func(members ...net.Listener) *attempt {
-		set := &settings.Settings{}
-		set.Tuning.VoteSpan = timetable.Span(150 * time.Millisecond)
-		set.Platform.Bounds.Sync = timetable.Span(10 * time.Second)
-		p := newProxy(set, timetable.Real(), func(string, string, ...any) {})
+	newAttempt := func(members ...net.Listener) *attempt {
+		conf := &settings.Settings{}
+		conf.Tuning.VoteSpan = timetable.Span(150 * time.Millisecond)
+		conf.Platform.Bounds.Sync = timetable.Span(10 * time.Second)
+		p := newProxy(conf, timetable.Real(), func(string, string, ...any) {})
 		view := membership.View{Epoch: 1}
 		for _, listener := range members {
 			view.Members = append(view.Members, listener.Addr().String())
 		}
 		p.sight.Store(&sight{sheet: p.sight.Load().sheet, yard: p.sight.Load().yard, view: view})
-		one := &inquiry{
+		req := &inquiry{
 			Inquiry: &upstream.Inquiry{Header: http.Header{}, Attempt: "t"}, lane: &config.Route{}, sight: p.sight.Load(),
 			due: time.Now().Add(time.Second), arrived: time.Now(),
 		}
-		one.key = idempotency.Key{Tenant: "h", Key: "k"}
-		a := &attempt{proxy: p, one: one, ungranted: map[string]bool{}}
-		a.intent = idempotency.Intent{Key: one.key, Attempt: "a-1", State: idempotency.Reserved}
+		req.key = idempotency.Key{Tenant: "h", Key: "k"}
+		a := &attempt{proxy: p, one: req, ungranted: map[string]bool{}}
+		a.intent = idempotency.Intent{Key: req.key, Attempt: "a-1", State: idempotency.Reserved}
 		return a
 	}
-	mute := rpc.Handlers{messages.KindReserve: func(rpc.Call) {}, messages.KindRecord: func(rpc.Call) {}, messages.KindLookup: func(rpc.Call) {}}
-	answer := func(times int, vote messages.Vote) rpc.Handlers {
+	silent := rpc.Handlers{messages.KindReserve: func(rpc.Call) {}, messages.KindRecord: func(rpc.Call) {}, messages.KindLookup: func(rpc.Call) {}}
+	votes := func(times int, vote messages.Vote) rpc.Handlers {
 		return rpc.Handlers{
 			messages.KindReserve: func(call rpc.Call) {
 				for range times {
@@ -60,42 +60,42 @@
 	granted := messages.Vote{Ballot: idempotency.Ballot{Verdict: idempotency.Granted}}
 
 	It("is won by a majority, each member counted once", func() {
-		a := begin(member("127.0.0.1:0", answer(1, granted)), member("127.0.0.1:0", answer(1, granted)), member("127.0.0.1:0", mute))
+		a := newAttempt(startMember("127.0.0.1:0", votes(1, granted)), startMember("127.0.0.1:0", votes(1, granted)), startMember("127.0.0.1:0", silent))
 		Expect(a.reserve()).To(Equal(idempotency.Won))
-		a = begin(member("127.0.0.1:0", answer(5, granted)), member("127.0.0.1:0", mute), member("127.0.0.1:0", mute))
+		a = newAttempt(startMember("127.0.0.1:0", votes(5, granted)), startMember("127.0.0.1:0", silent), startMember("127.0.0.1:0", silent))
 		Expect(a.reserve()).To(Equal(idempotency.NoMajority))
 	})
 
 	It("takes no ballot on another key", func() {
-		ended := &idempotency.Intent{Key: idempotency.Key{Tenant: "h", Key: "another"}, State: idempotency.Completed, Reply: &idempotency.Reply{Status: 200}}
-		held := messages.Vote{Ballot: idempotency.Ballot{Verdict: idempotency.Held, Held: ended}}
-		a := begin(member("127.0.0.1:0", answer(1, held)), member("127.0.0.1:0", answer(1, held)), member("127.0.0.1:0", answer(1, held)))
+		completed := &idempotency.Intent{Key: idempotency.Key{Tenant: "h", Key: "another"}, State: idempotency.Completed, Reply: &idempotency.Reply{Status: 200}}
+		held := messages.Vote{Ballot: idempotency.Ballot{Verdict: idempotency.Held, Held: completed}}
+		a := newAttempt(startMember("127.0.0.1:0", votes(1, held)), startMember("127.0.0.1:0", votes(1, held)), startMember("127.0.0.1:0", votes(1, held)))
 		Expect(a.reserve()).To(Equal(idempotency.NoMajority))
-		found := rpc.Handlers{messages.KindLookup: func(call rpc.Call) { call.Reply(messages.Found{Intent: ended}) }}
-		Expect(begin(member("127.0.0.1:0", found)).lookup()).To(BeNil())
-		ended.Key.Key = "k"
-		Expect(begin(member("127.0.0.1:0", found)).lookup()).To(Equal(ended))
+		found := rpc.Handlers{messages.KindLookup: func(call rpc.Call) { call.Reply(messages.Found{Intent: completed}) }}
+		Expect(newAttempt(startMember("127.0.0.1:0", found)).lookup()).To(BeNil())
+		completed.Key.Key = "k"
+		Expect(newAttempt(startMember("127.0.0.1:0", found)).lookup()).To(Equal(completed))
 	})
 
 	It("gives its votes back again to a member whose line broke on the way", func() {
-		listener := member("127.0.0.1:0", answer(1, granted))
-		a := begin(listener)
+		listener := startMember("127.0.0.1:0", votes(1, granted))
+		a := newAttempt(listener)
 		Expect(a.reserve()).To(Equal(idempotency.Won))
 		Expect(listener.Close()).To(Succeed())
 		address := listener.Addr().String()
 		Eventually(func() error { return a.line(address).Ask(messages.KindReserve, nil, nil, time.Second) }).ShouldNot(Succeed())
 		a.giveBack()
-		told := make(chan idempotency.State, 8)
-		member(address, rpc.Handlers{messages.KindRecord: func(call rpc.Call) {
+		recorded := make(chan idempotency.State, 8)
+		startMember(address, rpc.Handlers{messages.KindRecord: func(call rpc.Call) {
 			var record messages.Record
 			if rpc.Unpack(call.Body, &record) == nil {
-				told <- record.Intent.State
+				recorded <- record.Intent.State
 			}
 		}, messages.KindLookup: func(rpc.Call) {}})
 		Eventually(func() error {
 			a.line(address).Send(messages.KindLookup, nil, nil)
 			select {
-			case state := <-told:
+			case state := <-recorded:
 				Expect(state).To(Equal(idempotency.Released))
 				return nil
 			case <-time.After(100 * time.Millisecond):
--- a/internal/proxy/mirror.go
+++ b/internal/proxy/mirror.go
@@ -164,27 +164,27 @@
 
 // mirrored is what this node knows of its copies.
 func (p *proxy) mirrorPages(struct{}) messages.Mirrored {
-	out := messages.Mirrored{Node: p.set.Load().Platform.NodeName, Life: p.life, Pages: map[string]loopline.Page{}}
+	result := messages.Mirrored{Node: p.set.Load().Platform.NodeName, Life: p.life, Pages: map[string]loopline.Page{}}
 	for name, record := range p.copier.allRecords() {
-		out.Pages[name] = record.Page()
+		result.Pages[name] = record.Page()
 	}
-	return out
+	return result
 }
 
 func (m *mirrorSender) allRecords() map[string]*loopline.Record {
 	m.lock.Lock()
 	defer m.lock.Unlock()
-	out := map[string]*loopline.Record{}
+	result := map[string]*loopline.Record{}
 	for name, record := range m.records {
-		out[name] = record
+		result[name] = record
 	}
-	return out
+	return result
 }
 
 // tallies are what is reported of the copies.
-func (m *mirrorSender) tallies() (out []loopline.Tally) {
+func (m *mirrorSender) tallies() (result []loopline.Tally) {
 	for name, record := range m.allRecords() {
-		out = append(out, record.Tell(name))
+		result = append(result, record.Tell(name))
 	}
-	return out
+	return result
 }
--- a/internal/proxy/mirror_test.go
+++ b/internal/proxy/mirror_test.go
@@ -16,61 +16,61 @@
 	"ploverhitch/internal/timetable"
 )
 
-func TestPoints(t *testing.T) {
+func TestProxy(t *testing.T) {
 	RegisterFailHandler(Fail)
 	RunSpecs(t, "points")
 }
 
 var _ = Describe("the connections to a shadow", func() {
 	It("are kept while the server is listed under its address, and no longer", func() {
-		c := newMirrorSender()
+		sender := newMirrorSender()
 		one, two := feed.Server{ID: "x-1", Address: "a:1"}, feed.Server{ID: "x-2", Address: "a:2"}
-		racks := map[string]any{}
+		pools := map[string]any{}
 		for _, server := range []feed.Server{one, two} {
-			racks[server.ID] = c.poolOf(&balancer.Siding{Server: server})
+			pools[server.ID] = sender.poolOf(&balancer.Siding{Server: server})
 		}
-		c.closeUnlisted([]feed.Server{two, one})
-		Expect(c.pools).To(HaveLen(2))
+		sender.closeUnlisted([]feed.Server{two, one})
+		Expect(sender.pools).To(HaveLen(2))
 		moved := one
 		moved.Address = "a:9"
-		c.closeUnlisted([]feed.Server{moved, two})
-		Expect(c.pools).To(HaveLen(1))
-		Expect(c.poolOf(&balancer.Siding{Server: two})).To(BeIdenticalTo(racks["x-2"]))
-		Expect(c.poolOf(&balancer.Siding{Server: one})).NotTo(BeIdenticalTo(racks["x-1"]))
+		sender.closeUnlisted([]feed.Server{moved, two})
+		Expect(sender.pools).To(HaveLen(1))
+		Expect(sender.poolOf(&balancer.Siding{Server: two})).To(BeIdenticalTo(pools["x-2"]))
+		Expect(sender.poolOf(&balancer.Siding{Server: one})).NotTo(BeIdenticalTo(pools["x-1"]))
 	})
 })
 
 var _ = Describe("the last look before a copy is sent", func() {
 	// sightOf is what a node knows: where x-1 is listed, under which service, the
 	// order granted, and which service the one lane delivers to.
-	sightOf := func(address, service string, isReady bool, version uint64, live string) *sight {
-		body, err := json.Marshal(config.RouteSpec{Name: "fee", PathPrefix: "/fee/", RouteType: config.Safe, Service: live, MaxAttempts: 1, Revision: 1})
+	stateWith := func(address, service string, isReady bool, version uint64, liveService string) *sight {
+		body, err := json.Marshal(config.RouteSpec{Name: "fee", PathPrefix: "/fee/", RouteType: config.Safe, Service: liveService, MaxAttempts: 1, Revision: 1})
 		Expect(err).NotTo(HaveOccurred())
-		book := config.Book{}
-		book.Merge([]config.Item{{ID: config.ID{Class: config.RouteItem, Name: "fee"}, Version: 1, Host: "h", Body: body}})
+		items := config.Book{}
+		items.Merge([]config.Item{{ID: config.ID{Class: config.RouteItem, Name: "fee"}, Version: 1, Host: "h", Body: body}})
 		fleet := feed.Fleet{Term: 1, Count: 1, Servers: []feed.Server{{ID: "x-1", Service: service, Address: address, Capacity: 2, IsReady: isReady}}}
 		return &sight{
-			sheet: book.Compile(), yard: balancer.NewYard(balancer.Home{Node: "n"}).Lay(fleet), heard: timetable.Steady(time.Hour),
+			sheet: items.Compile(), yard: balancer.NewYard(balancer.Home{Node: "n"}).Lay(fleet), heard: timetable.Steady(time.Hour),
 			mirrors: []loopline.Grant{{Name: "build", Version: version, Share: 1}},
 		}
 	}
 
 	It("lets it go only to a listed server of a shadow that nothing live delivers to, under an order that holds", func() {
-		hand := &timetable.Hand{Now: time.Hour}
-		p := newProxy(&settings.Settings{}, hand, func(string, string, ...any) {})
+		clock := &timetable.Hand{Now: time.Hour}
+		p := newProxy(&settings.Settings{}, clock, func(string, string, ...any) {})
 		mirror := &config.Mirror{Mirror: loopline.Mirror{Name: "build", Shadow: "next"}, Version: 3}
 		server := &balancer.Siding{Server: feed.Server{ID: "x-1", Service: "next", Address: "a:1", IsReady: true}}
-		may := func(s *sight) bool { p.sight.Store(s); return p.maySendMirrored(mirror, server) }
-		Expect(may(sightOf("a:1", "next", true, 3, "fees"))).To(BeTrue())
-		Expect(may(sightOf("a:9", "next", true, 3, "fees"))).To(BeFalse(), "the address is another's")
-		Expect(may(sightOf("a:1", "fees", true, 3, "fees"))).To(BeFalse(), "the server is a live one")
-		Expect(may(sightOf("a:1", "next", false, 3, "fees"))).To(BeFalse(), "the server is leaving")
-		Expect(may(sightOf("a:1", "next", true, 2, "fees"))).To(BeFalse(), "the order is an older one")
-		Expect(may(sightOf("a:1", "next", true, 3, "next"))).To(BeFalse(), "a lane delivers to the shadow")
+		maySend := func(s *sight) bool { p.sight.Store(s); return p.maySendMirrored(mirror, server) }
+		Expect(maySend(stateWith("a:1", "next", true, 3, "fees"))).To(BeTrue())
+		Expect(maySend(stateWith("a:9", "next", true, 3, "fees"))).To(BeFalse(), "the address is another's")
+		Expect(maySend(stateWith("a:1", "fees", true, 3, "fees"))).To(BeFalse(), "the server is a live one")
+		Expect(maySend(stateWith("a:1", "next", false, 3, "fees"))).To(BeFalse(), "the server is leaving")
+		Expect(maySend(stateWith("a:1", "next", true, 2, "fees"))).To(BeFalse(), "the order is an older one")
+		Expect(maySend(stateWith("a:1", "next", true, 3, "next"))).To(BeFalse(), "a lane delivers to the shadow")
 		server.ID = "x-2"
-		Expect(may(sightOf("a:1", "next", true, 3, "fees"))).To(BeFalse(), "the server is not listed")
+		Expect(maySend(stateWith("a:1", "next", true, 3, "fees"))).To(BeFalse(), "the server is not listed")
 		server.ID = "x-1"
-		hand.Now += feed.GrantSpan + time.Millisecond
-		Expect(may(sightOf("a:1", "next", true, 3, "fees"))).To(BeFalse(), "the grant has lapsed")
+		clock.Now += feed.GrantSpan + time.Millisecond
+		Expect(maySend(stateWith("a:1", "next", true, 3, "fees"))).To(BeFalse(), "the grant has lapsed")
 	})
 })
--- a/internal/proxy/operator.go
+++ b/internal/proxy/operator.go
@@ -31,8 +31,8 @@
 
 // sentTo notes a server of a placed operation.
 func (p *proxy) trackServer(req *inquiry, server string) {
-	if known, ok := p.runs.Load(req); ok {
-		operation := known.(*runningOperation)
+	if entry, ok := p.runs.Load(req); ok {
+		operation := entry.(*runningOperation)
 		p.runs.Store(req, &runningOperation{request: req, servers: append(operation.servers[:len(operation.servers):len(operation.servers)], server)})
 	}
 }
@@ -71,9 +71,9 @@
 
 func (p *proxy) ringHomes(query messages.Homes) (out messages.HomesNow) {
 	servers := p.sight.Load().yard
-	for _, place := range query.Places {
+	for _, position := range query.Places {
 		id := ""
-		if home := servers.Home(query.Service, place); home != nil {
+		if home := servers.Home(query.Service, position); home != nil {
 			id = home.ID
 		}
 		out.Homes = append(out.Homes, id)
@@ -84,14 +84,14 @@
 
 func (p *proxy) nodeStatus(struct{}) messages.Sight {
 	s := p.sight.Load()
-	out := messages.Sight{
+	status := messages.Sight{
 		Node: p.set.Load().Platform.NodeName, Digest: s.digest, Epoch: uint64(s.view.Epoch), IsReady: p.isReady(), Servers: s.yard.Size(),
 	}
 	cutoffs, isLocal := p.activeCutoffs(s)
 	for _, cutoff := range cutoffs {
-		out.Cutoff, out.IsFloor = max(out.Cutoff, cutoff.Number), isLocal
+		status.Cutoff, status.IsFloor = max(status.Cutoff, cutoff.Number), isLocal
 	}
-	return out
+	return status
 }
 
 // AskAddress is where a machine's proxy answers what operators ask.
@@ -99,7 +99,9 @@
 // Example:
 //
 //	address := proxy.AskAddress(set) // "10.1.0.39:7201"
-func OperatorAddress(set *settings.Settings) string { return set.InternalAddress(set.Platform.Ip, 1) }
+func OperatorAddress(conf *settings.Settings) string {
+	return conf.InternalAddress(conf.Platform.Ip, 1)
+}
 
 // answerOperators serves what the inspector asks of a proxy.
 func (p *proxy) serveOperators() (net.Listener, error) {
@@ -117,11 +119,11 @@
 	return listener, nil
 }
 
-func replyWith[T, R any](query func(T) R) func(rpc.Call) {
+func replyWith[T, R any](answer func(T) R) func(rpc.Call) {
 	return func(call rpc.Call) {
-		var in T
-		if len(call.Body) == 0 || rpc.Unpack(call.Body, &in) == nil {
-			call.Reply(query(in))
+		var request T
+		if len(call.Body) == 0 || rpc.Unpack(call.Body, &request) == nil {
+			call.Reply(answer(request))
 		}
 	}
 }
--- a/internal/proxy/staged.go
+++ b/internal/proxy/staged.go
@@ -86,8 +86,8 @@
 	}
 }
 
-func sameRoute(a, z *config.Route) bool {
-	return a == nil && z == nil || a != nil && z != nil && a.Name == z.Name && a.Revision == z.Revision
+func sameRoute(a, b *config.Route) bool {
+	return a == nil && b == nil || a != nil && b != nil && a.Name == b.Name && a.Revision == b.Revision
 }
 
 // recordStagedOutcome counts the outcome of a request for the staged change that
@@ -96,14 +96,14 @@
 	if req == nil || req.stage == nil || req.isReplayed {
 		return
 	}
-	outcome, counted := stagedOutcome(req, response, err, time.Since(req.arrived))
+	outcome, counts := stagedOutcome(req, response, err, time.Since(req.arrived))
 	if truncated {
-		outcome, counted = outlier.Broken, true
+		outcome, counts = outlier.Broken, true
 	}
 	if req.stage.dropsRecord {
-		outcome, counted = outlier.Doubled, true
+		outcome, counts = outlier.Doubled, true
 	}
-	if counted {
+	if counts {
 		p.box.Note(req.stage.mark, outcome)
 	}
 }
