--- a/internal/proxy/cancellation.go
+++ b/internal/proxy/cancellation.go
@@ -8,12 +8,13 @@
 	"ploverhitch/internal/config"
 )
 
-// errLeft: the client closed its connection before it had an answer. It says nothing
-// of the server.
-const errClientGone = errors.ConstError("the client has left")
+// errClientGone: the client closed its connection before it had an answer. The error
+// says nothing about the server.
+const errClientGone = errors.ConstError("client closed the connection")
 
-// leaving is what ends when nobody waits for the inquiry any more. A keyed operation
-// is wanted by its record, whoever sent it.
+// deliveryContext returns the context that ends when nobody waits for the response
+// any more. A request with an idempotency key continues without its client, because
+// its outcome is recorded.
 func deliveryContext(ctx context.Context, req *inquiry) context.Context {
 	if req.lane.RouteType == config.Idempotent {
 		return context.WithoutCancel(ctx)
@@ -21,8 +22,8 @@
 	return ctx
 }
 
-// breaking is what ends when the connection of a try may be broken: only what may
-// run again is stopped in the middle.
+// abortContext returns the context that closes the connection of an attempt when it
+// ends, or nil: only repeatable requests are aborted after they were sent.
 func (d *delivery) abortContext() context.Context {
 	if d.one.lane.IsRepeatable() {
 		return d.left
@@ -30,7 +31,7 @@
 	return nil
 }
 
-// isBrokenOff tells whether a try ended because its client had left.
+// abortedByClient reports whether an attempt failed because its client had gone.
 func (d *delivery) abortedByClient(err error) bool {
 	return err != nil && d.one.lane.IsRepeatable() && d.left.Err() != nil
 }
--- a/internal/proxy/cancellation_test.go
+++ b/internal/proxy/cancellation_test.go
@@ -22,7 +22,8 @@
 	"ploverhitch/internal/upstream"
 )
 
-// inquiryOn is an inquiry on a route of a kind that the servers may get, and its proxy.
+// newTestRequest returns a request on a route of the given type whose service has the
+// given servers, and its proxy.
 func newTestRequest(routeType config.RouteKind, servers ...*standin.Server) (*proxy, *inquiry) {
 	conf := &settings.Settings{}
 	conf.Tuning.BufferBytes = 1 << 20
@@ -51,7 +52,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(server.Close)
 	})
-	It("ends with its client, but a keyed one with its operation", func() {
+	It("ends when its client disconnects, except for a request with an idempotency key", func() {
 		for routeType, canceled := range map[config.RouteKind]bool{config.Safe: true, config.Unsafe: true, config.Idempotent: false} {
 			server.Next(standin.Silent)
 			p, req := newTestRequest(routeType, server)
@@ -68,7 +69,7 @@
 		}
 	})
 
-	It("counts a client that left for nothing against the server", func() {
+	It("does not count a client that disconnects as a failure of the server", func() {
 		server.Next(standin.Silent)
 		p, req := newTestRequest(config.Safe, server)
 		req.due = time.Now().Add(10 * time.Second)
@@ -85,7 +86,7 @@
 		Expect(mayHaveRun(err)).To(BeTrue())
 	})
 
-	It("passes no status on that promises what nobody knows", func() {
+	It("does not pass on a status that implies non-execution without Not-Executed", func() {
 		for _, status := range []int{408, 429, 503} {
 			_, req := newTestRequest(config.Unsafe, server)
 			d := &delivery{one: req}
@@ -97,7 +98,7 @@
 		}
 	})
 
-	It("records no part of a reply as the whole", func() {
+	It("does not record a partial response as complete", func() {
 		p, req := newTestRequest(config.Idempotent, server)
 		a := &attempt{proxy: p, one: req, ungranted: map[string]bool{}}
 		a.intent = idempotency.Intent{Key: idempotency.Key{Tenant: "h", Key: "k"}, State: idempotency.Reserved}
--- a/internal/proxy/leaving_server_test.go
+++ b/internal/proxy/leaving_server_test.go
@@ -12,7 +12,7 @@
 	"ploverhitch/internal/timetable"
 )
 
-var _ = Describe("a proxy that has heard that a server leaves", func() {
+var _ = Describe("a proxy that knows a server to be leaving", func() {
 	var p *proxy
 	var clock *timetable.Hand
 	fleet := func(term, count uint64, isReady bool) *feed.Fleet {
@@ -40,7 +40,7 @@
 		Expect(chosenServers()).To(HaveKey("i-1"))
 	})
 
-	It("sends it nothing more, though the holder of a new term still calls it ready", func() {
+	It("sends it no requests, even if the holder of a new term lists it as ready", func() {
 		learn(feed.News{Fleet: fleet(1, 2, false)})
 		Expect(chosenServers()).To(Equal(map[string]bool{"i-2": true}))
 		learn(feed.News{Fleet: fleet(2, 1, true)})
@@ -48,7 +48,7 @@
 		Expect(isServing()).To(BeFalse())
 	})
 
-	It("sends it nothing more, though no fleet says so for however long", func() {
+	It("sends it no requests, however long no fleet state shows it as leaving", func() {
 		learn(feed.News{Leaving: []string{"i-1"}})
 		Expect(chosenServers()).To(Equal(map[string]bool{"i-2": true}))
 		clock.Sleep(time.Minute)
@@ -56,7 +56,7 @@
 		Expect(isServing()).To(BeFalse())
 	})
 
-	It("sends it nothing when it was heard of before the server itself", func() {
+	It("sends it no requests if the notice came before the server was listed", func() {
 		learn(feed.News{Leaving: []string{"i-3"}})
 		late := fleet(1, 2, true)
 		late.Servers = append(late.Servers, feed.Server{ID: "i-3", Service: "s", Address: "127.0.0.1:3", Capacity: 1, IsReady: true})
@@ -64,7 +64,7 @@
 		Expect(chosenServers()).NotTo(HaveKey("i-3"))
 	})
 
-	It("sends it nothing after a fleet that lacked it lists it again", func() {
+	It("sends it no requests if it is listed again after being absent", func() {
 		learn(feed.News{Leaving: []string{"i-1"}})
 		without := fleet(1, 2, true)
 		without.Servers = without.Servers[1:]
--- a/internal/proxy/members.go
+++ b/internal/proxy/members.go
@@ -7,33 +7,35 @@
 	"ploverhitch/internal/rpc"
 )
 
-// said is one member's reply to a call, or nil if it could not be asked.
+// memberReply is one member's reply to a call. reply is nil if the call failed.
 type memberReply[T any] struct {
 	member string
 	reply  *T
 }
 
-// sender makes one call over a line, as Send and SendRevocable do.
+// callFunc makes one call over a connection: (*rpc.Line).Send or SendRevocable.
 type callFunc = func(line *rpc.Line, kind rpc.Kind, body any, take func([]byte, error)) (cancel func())
 
-// askMembers makes a call to every member of the view at once. Each member's
-// reply comes once; forget must be called when no more are wanted, and a call that
-// was not sent by then never is.
+// callMembers calls all members of the view concurrently and delivers one reply for
+// each. The caller must call cancel once it needs no more replies; a call that has
+// not been sent by then is never sent.
 func callMembers[T any](p *proxy, view membership.View, kind rpc.Kind, body any) (replies <-chan memberReply[T], cancel func()) {
 	return fanOut[T](p, view, (*rpc.Line).SendRevocable, kind, body)
 }
 
-// tellMembers is askMembers for what every member is to have, whether its reply is
-// waited for or not.
+// notifyMembers is like callMembers, but cancel does not revoke unsent calls: every
+// member is to get the message, whether the caller waits for the reply or not.
 func notifyMembers[T any](p *proxy, view membership.View, kind rpc.Kind, body any) (replies <-chan memberReply[T], cancel func()) {
 	return fanOut[T](p, view, (*rpc.Line).Send, kind, body)
 }
 
+// fanOut makes the call to all members of the view through the given function.
 func fanOut[T any](p *proxy, view membership.View, call callFunc, kind rpc.Kind, body any) (replies <-chan memberReply[T], cancel func()) {
 	received := make(chan memberReply[T], len(view.Members))
 	cancels := make([]func(), 0, len(view.Members))
 	for _, member := range view.Members {
-		// A surplus reply, or the cut after a reply, is no other member's vote.
+		// A duplicate reply, or a connection failure after the reply, must not be
+		// counted as the vote of another member.
 		var first sync.Once
 		cancels = append(cancels, call(p.line(member), kind, body, func(encoded []byte, err error) {
 			answer := memberReply[T]{member: member}
--- a/internal/proxy/members_test.go
+++ b/internal/proxy/members_test.go
@@ -18,7 +18,7 @@
 	"ploverhitch/internal/upstream"
 )
 
-var _ = Describe("a round of calls to the members", func() {
+var _ = Describe("calls to all control-plane members", func() {
 	startMember := func(address string, handlers rpc.Handlers) net.Listener {
 		listener, err := net.Listen("tcp4", address)
 		Expect(err).NotTo(HaveOccurred())
@@ -26,7 +26,7 @@
 		go rpc.Serve(listener, handlers, time.Second)
 		return listener
 	}
-	// begin is an attempt at a key before such members.
+	// newAttempt returns an attempt with an idempotency key and the given members.
 	newAttempt := func(members ...net.Listener) *attempt {
 		conf := &settings.Settings{}
 		conf.Tuning.VoteSpan = timetable.Span(150 * time.Millisecond)
@@ -59,14 +59,14 @@
 	}
 	granted := messages.Vote{Ballot: idempotency.Ballot{Verdict: idempotency.Granted}}
 
-	It("is won by a majority, each member counted once", func() {
+	It("win a vote round with a majority, counting each member once", func() {
 		a := newAttempt(startMember("127.0.0.1:0", votes(1, granted)), startMember("127.0.0.1:0", votes(1, granted)), startMember("127.0.0.1:0", silent))
 		Expect(a.reserve()).To(Equal(idempotency.Won))
 		a = newAttempt(startMember("127.0.0.1:0", votes(5, granted)), startMember("127.0.0.1:0", silent), startMember("127.0.0.1:0", silent))
 		Expect(a.reserve()).To(Equal(idempotency.NoMajority))
 	})
 
-	It("takes no ballot on another key", func() {
+	It("ignore ballots and records of another key", func() {
 		completed := &idempotency.Intent{Key: idempotency.Key{Tenant: "h", Key: "another"}, State: idempotency.Completed, Reply: &idempotency.Reply{Status: 200}}
 		held := messages.Vote{Ballot: idempotency.Ballot{Verdict: idempotency.Held, Held: completed}}
 		a := newAttempt(startMember("127.0.0.1:0", votes(1, held)), startMember("127.0.0.1:0", votes(1, held)), startMember("127.0.0.1:0", votes(1, held)))
@@ -77,7 +77,7 @@
 		Expect(newAttempt(startMember("127.0.0.1:0", found)).lookup()).To(Equal(completed))
 	})
 
-	It("gives its votes back again to a member whose line broke on the way", func() {
+	It("send a release again to a member whose connection broke", func() {
 		listener := startMember("127.0.0.1:0", votes(1, granted))
 		a := newAttempt(listener)
 		Expect(a.reserve()).To(Equal(idempotency.Won))
--- a/internal/proxy/mirror.go
+++ b/internal/proxy/mirror.go
@@ -19,12 +19,13 @@
 	mirrorQueueSize   = 64
 	mirrorWorkers     = 2
 	mirrorBufferBytes = 64 << 10
-	// copyWindow bounds what a shadow may put on its way of a reply that is not
+	// mirrorWindowBytes limits how much a shadow may send of a response that is not
 	// read to its end.
 	mirrorWindowBytes = 4 << 10
 )
 
-// copied is one original whose copy waits for its turn.
+// mirrorJob is a mirrored request that waits in the queue, with the result of the
+// original.
 type mirrorJob struct {
 	mirror   *config.Mirror
 	record   *loopline.Record
@@ -34,8 +35,8 @@
 	era      uint64
 	position balancer.Place
 	timeout  time.Duration
-	// The original's reply: its status, its length, the digest of its body if all
-	// of that was at hand, and how long it took.
+	// The response to the original: its status, its length, the digest of its body
+	// if bodyComplete, and its latency.
 	status       int
 	length       int64
 	bodyDigest   [sha256.Size]byte
@@ -43,8 +44,8 @@
 	liveLatency  time.Duration
 }
 
-// copier copies originals beside the path of inquiries. Its inbox drops what it
-// cannot hold.
+// mirrorSender sends mirrored requests outside the request path. Jobs that do not fit
+// into its queue are dropped.
 type mirrorSender struct {
 	queue   chan mirrorJob
 	lock    sync.Mutex
@@ -56,7 +57,7 @@
 	return &mirrorSender{queue: make(chan mirrorJob, mirrorQueueSize), records: map[string]*loopline.Record{}, pools: map[string]*upstream.Rack{}}
 }
 
-// keep closes the connections to servers that are no longer listed under their address.
+// closeUnlisted closes the connections to servers that are no longer listed under their address.
 func (m *mirrorSender) closeUnlisted(servers []feed.Server) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
@@ -77,6 +78,7 @@
 
 func poolName(server feed.Server) string { return server.ID + " " + server.Address }
 
+// recordOf returns the comparison record of a mirror.
 func (m *mirrorSender) recordOf(name string) *loopline.Record {
 	m.lock.Lock()
 	defer m.lock.Unlock()
@@ -88,7 +90,8 @@
 	return record
 }
 
-// rack holds the connections to one shadow server, apart from all others.
+// poolOf returns the connection pool of a shadow server. It is separate from the
+// pools of the request path.
 func (m *mirrorSender) poolOf(server *balancer.Siding) *upstream.Rack {
 	m.lock.Lock()
 	defer m.lock.Unlock()
@@ -101,9 +104,9 @@
 	return pool
 }
 
-// mirror offers the copy of an inquiry that has ended, once its client has the
-// reply. reply is nil where none came; isOpen tells that it may have run all the
-// same.
+// offerMirror queues the mirrored copy of a request after its client has the
+// response. response is nil if there was none; mayHaveExecuted tells that the request
+// may have been executed without one.
 func (p *proxy) offerMirror(req *inquiry, response *upstream.Reply, mayHaveExecuted bool) {
 	if req == nil || req.lane == nil || req.lane.Mirror == nil || req.isReplayed || response == nil && !mayHaveExecuted {
 		return
@@ -151,8 +154,8 @@
 	}
 }
 
-// mirrorGrant is the grant of a mirror that this node heard last, whether it holds
-// still or not.
+// mirrorGrant returns the last grant that this node received for a mirror, even if it
+// has expired.
 func (s *sight) mirrorGrant(m *config.Mirror) (grant loopline.Grant, ok bool) {
 	for _, grant = range s.mirrors {
 		if grant.Name == m.Name && grant.Version == uint64(m.Version) {
@@ -162,7 +165,7 @@
 	return loopline.Grant{}, false
 }
 
-// mirrored is what this node knows of its copies.
+// mirrorPages returns the comparison records of this node.
 func (p *proxy) mirrorPages(struct{}) messages.Mirrored {
 	result := messages.Mirrored{Node: p.set.Load().Platform.NodeName, Life: p.life, Pages: map[string]loopline.Page{}}
 	for name, record := range p.copier.allRecords() {
@@ -181,7 +184,7 @@
 	return result
 }
 
-// tallies are what is reported of the copies.
+// tallies returns the counts of mirrored requests for the report.
 func (m *mirrorSender) tallies() (result []loopline.Tally) {
 	for name, record := range m.allRecords() {
 		result = append(result, record.Tell(name))
--- a/internal/proxy/mirror_send.go
+++ b/internal/proxy/mirror_send.go
@@ -15,14 +15,16 @@
 	"ploverhitch/internal/upstream"
 )
 
-// copyOn works through the inbox until the context ends.
+// startMirrorWorkers starts the workers that process the queue until the context
+// ends.
 func (p *proxy) startMirrorWorkers(ctx context.Context) {
 	for range mirrorWorkers {
 		go timetable.Each(ctx, p.copier.queue, p.sendMirrored)
 	}
 }
 
-// copy sends one copy to a server of the shadow, and compares what comes.
+// sendMirrored sends a mirrored request to a server of the shadow and compares the
+// response with the original one.
 func (p *proxy) sendMirrored(job mirrorJob) {
 	server := p.sight.Load().yard.Home(job.mirror.Shadow, job.position)
 	if server == nil {
@@ -30,7 +32,7 @@
 		return
 	}
 	if !p.out.IsFree() || !p.in.IsFree() {
-		// The link is for originals.
+		// Original requests have precedence on the link.
 		job.record.Miss(job.hash, job.era, "the link was busy")
 		return
 	}
@@ -60,9 +62,9 @@
 	job.record.Compare(job.hash, job.era, example)
 }
 
-// mayCopy looks again, immediately before the first byte is sent: the server must
-// still be listed, under this very address, as one of a shadow that no lane
-// delivers to, and the order must hold.
+// maySendMirrored is the last check before the first byte is sent: the server must
+// still be listed under the same address, ready, and belong to a shadow that no route
+// delivers to, and the grant of the mirror must be valid.
 func (p *proxy) maySendMirrored(m *config.Mirror, server *balancer.Siding) bool {
 	s := p.sight.Load()
 	current, listed := s.yard.Find(server.ID)
@@ -73,6 +75,7 @@
 	return granted && s.grantsValid(p.clock.Steady()) && !s.sheet.IsLive(m.Shadow)
 }
 
+// compare classifies the result of a mirrored request against the original.
 func (j *mirrorJob) compare(response *upstream.Reply, err error, latency time.Duration) loopline.Outcome {
 	switch {
 	case err != nil:
--- a/internal/proxy/mirror_test.go
+++ b/internal/proxy/mirror_test.go
@@ -18,11 +18,11 @@
 
 func TestProxy(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "points")
+	RunSpecs(t, "proxy")
 }
 
-var _ = Describe("the connections to a shadow", func() {
-	It("are kept while the server is listed under its address, and no longer", func() {
+var _ = Describe("the connection pools of shadow servers", func() {
+	It("are kept only while the server is listed under the same address", func() {
 		sender := newMirrorSender()
 		one, two := feed.Server{ID: "x-1", Address: "a:1"}, feed.Server{ID: "x-2", Address: "a:2"}
 		pools := map[string]any{}
@@ -40,9 +40,9 @@
 	})
 })
 
-var _ = Describe("the last look before a copy is sent", func() {
-	// sightOf is what a node knows: where x-1 is listed, under which service, the
-	// order granted, and which service the one lane delivers to.
+var _ = Describe("the last check before a mirrored request is sent", func() {
+	// stateWith returns a node's state: the address and service under which x-1 is
+	// listed, the version of the mirror's grant, and the service of the only route.
 	stateWith := func(address, service string, isReady bool, version uint64, liveService string) *sight {
 		body, err := json.Marshal(config.RouteSpec{Name: "fee", PathPrefix: "/fee/", RouteType: config.Safe, Service: liveService, MaxAttempts: 1, Revision: 1})
 		Expect(err).NotTo(HaveOccurred())
@@ -55,22 +55,22 @@
 		}
 	}
 
-	It("lets it go only to a listed server of a shadow that nothing live delivers to, under an order that holds", func() {
+	It("allows only a listed server of a shadow that no route delivers to, under a valid grant", func() {
 		clock := &timetable.Hand{Now: time.Hour}
 		p := newProxy(&settings.Settings{}, clock, func(string, string, ...any) {})
 		mirror := &config.Mirror{Mirror: loopline.Mirror{Name: "build", Shadow: "next"}, Version: 3}
 		server := &balancer.Siding{Server: feed.Server{ID: "x-1", Service: "next", Address: "a:1", IsReady: true}}
 		maySend := func(s *sight) bool { p.sight.Store(s); return p.maySendMirrored(mirror, server) }
 		Expect(maySend(stateWith("a:1", "next", true, 3, "fees"))).To(BeTrue())
-		Expect(maySend(stateWith("a:9", "next", true, 3, "fees"))).To(BeFalse(), "the address is another's")
-		Expect(maySend(stateWith("a:1", "fees", true, 3, "fees"))).To(BeFalse(), "the server is a live one")
-		Expect(maySend(stateWith("a:1", "next", false, 3, "fees"))).To(BeFalse(), "the server is leaving")
-		Expect(maySend(stateWith("a:1", "next", true, 2, "fees"))).To(BeFalse(), "the order is an older one")
-		Expect(maySend(stateWith("a:1", "next", true, 3, "next"))).To(BeFalse(), "a lane delivers to the shadow")
+		Expect(maySend(stateWith("a:9", "next", true, 3, "fees"))).To(BeFalse(), "x-1 has another address")
+		Expect(maySend(stateWith("a:1", "fees", true, 3, "fees"))).To(BeFalse(), "x-1 belongs to a live service")
+		Expect(maySend(stateWith("a:1", "next", false, 3, "fees"))).To(BeFalse(), "x-1 is not ready")
+		Expect(maySend(stateWith("a:1", "next", true, 2, "fees"))).To(BeFalse(), "the grant is for an older version")
+		Expect(maySend(stateWith("a:1", "next", true, 3, "next"))).To(BeFalse(), "a route delivers to the shadow")
 		server.ID = "x-2"
 		Expect(maySend(stateWith("a:1", "next", true, 3, "fees"))).To(BeFalse(), "the server is not listed")
 		server.ID = "x-1"
 		clock.Now += feed.GrantSpan + time.Millisecond
-		Expect(maySend(stateWith("a:1", "next", true, 3, "fees"))).To(BeFalse(), "the grant has lapsed")
+		Expect(maySend(stateWith("a:1", "next", true, 3, "fees"))).To(BeFalse(), "the grant has expired")
 	})
 })
--- a/internal/proxy/operator.go
+++ b/internal/proxy/operator.go
@@ -13,14 +13,15 @@
 	"ploverhitch/internal/settings"
 )
 
-// placedRun is one placed operation that is running, or whose outcome is still
-// awaited, with the servers it was sent to.
+// runningOperation is a request with a position on the hash ring that is running or
+// whose outcome is still awaited, with the servers it was sent to.
 type runningOperation struct {
 	request *inquiry
 	servers []string
 }
 
-// enter notes a placed operation for as long as it runs.
+// trackOperation registers a request with a position on the hash ring until done is
+// called. Other requests are not tracked.
 func (p *proxy) trackOperation(req *inquiry) (done func()) {
 	if !req.isPlaced {
 		return func() {}
@@ -29,7 +30,7 @@
 	return func() { p.runs.Delete(req) }
 }
 
-// sentTo notes a server of a placed operation.
+// trackServer adds a server to those that a tracked request was sent to.
 func (p *proxy) trackServer(req *inquiry, server string) {
 	if entry, ok := p.runs.Load(req); ok {
 		operation := entry.(*runningOperation)
@@ -37,9 +38,9 @@
 	}
 }
 
-// moves tells where the change would leave the running operations: their home
-// on the live ring, and on the ring after the change. It looks at one immutable
-// sight and shifts nothing.
+// plannedMoves returns, for each running operation of the service, its home server on
+// the current ring and on the ring after the change. It reads one immutable state and
+// changes nothing.
 func (p *proxy) plannedMoves(change balancer.Change) messages.Moves {
 	current := p.sight.Load().yard
 	homeAfter := current.Trial(change)
@@ -69,6 +70,7 @@
 	return out
 }
 
+// ringHomes returns the home servers of ring positions, and the servers of the ring.
 func (p *proxy) ringHomes(query messages.Homes) (out messages.HomesNow) {
 	servers := p.sight.Load().yard
 	for _, position := range query.Places {
@@ -82,6 +84,7 @@
 	return out
 }
 
+// nodeStatus returns the configuration and the cutoff that this node applies.
 func (p *proxy) nodeStatus(struct{}) messages.Sight {
 	s := p.sight.Load()
 	status := messages.Sight{
@@ -94,20 +97,17 @@
 	return status
 }
 
-// AskAddress is where a machine's proxy answers what operators ask.
-//
-// Example:
-//
-//	address := proxy.AskAddress(set) // "10.1.0.39:7201"
+// OperatorAddress is the address where the proxy of a machine answers operator
+// queries, such as "10.1.0.39:7201".
 func OperatorAddress(conf *settings.Settings) string {
 	return conf.InternalAddress(conf.Platform.Ip, 1)
 }
 
-// answerOperators serves what the inspector asks of a proxy.
+// serveOperators serves the queries that the inspector sends to a proxy.
 func (p *proxy) serveOperators() (net.Listener, error) {
 	listener, err := net.Listen("tcp4", OperatorAddress(p.set.Load()))
 	if err != nil {
-		return nil, errors.Annotate(err, "internal port")
+		return nil, errors.Annotate(err, "listening on the operator address")
 	}
 	go rpc.Serve(listener, rpc.Handlers{
 		messages.KindMoves: replyWith(p.plannedMoves),
@@ -119,6 +119,8 @@
 	return listener, nil
 }
 
+// replyWith makes a call handler from a function. It ignores calls with a malformed
+// body.
 func replyWith[T, R any](answer func(T) R) func(rpc.Call) {
 	return func(call rpc.Call) {
 		var request T
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -8,6 +8,7 @@
 	"github.com/juju/errors"
 )
 
+// handleReady answers the readiness checks of the platform.
 func (p *proxy) handleReady(w http.ResponseWriter, r *http.Request) {
 	switch {
 	case r.URL.Path != "/v1/ready":
@@ -20,13 +21,14 @@
 }
 
 const (
-	// leaveAfter is for the platform to see twice that the node is not ready.
+	// drainDelay is long enough for two readiness checks of the platform to fail.
 	drainDelay  = 2800 * time.Millisecond
+	// graceMargin is the part of the platform's grace period that is left unused.
 	graceMargin = 700 * time.Millisecond
 )
 
-// leave goes on serving until the platform sends nothing new, and then until
-// what is at work is done.
+// shutDown reports the node as not ready, serves until the platform sends no new
+// requests, and then waits for the requests in flight.
 func (p *proxy) shutDown(server *http.Server) error {
 	grace := p.set.Load().Platform.Bounds.Grace.Std() - graceMargin
 	p.isLeaving.Store(true)
@@ -37,5 +39,5 @@
 	for ctx.Err() == nil && p.active.Load() > 0 {
 		p.clock.Sleep(20 * time.Millisecond)
 	}
-	return errors.Annotate(err, "leaving")
+	return errors.Annotate(err, "shutting down")
 }
