--- a/internal/proxy/latency.go
+++ b/internal/proxy/latency.go
@@ -21,11 +21,12 @@
 const (
 	// statsWeight is the weight of one response in the moving averages.
 	statsWeight = 0.05
-	// hedgeDeviations and hedgeTargetShare (of the target latency) bound the hedge
-	// delay from below.
+	// hedgeDeviations is how many deviations above the mean the hedge delay is,
+	// hedgeTargetShare its lower bound as a share of the target latency.
 	hedgeDeviations  = 4.0
 	hedgeTargetShare = 0.35
-	zoneCostMin      = 2 * time.Millisecond
+	// zoneCostMin is the part of the zone cost that does not depend on the size.
+	zoneCostMin = 2 * time.Millisecond
 	// baseDriftWeight is the part of the distance to the mean that baseSeconds
 	// moves up per response.
 	baseDriftWeight = 0.0005
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -22,7 +22,7 @@
 
 const (
 	// drainDelay is long enough for two readiness checks of the platform to fail.
-	drainDelay  = 2800 * time.Millisecond
+	drainDelay = 2800 * time.Millisecond
 	// graceMargin is the part of the platform's grace period that is left unused.
 	graceMargin = 700 * time.Millisecond
 )
