--- a/internal/proxy/deliver.go
+++ b/internal/proxy/deliver.go
@@ -65,7 +65,7 @@
 type delivery struct {
 	*proxy
 	one     *inquiry
-	pace    *latencyStats
+	pace    *responseStats
 	results chan result
 	passed  []*balancer.Siding
 	flying  int
@@ -88,7 +88,7 @@
 // budget and what is known of the first allow it.
 func (p *proxy) delivering(ctx context.Context, request any) (any, error) {
 	one := request.(*inquiry)
-	d := &delivery{proxy: p, one: one, pace: p.latencyStatsOf(one.lane.Name), leave: p.trackOperation(one), places: &sync.Map{}, left: deliveryContext(ctx, one)}
+	d := &delivery{proxy: p, one: one, pace: p.responseStatsOf(one.lane.Name), leave: p.trackOperation(one), places: &sync.Map{}, left: deliveryContext(ctx, one)}
 	d.results = make(chan result, one.lane.MaxAttempts+unsentLimit+1)
 	defer d.drainAttempts()
 	if !d.launch() {
--- a/internal/proxy/download.go
+++ b/internal/proxy/download.go
@@ -26,7 +26,7 @@
 		if req.lane.RouteType != config.Download {
 			return next(ctx, request)
 		}
-		stats := p.latencyStatsOf(req.lane.Name)
+		stats := p.responseStatsOf(req.lane.Name)
 		targetLatency := req.lane.TargetLatency.Std()
 		if targetLatency == 0 {
 			targetLatency = time.Until(req.due)
--- a/internal/proxy/latency.go
+++ b/internal/proxy/response_stats.go
@@ -7,7 +7,7 @@
 
 // latencyStats holds moving averages over the responses of one route: latency, its
 // deviation, and size.
-type latencyStats struct {
+type responseStats struct {
 	lock             sync.Mutex
 	meanSeconds      float64
 	deviationSeconds float64
@@ -32,15 +32,15 @@
 	baseDriftWeight = 0.0005
 )
 
-func (p *proxy) latencyStatsOf(route string) *latencyStats {
+func (p *proxy) responseStatsOf(route string) *responseStats {
 	if known, ok := p.paces.Load(route); ok {
-		return known.(*latencyStats)
+		return known.(*responseStats)
 	}
-	stored, _ := p.paces.LoadOrStore(route, &latencyStats{})
-	return stored.(*latencyStats)
+	stored, _ := p.paces.LoadOrStore(route, &responseStats{})
+	return stored.(*responseStats)
 }
 
-func (s *latencyStats) record(latency time.Duration, bytes int64) {
+func (s *responseStats) record(latency time.Duration, bytes int64) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.count++
@@ -58,20 +58,20 @@
 }
 
 // expectedBytes returns the expected size of a response.
-func (s *latencyStats) expectedBytes() int64 {
+func (s *responseStats) expectedBytes() int64 {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return int64(s.meanBytes)
 }
 
-func (s *latencyStats) mean() time.Duration {
+func (s *responseStats) mean() time.Duration {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return time.Duration(s.meanSeconds * float64(time.Second))
 }
 
 // base returns the latency without overload.
-func (s *latencyStats) base() time.Duration {
+func (s *responseStats) base() time.Duration {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return time.Duration(s.baseSeconds * float64(time.Second))
@@ -80,7 +80,7 @@
 // hedgeDelay is how long the first attempt runs before a second server gets the
 // request too: the mean latency and hedgeDeviations deviations, but at least
 // hedgeTargetShare of the configured target latency.
-func (s *latencyStats) hedgeDelay(targetLatency time.Duration) time.Duration {
+func (s *responseStats) hedgeDelay(targetLatency time.Duration) time.Duration {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	usualMax := time.Duration((s.meanSeconds + hedgeDeviations*s.deviationSeconds) * float64(time.Second))
@@ -88,7 +88,7 @@
 }
 
 // zoneCost is the extra latency that is accepted to keep a request within the zone.
-func (s *latencyStats) zoneCost(perKB time.Duration) time.Duration {
+func (s *responseStats) zoneCost(perKB time.Duration) time.Duration {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return zoneCostMin + time.Duration(s.meanBytes/1024*float64(perKB))
--- a/internal/proxy/selection.go
+++ b/internal/proxy/selection.go
@@ -26,11 +26,11 @@
 		Service: d.one.service, Passed: d.passed, Crossing: d.pace.zoneCost(d.set.Load().Tuning.CrossingPerKB.Std()),
 		Place: d.one.place, IsPlaced: d.one.isPlaced, Limit: d.connectionLimit(), IsTrial: d.mayUseCanary(s), Usual: d.pace.mean(),
 	}
-	if server := d.chooseAtSite(s, criteria); server != nil || !criteria.IsTrial {
+	if server := d.chooseMatching(s, criteria); server != nil || !criteria.IsTrial {
 		return server
 	}
 	criteria.IsTrial = false
-	return d.chooseAtSite(s, criteria)
+	return d.chooseMatching(s, criteria)
 }
 
 // connectionLimit is this node's share of the connections that one server accepts
@@ -54,7 +54,7 @@
 
 // chooseAtSite chooses a server at the local site, or at another site with free
 // slots, and takes a slot there.
-func (d *delivery) chooseAtSite(s *sight, criteria balancer.Wish) *balancer.Siding {
+func (d *delivery) chooseMatching(s *sight, criteria balancer.Wish) *balancer.Siding {
 	mode := d.set.Load().Tuning.Branchline
 	if mode == settings.BranchOff || s.tree == nil {
 		return s.yard.Choose(criteria, d.clock)
--- a/internal/proxy/serving_test.go
+++ b/internal/proxy/serving_test.go
@@ -45,7 +45,7 @@
 			sight: p.sight.Load(), due: time.Now().Add(5 * time.Second),
 		}
 		return &delivery{
-			proxy: p, one: one, pace: p.latencyStatsOf("fee"), leave: func() {}, places: &sync.Map{}, results: make(chan result, 8), left: context.Background(),
+			proxy: p, one: one, pace: p.responseStatsOf("fee"), leave: func() {}, places: &sync.Map{}, results: make(chan result, 8), left: context.Background(),
 		}
 	}
 
--- a/internal/proxy/staged.go
+++ b/internal/proxy/staged.go
@@ -64,13 +64,13 @@
 		if sameRoute(base, next) {
 			continue
 		}
-		named := base
-		if named == nil {
-			named = next
+		marked := base
+		if marked == nil {
+			marked = next
 		}
-		req.stage = &stagedMark{mark: outlier.Mark{Subject: change.Subject, Number: change.Number, Lane: named.Name, IsTrial: change.applies}}
-		if req.stage.targetLatency = named.TargetLatency.Std(); req.stage.targetLatency == 0 {
-			req.stage.targetLatency = named.Timeout.Std()
+		req.stage = &stagedMark{mark: outlier.Mark{Subject: change.Subject, Number: change.Number, Lane: marked.Name, IsTrial: change.applies}}
+		if req.stage.targetLatency = marked.TargetLatency.Std(); req.stage.targetLatency == 0 {
+			req.stage.targetLatency = marked.Timeout.Std()
 		}
 		if !change.applies {
 			continue
