--- a/internal/proxy/download.go
+++ b/internal/proxy/download.go
@@ -33,14 +33,14 @@
 		}
 		release, admitted := p.bulk.Enter(stats.expectedBytes(), targetLatency-stats.mean())
 		if !admitted {
-			return nil, apierror.New(apierror.Busy, "the link")
+			return nil, apierror.New(apierror.Busy, "not enough link capacity for the download")
 		}
 		req.leave = release
 		turnCtx, cancel := context.WithTimeout(ctx, targetLatency/turnWaitDivisor)
 		defer cancel()
 		endTurn, gotTurn := p.bulk.Turn(turnCtx)
 		if !gotTurn {
-			return nil, apierror.New(apierror.Busy, "the link")
+			return nil, apierror.New(apierror.Busy, "timed out waiting for the turn of the download")
 		}
 		endTurn = sync.OnceFunc(endTurn)
 		answer, err := next(ctx, request)
--- a/internal/proxy/response_stats.go
+++ b/internal/proxy/response_stats.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// latencyStats holds moving averages over the responses of one route: latency, its
+// responseStats holds moving averages over the responses of one route: latency, its
 // deviation, and size.
 type responseStats struct {
 	lock             sync.Mutex
--- a/internal/proxy/selection.go
+++ b/internal/proxy/selection.go
@@ -52,8 +52,8 @@
 	return lowPriorityShare
 }
 
-// chooseAtSite chooses a server at the local site, or at another site with free
-// slots, and takes a slot there.
+// chooseMatching chooses a server at the local site, or at another site with free
+// slots, and takes a slot there. It returns nil if no server meets the criteria.
 func (d *delivery) chooseMatching(s *sight, criteria balancer.Wish) *balancer.Siding {
 	mode := d.set.Load().Tuning.Branchline
 	if mode == settings.BranchOff || s.tree == nil {
