--- a/internal/proxy/download.go
+++ b/internal/proxy/download.go
@@ -40,11 +40,11 @@
 		defer cancel()
 		endTurn, gotTurn := p.bulk.Turn(turnCtx)
 		if !gotTurn {
-			return nil, apierror.New(apierror.Busy, "timed out waiting for the turn of the download")
+			return nil, apierror.New(apierror.Busy, "no download slot became free in time")
 		}
 		endTurn = sync.OnceFunc(endTurn)
 		answer, err := next(ctx, request)
-		if response, gotTurn := answer.(*upstream.Reply); gotTurn && response.Rest != nil {
+		if response, ok := answer.(*upstream.Reply); ok && response.Rest != nil {
 			// The server sends until the rest of the body has been read.
 			response.Rest = &notifyingReader{response.Rest, endTurn}
 			req.leave = func() { release(); endTurn() }
