--- /dev/null
+++ b/internal/proxy/canary.go
@@ -0,0 +1,149 @@
+package proxy
+
+import (
+	"context"
+	"net"
+	"net/http"
+	"time"
+
+	"github.com/juju/errors"
+
+	"ploverhitch/internal/balancer"
+	"ploverhitch/internal/feed"
+	"ploverhitch/internal/messages"
+	"ploverhitch/internal/outlier"
+	"ploverhitch/internal/settings"
+	"ploverhitch/internal/timetable"
+	"ploverhitch/internal/upstream"
+)
+
+const (
+	reportPeriod = 250 * time.Millisecond
+	// idleReportPeriods is how many periods pass between reports while there is no
+	// canary, staged change, overload or lack of slots.
+	idleReportPeriods = 4
+	reportTimeout     = time.Second
+	// A response is slow if it takes more than slowFactor times the usual latency
+	// of its route, and more than slowMin.
+	slowFactor = 3
+	slowMin    = 20 * time.Millisecond
+)
+
+// grantsValid reports whether the grants in the last fleet state have not expired.
+func (s *snapshot) grantsValid(now timetable.Steady) bool {
+	return time.Duration(now-s.fleetReceivedAt) <= feed.GrantSpan
+}
+
+// canaryShare returns the traffic share of the service's canary version while its
+// grant is valid.
+func (s *snapshot) canaryShare(service string, now timetable.Steady) (share feed.Share, granted bool) {
+	if !s.grantsValid(now) {
+		return share, false
+	}
+	for _, share = range s.trialShares {
+		if share.Service == service {
+			return share, true
+		}
+	}
+	return feed.Share{}, false
+}
+
+// admitToCanary decides whether a request may go to the canary version.
+func (p *proxy) admitToCanary(req *clientRequest) {
+	if len(req.snapshot.trialShares) == 0 {
+		return
+	}
+	if share, granted := req.snapshot.canaryShare(req.service, p.clock.Steady()); granted {
+		req.trialEligible = p.canaryAllowance(req.service).Take(share.Number, share.Part, req.route.Name)
+	}
+}
+
+func (p *proxy) canaryAllowance(service string) *balancer.Allowance {
+	allowance, _ := p.trialAllowances.LoadOrStore(service, &balancer.Allowance{})
+	return allowance.(*balancer.Allowance)
+}
+
+// mayUseCanary reports whether the next attempt may go to the canary version. The
+// request must have been admitted and the grant must still be valid. Only the first
+// attempt may go there until the canary has all traffic.
+func (d *forwarder) mayUseCanary(s *snapshot) bool {
+	if !d.request.trialEligible {
+		return false
+	}
+	share, granted := s.canaryShare(d.request.service, d.clock.Steady())
+	return granted && (len(d.tried) == 0 || share.Part >= 1)
+}
+
+// recordOutcome counts the outcome of an attempt for its server and for the canary
+// that it belongs to.
+func (d *forwarder) recordOutcome(server *balancer.Siding, mark outlier.Mark, response *upstream.Reply, err error, latency, usualLatency time.Duration) {
+	outcome := outlier.Good
+	warming := server.WarmLeft(d.clock.Wall()) > 0
+	slow := usualLatency > 0 && latency > max(slowFactor*usualLatency, slowMin)
+	var netErr net.Error
+	switch {
+	case err != nil && errors.Is(err, upstream.ErrNotSent):
+		return
+	case err != nil && errors.As(err, &netErr) && netErr.Timeout():
+		outcome = outlier.Slow
+	case err != nil:
+		outcome = outlier.Broken
+	case response.IsNotExecuted():
+		return
+	case response.Status == http.StatusInternalServerError || response.Status == http.StatusBadGateway || response.Status == http.StatusServiceUnavailable:
+		outcome = outlier.Failed
+	case slow || response.Status == http.StatusGatewayTimeout:
+		outcome = outlier.Slow
+	}
+	relativeLatency := 0.0
+	if usualLatency > 0 && !warming {
+		relativeLatency = float64(latency) / float64(usualLatency)
+	}
+	d.outcomes.NoteServer(server.ID, outcome, relativeLatency)
+	if mark.Number > 0 && (outcome != outlier.Slow || !warming) {
+		d.outcomes.Note(mark, outcome)
+	}
+}
+
+// canaryMark identifies the canary that was active when an attempt was sent. The
+// outcome of the attempt counts for it.
+func (d *forwarder) canaryMark(server *balancer.Siding) (mark outlier.Mark) {
+	if share, granted := d.snapshot.Load().canaryShare(d.request.service, d.clock.Steady()); granted {
+		mark = outlier.Mark{Subject: d.request.service, Number: share.Number, Lane: d.request.route.Name, IsTrial: server.Grade == feed.OnTrial}
+	}
+	return mark
+}
+
+// reportPeriodically sends the counts to the term holder: in every period while
+// there is a canary, a staged change, overload or a lack of slots, and less often
+// otherwise.
+func (p *proxy) reportPeriodically(ctx context.Context) {
+	periods := 0
+	timetable.Every(ctx, reportPeriod, func() {
+		periods++
+		s := p.snapshot.Load()
+		overloaded := p.updateGauge()
+		if s.holder == "" || len(s.trialShares)+len(s.stagedChanges) == 0 && !p.needsSlots() && !overloaded && periods%idleReportPeriods > 0 {
+			return
+		}
+		conf, sentAt := p.settings.Load(), p.clock.Steady()
+		evidence := p.outcomes.Report(conf.Platform.NodeName, p.incarnation)
+		evidence.Term, evidence.Count = s.fleetVersion.Term, s.fleetVersion.Count
+		for _, share := range s.trialShares {
+			evidence.Works = append(evidence.Works, outlier.Work{Subject: share.Service, AtWork: s.balancer.AtWork(share.Service)})
+		}
+		report := messages.Report{Evidence: evidence, Cell: conf.Platform.Cell}
+		if conf.Tuning.Branchline != settings.BranchOff {
+			report.Uses = p.siteCapacity.Uses()
+		}
+		report.Loads, report.Mirrored = p.takeLoads(), p.trafficMirror.tallies()
+		line := p.connection(s.holder)
+		go func() {
+			var answer messages.Lots
+			if line.Ask(messages.KindReport, report, &answer, reportTimeout) == nil {
+				p.noteReportAnswer()
+				p.siteCapacity.Take(answer.Lots, sentAt)
+			}
+		}()
+	})
+}
--- a/internal/proxy/eligibility_test.go
+++ b/internal/proxy/eligibility_test.go
@@ -45,7 +45,7 @@
 			snapshot: p.snapshot.Load(), deadline: time.Now().Add(5 * time.Second),
 		}
 		return &forwarder{
-			proxy: p, request: req, stats: p.paceOf("fee"), untrack: func() {}, siteReservations: &sync.Map{}, results: make(chan attemptResult, 8), clientCtx: context.Background(),
+			proxy: p, request: req, stats: p.responseStatsOf("fee"), untrack: func() {}, siteReservations: &sync.Map{}, results: make(chan attemptResult, 8), clientCtx: context.Background(),
 		}
 	}
 
--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -21,7 +21,7 @@
 // lateResult, if set, delivers what the attempts reveal after the client was answered.
 type unresolvedError struct {
 	kind       apierror.Kind
-	lateResult chan lateEnd
+	lateResult chan lateResult
 }
 
 // Error returns the text of the error's kind.
@@ -46,10 +46,10 @@
 		req.service = req.route.Pick(rand.Float64())
 		p.retryBudget(req.service).Ask()
 		req.setRingPosition()
-		if err := p.shed(req); err != nil {
+		if err := p.checkOverload(req); err != nil {
 			return nil, err
 		}
-		p.admitTrial(req)
+		p.admitToCanary(req)
 		if req.snapshot.balancer.Ready(req.service) == 0 {
 			return nil, apierror.New(apierror.NoServer, req.service)
 		}
@@ -68,7 +68,7 @@
 type forwarder struct {
 	*proxy
 	request     *clientRequest
-	stats       *pace
+	stats       *responseStats
 	results     chan attemptResult
 	tried       []*balancer.Siding
 	inFlight    int
@@ -90,9 +90,9 @@
 // the route, the retry budget and the result of the first attempt allow it.
 func (p *proxy) forward(ctx context.Context, request any) (any, error) {
 	req := request.(*clientRequest)
-	d := &forwarder{proxy: p, request: req, stats: p.paceOf(req.route.Name), untrack: p.enter(req), siteReservations: &sync.Map{}, clientCtx: leaving(ctx, req)}
+	d := &forwarder{proxy: p, request: req, stats: p.responseStatsOf(req.route.Name), untrack: p.trackOperation(req), siteReservations: &sync.Map{}, clientCtx: deliveryContext(ctx, req)}
 	d.results = make(chan attemptResult, req.route.MaxAttempts+maxUnsentRetries+1)
-	defer d.sweep()
+	defer d.drainAttempts()
 	if !d.startAttempt() {
 		return nil, apierror.New(apierror.Busy, req.service)
 	}
@@ -100,7 +100,7 @@
 	defer deadlineTimer.Stop()
 	var hedge <-chan time.Time
 	if req.route.IsRepeatable() && req.route.MaxAttempts > 1 {
-		hedgeTimer := time.NewTimer(d.stats.patience(req.route.TargetLatency.Std()))
+		hedgeTimer := time.NewTimer(d.stats.hedgeDelay(req.route.TargetLatency.Std()))
 		defer hedgeTimer.Stop()
 		hedge = hedgeTimer.C
 	}
@@ -115,9 +115,9 @@
 			hedge = nil
 			d.retry()
 		case <-d.clientCtx.Done():
-			return nil, errLeft
+			return nil, errClientGone
 		case <-deadlineTimer.C:
-			return nil, d.late()
+			return nil, d.deadlineExceeded()
 		}
 	}
 }
@@ -150,7 +150,7 @@
 	case result.response.IsNotExecuted():
 		kind = apierror.NotExecuted
 		result.response.Finish(false)
-	case !repeatable && isPromise(result.response.Status):
+	case !repeatable && impliesNotExecuted(result.response.Status):
 		// Without a Not-Executed header the request may have run, although the status
 		// says that it did not.
 		return nil, &unresolvedError{kind: apierror.Broken}, true
@@ -162,7 +162,7 @@
 	if d.inFlight > 0 || d.retry() {
 		return nil, nil, false
 	}
-	if d.fallback != nil && !isPromise(d.fallback.Status) {
+	if d.fallback != nil && !impliesNotExecuted(d.fallback.Status) {
 		return d.fallback, nil, true
 	}
 	if d.unresolved {
@@ -184,12 +184,12 @@
 	if d.sentCount >= d.request.route.MaxAttempts || time.Until(d.request.deadline) < d.stats.mean() {
 		return false
 	}
-	server := d.choose()
+	server := d.chooseServer()
 	if server == nil {
 		return false
 	}
 	if !d.retryBudget(d.request.service).Spend() {
-		d.vacate(server)
+		d.releaseSlot(server)
 		return false
 	}
 	d.send(server)
@@ -198,7 +198,7 @@
 
 // startAttempt starts an attempt that is not charged to the retry budget.
 func (d *forwarder) startAttempt() bool {
-	server := d.choose()
+	server := d.chooseServer()
 	if server != nil {
 		d.send(server)
 	}
@@ -210,8 +210,8 @@
 	d.inFlight++
 	d.sentCount++
 	server.Begin()
-	d.sentTo(d.request, server.ID)
-	go d.runAttempt(server, d.mark(server))
+	d.trackServer(d.request, server.ID)
+	go d.runAttempt(server, d.canaryMark(server))
 }
 
 // runAttempt runs one attempt to its end, even if the client no longer waits.
@@ -230,21 +230,21 @@
 	}
 	start := d.clock.Steady()
 	response, err := server.Rack.Deliver(upstream.Order{
-		Inquiry: d.request.Inquiry, Left: d.breaking(), Due: d.request.deadline, Last: d.request.deadline.Add(lateWait), Connect: serverConnectTimeout, Buffer: bufferLimit, PassOn: streamAfter, In: d.inbound, Out: d.outbound,
+		Inquiry: d.request.Inquiry, Left: d.abortContext(), Due: d.request.deadline, Last: d.request.deadline.Add(lateWait), Connect: serverConnectTimeout, Buffer: bufferLimit, PassOn: streamAfter, In: d.inbound, Out: d.outbound,
 		IsServing: func() bool { return d.acceptsRequests(server) }, MaySend: d.request.maySend,
 	})
 	now := d.clock.Steady()
 	elapsed := time.Duration(now - start)
 	expected := d.stats.mean()
-	if !d.isBrokenOff(err) {
-		d.testify(server, mark, response, err, elapsed, expected)
-		d.strainOf(server, response, err, elapsed)
+	if !d.abortedByClient(err) {
+		d.recordOutcome(server, mark, response, err, elapsed, expected)
+		d.countLoad(server, response, err, elapsed)
 	}
 	outcome := d.serverOutcome(response, err)
 	if outcome == balancer.Served {
-		d.stats.learn(elapsed, response.Length)
+		d.stats.record(elapsed, response.Length)
 	}
-	d.vacate(server)
+	d.releaseSlot(server)
 	server.End(outcome, elapsed, expected, now)
 	d.results <- attemptResult{server, response, err}
 }
--- a/internal/proxy/idempotency.go
+++ b/internal/proxy/idempotency.go
@@ -78,7 +78,7 @@
 // its intent under overload.
 func (a *keyedAttempt) rejectOverload(context.Context, endpoint.Endpoint) (any, error) {
 	a.shedder.counter.Shed(a.request.service, a.request.route.Tier)
-	return nil, a.request.comeBack()
+	return nil, a.request.overloadError()
 }
 
 // execute forwards the request after a won round, and records the outcome on a majority
@@ -107,10 +107,10 @@
 		// outcome.
 		go func() {
 			switch late := <-unresolved.lateResult; {
-			case late.reply != nil:
-				a.complete(late.reply)
-				late.reply.Finish(false)
-			case late.isFree:
+			case late.response != nil:
+				a.complete(late.response)
+				late.response.Finish(false)
+			case late.notExecuted:
 				a.releaseVotes()
 			}
 		}()
@@ -151,7 +151,7 @@
 func (a *keyedAttempt) recordIntent(intent idempotency.Intent, timeout time.Duration) {
 	a.recentIntents.add(intent, a.clock.Steady(), timetable.Steady(a.settings.Load().Platform.Bounds.Sync))
 	view := a.snapshot.Load().view
-	acknowledgements, cancel := tellMembers[messages.Done](a.proxy, view, messages.KindRecord, messages.Record{Intent: intent})
+	acknowledgements, cancel := notifyMembers[messages.Done](a.proxy, view, messages.KindRecord, messages.Record{Intent: intent})
 	defer cancel()
 	if timeout == 0 {
 		return
--- a/internal/proxy/mirror.go
+++ b/internal/proxy/mirror.go
@@ -16,144 +16,147 @@
 )
 
 const (
-	copyInbox   = 64
-	copyWorkers = 2
-	copyBytes   = 64 << 10
-	// copyWindow bounds what a shadow may put on its way of a reply that is not
+	mirrorQueueSize   = 64
+	mirrorWorkers     = 2
+	mirrorBufferBytes = 64 << 10
+	// mirrorWindowBytes limits how much a shadow may send of a response that is not
 	// read to its end.
-	copyWindow = 4 << 10
+	mirrorWindowBytes = 4 << 10
 )
 
-// copied is one original whose copy waits for its turn.
-type copied struct {
-	mirror  *config.Mirror
-	record  *loopline.Record
-	inquiry *upstream.Inquiry
-	lane    *config.Route
-	hash    uint64
-	era     uint64
-	place   balancer.Place
-	due     time.Duration
-	// The original's reply: its status, its length, the digest of its body if all
-	// of that was at hand, and how long it took.
-	status   int
-	length   int64
-	body     [sha256.Size]byte
-	hasBody  bool
-	tookLive time.Duration
+// mirrorJob is a mirrored request that waits in the queue, with the result of the
+// original.
+type mirrorJob struct {
+	mirror   *config.Mirror
+	record   *loopline.Record
+	request  *upstream.Inquiry
+	route    *config.Route
+	hash     uint64
+	era      uint64
+	position balancer.Place
+	timeout  time.Duration
+	// The response to the original: its status, its length, the digest of its body
+	// if bodyComplete, and its latency.
+	status       int
+	length       int64
+	bodyDigest   [sha256.Size]byte
+	bodyComplete bool
+	liveLatency  time.Duration
 }
 
-// copier copies originals beside the path of inquiries. Its inbox drops what it
-// cannot hold.
-type copier struct {
-	inbox   chan copied
+// mirrorSender sends mirrored requests outside the request path. Jobs that do not fit
+// into its queue are dropped.
+type mirrorSender struct {
+	queue   chan mirrorJob
 	lock    sync.Mutex
 	records map[string]*loopline.Record
-	racks   map[string]*upstream.Rack
+	pools   map[string]*upstream.Rack
 }
 
-func newCopier() *copier {
-	return &copier{inbox: make(chan copied, copyInbox), records: map[string]*loopline.Record{}, racks: map[string]*upstream.Rack{}}
+func newMirrorSender() *mirrorSender {
+	return &mirrorSender{queue: make(chan mirrorJob, mirrorQueueSize), records: map[string]*loopline.Record{}, pools: map[string]*upstream.Rack{}}
 }
 
-// keep closes the connections to servers that are no longer listed under their address.
-func (c *copier) keep(servers []feed.Server) {
-	c.lock.Lock()
-	defer c.lock.Unlock()
-	if len(c.racks) == 0 {
+// closeUnlisted closes the connections to servers that are no longer listed under their address.
+func (m *mirrorSender) closeUnlisted(servers []feed.Server) {
+	m.lock.Lock()
+	defer m.lock.Unlock()
+	if len(m.pools) == 0 {
 		return
 	}
 	listed := make(map[string]bool, len(servers))
 	for _, server := range servers {
-		listed[rackName(server)] = true
+		listed[poolName(server)] = true
 	}
-	for name, rack := range c.racks {
+	for name, pool := range m.pools {
 		if !listed[name] {
-			rack.Close()
-			delete(c.racks, name)
+			pool.Close()
+			delete(m.pools, name)
 		}
 	}
 }
 
-func rackName(server feed.Server) string { return server.ID + " " + server.Address }
+func poolName(server feed.Server) string { return server.ID + " " + server.Address }
 
-func (c *copier) record(name string) *loopline.Record {
-	c.lock.Lock()
-	defer c.lock.Unlock()
-	record := c.records[name]
+// recordOf returns the comparison record of a mirror.
+func (m *mirrorSender) recordOf(name string) *loopline.Record {
+	m.lock.Lock()
+	defer m.lock.Unlock()
+	record := m.records[name]
 	if record == nil {
 		record = loopline.NewRecord()
-		c.records[name] = record
+		m.records[name] = record
 	}
 	return record
 }
 
-// rack holds the connections to one shadow server, apart from all others.
-func (c *copier) rack(server *balancer.Siding) *upstream.Rack {
-	c.lock.Lock()
-	defer c.lock.Unlock()
-	name := rackName(server.Server)
-	rack := c.racks[name]
-	if rack == nil {
-		rack = &upstream.Rack{Address: server.Address, Instance: server.ID, Window: copyWindow}
-		c.racks[name] = rack
-	}
-	return rack
+// poolOf returns the connection pool of a shadow server. It is separate from the
+// pools of the request path.
+func (m *mirrorSender) poolOf(server *balancer.Siding) *upstream.Rack {
+	m.lock.Lock()
+	defer m.lock.Unlock()
+	name := poolName(server.Server)
+	pool := m.pools[name]
+	if pool == nil {
+		pool = &upstream.Rack{Address: server.Address, Instance: server.ID, Window: mirrorWindowBytes}
+		m.pools[name] = pool
+	}
+	return pool
 }
 
-// mirror offers the copy of an inquiry that has ended, once its client has the
-// reply. reply is nil where none came; isOpen tells that it may have run all the
-// same.
-func (p *proxy) mirror(one *clientRequest, reply *upstream.Reply, isOpen bool) {
-	if one == nil || one.route == nil || one.route.Mirror == nil || one.replayed || reply == nil && !isOpen {
+// offerMirror queues the mirrored copy of a request after its client has the
+// response. response is nil if there was none; mayHaveExecuted tells that the request
+// may have been executed without one.
+func (p *proxy) offerMirror(req *clientRequest, response *upstream.Reply, mayHaveExecuted bool) {
+	if req == nil || req.route == nil || req.route.Mirror == nil || req.replayed || response == nil && !mayHaveExecuted {
 		return
 	}
-	m := one.route.Mirror
-	grant, isHeld := one.snapshot.mirrorGrant(m)
-	if !isHeld {
+	m := req.route.Mirror
+	grant, granted := req.snapshot.mirrorGrant(m)
+	if !granted {
 		return
 	}
-	record := p.trafficMirror.record(m.Name)
-	conversation := m.Conversation(one.Header, one.key.Key, one.clientAddress)
-	draw := m.Draw(one.route.Host, conversation)
+	record := p.trafficMirror.recordOf(m.Name)
+	conversation := m.Conversation(req.Header, req.key.Key, req.clientAddress)
+	draw := m.Draw(req.route.Host, conversation)
 	if draw >= grant.Share {
 		return
 	}
-	sum := fnv.New64a()
-	_, _ = sum.Write([]byte(one.route.Host + "\x00" + conversation))
-	hash := sum.Sum64()
+	hasher := fnv.New64a()
+	_, _ = hasher.Write([]byte(req.route.Host + "\x00" + conversation))
+	hash := hasher.Sum64()
 	record.Under(grant)
 	number, era := record.Meet(hash, draw)
 	switch {
-	case reply == nil:
+	case response == nil:
 		record.Miss(hash, era, "the original's outcome is not known")
 		return
-	case !one.snapshot.holdsGrants(p.clock.Steady()):
+	case !req.snapshot.grantsValid(p.clock.Steady()):
 		record.Miss(hash, era, "the order had lapsed here")
 		return
 	}
-	job := copied{
-		mirror: m, record: record, lane: one.route, hash: hash, era: era, place: balancer.Place(hash), due: time.Until(one.deadline) + time.Since(one.arrivedAt),
-		status: reply.Status, length: reply.Length, tookLive: one.duration,
+	job := mirrorJob{
+		mirror: m, record: record, route: req.route, hash: hash, era: era, position: balancer.Place(hash), timeout: time.Until(req.deadline) + time.Since(req.arrivedAt),
+		status: response.Status, length: response.Length, liveLatency: req.duration,
 	}
-	if job.hasBody = reply.Rest == nil; job.hasBody {
-		job.body = sha256.Sum256(reply.Body)
+	if job.bodyComplete = response.Rest == nil; job.bodyComplete {
+		job.bodyDigest = sha256.Sum256(response.Body)
 	}
-	inquiry := *one.Inquiry
-	inquiry.Header = one.Header.Clone()
-	inquiry.Header.Set(loopline.Marker, fmt.Sprintf("%s; version=%d; node=%s; number=%d; at=%d; settled=%t",
+	mirrored := *req.Inquiry
+	mirrored.Header = req.Header.Clone()
+	mirrored.Header.Set(loopline.Marker, fmt.Sprintf("%s; version=%d; node=%s; number=%d; at=%d; settled=%t",
 		m.Name, m.Version, p.settings.Load().Platform.NodeName, number, p.clock.Wall().UnixMilli(), grant.IsSettled))
-	job.inquiry = &inquiry
+	job.request = &mirrored
 	select {
-	case p.trafficMirror.inbox <- job:
+	case p.trafficMirror.queue <- job:
 	default:
 		record.Miss(hash, era, "the inbox was full")
 	}
 }
 
-// mirrorGrant is the grant of a mirror that this node heard last, whether it holds
-// still or not.
-func (s *snapshot) mirrorGrant(m *config.Mirror) (grant loopline.Grant, isHeld bool) {
+// mirrorGrant returns the last grant that this node received for a mirror, even if it
+// has expired.
+func (s *snapshot) mirrorGrant(m *config.Mirror) (grant loopline.Grant, ok bool) {
 	for _, grant = range s.mirrorGrants {
 		if grant.Name == m.Name && grant.Version == uint64(m.Version) {
 			return grant, true
@@ -162,29 +165,29 @@
 	return loopline.Grant{}, false
 }
 
-// mirrored is what this node knows of its copies.
-func (p *proxy) mirrored(struct{}) messages.Mirrored {
-	out := messages.Mirrored{Node: p.settings.Load().Platform.NodeName, Life: p.incarnation, Pages: map[string]loopline.Page{}}
-	for name, record := range p.trafficMirror.all() {
-		out.Pages[name] = record.Page()
+// mirrorPages returns the comparison records of this node.
+func (p *proxy) mirrorPages(struct{}) messages.Mirrored {
+	result := messages.Mirrored{Node: p.settings.Load().Platform.NodeName, Life: p.incarnation, Pages: map[string]loopline.Page{}}
+	for name, record := range p.trafficMirror.allRecords() {
+		result.Pages[name] = record.Page()
 	}
-	return out
+	return result
 }
 
-func (c *copier) all() map[string]*loopline.Record {
-	c.lock.Lock()
-	defer c.lock.Unlock()
-	out := map[string]*loopline.Record{}
-	for name, record := range c.records {
-		out[name] = record
-	}
-	return out
+func (m *mirrorSender) allRecords() map[string]*loopline.Record {
+	m.lock.Lock()
+	defer m.lock.Unlock()
+	result := map[string]*loopline.Record{}
+	for name, record := range m.records {
+		result[name] = record
+	}
+	return result
 }
 
-// tallies are what is reported of the copies.
-func (c *copier) tallies() (out []loopline.Tally) {
-	for name, record := range c.all() {
-		out = append(out, record.Tell(name))
+// tallies returns the counts of mirrored requests for the report.
+func (m *mirrorSender) tallies() (result []loopline.Tally) {
+	for name, record := range m.allRecords() {
+		result = append(result, record.Tell(name))
 	}
-	return out
+	return result
 }
--- /dev/null
+++ b/internal/proxy/mirror_send.go
@@ -0,0 +1,100 @@
+package proxy
+
+import (
+	"bytes"
+	"context"
+	"crypto/sha256"
+	"time"
+
+	"github.com/juju/errors"
+
+	"ploverhitch/internal/balancer"
+	"ploverhitch/internal/config"
+	"ploverhitch/internal/loopline"
+	"ploverhitch/internal/timetable"
+	"ploverhitch/internal/upstream"
+)
+
+// startMirrorWorkers starts the workers that process the queue until the context
+// ends.
+func (p *proxy) startMirrorWorkers(ctx context.Context) {
+	for range mirrorWorkers {
+		go timetable.Each(ctx, p.trafficMirror.queue, p.sendMirrored)
+	}
+}
+
+// sendMirrored sends a mirrored request to a server of the shadow and compares the
+// response with the original one.
+func (p *proxy) sendMirrored(job mirrorJob) {
+	server := p.snapshot.Load().balancer.Home(job.mirror.Shadow, job.position)
+	if server == nil {
+		job.record.Miss(job.hash, job.era, "the shadow has no server")
+		return
+	}
+	if !p.outbound.IsFree() || !p.inbound.IsFree() {
+		// Original requests have precedence on the link.
+		job.record.Miss(job.hash, job.era, "the link was busy")
+		return
+	}
+	bufferBytes := int64(mirrorBufferBytes)
+	if job.route.RouteType == config.Download || !job.bodyComplete {
+		bufferBytes = 0
+	}
+	start := time.Now()
+	deadline := start.Add(job.timeout)
+	response, err := p.trafficMirror.poolOf(server).Deliver(upstream.Order{
+		Inquiry: job.request, Due: deadline, Last: deadline, Connect: serverConnectTimeout, Buffer: bufferBytes, In: p.inbound, Out: p.outbound,
+		MaySend: func() bool { return p.maySendMirrored(job.mirror, server) },
+	})
+	latency := time.Since(start)
+	if err != nil && errors.Is(err, upstream.ErrNotSent) {
+		job.record.Miss(job.hash, job.era, "the copy could not be sent")
+		return
+	}
+	example := loopline.Example{
+		Lane: job.route.Name, Attempt: job.request.Attempt, Outcome: job.compare(response, err, latency), Live: job.status,
+		LiveMs: job.liveLatency.Milliseconds(), TookMs: latency.Milliseconds(),
+	}
+	if response != nil {
+		example.Shadow = response.Status
+		response.Finish(false)
+	}
+	job.record.Compare(job.hash, job.era, example)
+}
+
+// maySendMirrored is the last check before the first byte is sent: the server must
+// still be listed under the same address, ready, and belong to a shadow that no route
+// delivers to, and the grant of the mirror must be valid.
+func (p *proxy) maySendMirrored(m *config.Mirror, server *balancer.Siding) bool {
+	s := p.snapshot.Load()
+	current, listed := s.balancer.Find(server.ID)
+	if !listed || current.Address != server.Address || current.Service != m.Shadow || !current.IsReady || current.IsLeaving() {
+		return false
+	}
+	_, granted := s.mirrorGrant(m)
+	return granted && s.grantsValid(p.clock.Steady()) && !s.manifest.IsLive(m.Shadow)
+}
+
+// compare classifies the result of a mirrored request against the original.
+func (j *mirrorJob) compare(response *upstream.Reply, err error, latency time.Duration) loopline.Outcome {
+	switch {
+	case err != nil:
+		return loopline.Silent
+	case response.IsNotExecuted():
+		return loopline.Turned
+	case response.Status/100 != j.status/100:
+		return loopline.Status
+	case response.Rest != nil || !j.bodyComplete:
+		if response.Length != j.length {
+			return loopline.Body
+		}
+	default:
+		if sum := sha256.Sum256(response.Body); !bytes.Equal(sum[:], j.bodyDigest[:]) {
+			return loopline.Body
+		}
+	}
+	if loopline.IsSlow(j.liveLatency, latency) {
+		return loopline.Slow
+	}
+	return loopline.Same
+}
--- a/internal/proxy/once_test.go
+++ b/internal/proxy/once_test.go
@@ -41,7 +41,7 @@
 		for _, behavior := range []standin.Act{standin.CutBefore, standin.CutWithin, standin.Garbage, standin.NoSeal, standin.Fail500, standin.Silent, standin.SilentCut} {
 			for _, routeType := range []config.RouteKind{config.Unsafe, config.Idempotent} {
 				setBehavior(behavior)
-				p, req := inquiryOn(routeType, servers...)
+				p, req := newTestRequest(routeType, servers...)
 				before := requestCount()
 				_, err := p.forward(context.Background(), req)
 				var unresolved *unresolvedError
@@ -57,7 +57,7 @@
 	It("is retried when a server reports that it was not executed", func() {
 		for _, behavior := range []standin.Act{standin.Shed, standin.Misdirect} {
 			setBehavior(behavior)
-			p, req := inquiryOn(config.Unsafe, servers...)
+			p, req := newTestRequest(config.Unsafe, servers...)
 			before := requestCount()
 			_, err := p.forward(context.Background(), req)
 			var apiErr *apierror.Error
@@ -69,11 +69,11 @@
 
 	It("is not retried once its client has closed the connection", func() {
 		setBehavior(standin.SilentShed)
-		p, req := inquiryOn(config.Unsafe, servers...)
+		p, req := newTestRequest(config.Unsafe, servers...)
 		ctx, cancel := context.WithCancel(context.Background())
 		time.AfterFunc(50*time.Millisecond, cancel)
 		_, err := p.forward(ctx, req)
-		Expect(errors.Is(err, errLeft)).To(BeTrue())
+		Expect(errors.Is(err, errClientGone)).To(BeTrue())
 		for _, server := range servers {
 			server.Free()
 		}
--- /dev/null
+++ b/internal/proxy/operator.go
@@ -0,0 +1,131 @@
+package proxy
+
+import (
+	"net"
+	"sort"
+
+	"github.com/juju/errors"
+
+	"ploverhitch/internal/balancer"
+	"ploverhitch/internal/config"
+	"ploverhitch/internal/messages"
+	"ploverhitch/internal/rpc"
+	"ploverhitch/internal/settings"
+)
+
+// runningOperation is a request with a position on the hash ring that is running or
+// whose outcome is still awaited, with the servers it was sent to.
+type runningOperation struct {
+	request *clientRequest
+	servers []string
+}
+
+// trackOperation registers a request with a position on the hash ring until done is
+// called. Other requests are not tracked.
+func (p *proxy) trackOperation(req *clientRequest) (done func()) {
+	if !req.hasRingPosition {
+		return func() {}
+	}
+	p.runningOperations.Store(req, &runningOperation{request: req})
+	return func() { p.runningOperations.Delete(req) }
+}
+
+// trackServer adds a server to those that a tracked request was sent to.
+func (p *proxy) trackServer(req *clientRequest, server string) {
+	if entry, ok := p.runningOperations.Load(req); ok {
+		operation := entry.(*runningOperation)
+		p.runningOperations.Store(req, &runningOperation{request: req, servers: append(operation.servers[:len(operation.servers):len(operation.servers)], server)})
+	}
+}
+
+// plannedMoves returns, for each running operation of the service, its home server on
+// the current ring and on the ring after the change. It reads one immutable state and
+// changes nothing.
+func (p *proxy) plannedMoves(change balancer.Change) messages.Moves {
+	current := p.snapshot.Load().balancer
+	homeAfter := current.Trial(change)
+	out := messages.Moves{Node: p.settings.Load().Platform.NodeName}
+	p.runningOperations.Range(func(_, value any) bool {
+		operation := value.(*runningOperation)
+		req := operation.request
+		home := current.Home(req.service, req.ringPosition)
+		if req.service != change.Service || home == nil {
+			return true
+		}
+		move := messages.Move{
+			Lane: req.route.Name, Tenant: req.route.Host, From: home.ID, To: homeAfter(req.ringPosition), At: operation.servers, Place: req.ringPosition,
+		}
+		if req.route.RouteType == config.Idempotent {
+			move.Key = req.key.Key
+		} else {
+			move.Attempt, move.Target = req.Attempt, req.Target
+		}
+		out.Runs = append(out.Runs, move)
+		return true
+	})
+	sort.Slice(out.Runs, func(i, j int) bool {
+		a, b := out.Runs[i], out.Runs[j]
+		return a.Key+a.Target+a.Attempt < b.Key+b.Target+b.Attempt
+	})
+	return out
+}
+
+// ringHomes returns the home servers of ring positions, and the servers of the ring.
+func (p *proxy) ringHomes(query messages.Homes) (out messages.HomesNow) {
+	servers := p.snapshot.Load().balancer
+	for _, position := range query.Places {
+		id := ""
+		if home := servers.Home(query.Service, position); home != nil {
+			id = home.ID
+		}
+		out.Homes = append(out.Homes, id)
+	}
+	out.Ring = servers.Names(query.Service)
+	return out
+}
+
+// nodeStatus returns the configuration and the cutoff that this node applies.
+func (p *proxy) nodeStatus(struct{}) messages.Sight {
+	s := p.snapshot.Load()
+	status := messages.Sight{
+		Node: p.settings.Load().Platform.NodeName, Digest: s.manifestDigest, Epoch: uint64(s.view.Epoch), IsReady: p.isReady(), Servers: s.balancer.Size(),
+	}
+	cutoffs, isLocal := p.activeCutoffs(s)
+	for _, cutoff := range cutoffs {
+		status.Cutoff, status.IsFloor = max(status.Cutoff, cutoff.Number), isLocal
+	}
+	return status
+}
+
+// OperatorAddress is the address where the proxy of a machine answers operator
+// queries, such as "10.1.0.39:7201".
+func OperatorAddress(conf *settings.Settings) string {
+	return conf.InternalAddress(conf.Platform.Ip, 1)
+}
+
+// serveOperators serves the queries that the inspector sends to a proxy.
+func (p *proxy) serveOperators() (net.Listener, error) {
+	listener, err := net.Listen("tcp4", OperatorAddress(p.settings.Load()))
+	if err != nil {
+		return nil, errors.Annotate(err, "listening on the operator address")
+	}
+	go rpc.Serve(listener, rpc.Handlers{
+		messages.KindMoves: replyWith(p.plannedMoves),
+		messages.KindHomes: replyWith(p.ringHomes),
+		messages.KindSight: replyWith(p.nodeStatus),
+
+		messages.KindMirrored: replyWith(p.mirrorPages),
+	}, controlSilenceTimeout)
+	return listener, nil
+}
+
+// replyWith makes a call handler from a function. It ignores calls with a malformed
+// body.
+func replyWith[T, R any](answer func(T) R) func(rpc.Call) {
+	return func(call rpc.Call) {
+		var request T
+		if len(call.Body) == 0 || rpc.Unpack(call.Body, &request) == nil {
+			call.Reply(answer(request))
+		}
+	}
+}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -51,7 +51,7 @@
 	fleetVersion    feed.Reading
 	fleetReceivedAt timetable.Steady
 	// stagedChanges are the staged changes in progress.
-	stagedChanges []stage
+	stagedChanges []stagedChange
 	// complete is set once the whole configuration has been received.
 	complete bool
 	// cutoffs and mirrorGrants are the fleet's grants to shed load and to mirror
@@ -94,8 +94,8 @@
 	siteCapacity *branchline.Purse
 	// shedder decides which requests are shed under overload, trafficMirror sends copies
 	// of requests to mirrors.
-	shedder       *gate
-	trafficMirror *copier
+	shedder       *loadShedder
+	trafficMirror *mirrorSender
 }
 
 const (
@@ -119,7 +119,7 @@
 	if err != nil {
 		return errors.Annotate(err, "listen on the readiness address")
 	}
-	operatorListener, err := p.answerOperators()
+	operatorListener, err := p.serveOperators()
 	if err != nil {
 		return err
 	}
@@ -132,14 +132,14 @@
 	// The follower's name is sent to the agent.
 	p.follower = feed.NewFollower("points", agentConn, p.updateLoop.Put, 50*time.Millisecond)
 	go p.follower.Run(runCtx)
-	go p.reportOn(runCtx)
-	p.copyOn(runCtx)
+	go p.reportPeriodically(runCtx)
+	p.startMirrorWorkers(runCtx)
 	server := &http.Server{
 		Handler: http.HandlerFunc(p.handle), ReadHeaderTimeout: defaultHeaderTimeout, IdleTimeout: defaultIdleTimeout,
 		MaxHeaderBytes: maxHeaderBytes, ConnState: recordConnState,
 	}
 	go func() {
-		_ = (&http.Server{Handler: http.HandlerFunc(p.ready), ReadHeaderTimeout: defaultHeaderTimeout}).Serve(readinessListener)
+		_ = (&http.Server{Handler: http.HandlerFunc(p.handleReady), ReadHeaderTimeout: defaultHeaderTimeout}).Serve(readinessListener)
 	}()
 	serveErr := make(chan error, 1)
 	go func() { serveErr <- server.Serve(listener) }()
@@ -148,14 +148,14 @@
 		return errors.Trace(err)
 	case <-ctx.Done():
 	}
-	return p.leave(server)
+	return p.shutDown(server)
 }
 
 func newProxy(cfg *settings.Settings, clock timetable.Clock, log LogFunc) *proxy {
 	p := &proxy{
 		clock: clock, log: log, updateLoop: timetable.NewLoop[feed.News](256), replica: feed.NewBoard(),
 		connections: map[string]*rpc.Line{}, retryBudgets: map[string]*balancer.Budget{}, incarnation: newIncarnation(), outcomes: outlier.NewBox(), siteCapacity: branchline.NewPurse(clock),
-		shedder: newGate(clock), trafficMirror: newCopier(),
+		shedder: newLoadShedder(clock), trafficMirror: newMirrorSender(),
 	}
 	p.settings.Store(cfg)
 	locality := balancer.Home{Node: cfg.Platform.NodeName, Cell: cfg.Platform.Cell, Set: cfg.Tuning.WorkingSet}
@@ -163,7 +163,7 @@
 	p.outbound = bandwidth.NewTrack(cfg.Platform.Limits.LinkMbps, clock)
 	p.downloads = bandwidth.NewPassing(p.outbound)
 	p.snapshot.Store(&snapshot{manifest: config.Book{}.Compile(), balancer: balancer.NewYard(locality)})
-	p.serve = endpoint.Chain(p.admissionMiddleware, p.passing, p.idempotencyMiddleware)(p.forward)
+	p.serve = endpoint.Chain(p.admissionMiddleware, p.limitingDownloads, p.idempotencyMiddleware)(p.forward)
 	return p
 }
 
@@ -185,7 +185,7 @@
 		}
 		if merged.Fleet != nil {
 			next.applyFleet(p.replica.Serving(), p.clock.Steady())
-			p.trafficMirror.keep(next.servers)
+			p.trafficMirror.closeUnlisted(next.servers)
 		}
 		leavingIDs = append(leavingIDs, merged.Leaving...)
 	}
@@ -202,7 +202,7 @@
 		}
 	}
 	if len(next.stagedChanges)+len(p.replica.Fleet.Stages) > 0 {
-		next.layStages(p.replica.Fleet.Stages, p.replica.Book, manifestChanged, p.settings.Load().Platform.NodeName)
+		next.updateStaged(p.replica.Fleet.Stages, p.replica.Book, manifestChanged, p.settings.Load().Platform.NodeName)
 	}
 	next.complete = p.replica.IsWhole
 	if p.replica.View.Epoch > next.view.Epoch {
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -41,7 +41,7 @@
 	// replayed is set if the response comes from a stored record.
 	replayed bool
 	// stagedChange is set if a staged change affects the request.
-	stagedChange *stageMark
+	stagedChange *stagedMark
 	// clientAddress has no port; duration is how long the response took.
 	clientAddress string
 	duration      time.Duration
@@ -84,18 +84,18 @@
 	req.duration = time.Since(req.arrivedAt)
 	defer func() { req.releaseLink() }()
 	if err != nil {
-		p.settleStage(req, nil, err, false)
+		p.recordStagedOutcome(req, nil, err, false)
 		p.writeError(w, r, err)
-		p.mirror(req, nil, mayHaveExecuted(err))
+		p.offerMirror(req, nil, mayHaveExecuted(err))
 		return
 	}
 	response := result.(*upstream.Reply)
 	upstreamFailed, err := p.writeResponse(w, response)
-	p.settleStage(req, response, nil, upstreamFailed)
+	p.recordStagedOutcome(req, response, nil, upstreamFailed)
 	if upstreamFailed {
 		response = nil
 	}
-	p.mirror(req, response, upstreamFailed)
+	p.offerMirror(req, response, upstreamFailed)
 	if err != nil {
 		// A response that fails after its start must not look complete, so the
 		// client's connection is aborted too.
@@ -105,7 +105,7 @@
 
 // readRequest validates the request, finds its route and reads the whole body.
 func (p *proxy) readRequest(w http.ResponseWriter, r *http.Request) (*clientRequest, error) {
-	req := &clientRequest{arrivedAt: time.Now(), snapshot: p.snapshot.Load(), clientAddress: clientOf(r)}
+	req := &clientRequest{arrivedAt: time.Now(), snapshot: p.snapshot.Load(), clientAddress: clientAddress(r)}
 	limits := req.snapshot.manifest.Limits
 	path, _, _ := strings.Cut(r.RequestURI, "?")
 	attemptIDs := r.Header.Values(upstream.HeaderAttempt)
@@ -121,7 +121,7 @@
 	case !req.snapshot.complete:
 		return nil, apierror.New(apierror.NoServer, "the configuration has not been received yet")
 	}
-	req.snapshot.findLane(req, r.Host, path, r.Header.Get(upstream.HeaderKey) != "", p.clock.Steady())
+	req.snapshot.findRoute(req, r.Host, path, r.Header.Get(upstream.HeaderKey) != "", p.clock.Steady())
 	if req.route == nil {
 		return nil, apierror.New(apierror.NoLane, "")
 	}
@@ -195,7 +195,7 @@
 // mayHaveExecuted reports whether a request that failed with err may have been executed.
 func mayHaveExecuted(err error) bool {
 	var apiErr *apierror.Error
-	return errors.Is(err, errLeft) || errors.As(err, &apiErr) && (apiErr.Kind == apierror.Broken || apiErr.Kind == apierror.Late)
+	return errors.Is(err, errClientGone) || errors.As(err, &apiErr) && (apiErr.Kind == apierror.Broken || apiErr.Kind == apierror.Late)
 }
 
 // writeResponse passes a server's response to the client. upstreamFailed reports that
--- /dev/null
+++ b/internal/proxy/selection.go
@@ -0,0 +1,106 @@
+package proxy
+
+import (
+	"math/rand/v2"
+	"time"
+
+	"ploverhitch/internal/balancer"
+	"ploverhitch/internal/settings"
+)
+
+const (
+	// lowPriorityShare is the share of the slots at another site that requests
+	// below the highest priority of the service may use, so that requests of the
+	// highest priority are rejected last.
+	lowPriorityShare = 0.7
+	// probeInterval: one in so many requests may probe a failing server of an
+	// unhealthy site.
+	probeInterval = 40
+)
+
+// chooseServer chooses the server of the next attempt, or nil. It prefers the canary
+// version if the request may go there.
+func (d *forwarder) chooseServer() *balancer.Siding {
+	s := d.snapshot.Load()
+	criteria := balancer.Wish{
+		Service: d.request.service, Passed: d.tried, Crossing: d.stats.zoneCost(d.settings.Load().Tuning.CrossingPerKB.Std()),
+		Place: d.request.ringPosition, IsPlaced: d.request.hasRingPosition, Limit: d.connectionLimit(), IsTrial: d.mayUseCanary(s), Usual: d.stats.mean(),
+	}
+	if server := d.chooseMatching(s, criteria); server != nil || !criteria.IsTrial {
+		return server
+	}
+	criteria.IsTrial = false
+	return d.chooseMatching(s, criteria)
+}
+
+// connectionLimit is this node's share of the connections that one server accepts
+// from all proxies together. A quarter is reserved for proxies that are starting.
+func (d *forwarder) connectionLimit() int {
+	s := d.snapshot.Load()
+	maxConnections := s.manifest.Services[d.request.service].MaxConnections
+	if maxConnections == 0 || s.proxyCount == 0 {
+		return 0
+	}
+	return max(1, maxConnections*3/4/s.proxyCount)
+}
+
+// slotShare is the share of the slots at another site that the request may use.
+func (s *snapshot) slotShare(req *clientRequest) float64 {
+	if req.route.Priority <= s.manifest.HighestRank(req.service) {
+		return 1
+	}
+	return lowPriorityShare
+}
+
+// chooseMatching chooses a server at the local site, or at another site with free
+// slots, and takes a slot there. It returns nil if no server meets the criteria.
+func (d *forwarder) chooseMatching(s *snapshot, criteria balancer.Wish) *balancer.Siding {
+	mode := d.settings.Load().Tuning.Branchline
+	if mode == settings.BranchOff || s.sites == nil {
+		return s.balancer.Choose(criteria, d.clock)
+	}
+	service, share := d.request.service, s.slotShare(d.request)
+	if mode == settings.BranchFallen && !s.balancer.IsFallen(service) {
+		// While the local site is healthy, its servers limit the load by rejecting
+		// requests themselves.
+		server := s.balancer.Choose(criteria, d.clock)
+		if server != nil {
+			d.siteReservations.Store(server, d.siteCapacity.Note(service, s.sites.SiteOf(server.ID, server.Cell)))
+		}
+		return server
+	}
+	criteria.Allows = func(server *balancer.Siding) bool {
+		site := s.sites.SiteOf(server.ID, server.Cell)
+		if site == s.localSite {
+			// A server that failed its last request is not worth waiting for:
+			// without free slots elsewhere the request is rejected at once.
+			return server.IsSound() || rand.IntN(probeInterval) == 0
+		}
+		return d.siteCapacity.HasRoom(service, site, share)
+	}
+	for range len(s.balancer.Names(service)) + 1 {
+		server := s.balancer.Choose(criteria, d.clock)
+		if server == nil {
+			d.siteCapacity.Turn(service, max(d.stats.mean(), time.Millisecond))
+			return nil
+		}
+		if release, ok := d.siteCapacity.Enter(service, s.sites.SiteOf(server.ID, server.Cell), s.localSite, share); ok {
+			d.siteReservations.Store(server, release)
+			return server
+		}
+	}
+	return nil
+}
+
+// releaseSlot releases the slot that an attempt holds at the site of its server.
+func (d *forwarder) releaseSlot(server *balancer.Siding) {
+	if release, ok := d.siteReservations.LoadAndDelete(server); ok {
+		release.(func())()
+	}
+}
+
+// needsSlots reports whether requests lack slots at other sites. Reports are then
+// sent in every period.
+func (p *proxy) needsSlots() bool {
+	return p.settings.Load().Tuning.Branchline != settings.BranchOff && p.siteCapacity.IsShort()
+}
--- a/internal/proxy/shed.go
+++ b/internal/proxy/shed.go
@@ -15,67 +15,71 @@
 	"ploverhitch/internal/upstream"
 )
 
-// aloneSpan is after how long without a word from the holder of the duty a node
-// goes by its own measure.
-const aloneSpan = 3 * time.Second
+// holderSilenceLimit is how long the term holder may leave reports unanswered
+// before a node applies the cutoffs of its local gauge.
+const holderSilenceLimit = 3 * time.Second
 
-// gate decides what is turned away because its service is overloaded.
-type gate struct {
+// loadShedder decides which requests are rejected because their service is
+// overloaded.
+type loadShedder struct {
 	counter *shedding.Counter
-	// lock guards the node's own measure, and the loads that wait to be reported.
-	lock    sync.Mutex
-	floor   *shedding.Gauge
-	pending []shedding.Load
-	// heardAt is when the holder answered a report last.
-	heardAt timetable.Steady
+	// lock guards localGauge, pending and lastReportAnswer.
+	lock       sync.Mutex
+	localGauge *shedding.Gauge
+	pending    []shedding.Load
+	// lastReportAnswer is when the term holder last answered a report.
+	lastReportAnswer timetable.Steady
 }
 
-func newGate(clock timetable.Clock) *gate {
-	// The floor's seed is the same at all nodes, so that nodes which go by their
-	// own measures differ in how much they turn away, and hardly in whom.
-	return &gate{counter: shedding.NewCounter(), floor: shedding.NewGauge(clock, func() uint64 { return 0 })}
+func newLoadShedder(clock timetable.Clock) *loadShedder {
+	// All nodes use the same seed, so nodes that apply their local gauges differ
+	// in how much they reject, but hardly in which clients.
+	return &loadShedder{counter: shedding.NewCounter(), localGauge: shedding.NewGauge(clock, func() uint64 { return 0 })}
 }
 
-func (p *proxy) isGauging() bool { return p.settings.Load().Tuning.Loadgauge == settings.GaugeOn }
+func (p *proxy) sheddingEnabled() bool { return p.settings.Load().Tuning.Loadgauge == settings.GaugeOn }
 
-// cutoffs are those in force: the holder's while its grant holds, or else, after
-// a silence of the core, the node's own floor.
-func (p *proxy) cutoffs(s *snapshot) (out []shedding.Cutoff, isFloor bool) {
+// activeCutoffs returns the cutoffs in force: those of the term holder while its
+// grant is valid, or those of the local gauge once the term holder has been silent
+// for holderSilenceLimit.
+func (p *proxy) activeCutoffs(s *snapshot) (cutoffs []shedding.Cutoff, isLocal bool) {
 	now := p.clock.Steady()
-	if len(s.cutoffs) > 0 && s.holdsGrants(now) {
+	if len(s.cutoffs) > 0 && s.grantsValid(now) {
 		return s.cutoffs, false
 	}
 	p.shedder.lock.Lock()
 	defer p.shedder.lock.Unlock()
-	if time.Duration(now-p.shedder.heardAt) < aloneSpan {
+	if time.Duration(now-p.shedder.lastReportAnswer) < holderSilenceLimit {
 		return nil, false
 	}
-	return p.shedder.floor.Cutoffs(), true
+	return p.shedder.localGauge.Cutoffs(), true
 }
 
-// shed tells whether the inquiry is turned away by the cutoff. Whether a keyed
-// operation is, the core's members say when its intent is to be created: the
-// same whichever node asks, and never of one that has an intent.
-func (p *proxy) shed(one *clientRequest) error {
-	if !p.isGauging() {
+// checkOverload returns an error if a cutoff rejects the request. It rejects no
+// request with an idempotency key: for those the control-plane members decide when
+// the intent is created, so the decision is the same whichever node asks and a key
+// that has an intent is never rejected.
+func (p *proxy) checkOverload(req *clientRequest) error {
+	if !p.sheddingEnabled() {
 		return nil
 	}
-	tier, isShed := one.route.Tier, false
-	if one.route.RouteType != config.Idempotent {
-		cutoffs, _ := p.cutoffs(one.snapshot)
+	tier, rejected := req.route.Tier, false
+	if req.route.RouteType != config.Idempotent {
+		cutoffs, _ := p.activeCutoffs(req.snapshot)
 		for _, cutoff := range cutoffs {
-			isShed = isShed || cutoff.Service == one.service && cutoff.Sheds(tier, one.names()...)
+			rejected = rejected || cutoff.Service == req.service && cutoff.Sheds(tier, req.shedNames()...)
 		}
 	}
-	p.shedder.counter.Offer(one.service, tier, one.route.RouteType == config.Idempotent, isShed)
-	if isShed {
-		return one.comeBack()
+	p.shedder.counter.Offer(req.service, tier, req.route.RouteType == config.Idempotent, rejected)
+	if rejected {
+		return req.overloadError()
 	}
 	return nil
 }
 
-// names are what an inquiry that bears no key goes by: its tenant and its client.
-func (i *clientRequest) names() []string {
+// shedNames returns the tenant and the client that a cutoff hashes for a request
+// without an idempotency key.
+func (i *clientRequest) shedNames() []string {
 	if header := i.snapshot.manifest.Plan.Conversation; header != "" {
 		if value := i.Header.Get(header); value != "" {
 			return []string{i.route.Host, value}
@@ -84,19 +88,19 @@
 	return []string{i.route.Host, i.clientAddress, i.Target}
 }
 
-// comeBack is the refusal of a tier that waits: at once, with a time to come back
-// that is spread over the lane's aim, so that they do not all come at once.
-func (i *clientRequest) comeBack() error {
-	aim := i.route.TargetLatency.Std()
-	if aim == 0 {
-		aim = apierror.AnswerOf(apierror.Shed).RetryAfter
+// overloadError is the error of a rejected request. Its Retry-After is spread over
+// the target latency of the route, so that clients do not all retry at once.
+func (i *clientRequest) overloadError() error {
+	target := i.route.TargetLatency.Std()
+	if target == 0 {
+		target = apierror.AnswerOf(apierror.Shed).RetryAfter
 	}
-	after := aim/2 + time.Duration(shedding.Draw(1, i.Attempt)*float64(aim))
-	return &apierror.Error{Kind: apierror.Shed, Detail: i.service, After: after.Round(time.Millisecond)}
+	retryAfter := target/2 + time.Duration(shedding.Draw(1, i.Attempt)*float64(target))
+	return &apierror.Error{Kind: apierror.Shed, Detail: i.service, After: retryAfter.Round(time.Millisecond)}
 }
 
-// clientOf is the address of an inquiry's client, without its port.
-func clientOf(r *http.Request) string {
+// clientAddress returns the client's address without the port.
+func clientAddress(r *http.Request) string {
 	host, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
 		return r.RemoteAddr
@@ -104,53 +108,55 @@
 	return host
 }
 
-// lateTimes is how many times its usual a late reply takes at least.
-const lateTimes = 2
+// lateFactor is the multiple of the base latency that a response must exceed to
+// count as late.
+const lateFactor = 2
 
-// strainOf counts what the end of a try shows of the service's load.
-func (d *forwarder) strainOf(siding *balancer.Siding, reply *upstream.Reply, err error, took time.Duration) {
-	if !d.isGauging() || err != nil || reply.Status == http.StatusMisdirectedRequest {
+// countLoad counts what the end of an attempt shows about the load of its service.
+func (d *forwarder) countLoad(server *balancer.Siding, response *upstream.Reply, err error, latency time.Duration) {
+	if !d.sheddingEnabled() || err != nil || response.Status == http.StatusMisdirectedRequest {
 		return
 	}
-	outcome, lane := shedding.InTime, d.request.route
+	outcome, route := shedding.InTime, d.request.route
 	switch {
-	case reply.IsNotExecuted():
+	case response.IsNotExecuted():
 		outcome = shedding.Turned
-	case lane.RouteType == config.Download:
-		// How long bulk takes says more of this node's link than of the service.
-	case lane.TargetLatency > 0 && took > max(lane.TargetLatency.Std(), lateTimes*d.stats.least()):
+	case route.RouteType == config.Download:
+		// The duration of a download depends on this node's link more than on the
+		// service.
+	case route.TargetLatency > 0 && latency > max(route.TargetLatency.Std(), lateFactor*d.stats.base()):
 		outcome = shedding.Late
 	}
-	d.shedder.counter.Try(d.request.service, lane.Tier, siding.ID, outcome)
-	d.outcomes.NoteStrain(siding.ID, outcome != shedding.InTime)
+	d.shedder.counter.Try(d.request.service, route.Tier, server.ID, outcome)
+	d.outcomes.NoteStrain(server.ID, outcome != shedding.InTime)
 }
 
-// measure takes what was counted into the node's own measure, and tells whether
-// anything shows a strain.
-func (p *proxy) measure() (isStrained bool) {
-	if !p.isGauging() {
+// updateGauge feeds the counts since the last call to the local gauge and reports
+// whether any of them shows overload.
+func (p *proxy) updateGauge() (overloaded bool) {
+	if !p.sheddingEnabled() {
 		return false
 	}
-	loads, isStrained := p.shedder.counter.Take()
+	loads, overloaded := p.shedder.counter.Take()
 	p.shedder.lock.Lock()
 	defer p.shedder.lock.Unlock()
 	p.shedder.pending = shedding.Sum(p.shedder.pending, loads)
-	p.shedder.floor.Hear("", loads)
-	p.shedder.floor.Decide(p.shedder.counter.Strained)
-	return isStrained
+	p.shedder.localGauge.Hear("", loads)
+	p.shedder.localGauge.Decide(p.shedder.counter.Strained)
+	return overloaded
 }
 
-// loads are what is reported now.
-func (p *proxy) loads() []shedding.Load {
+// takeLoads returns the loads not yet reported and clears them.
+func (p *proxy) takeLoads() []shedding.Load {
 	p.shedder.lock.Lock()
 	defer p.shedder.lock.Unlock()
-	out := p.shedder.pending
+	loads := p.shedder.pending
 	p.shedder.pending = nil
-	return out
+	return loads
 }
 
-func (p *proxy) heard() {
+func (p *proxy) noteReportAnswer() {
 	p.shedder.lock.Lock()
 	defer p.shedder.lock.Unlock()
-	p.shedder.heardAt = p.clock.Steady()
+	p.shedder.lastReportAnswer = p.clock.Steady()
 }
--- a/internal/proxy/vote.go
+++ b/internal/proxy/vote.go
@@ -15,7 +15,7 @@
 	view := a.snapshot.Load().view
 	start, voteSpan := a.clock.Steady(), a.settings.Load().Tuning.VoteSpan
 	a.round = idempotency.NewRound(a.intent.Hash, max(1, len(view.Members)), start, timetable.Steady(voteSpan))
-	votes, cancel := askMembers[messages.Vote](a.proxy, view, messages.KindReserve, messages.Reserve{Epoch: view.Epoch, Intent: a.intent})
+	votes, cancel := callMembers[messages.Vote](a.proxy, view, messages.KindReserve, messages.Reserve{Epoch: view.Epoch, Intent: a.intent})
 	defer cancel()
 	timer := time.NewTimer(min(voteSpan.Std(), time.Until(a.request.deadline), a.voteTimeout()))
 	defer timer.Stop()
@@ -52,7 +52,7 @@
 
 // addVote counts one member's vote, and takes over a newer membership view that comes
 // with it.
-func (a *keyedAttempt) addVote(vote said[messages.Vote]) {
+func (a *keyedAttempt) addVote(vote memberReply[messages.Vote]) {
 	if vote.reply == nil || vote.reply.Ballot.Held != nil && vote.reply.Ballot.Held.Key != a.intent.Key {
 		// A ballot on another key counts as no vote.
 		a.round.On(nil)
