--- a/cmd/measure/measures.go
+++ b/cmd/measure/measures.go
@@ -112,9 +112,9 @@
 	body := make([]byte, 1500)
 	vote := func(voter *idempotency.Voter, at int) {
 		name := fmt.Sprint("k-", at)
-		intent := idempotency.Intent{Key: idempotency.Key{Tenant: "h.example", Key: name}, Attempt: idempotency.Attempt(name), Lane: "lane", Service: "fees", Reservation: name, CreatedMs: 1}
+		intent := idempotency.Intent{Key: idempotency.Key{Tenant: "h.example", Key: name}, Attempt: idempotency.Attempt(name), Route: "lane", Service: "fees", Reservation: name, CreatedMs: 1}
 		voter.Reserve(intent)
-		intent.State, intent.Reply = idempotency.Completed, &idempotency.Reply{Status: 200, Seal: "3e1b.07.5a2.600.0.c9f2a4d1", Body: append([]byte(nil), body...)}
+		intent.State, intent.Response = idempotency.Completed, &idempotency.Response{Status: 200, Seal: "3e1b.07.5a2.600.0.c9f2a4d1", Body: append([]byte(nil), body...)}
 		entry, err := voter.Record(intent)
 		if err != nil {
 			panic(err)
--- a/internal/control/coordinator.go
+++ b/internal/control/coordinator.go
@@ -209,7 +209,7 @@
 	if d != nil && d.number == state.Number {
 		next.full, next.finding, next.doubled = d.full, d.finding, d.doubled
 	} else {
-		c.store.read(func(t *tables) { next.doubled = t.voter.Doubles() })
+		c.store.read(func(t *tables) { next.doubled = t.voter.DuplicateExecutions() })
 	}
 	c.drives[state.Subject] = next
 	return next
--- a/internal/control/gauge.go
+++ b/internal/control/gauge.go
@@ -59,7 +59,7 @@
 		return false
 	}
 	for _, cutoff := range t.fleet.Cutoffs {
-		if cutoff.Service == wanted.Service && cutoff.Sheds(t.compiled().Order.TierOf(wanted.Lane), wanted.Key.Tenant, wanted.Key.Key) {
+		if cutoff.Service == wanted.Service && cutoff.Sheds(t.compiled().Order.TierOf(wanted.Route), wanted.Key.Tenant, wanted.Key.Key) {
 			return true
 		}
 	}
--- a/internal/control/leave.go
+++ b/internal/control/leave.go
@@ -47,7 +47,7 @@
 // onLeave copies what this member lacks of one that is about to end.
 func (n *node) onLeave(in messages.Leave, answer func(messages.Done)) {
 	go func() {
-		_, err := n.copyIntents(in.Address, in.Epoch, copyMode{scope: idempotency.Outcomes})
+		_, err := n.copyIntents(in.Address, in.Epoch, copyMode{scope: idempotency.CompletedIntents})
 		answer(messages.Done{OK: err == nil})
 	}()
 }
--- a/internal/control/member_test.go
+++ b/internal/control/member_test.go
@@ -44,7 +44,7 @@
 	vote := func(epoch membership.Epoch, key string) idempotency.Verdict {
 		got := make(chan messages.Vote, 1)
 		b.onReserve(messages.Reserve{Epoch: epoch, Intent: idempotency.Intent{
-			Key: idempotency.Key{Tenant: "h", Key: key}, Attempt: idempotency.Attempt("of " + key), Lane: "fee", Service: "fees", Reservation: key,
+			Key: idempotency.Key{Tenant: "h", Key: key}, Attempt: idempotency.Attempt("of " + key), Route: "fee", Service: "fees", Reservation: key,
 		}}, func(vote messages.Vote) { got <- vote })
 		return (<-got).Ballot.Verdict
 	}
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -138,7 +138,7 @@
 	p, t := set.Platform, set.Tuning
 	policy := idempotency.Policy{
 		OpenLimit: t.OpenLimit, Retention: t.Retention.Std(), KeyWindow: p.Bounds.KeyWindow.Std(),
-		Margin: 10 * time.Second, Bytes: tableBytes(p.Limits), Ceiling: p.Limits.MemoryMb << 20 * 2 / 5,
+		ClockMargin: 10 * time.Second, SoftLimitBytes: tableBytes(p.Limits), HardLimitBytes: p.Limits.MemoryMb << 20 * 2 / 5,
 	}
 	fail := func(err error) { n.note("error", "disk", "error", err) }
 	disk, err := storage.Folder(p.DataDir)
--- a/internal/control/record_test.go
+++ b/internal/control/record_test.go
@@ -41,7 +41,7 @@
 		}
 		tables := newTables(idempotency.Policy{KeyWindow: time.Minute, Retention: time.Hour})
 		tables.apply(r)
-		tables.voter.Tend(time.Now())
+		tables.voter.Expire(time.Now())
 		for again := range tables.snapshot() {
 			if _, err := cbor.Marshal(again); err != nil {
 				t.Fatal(err)
--- a/internal/control/repair.go
+++ b/internal/control/repair.go
@@ -57,7 +57,7 @@
 		return 0, errOtherEpoch
 	}
 	var ranges []idempotency.Range
-	n.store.read(func(t *tables) { ranges = idempotency.Differing(t.voter.Digests(mode.scope), told.Ranges) })
+	n.store.read(func(t *tables) { ranges = idempotency.DifferingRanges(t.voter.Digests(mode.scope), told.Ranges) })
 	for part := range slices.Chunk(ranges, compareRanges) {
 		wanted, err := n.lackingOf(member, epoch, part, mode)
 		if err != nil {
@@ -65,7 +65,7 @@
 		}
 		lacking += len(wanted)
 		for only := range slices.Chunk(wanted, maxWanted) {
-			if err = n.copyEntries(member, epoch, idempotency.Cursor{Ranges: part, Only: only}, mode); err != nil {
+			if err = n.copyEntries(member, epoch, idempotency.Cursor{Ranges: part, KeyHashes: only}, mode); err != nil {
 				return lacking, err
 			}
 		}
@@ -85,7 +85,7 @@
 	if mode.settle > 0 {
 		n.clock.Sleep(mode.settle)
 	}
-	n.store.read(func(t *tables) { wanted = t.voter.Lacking(ranges, told.Briefs, mode.scope) })
+	n.store.read(func(t *tables) { wanted = t.voter.MissingKeys(ranges, told.Briefs, mode.scope) })
 	return wanted, nil
 }
 
@@ -111,7 +111,7 @@
 }
 
 func (t *tables) unionEntries(entries []idempotency.Entry) (out []record) {
-	for _, entry := range t.voter.Union(entries) {
+	for _, entry := range t.voter.Merge(entries) {
 		out = append(out, record{Entry: &entry})
 	}
 	return out
@@ -131,7 +131,7 @@
 	var out messages.BriefsTold
 	n.store.put(func(t *tables) []record {
 		if out.OK = t.view.Epoch >= in.Epoch; out.OK {
-			out.Briefs = t.voter.Briefs(in.Ranges)
+			out.Briefs = t.voter.Summaries(in.Ranges)
 		}
 		return nil
 	}, func() { answer(out) })
--- a/internal/control/repair_test.go
+++ b/internal/control/repair_test.go
@@ -65,8 +65,8 @@
 func completed(number, bytes int) idempotency.Intent {
 	name := fmt.Sprint("operation-", number)
 	return idempotency.Intent{
-		Key: idempotency.Key{Tenant: "h.example", Key: name}, Attempt: idempotency.Attempt("attempt-" + name), Reservation: name, Lane: "fee", Service: "fees",
-		State: idempotency.Completed, CreatedMs: time.Now().UnixMilli(), Reply: &idempotency.Reply{Status: 200, Body: []byte(strings.Repeat("x", bytes))},
+		Key: idempotency.Key{Tenant: "h.example", Key: name}, Attempt: idempotency.Attempt("attempt-" + name), Reservation: name, Route: "fee", Service: "fees",
+		State: idempotency.Completed, CreatedMs: time.Now().UnixMilli(), Response: &idempotency.Response{Status: 200, Body: []byte(strings.Repeat("x", bytes))},
 	}
 }
 
@@ -104,7 +104,7 @@
 
 	It("copies only what it lacks, and whatever was reserved", func() {
 		members, view := newMembers(3)
-		reserved := idempotency.Intent{Key: idempotency.Key{Tenant: "h", Key: "open"}, Attempt: "a", Reservation: "a", Lane: "fee"}
+		reserved := idempotency.Intent{Key: idempotency.Key{Tenant: "h", Key: "open"}, Attempt: "a", Reservation: "a", Route: "fee"}
 		for _, m := range members[1:] {
 			m.trust()
 			m.hold(0, 50, 10)
--- a/internal/control/replicate.go
+++ b/internal/control/replicate.go
@@ -72,7 +72,7 @@
 // copyOutcomes copies what another member holds and this one lacks, at the pace of a
 // member that has votes to give.
 func (n *node) copyOutcomes(member string, epoch membership.Epoch) {
-	lacking, err := n.copyIntents(member, epoch, copyMode{settle: compareSettle, rest: copyRest, scope: idempotency.Outcomes})
+	lacking, err := n.copyIntents(member, epoch, copyMode{settle: compareSettle, rest: copyRest, scope: idempotency.CompletedIntents})
 	if err != nil {
 		n.note("debug", "compare", "member", member, "error", err)
 		return
--- a/internal/control/stages.go
+++ b/internal/control/stages.go
@@ -135,7 +135,7 @@
 	var newer []config.Item
 	isHeld := true
 	c.store.read(func(t *tables) {
-		doubled, newer = t.voter.Doubles(), t.book().Newer(state.Items)
+		doubled, newer = t.voter.DuplicateExecutions(), t.book().Newer(state.Items)
 		for _, item := range state.Items {
 			held := t.book()[item.ID]
 			isHeld = isHeld && held.Version == item.Version && string(held.Body) == string(item.Body)
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -71,7 +71,7 @@
 				out.Versions[item.ID.Name] = string(text)
 			}
 		}
-		counts, oldest := t.voter.Count(n.clock.Wall())
+		counts, oldest := t.voter.CountByState(n.clock.Wall())
 		out.Quota = t.voter.Quota().Usage()
 		out.Intents, out.OldestMs = counts, oldest.Milliseconds()
 		out.Lagging = n.lag.most(t.view)
--- a/internal/control/store.go
+++ b/internal/control/store.go
@@ -150,7 +150,7 @@
 }
 
 func (s *store) tend() {
-	for _, entry := range s.tables.voter.Tend(s.clock.Wall()) {
+	for _, entry := range s.tables.voter.Expire(s.clock.Wall()) {
 		s.note(record{Entry: &entry})
 	}
 	s.flush()
--- a/internal/emulator/simulation/handlers.go
+++ b/internal/emulator/simulation/handlers.go
@@ -138,9 +138,9 @@
 	intent idempotency.Intent
 }
 
-func (m *member) onReserve(request reserveRequest, answer func(idempotency.Ballot)) {
+func (m *member) onReserve(request reserveRequest, answer func(idempotency.Vote)) {
 	if !m.isServing(request.epoch) {
-		answer(idempotency.Ballot{Verdict: idempotency.Refused})
+		answer(idempotency.Vote{Verdict: idempotency.Refused})
 		return
 	}
 	ballot, entry := m.voter.Reserve(request.intent)
--- a/internal/emulator/simulation/member.go
+++ b/internal/emulator/simulation/member.go
@@ -57,7 +57,7 @@
 	proposer   proposer
 }
 
-var policy = idempotency.Policy{OpenLimit: 1000, Retention: 24 * time.Hour, KeyWindow: time.Minute, Margin: time.Second}
+var policy = idempotency.Policy{OpenLimit: 1000, Retention: 24 * time.Hour, KeyWindow: time.Minute, ClockMargin: time.Second}
 
 func newMember(w *world, name string) *member {
 	m := &member{process: process{world: w, name: name}, random: w.random}
@@ -172,7 +172,7 @@
 
 // tend ends old intents by the wall clock, which may be stepped.
 func (m *member) tend() {
-	for _, entry := range m.voter.Tend(m.wall()) {
+	for _, entry := range m.voter.Expire(m.wall()) {
 		m.keep(nil, record{Entry: &entry})
 	}
 	m.after(tendPeriod, m.tend)
--- a/internal/emulator/simulation/proxy.go
+++ b/internal/emulator/simulation/proxy.go
@@ -65,12 +65,12 @@
 	intent := intentOf(key, attempt, time.UnixMilli(1_700_000_000_000).Add(w.Now))
 	view := p.findView(t)
 	round, began := p.vote(t, view, intent)
-	switch round.Standing(timetable.Steady(w.Now - began)) {
+	switch round.Status(timetable.Steady(w.Now - began)) {
 	case idempotency.Won:
 		w.checks.ran(key, attempt)
 		p.finish(t, view, intent, operation)
 	case idempotency.Replayable:
-		w.history.end(operation, w.Now, keyAnswer{round.Terminal().Reply.Seal})
+		w.history.end(operation, w.Now, keyAnswer{round.Terminal().Response.Seal})
 		p.release(view, intent)
 	default:
 		w.history.drop(operation)
@@ -93,19 +93,19 @@
 func (p *proxy) vote(t *task, view membership.View, intent idempotency.Intent) (round *idempotency.Round, began Time) {
 	w := p.world
 	began = w.Now
-	round = idempotency.NewRound(intent.Hash, len(view.Members), 0, timetable.Steady(voteSpan))
-	ballots := gather(t, view.Members, voteSpan, reserveRequest{view.Epoch, intent}, (*member).onReserve, func(ballots []idempotency.Ballot) bool {
-		trial := idempotency.NewRound(intent.Hash, len(view.Members), 0, timetable.Steady(voteSpan))
+	round = idempotency.NewRound(intent.RequestHash, len(view.Members), 0, timetable.Steady(voteSpan))
+	ballots := gather(t, view.Members, voteSpan, reserveRequest{view.Epoch, intent}, (*member).onReserve, func(ballots []idempotency.Vote) bool {
+		trial := idempotency.NewRound(intent.RequestHash, len(view.Members), 0, timetable.Steady(voteSpan))
 		for _, ballot := range ballots {
-			trial.On(&ballot)
+			trial.AddVote(&ballot)
 		}
-		return trial.Standing(timetable.Steady(w.Now-began)) != idempotency.Undecided
+		return trial.Status(timetable.Steady(w.Now-began)) != idempotency.Undecided
 	})
 	for _, ballot := range ballots {
-		round.On(&ballot)
+		round.AddVote(&ballot)
 	}
 	for range len(view.Members) - len(ballots) {
-		round.On(nil)
+		round.AddVote(nil)
 	}
 	return round, began
 }
@@ -119,7 +119,7 @@
 	case 1:
 		intent.State = idempotency.TimeoutUnresolved
 	default:
-		intent.State, intent.Reply = idempotency.Completed, &idempotency.Reply{Status: 200, Seal: string(intent.Attempt)}
+		intent.State, intent.Response = idempotency.Completed, &idempotency.Response{Status: 200, Seal: string(intent.Attempt)}
 		w.history.end(operation, w.Now, keyAnswer{string(intent.Attempt)})
 	}
 	gather(t, view.Members, recordSpan, intent, (*member).onRecord, func(done []bool) bool { return len(done) >= view.Majority() })
--- a/internal/emulator/simulation/repair.go
+++ b/internal/emulator/simulation/repair.go
@@ -90,7 +90,7 @@
 }
 
 func (m *member) join(told dump) {
-	for _, entry := range m.voter.Union(told.entries) {
+	for _, entry := range m.voter.Merge(told.entries) {
 		m.keepEntry(&entry, nil)
 	}
 	if m.viewAcceptor.Behind(told.viewAcceptor) {
@@ -129,7 +129,7 @@
 // intentOf is the record of one attempt for a key.
 func intentOf(key, attempt string, wall time.Time) idempotency.Intent {
 	return idempotency.Intent{
-		Key: idempotency.Key{Tenant: "host", Key: key}, Attempt: idempotency.Attempt(attempt), Lane: "route",
+		Key: idempotency.Key{Tenant: "host", Key: key}, Attempt: idempotency.Attempt(attempt), Route: "route",
 		Reservation: attempt, State: idempotency.Reserved, CreatedMs: wall.UnixMilli(),
 	}
 }
--- a/internal/idempotency/compare.go
+++ b/internal/idempotency/compare.go
@@ -14,7 +14,7 @@
 	// After is the last key of the first range that was read already.
 	After *Key `cbor:"2,keyasint,omitempty"`
 	// Only are the hashes of the keys that are wanted; empty means all.
-	Only []uint64 `cbor:"3,keyasint,omitempty"`
+	KeyHashes []uint64 `cbor:"3,keyasint,omitempty"`
 }
 
 // Digests lists the digest of every range, of the intents in the scope.
@@ -26,8 +26,8 @@
 	out := make([]Digest, RangeCount)
 	for number := range v.table.ranges {
 		out[number] = v.table.ranges[number].digest
-		if scope == Outcomes {
-			out[number] = v.table.ranges[number].outcomes
+		if scope == CompletedIntents {
+			out[number] = v.table.ranges[number].completedDigest
 		}
 	}
 	return out
@@ -38,7 +38,7 @@
 // Example:
 //
 //	ranges := idempotency.Differing(mine.Digests(scope), theirs)
-func Differing(mine, theirs []Digest) (out []Range) {
+func DifferingRanges(mine, theirs []Digest) (out []Range) {
 	for number := range min(len(mine), len(theirs), RangeCount) {
 		if mine[number] != theirs[number] {
 			out = append(out, Range(number))
@@ -52,13 +52,13 @@
 // Example:
 //
 //	briefs := voter.Briefs(ranges)
-func (v *Voter) Briefs(ranges []Range) (out []Brief) {
+func (v *Voter) Summaries(ranges []Range) (out []IntentSummary) {
 	for _, number := range ranges {
 		if number >= RangeCount {
 			continue
 		}
 		for _, intent := range v.table.ranges[number].all() {
-			out = append(out, intent.brief())
+			out = append(out, intent.summary())
 		}
 	}
 	return out
@@ -74,7 +74,7 @@
 	AllIntents Scope = iota
 	// Outcomes is for a member that votes. An open intent of another member may be
 	// a vote that was given back everywhere else; only an outcome stands for good.
-	Outcomes
+	CompletedIntents
 )
 
 // Lacking lists the hashes of the keys of which another voter, by its briefs of
@@ -84,14 +84,14 @@
 // Example:
 //
 //	cursor.Only = mine.Lacking(ranges, theirs, idempotency.AllIntents)
-func (v *Voter) Lacking(ranges []Range, theirs []Brief, scope Scope) (out []uint64) {
-	held, isCompleted := map[Brief]bool{}, map[uint64]bool{}
-	for _, brief := range v.Briefs(ranges) {
+func (v *Voter) MissingKeys(ranges []Range, theirs []IntentSummary, scope Scope) (out []uint64) {
+	held, isCompleted := map[IntentSummary]bool{}, map[uint64]bool{}
+	for _, brief := range v.Summaries(ranges) {
 		held[brief] = true
-		isCompleted[brief.Key] = isCompleted[brief.Key] || brief.IsOutcome()
+		isCompleted[brief.Key] = isCompleted[brief.Key] || brief.IsCompleted()
 	}
 	for _, brief := range theirs {
-		isOutOfScope := scope == Outcomes && !brief.IsOutcome()
+		isOutOfScope := scope == CompletedIntents && !brief.IsCompleted()
 		if !isOutOfScope && !held[brief] && !isCompleted[brief.Key] {
 			out = append(out, brief.Key)
 		}
@@ -107,7 +107,7 @@
 //	entries, rest := voter.Read(cursor, 256<<10)
 func (v *Voter) Read(cursor Cursor, bytes int) (entries []Entry, rest Cursor) {
 	wanted := map[uint64]bool{}
-	for _, hash := range cursor.Only {
+	for _, hash := range cursor.KeyHashes {
 		wanted[hash] = true
 	}
 	for at, number := range cursor.Ranges {
@@ -121,17 +121,17 @@
 			}
 			if bytes <= 0 && len(entries) > 0 && entries[len(entries)-1].Intent.Key != intent.Key {
 				after := entries[len(entries)-1].Intent.Key
-				return entries, Cursor{Ranges: cursor.Ranges[at:], After: afterIn(number, after), Only: cursor.Only}
+				return entries, Cursor{Ranges: cursor.Ranges[at:], After: cursorKey(number, after), KeyHashes: cursor.KeyHashes}
 			}
-			entries = append(entries, entryOf(intent))
-			bytes -= intent.size()
+			entries = append(entries, newEntry(intent))
+			bytes -= intent.sizeBytes()
 		}
 	}
 	return entries, Cursor{}
 }
 
 // afterIn is the key as the place reached in a range, nil if it is of another.
-func afterIn(number Range, key Key) *Key {
+func cursorKey(number Range, key Key) *Key {
 	if rangeOf(key) != number {
 		return nil
 	}
@@ -139,10 +139,10 @@
 }
 
 // entryOf is the intent with the reservation that it holds.
-func entryOf(intent *Intent) Entry {
+func newEntry(intent *Intent) Entry {
 	entry := Entry{Intent: *intent}
 	if intent.State.IsOpen() {
-		entry.Quota = &QuotaEvent{QuotaReserve, intent.Reservation, intent.Lane}
+		entry.Quota = &QuotaEvent{QuotaReserve, intent.Reservation, intent.Route}
 	}
 	return entry
 }
@@ -156,25 +156,25 @@
 //	for entry := range voter.Snapshot() { write(entry) }
 func (v *Voter) Snapshot() iter.Seq[Entry] {
 	intents := make([]*Intent, 0, v.table.count)
-	for _, place := range v.order {
+	for _, place := range v.byCreation {
 		if intent := v.table.find(place.key); intent != nil && intent.Attempt == place.attempt {
 			intents = append(intents, intent)
 		}
 	}
 	var rivals []*Intent
 	for number := range v.table.ranges {
-		for _, some := range v.table.ranges[number].rivals {
+		for _, some := range v.table.ranges[number].competing {
 			rivals = append(rivals, some...)
 		}
 	}
 	return func(yield func(Entry) bool) {
 		for _, intent := range intents {
-			if !yield(entryOf(intent)) {
+			if !yield(newEntry(intent)) {
 				return
 			}
 		}
 		for _, rival := range rivals {
-			if !yield(Entry{Intent: *rival, IsRival: true}) {
+			if !yield(Entry{Intent: *rival, Competing: true}) {
 				return
 			}
 		}
@@ -190,10 +190,10 @@
 
 // sortByAge brings the order back to that of the intents' creation, after a union or
 // a start: what another voter held came in the order of ranges.
-func (v *Voter) sortByAge() {
-	if !v.isUnsorted {
+func (v *Voter) sortByCreation() {
+	if !v.unsorted {
 		return
 	}
-	v.isUnsorted = false
-	slices.SortStableFunc(v.order, func(a, b placed) int { return cmp.Compare(a.createdMs, b.createdMs) })
+	v.unsorted = false
+	slices.SortStableFunc(v.byCreation, func(a, b createdIntent) int { return cmp.Compare(a.createdMs, b.createdMs) })
 }
--- a/internal/idempotency/compare_test.go
+++ b/internal/idempotency/compare_test.go
@@ -15,10 +15,10 @@
 	voter := idempotency.NewVoter(policy())
 	for number := from; number < to; number++ {
 		name := fmt.Sprint("operation-", number)
-		intent := idempotency.Intent{Key: idempotency.Key{Tenant: "h", Key: name}, Attempt: idempotency.Attempt(name), Reservation: name, Lane: "lane"}
+		intent := idempotency.Intent{Key: idempotency.Key{Tenant: "h", Key: name}, Attempt: idempotency.Attempt(name), Reservation: name, Route: "lane"}
 		voter.Reserve(intent)
 		if isCompleted {
-			intent.State, intent.Reply = idempotency.Completed, &idempotency.Reply{Body: []byte(strings.Repeat("x", 100))}
+			intent.State, intent.Response = idempotency.Completed, &idempotency.Response{Body: []byte(strings.Repeat("x", 100))}
 			_, err := voter.Record(intent)
 			Expect(err).NotTo(HaveOccurred())
 		}
@@ -38,26 +38,26 @@
 		one, other := voterOf(0, 300, true), idempotency.NewVoter(policy())
 		entries := one.Entries()
 		for at := range entries {
-			other.Union(entries[len(entries)-1-at : len(entries)-at])
+			other.Merge(entries[len(entries)-1-at : len(entries)-at])
 		}
-		for _, scope := range []idempotency.Scope{idempotency.AllIntents, idempotency.Outcomes} {
-			Expect(idempotency.Differing(one.Digests(scope), other.Digests(scope))).To(BeEmpty())
+		for _, scope := range []idempotency.Scope{idempotency.AllIntents, idempotency.CompletedIntents} {
+			Expect(idempotency.DifferingRanges(one.Digests(scope), other.Digests(scope))).To(BeEmpty())
 		}
 	})
 
 	It("finds a vote among all intents and not among the outcomes", func() {
 		one, other := voterOf(0, 1, false), voterOf(0, 0, false)
-		all := idempotency.Differing(other.Digests(idempotency.AllIntents), one.Digests(idempotency.AllIntents))
+		all := idempotency.DifferingRanges(other.Digests(idempotency.AllIntents), one.Digests(idempotency.AllIntents))
 		Expect(all).To(HaveLen(1))
-		Expect(other.Lacking(all, one.Briefs(all), idempotency.AllIntents)).To(HaveLen(1))
-		Expect(other.Lacking(all, one.Briefs(all), idempotency.Outcomes)).To(BeEmpty())
-		Expect(idempotency.Differing(other.Digests(idempotency.Outcomes), one.Digests(idempotency.Outcomes))).To(BeEmpty())
+		Expect(other.MissingKeys(all, one.Summaries(all), idempotency.AllIntents)).To(HaveLen(1))
+		Expect(other.MissingKeys(all, one.Summaries(all), idempotency.CompletedIntents)).To(BeEmpty())
+		Expect(idempotency.DifferingRanges(other.Digests(idempotency.CompletedIntents), one.Digests(idempotency.CompletedIntents))).To(BeEmpty())
 	})
 
 	It("lacks an outcome of which it holds only the vote, and nothing the other way", func() {
 		one, other := voterOf(0, 5, true), voterOf(0, 5, false)
-		Expect(other.Lacking(allRanges(), one.Briefs(allRanges()), idempotency.Outcomes)).To(HaveLen(5))
-		Expect(one.Lacking(allRanges(), other.Briefs(allRanges()), idempotency.AllIntents)).To(BeEmpty())
+		Expect(other.MissingKeys(allRanges(), one.Summaries(allRanges()), idempotency.CompletedIntents)).To(HaveLen(5))
+		Expect(one.MissingKeys(allRanges(), other.Summaries(allRanges()), idempotency.AllIntents)).To(BeEmpty())
 	})
 
 	It("reads in pieces of about the size asked for, each entry once", func() {
@@ -79,10 +79,10 @@
 
 	It("grants no new intent above its ceiling, and still replays and records", func() {
 		bounded := policy()
-		bounded.Ceiling = 1
+		bounded.HardLimitBytes = 1
 		voter := idempotency.NewVoter(bounded)
-		first := idempotency.Intent{Key: idempotency.Key{Key: "1"}, Attempt: "1", Reservation: "1", Lane: "lane"}
-		second := idempotency.Intent{Key: idempotency.Key{Key: "2"}, Attempt: "2", Reservation: "2", Lane: "lane"}
+		first := idempotency.Intent{Key: idempotency.Key{Key: "1"}, Attempt: "1", Reservation: "1", Route: "lane"}
+		second := idempotency.Intent{Key: idempotency.Key{Key: "2"}, Attempt: "2", Reservation: "2", Route: "lane"}
 		ballot, _ := voter.Reserve(first)
 		Expect(ballot.Verdict).To(Equal(idempotency.Granted))
 		ballot, entry := voter.Reserve(second)
@@ -92,6 +92,6 @@
 		_, err := voter.Record(first)
 		Expect(err).NotTo(HaveOccurred())
 		ballot, _ = voter.Reserve(first)
-		Expect(ballot.Verdict).To(Equal(idempotency.Held))
+		Expect(ballot.Verdict).To(Equal(idempotency.KeyInUse))
 	})
 })
--- a/internal/idempotency/intent.go
+++ b/internal/idempotency/intent.go
@@ -47,7 +47,7 @@
 
 // isToldByOwner tells whether only the owner of a delivered attempt can have brought
 // the intent into the state.
-func (s State) isToldByOwner() bool { return s >= AuthorizationPending && s <= Completed }
+func (s State) reportedByOwner() bool { return s >= AuthorizationPending && s <= Completed }
 
 // transitions is the one table of what may follow what. Pending may become
 // Released only because a server showed that it did not run the request.
@@ -64,7 +64,7 @@
 // Example:
 //
 //	idempotency.MayFollow(idempotency.Completed, idempotency.Reserved) // false
-func MayFollow(from, to State) bool { return transitions[from][to] }
+func CanTransition(from, to State) bool { return transitions[from][to] }
 
 // Key is a client's operation key within its tenant. The service is no part of
 // it: a route may move between two tries, and the key must still run once.
@@ -77,14 +77,14 @@
 type Attempt string
 
 // Hash is the digest of what a request asks for.
-type Hash [16]byte
+type RequestHash [16]byte
 
 // HashOf digests method, path with query, and body.
 //
 // Example:
 //
 //	hash := idempotency.HashOf("POST", "/pay/1?x=2", body)
-func HashOf(method, target string, body []byte) (out Hash) {
+func HashRequest(method, target string, body []byte) (out RequestHash) {
 	sum := sha256.New()
 	var size [8]byte
 	for _, part := range [][]byte{[]byte(method), []byte(target), body} {
@@ -97,7 +97,7 @@
 }
 
 // Reply is a recorded terminal response.
-type Reply struct {
+type Response struct {
 	Status      int    `cbor:"1,keyasint"`
 	Seal        string `cbor:"2,keyasint,omitempty"`
 	ContentType string `cbor:"3,keyasint,omitempty"`
@@ -106,26 +106,26 @@
 
 // Intent is the record of one key. It is never changed in place.
 type Intent struct {
-	Key         Key     `cbor:"1,keyasint"`
-	Attempt     Attempt `cbor:"2,keyasint"`
-	Hash        Hash    `cbor:"3,keyasint"`
-	Lane        string  `cbor:"4,keyasint"`
-	Service     string  `cbor:"5,keyasint"`
-	Manifest    uint64  `cbor:"6,keyasint"`
-	Server      string  `cbor:"7,keyasint,omitempty"`
-	Reservation string  `cbor:"8,keyasint"`
-	State       State   `cbor:"9,keyasint"`
-	CreatedMs   int64   `cbor:"10,keyasint"`
-	Expiry      Expiry  `cbor:"11,keyasint,omitempty"`
-	Reply       *Reply  `cbor:"12,keyasint,omitempty"`
+	Key           Key          `cbor:"1,keyasint"`
+	Attempt       Attempt      `cbor:"2,keyasint"`
+	RequestHash   RequestHash  `cbor:"3,keyasint"`
+	Route         string       `cbor:"4,keyasint"`
+	Service       string       `cbor:"5,keyasint"`
+	RouteRevision uint64       `cbor:"6,keyasint"`
+	Server        string       `cbor:"7,keyasint,omitempty"`
+	Reservation   string       `cbor:"8,keyasint"`
+	State         State        `cbor:"9,keyasint"`
+	CreatedMs     int64        `cbor:"10,keyasint"`
+	Expiry        ExpiryPolicy `cbor:"11,keyasint,omitempty"`
+	Response      *Response    `cbor:"12,keyasint,omitempty"`
 }
 
 // Expiry is what becomes of a key whose window ended with no outcome shown.
-type Expiry uint8
+type ExpiryPolicy uint8
 
 // HoldUnresolved keeps answering that the key is in work until the record's
 // retention ends: expiry proves nothing.
-const HoldUnresolved Expiry = 0
+const HoldUnresolved ExpiryPolicy = 0
 
 // Step returns the intent in its next state, or an error if the table does not
 // allow the step.
@@ -133,18 +133,18 @@
 // Example:
 //
 //	done, err := intent.Step(idempotency.Completed)
-func (i Intent) Step(to State) (Intent, error) {
-	if !MayFollow(i.State, to) {
+func (i Intent) Transition(to State) (Intent, error) {
+	if !CanTransition(i.State, to) {
 		return i, errors.NotValidf("step from %s to %s", i.State, to)
 	}
 	i.State = to
 	return i, nil
 }
 
-func (i *Intent) size() int {
+func (i *Intent) sizeBytes() int {
 	size := 400 + len(i.Key.Key) + len(i.Key.Tenant)
-	if i.Reply != nil {
-		size += len(i.Reply.Body)
+	if i.Response != nil {
+		size += len(i.Response.Body)
 	}
 	return size
 }
--- a/internal/idempotency/keep.go
+++ b/internal/idempotency/keep.go
@@ -10,35 +10,35 @@
 // Example:
 //
 //	entries := voter.Tend(clock.Wall())
-func (v *Voter) Tend(now time.Time) (entries []Entry) {
-	v.sortByAge()
-	window := v.policy.KeyWindow + v.policy.Margin
-	kept := v.order[:0]
-	for at, place := range v.order {
+func (v *Voter) Expire(now time.Time) (entries []Entry) {
+	v.sortByCreation()
+	window := v.policy.KeyWindow + v.policy.ClockMargin
+	kept := v.byCreation[:0]
+	for at, place := range v.byCreation {
 		intent := v.table.find(place.key)
 		if intent == nil || intent.Attempt != place.attempt {
 			continue
 		}
 		age := intent.age(now)
 		if age <= window {
-			kept = append(kept, v.order[at:]...)
+			kept = append(kept, v.byCreation[at:]...)
 			break
 		}
 		if intent.State.IsOpen() {
-			ended, _ := intent.Step(Expired)
-			entry := Entry{Intent: ended, Quota: &QuotaEvent{QuotaExpire, intent.Reservation, intent.Lane}}
+			ended, _ := intent.Transition(Expired)
+			entry := Entry{Intent: ended, Quota: &QuotaEvent{QuotaExpire, intent.Reservation, intent.Route}}
 			_ = v.Apply(entry)
 			entries = append(entries, entry)
 		}
-		if age > v.policy.Retention || v.policy.Bytes > 0 && v.bytes > v.policy.Bytes {
-			v.bytes -= v.table.find(place.key).size()
+		if age > v.policy.Retention || v.policy.SoftLimitBytes > 0 && v.sizeBytes > v.policy.SoftLimitBytes {
+			v.sizeBytes -= v.table.find(place.key).sizeBytes()
 			v.table.remove(place.key)
-			v.table.dropRivals(place.key)
+			v.table.removeAllCompeting(place.key)
 			continue
 		}
 		kept = append(kept, place)
 	}
-	v.order = kept
+	v.byCreation = kept
 	return entries
 }
 
@@ -48,10 +48,10 @@
 // Example:
 //
 //	entries := voter.Union(told)
-func (v *Voter) Union(told []Entry) (entries []Entry) {
-	v.isUnsorted = true
+func (v *Voter) Merge(told []Entry) (entries []Entry) {
+	v.unsorted = true
 	for _, entry := range told {
-		if made := v.unionOf(entry.Intent); made != nil {
+		if made := v.mergeIntent(entry.Intent); made != nil {
 			entries = append(entries, *made)
 		}
 	}
@@ -59,9 +59,9 @@
 }
 
 // unionOf takes one intent of another voter, and returns the entry to keep, if any.
-func (v *Voter) unionOf(told Intent) *Entry {
+func (v *Voter) mergeIntent(told Intent) *Entry {
 	held := v.table.find(told.Key)
-	entry := entryOf(&told)
+	entry := newEntry(&told)
 	switch {
 	case told.State == Released || held != nil && held.State == Completed:
 		return nil
@@ -75,11 +75,11 @@
 			return nil
 		}
 		return made
-	case told.State.isToldByOwner() && !held.State.isToldByOwner():
-	case held.State.isToldByOwner() || v.table.rivalOf(told.Key, told.Attempt) != nil:
+	case told.State.reportedByOwner() && !held.State.reportedByOwner():
+	case held.State.reportedByOwner() || v.table.findCompeting(told.Key, told.Attempt) != nil:
 		return nil
 	default:
-		entry = Entry{Intent: told, IsRival: true}
+		entry = Entry{Intent: told, Competing: true}
 	}
 	if v.Apply(entry) != nil {
 		return nil
@@ -93,7 +93,7 @@
 // Example:
 //
 //	counts, oldest := voter.Count(clock.Wall())
-func (v *Voter) Count(now time.Time) (counts map[string]int, oldest time.Duration) {
+func (v *Voter) CountByState(now time.Time) (counts map[string]int, oldest time.Duration) {
 	counts = map[string]int{}
 	for number := range v.table.ranges {
 		for _, intent := range v.table.ranges[number].intents {
--- a/internal/idempotency/keep_test.go
+++ b/internal/idempotency/keep_test.go
@@ -18,17 +18,17 @@
 	// heldFor is how long after its creation a completed key is held by a voter that
 	// is short of memory, with the clocks of proxy and voter off by so much.
 	heldFor := func(proxy, voter time.Duration) time.Duration {
-		v := idempotency.NewVoter(idempotency.Policy{OpenLimit: 10, KeyWindow: window, Margin: margin, Retention: 24 * time.Hour, Bytes: 1})
+		v := idempotency.NewVoter(idempotency.Policy{OpenLimit: 10, KeyWindow: window, ClockMargin: margin, Retention: 24 * time.Hour, SoftLimitBytes: 1})
 		created := time.Unix(1_000_000, 0)
 		key := idempotency.Key{Tenant: "h", Key: "k"}
-		intent := idempotency.Intent{Key: key, Attempt: "a", Lane: "fee", Reservation: "a", CreatedMs: created.Add(proxy).UnixMilli()}
+		intent := idempotency.Intent{Key: key, Attempt: "a", Route: "fee", Reservation: "a", CreatedMs: created.Add(proxy).UnixMilli()}
 		_, entry := v.Reserve(intent)
 		Expect(entry).NotTo(BeNil())
 		intent.State = idempotency.Completed
 		_, err := v.Record(intent)
 		Expect(err).NotTo(HaveOccurred())
 		for age := time.Duration(0); age < 3*window; age += 100 * time.Millisecond {
-			v.Tend(created.Add(age + voter))
+			v.Expire(created.Add(age + voter))
 			if v.Find(key) == nil {
 				return age
 			}
--- a/internal/idempotency/ledger_test.go
+++ b/internal/idempotency/ledger_test.go
@@ -65,24 +65,24 @@
 	)
 
 	It("count nothing that came after the round's span", func() {
-		round := idempotency.NewRound(idempotency.Hash{}, 3, 0, timetable.Steady(100))
-		round.On(&idempotency.Ballot{Verdict: idempotency.Granted})
-		round.On(&idempotency.Ballot{Verdict: idempotency.Granted})
-		Expect(round.Standing(100)).To(Equal(idempotency.Won))
-		Expect(round.Standing(101)).To(Equal(idempotency.NoMajority))
+		round := idempotency.NewRound(idempotency.RequestHash{}, 3, 0, timetable.Steady(100))
+		round.AddVote(&idempotency.Vote{Verdict: idempotency.Granted})
+		round.AddVote(&idempotency.Vote{Verdict: idempotency.Granted})
+		Expect(round.Status(100)).To(Equal(idempotency.Won))
+		Expect(round.Status(101)).To(Equal(idempotency.NoMajority))
 	})
 
 	It("reject another inquiry under a used key", func() {
 		voter := idempotency.NewVoter(policy())
-		one := idempotency.Intent{Attempt: "a", Reservation: "a", Hash: idempotency.HashOf("POST", "/x", []byte("1"))}
+		one := idempotency.Intent{Attempt: "a", Reservation: "a", RequestHash: idempotency.HashRequest("POST", "/x", []byte("1"))}
 		ballot, _ := voter.Reserve(one)
 		Expect(ballot.Verdict).To(Equal(idempotency.Granted))
-		other := idempotency.Intent{Attempt: "b", Reservation: "b", Hash: idempotency.HashOf("POST", "/x", []byte("2"))}
+		other := idempotency.Intent{Attempt: "b", Reservation: "b", RequestHash: idempotency.HashRequest("POST", "/x", []byte("2"))}
 		ballot, entry := voter.Reserve(other)
 		Expect(entry).To(BeNil())
-		round := idempotency.NewRound(other.Hash, 1, 0, 1)
-		round.On(&ballot)
-		Expect(round.Standing(0)).To(Equal(idempotency.Conflicting))
+		round := idempotency.NewRound(other.RequestHash, 1, 0, 1)
+		round.AddVote(&ballot)
+		Expect(round.Status(0)).To(Equal(idempotency.Conflict))
 	})
 })
 
@@ -94,7 +94,7 @@
 		consumed := 0
 		for step := range 3000 {
 			key := fmt.Sprint(random.IntN(30))
-			intent := idempotency.Intent{Key: idempotency.Key{Key: key}, Attempt: idempotency.Attempt(key), Reservation: fmt.Sprint(key, "/", step), Lane: "lane", CreatedMs: 5}
+			intent := idempotency.Intent{Key: idempotency.Key{Key: key}, Attempt: idempotency.Attempt(key), Reservation: fmt.Sprint(key, "/", step), Route: "lane", CreatedMs: 5}
 			if held := voter.Find(intent.Key); held != nil {
 				intent.Reservation = held.Reservation
 			}
@@ -103,7 +103,7 @@
 				if ballot, _ := voter.Reserve(intent); ballot.Verdict == idempotency.Granted && state[key] == idempotency.Absent {
 					state[key] = idempotency.Reserved
 				}
-			} else if intent.State = to; idempotency.MayFollow(state[key], to) && state[key] != idempotency.Absent {
+			} else if intent.State = to; idempotency.CanTransition(state[key], to) && state[key] != idempotency.Absent {
 				_, err := voter.Record(intent)
 				Expect(err).NotTo(HaveOccurred())
 				if state[key] = to; to == idempotency.Released {
@@ -125,8 +125,8 @@
 
 	It("bounds the open intents of a lane, and frees what is released", func() {
 		voter := idempotency.NewVoter(idempotency.Policy{OpenLimit: 1, KeyWindow: time.Minute})
-		first := idempotency.Intent{Key: idempotency.Key{Key: "1"}, Attempt: "1", Reservation: "1", Lane: "lane"}
-		second := idempotency.Intent{Key: idempotency.Key{Key: "2"}, Attempt: "2", Reservation: "2", Lane: "lane"}
+		first := idempotency.Intent{Key: idempotency.Key{Key: "1"}, Attempt: "1", Reservation: "1", Route: "lane"}
+		second := idempotency.Intent{Key: idempotency.Key{Key: "2"}, Attempt: "2", Reservation: "2", Route: "lane"}
 		ballot, _ := voter.Reserve(first)
 		Expect(ballot.Verdict).To(Equal(idempotency.Granted))
 		ballot, _ = voter.Reserve(second)
@@ -141,23 +141,23 @@
 
 var _ = Describe("retention", func() {
 	It("forgets the oldest ends first, and nothing inside the key window", func() {
-		voter := idempotency.NewVoter(idempotency.Policy{Retention: time.Hour, KeyWindow: time.Minute, Bytes: 1})
+		voter := idempotency.NewVoter(idempotency.Policy{Retention: time.Hour, KeyWindow: time.Minute, SoftLimitBytes: 1})
 		at := func(s int64) time.Time { return time.UnixMilli(s * 1000) }
 		for i := range int64(3) {
 			name := fmt.Sprint(i)
-			intent := idempotency.Intent{Key: idempotency.Key{Key: name}, Attempt: idempotency.Attempt(name), Reservation: name, Lane: "lane", CreatedMs: i * 30_000}
+			intent := idempotency.Intent{Key: idempotency.Key{Key: name}, Attempt: idempotency.Attempt(name), Reservation: name, Route: "lane", CreatedMs: i * 30_000}
 			voter.Reserve(intent)
 			if i != 1 {
-				intent.State, intent.Reply = idempotency.Completed, &idempotency.Reply{Status: 200}
+				intent.State, intent.Response = idempotency.Completed, &idempotency.Response{Status: 200}
 				_, err := voter.Record(intent)
 				Expect(err).NotTo(HaveOccurred())
 			}
 		}
-		Expect(voter.Tend(at(59))).To(BeEmpty())
+		Expect(voter.Expire(at(59))).To(BeEmpty())
 		Expect(voter.Entries()).To(HaveLen(3))
-		Expect(voter.Tend(at(61))).To(BeEmpty())
+		Expect(voter.Expire(at(61))).To(BeEmpty())
 		Expect(voter.Find(idempotency.Key{Key: "0"})).To(BeNil())
-		entries := voter.Tend(at(91))
+		entries := voter.Expire(at(91))
 		Expect(entries).To(HaveLen(1))
 		Expect(entries[0].Intent.State).To(Equal(idempotency.Expired))
 		Expect(voter.Find(idempotency.Key{Key: "2"})).NotTo(BeNil())
--- a/internal/idempotency/quota.go
+++ b/internal/idempotency/quota.go
@@ -3,60 +3,60 @@
 import "github.com/juju/errors"
 
 // QuotaStep is one kind of quota event.
-type QuotaStep uint8
+type QuotaEventKind uint8
 
 // The quota events: a reservation is made, and then consumed, released or
 // expired once.
 const (
-	QuotaReserve QuotaStep = iota + 1
+	QuotaReserve QuotaEventKind = iota + 1
 	QuotaConsume
 	QuotaRelease
 	QuotaExpire
 )
 
 // quotaOf is the event that a step of an intent brings with it.
-var quotaOf = map[State]QuotaStep{
+var quotaEventKinds = map[State]QuotaEventKind{
 	Completed: QuotaConsume, Released: QuotaRelease, Expired: QuotaExpire,
 }
 
 // QuotaEvent is one line of the quota's account.
 type QuotaEvent struct {
-	Step        QuotaStep `cbor:"1,keyasint"`
-	Reservation string    `cbor:"2,keyasint"`
-	Limit       string    `cbor:"3,keyasint"`
+	Kind        QuotaEventKind `cbor:"1,keyasint"`
+	Reservation string         `cbor:"2,keyasint"`
+	Route       string         `cbor:"3,keyasint"`
 }
 
 // Quota derives counts from events: the limit counted is the number of open
 // intents of a route.
 type Quota struct {
-	active   map[string]string
-	open     map[string]int
-	consumed map[string]int
+	reservations map[string]string
+	open         map[string]int
+	consumed     map[string]int
 }
 
 func newQuota() *Quota {
-	return &Quota{active: map[string]string{}, open: map[string]int{}, consumed: map[string]int{}}
+	return &Quota{reservations: map[string]string{}, open: map[string]int{}, consumed: map[string]int{}}
 }
 
 func (q *Quota) apply(event QuotaEvent) error {
-	_, isActive := q.active[event.Reservation]
-	if event.Step == QuotaReserve {
+	_, isActive := q.reservations[event.Reservation]
+	if event.Kind == QuotaReserve {
 		if isActive {
 			return errors.AlreadyExistsf("reservation %s", event.Reservation)
 		}
-		q.active[event.Reservation] = event.Limit
-		q.open[event.Limit]++
+		q.reservations[event.Reservation] = event.Route
+		q.open[event.Route]++
 		return nil
 	}
 	if !isActive {
 		return errors.NotFoundf("reservation %s", event.Reservation)
 	}
-	delete(q.active, event.Reservation)
-	if q.open[event.Limit]--; q.open[event.Limit] == 0 {
-		delete(q.open, event.Limit)
+	delete(q.reservations, event.Reservation)
+	if q.open[event.Route]--; q.open[event.Route] == 0 {
+		delete(q.open, event.Route)
 	}
-	if event.Step == QuotaConsume {
-		q.consumed[event.Limit]++
+	if event.Kind == QuotaConsume {
+		q.consumed[event.Route]++
 	}
 	return nil
 }
--- a/internal/idempotency/rivals.go
+++ b/internal/idempotency/rivals.go
@@ -9,18 +9,18 @@
 // attempt that may have been delivered is known.
 
 // addRival keeps an intent beside the one that holds the key.
-func (t *table) addRival(intent Intent) {
-	r := t.at(intent.Key)
-	if r.rivals == nil {
-		r.rivals = map[Key][]*Intent{}
+func (t *table) addCompeting(intent Intent) {
+	r := t.rangeFor(intent.Key)
+	if r.competing == nil {
+		r.competing = map[Key][]*Intent{}
 	}
-	r.rivals[intent.Key] = append(r.rivals[intent.Key], &intent)
-	r.sum(intent.brief())
+	r.competing[intent.Key] = append(r.competing[intent.Key], &intent)
+	r.toggleDigest(intent.summary())
 }
 
 // rivalOf is the rival of the key that has the attempt, or nil.
-func (t *table) rivalOf(key Key, attempt Attempt) *Intent {
-	for _, rival := range t.at(key).rivals[key] {
+func (t *table) findCompeting(key Key, attempt Attempt) *Intent {
+	for _, rival := range t.rangeFor(key).competing[key] {
 		if rival.Attempt == attempt {
 			return rival
 		}
@@ -28,40 +28,40 @@
 	return nil
 }
 
-func (t *table) dropRival(rival *Intent) {
-	r := t.at(rival.Key)
-	rest := slices.DeleteFunc(r.rivals[rival.Key], func(other *Intent) bool { return other == rival })
-	r.rivals[rival.Key] = rest
+func (t *table) removeCompeting(rival *Intent) {
+	r := t.rangeFor(rival.Key)
+	rest := slices.DeleteFunc(r.competing[rival.Key], func(other *Intent) bool { return other == rival })
+	r.competing[rival.Key] = rest
 	if len(rest) == 0 {
-		delete(r.rivals, rival.Key)
+		delete(r.competing, rival.Key)
 	}
-	r.sum(rival.brief())
+	r.toggleDigest(rival.summary())
 }
 
-func (t *table) dropRivals(key Key) {
-	for _, rival := range slices.Clone(t.at(key).rivals[key]) {
-		t.dropRival(rival)
+func (t *table) removeAllCompeting(key Key) {
+	for _, rival := range slices.Clone(t.rangeFor(key).competing[key]) {
+		t.removeCompeting(rival)
 	}
 }
 
 // takeRival removes the key's first rival and returns it, or nil.
-func (t *table) takeRival(key Key) *Intent {
-	rivals := t.at(key).rivals[key]
+func (t *table) takeCompeting(key Key) *Intent {
+	rivals := t.rangeFor(key).competing[key]
 	if len(rivals) == 0 {
 		return nil
 	}
 	first := rivals[0]
-	t.dropRival(first)
+	t.removeCompeting(first)
 	return first
 }
 
 // all lists the intents of a range, and the rivals after them.
 func (r *keyRange) all() (out []*Intent) {
-	out = make([]*Intent, 0, len(r.intents)+len(r.rivals))
+	out = make([]*Intent, 0, len(r.intents)+len(r.competing))
 	for _, intent := range r.intents {
 		out = append(out, intent)
 	}
-	for _, rivals := range r.rivals {
+	for _, rivals := range r.competing {
 		out = append(out, rivals...)
 	}
 	return out
--- a/internal/idempotency/round.go
+++ b/internal/idempotency/round.go
@@ -3,32 +3,32 @@
 import "ploverhitch/internal/timetable"
 
 // Standing is how far a vote round has come.
-type Standing uint8
+type RoundStatus uint8
 
 // The standings of a round.
 const (
-	Undecided Standing = iota
+	Undecided RoundStatus = iota
 	Won
 	Replayable
-	Conflicting
-	InWork
-	Limited
+	Conflict
+	InProgress
+	LimitExceeded
 	NoMajority
-	TurnedAway
+	Overloaded
 )
 
 // Round gathers the votes of one attempt. What it comes to depends only on the
 // replies and on the span in which they came.
 type Round struct {
-	Hash    Hash
-	members int
-	began   timetable.Steady
-	span    timetable.Steady
+	RequestHash RequestHash
+	members     int
+	startedAt   timetable.Steady
+	timeout     timetable.Steady
 
-	granted, held, over, lost int
-	shed                      int
-	terminal                  *Intent
-	other                     *Intent
+	granted, keyInUse, overLimit, failed int
+	shed                                 int
+	terminal                             *Intent
+	existing                             *Intent
 }
 
 // NewRound begins a round among so many members; its grants count only within
@@ -37,8 +37,8 @@
 // Example:
 //
 //	round := idempotency.NewRound(hash, 3, clock.Steady(), span)
-func NewRound(hash Hash, members int, began, span timetable.Steady) *Round {
-	return &Round{Hash: hash, members: members, began: began, span: span}
+func NewRound(hash RequestHash, members int, began, span timetable.Steady) *Round {
+	return &Round{RequestHash: hash, members: members, startedAt: began, timeout: span}
 }
 
 // On takes one member's ballot, or nil from a member that could not be asked.
@@ -46,24 +46,24 @@
 // Example:
 //
 //	round.On(&ballot)
-func (r *Round) On(ballot *Ballot) {
+func (r *Round) AddVote(ballot *Vote) {
 	switch {
 	case ballot == nil || ballot.Verdict == Refused:
-		r.lost++
+		r.failed++
 	case ballot.Verdict == Granted:
 		r.granted++
 	case ballot.Verdict == OverLimit:
-		r.over++
+		r.overLimit++
 	case ballot.Verdict == Shed:
 		r.shed++
-	case ballot.Verdict == Held && ballot.Held != nil:
-		r.held++
-		r.other = ballot.Held
-		if !ballot.Held.State.IsOpen() && ballot.Held.Reply != nil {
-			r.terminal = ballot.Held
+	case ballot.Verdict == KeyInUse && ballot.Existing != nil:
+		r.keyInUse++
+		r.existing = ballot.Existing
+		if !ballot.Existing.State.IsOpen() && ballot.Existing.Response != nil {
+			r.terminal = ballot.Existing
 		}
 	default:
-		r.lost++
+		r.failed++
 	}
 }
 
@@ -72,26 +72,26 @@
 // Example:
 //
 //	if round.Standing(clock.Steady()) == idempotency.Won { deliver() }
-func (r *Round) Standing(now timetable.Steady) Standing {
+func (r *Round) Status(now timetable.Steady) RoundStatus {
 	majority := r.members/2 + 1
-	isInTime := now-r.began <= r.span
+	isInTime := now-r.startedAt <= r.timeout
 	switch {
-	case r.terminal != nil && r.terminal.Hash != r.Hash:
-		return Conflicting
+	case r.terminal != nil && r.terminal.RequestHash != r.RequestHash:
+		return Conflict
 	case r.terminal != nil:
 		return Replayable
 	case r.granted >= majority && isInTime:
 		return Won
-	case r.members-r.held-r.over-r.lost-r.shed >= majority && isInTime && r.granted+r.held+r.over+r.lost+r.shed < r.members:
+	case r.members-r.keyInUse-r.overLimit-r.failed-r.shed >= majority && isInTime && r.granted+r.keyInUse+r.overLimit+r.failed+r.shed < r.members:
 		return Undecided
-	case r.held > 0 && r.other.Hash != r.Hash:
-		return Conflicting
-	case r.held > 0:
-		return InWork
-	case r.over > 0:
-		return Limited
-	case r.shed > 0 && r.shed >= r.lost:
-		return TurnedAway
+	case r.keyInUse > 0 && r.existing.RequestHash != r.RequestHash:
+		return Conflict
+	case r.keyInUse > 0:
+		return InProgress
+	case r.overLimit > 0:
+		return LimitExceeded
+	case r.shed > 0 && r.shed >= r.failed:
+		return Overloaded
 	}
 	return NoMajority
 }
--- a/internal/idempotency/table.go
+++ b/internal/idempotency/table.go
@@ -20,7 +20,7 @@
 
 // Brief identifies one intent in a comparison of two tables. Attempt is 0 for a
 // completed intent: its outcome stands whatever attempt it came from.
-type Brief struct {
+type IntentSummary struct {
 	_       struct{} `cbor:",toarray"`
 	Key     uint64
 	Attempt uint64
@@ -28,18 +28,18 @@
 
 // keyRange holds the intents of one range of keys.
 type keyRange struct {
-	intents map[Key]*Intent
-	rivals  map[Key][]*Intent
+	intents   map[Key]*Intent
+	competing map[Key][]*Intent
 	// digest is of all, outcomes of the completed ones.
-	digest, outcomes Digest
+	digest, completedDigest Digest
 }
 
 // sum brings an intent into the digests of its range, or takes it out again.
-func (r *keyRange) sum(brief Brief) {
+func (r *keyRange) toggleDigest(brief IntentSummary) {
 	part := brief.digest()
 	r.digest ^= part
-	if brief.IsOutcome() {
-		r.outcomes ^= part
+	if brief.IsCompleted() {
+		r.completedDigest ^= part
 	}
 }
 
@@ -49,30 +49,30 @@
 	count  int
 }
 
-func (t *table) at(key Key) *keyRange { return &t.ranges[rangeOf(key)] }
+func (t *table) rangeFor(key Key) *keyRange { return &t.ranges[rangeOf(key)] }
 
-func (t *table) find(key Key) *Intent { return t.at(key).intents[key] }
+func (t *table) find(key Key) *Intent { return t.rangeFor(key).intents[key] }
 
 // put stores an intent in place of the one of the same key.
 func (t *table) put(intent *Intent) {
 	t.remove(intent.Key)
-	r := t.at(intent.Key)
+	r := t.rangeFor(intent.Key)
 	if r.intents == nil {
 		r.intents = map[Key]*Intent{}
 	}
 	r.intents[intent.Key] = intent
-	r.sum(intent.brief())
+	r.toggleDigest(intent.summary())
 	t.count++
 }
 
 func (t *table) remove(key Key) {
-	r := t.at(key)
+	r := t.rangeFor(key)
 	held := r.intents[key]
 	if held == nil {
 		return
 	}
 	delete(r.intents, key)
-	r.sum(held.brief())
+	r.toggleDigest(held.summary())
 	t.count--
 }
 
@@ -93,7 +93,7 @@
 // rangeOf is the range of a key. It is asked for with every look at the table, and
 // so goes by a cheaper sum than comparisons do.
 func rangeOf(key Key) Range {
-	sum := uint64(fnvOffset)
+	sum := uint64(fnvOffsetBasis)
 	for _, text := range [...]string{key.Tenant, "\x00", key.Key} {
 		for at := range len(text) {
 			sum = (sum ^ uint64(text[at])) * fnvPrime
@@ -104,13 +104,13 @@
 
 // The figures of FNV-1a, 64 bits.
 const (
-	fnvOffset = 14695981039346656037
-	fnvPrime  = 1099511628211
+	fnvOffsetBasis = 14695981039346656037
+	fnvPrime       = 1099511628211
 )
 
 // brief is the intent as it stands in a comparison.
-func (i *Intent) brief() Brief {
-	out := Brief{Key: i.Key.hash()}
+func (i *Intent) summary() IntentSummary {
+	out := IntentSummary{Key: i.Key.hash()}
 	if i.State != Completed {
 		out.Attempt = hashOf(string(i.Attempt))
 	}
@@ -122,10 +122,10 @@
 // Example:
 //
 //	if brief.IsOutcome() { copyAtOnce(brief.Key) }
-func (b Brief) IsOutcome() bool { return b.Attempt == 0 }
+func (b IntentSummary) IsCompleted() bool { return b.Attempt == 0 }
 
 // digest is the intent's part in the digest of its range.
-func (b Brief) digest() Digest {
+func (b IntentSummary) digest() Digest {
 	var text [16]byte
 	binary.BigEndian.PutUint64(text[:], b.Key)
 	binary.BigEndian.PutUint64(text[8:], b.Attempt)
--- a/internal/idempotency/voter.go
+++ b/internal/idempotency/voter.go
@@ -12,7 +12,7 @@
 // The verdicts of a voter.
 const (
 	Granted Verdict = iota + 1
-	Held
+	KeyInUse
 	OverLimit
 	Refused
 	// Shed: the service is overloaded, or the voter's table is full, and no intent is
@@ -22,21 +22,21 @@
 
 // Ballot is a voter's reply: its verdict, and the intent that holds the key if
 // another attempt does.
-type Ballot struct {
-	Verdict Verdict `cbor:"1,keyasint"`
-	Held    *Intent `cbor:"2,keyasint,omitempty"`
+type Vote struct {
+	Verdict  Verdict `cbor:"1,keyasint"`
+	Existing *Intent `cbor:"2,keyasint,omitempty"`
 }
 
 // Policy bounds what a voter keeps.
 type Policy struct {
-	OpenLimit int
-	Retention time.Duration
-	KeyWindow time.Duration
-	Margin    time.Duration
+	OpenLimit   int
+	Retention   time.Duration
+	KeyWindow   time.Duration
+	ClockMargin time.Duration
 	// Bytes is what the intents may take before ends past the key window go early.
-	Bytes int
+	SoftLimitBytes int
 	// Ceiling is what they may take before no new intent is granted; 0 is no bound.
-	Ceiling int
+	HardLimitBytes int
 }
 
 // Entry is what a voter's log keeps of one change: the intent's new record and
@@ -45,22 +45,22 @@
 	Intent Intent      `cbor:"1,keyasint"`
 	Quota  *QuotaEvent `cbor:"2,keyasint,omitempty"`
 	// IsRival marks an intent that is kept beside the one that holds the key.
-	IsRival bool `cbor:"3,keyasint,omitempty"`
+	Competing bool `cbor:"3,keyasint,omitempty"`
 }
 
 // Voter is one core node's table of intents. It has one owner.
 type Voter struct {
-	policy Policy
-	table  table
-	order  []placed
+	policy     Policy
+	table      table
+	byCreation []createdIntent
 	// isUnsorted says that the order is not that of creation.
-	isUnsorted bool
-	bytes      int
-	quota      *Quota
-	doubles    int
+	unsorted            bool
+	sizeBytes           int
+	quota               *Quota
+	duplicateExecutions int
 }
 
-type placed struct {
+type createdIntent struct {
 	key       Key
 	attempt   Attempt
 	createdMs int64
@@ -72,7 +72,7 @@
 //
 //	voter := idempotency.NewVoter(idempotency.Policy{OpenLimit: 100, KeyWindow: time.Minute})
 func NewVoter(policy Policy) *Voter {
-	return &Voter{policy: policy, isUnsorted: true, quota: newQuota()}
+	return &Voter{policy: policy, unsorted: true, quota: newQuota()}
 }
 
 // Find returns the record of a key, or nil.
@@ -87,7 +87,7 @@
 // Example:
 //
 //	if voter.Doubles() > before { halt() }
-func (v *Voter) Doubles() int { return v.doubles }
+func (v *Voter) DuplicateExecutions() int { return v.duplicateExecutions }
 
 // Quota is the account derived from the events.
 //
@@ -102,22 +102,22 @@
 // Example:
 //
 //	ballot, entry := voter.Reserve(intent)
-func (v *Voter) Reserve(wanted Intent) (Ballot, *Entry) {
+func (v *Voter) Reserve(wanted Intent) (Vote, *Entry) {
 	held := v.table.find(wanted.Key)
 	switch {
 	case held != nil && held.Attempt == wanted.Attempt && held.State == Reserved:
-		return Ballot{Verdict: Granted}, nil
+		return Vote{Verdict: Granted}, nil
 	case held != nil:
-		return Ballot{Verdict: Held, Held: held}, nil
-	case v.policy.OpenLimit > 0 && v.quota.Open(wanted.Lane) >= v.policy.OpenLimit:
-		return Ballot{Verdict: OverLimit}, nil
-	case v.policy.Ceiling > 0 && v.bytes >= v.policy.Ceiling:
-		return Ballot{Verdict: Shed}, nil
+		return Vote{Verdict: KeyInUse, Existing: held}, nil
+	case v.policy.OpenLimit > 0 && v.quota.Open(wanted.Route) >= v.policy.OpenLimit:
+		return Vote{Verdict: OverLimit}, nil
+	case v.policy.HardLimitBytes > 0 && v.sizeBytes >= v.policy.HardLimitBytes:
+		return Vote{Verdict: Shed}, nil
 	}
-	wanted.State, wanted.Reply = Reserved, nil
-	entry := &Entry{Intent: wanted, Quota: &QuotaEvent{QuotaReserve, wanted.Reservation, wanted.Lane}}
+	wanted.State, wanted.Response = Reserved, nil
+	entry := &Entry{Intent: wanted, Quota: &QuotaEvent{QuotaReserve, wanted.Reservation, wanted.Route}}
 	_ = v.Apply(*entry)
-	return Ballot{Verdict: Granted}, entry
+	return Vote{Verdict: Granted}, entry
 }
 
 // Record takes what the owner of the key's only delivered attempt tells. A
@@ -131,29 +131,29 @@
 	held := v.table.find(told.Key)
 	isOther := held != nil && held.Attempt != told.Attempt
 	switch {
-	case told.State == Released && v.table.rivalOf(told.Key, told.Attempt) != nil:
+	case told.State == Released && v.table.findCompeting(told.Key, told.Attempt) != nil:
 		entry := &Entry{Intent: told}
 		return entry, v.Apply(*entry)
 	case held == nil && (told.State == Released || told.State == Reserved):
 		return nil, nil
 	case isOther && told.State == Completed && held.State == Completed:
 		// Two attempts ran: it must not be, and whoever watches is told.
-		v.doubles++
+		v.duplicateExecutions++
 		return nil, nil
 	case isOther && (told.State == Released || held.State == Completed):
 		return nil, nil
 	case held != nil && !isOther && held.State == told.State:
 		return nil, nil
 	case held != nil && !isOther:
-		if _, err := held.Step(told.State); err != nil {
+		if _, err := held.Transition(told.State); err != nil {
 			return nil, errors.Trace(err)
 		}
 	}
 	entry := &Entry{Intent: told}
-	if step, isEnd := quotaOf[told.State]; isEnd && held != nil && held.State.IsOpen() && !isOther {
-		entry.Quota = &QuotaEvent{step, told.Reservation, told.Lane}
+	if step, isEnd := quotaEventKinds[told.State]; isEnd && held != nil && held.State.IsOpen() && !isOther {
+		entry.Quota = &QuotaEvent{step, told.Reservation, told.Route}
 	} else if told.State.IsOpen() && (held == nil || isOther) {
-		entry.Quota = &QuotaEvent{QuotaReserve, told.Reservation, told.Lane}
+		entry.Quota = &QuotaEvent{QuotaReserve, told.Reservation, told.Route}
 	}
 	return entry, v.Apply(*entry)
 }
@@ -166,17 +166,17 @@
 //	err := voter.Apply(entry)
 func (v *Voter) Apply(entry Entry) error {
 	intent := entry.Intent
-	if entry.IsRival {
-		v.table.addRival(intent)
+	if entry.Competing {
+		v.table.addCompeting(intent)
 		return nil
 	}
-	if rival := v.table.rivalOf(intent.Key, intent.Attempt); rival != nil {
-		v.table.dropRival(rival)
+	if rival := v.table.findCompeting(intent.Key, intent.Attempt); rival != nil {
+		v.table.removeCompeting(rival)
 		if intent.State == Released {
 			return nil
 		}
 	}
-	v.place(intent)
+	v.store(intent)
 	var err error
 	if entry.Quota != nil {
 		err = v.quota.apply(*entry.Quota)
@@ -184,32 +184,32 @@
 	if intent.State != Released {
 		return err
 	}
-	if next := v.table.takeRival(intent.Key); next != nil {
-		return v.Apply(entryOf(next))
+	if next := v.table.takeCompeting(intent.Key); next != nil {
+		return v.Apply(newEntry(next))
 	}
 	return err
 }
 
 // place puts the intent into the table in place of the one that held the key.
-func (v *Voter) place(intent Intent) {
+func (v *Voter) store(intent Intent) {
 	held := v.table.find(intent.Key)
 	if held != nil {
-		v.bytes -= held.size()
+		v.sizeBytes -= held.sizeBytes()
 		if held.Attempt != intent.Attempt && held.State.IsOpen() {
-			_ = v.quota.apply(QuotaEvent{QuotaRelease, held.Reservation, held.Lane})
+			_ = v.quota.apply(QuotaEvent{QuotaRelease, held.Reservation, held.Route})
 		}
 	}
 	if intent.State == Released {
 		v.table.remove(intent.Key)
 		return
 	}
-	if intent.State.isToldByOwner() {
+	if intent.State.reportedByOwner() {
 		// The owner of an attempt that was delivered says so: the others lost.
-		v.table.dropRivals(intent.Key)
+		v.table.removeAllCompeting(intent.Key)
 	}
 	v.table.put(&intent)
-	v.bytes += intent.size()
+	v.sizeBytes += intent.sizeBytes()
 	if held == nil || held.Attempt != intent.Attempt {
-		v.order = append(v.order, placed{intent.Key, intent.Attempt, intent.CreatedMs})
+		v.byCreation = append(v.byCreation, createdIntent{intent.Key, intent.Attempt, intent.CreatedMs})
 	}
 }
--- a/internal/idempotency/world_test.go
+++ b/internal/idempotency/world_test.go
@@ -20,7 +20,7 @@
 }
 
 func policy() idempotency.Policy {
-	return idempotency.Policy{OpenLimit: 1000, Retention: time.Hour, KeyWindow: time.Minute, Margin: time.Second}
+	return idempotency.Policy{OpenLimit: 1000, Retention: time.Hour, KeyWindow: time.Minute, ClockMargin: time.Second}
 }
 
 func (n *node) keep(entry *idempotency.Entry) {
@@ -62,9 +62,9 @@
 	t := &try{unasked: w.random.Perm(len(w.nodes))}
 	t.intent = idempotency.Intent{
 		Key: idempotency.Key{Tenant: "host", Key: fmt.Sprint(w.random.IntN(8))}, Attempt: idempotency.Attempt(name),
-		Lane: "lane", Reservation: name, State: idempotency.Reserved, CreatedMs: 1_000_000_000,
+		Route: "lane", Reservation: name, State: idempotency.Reserved, CreatedMs: 1_000_000_000,
 	}
-	t.round = idempotency.NewRound(t.intent.Hash, len(w.nodes), 0, 100)
+	t.round = idempotency.NewRound(t.intent.RequestHash, len(w.nodes), 0, 100)
 	return t
 }
 
@@ -74,19 +74,19 @@
 		n := w.nodes[t.unasked[0]]
 		t.unasked = t.unasked[1:]
 		if n.isDown || !n.isTrusted {
-			t.round.On(nil)
+			t.round.AddVote(nil)
 		} else {
 			ballot, entry := n.voter.Reserve(t.intent)
 			n.keep(entry)
 			if w.random.IntN(8) == 0 {
-				t.round.On(nil) // the vote was kept, and its reply was lost
+				t.round.AddVote(nil) // the vote was kept, and its reply was lost
 			} else {
-				t.round.On(&ballot)
+				t.round.AddVote(&ballot)
 			}
 		}
 	}
 	key := t.intent.Key.Key
-	switch t.round.Standing(50) {
+	switch t.round.Status(50) {
 	case idempotency.Undecided:
 		return
 	case idempotency.Won:
@@ -101,11 +101,11 @@
 			t.intent.State = idempotency.TimeoutUnresolved
 			w.record(t.intent)
 		default:
-			t.intent.State, t.intent.Reply = idempotency.Completed, &idempotency.Reply{Status: 200, Seal: answer}
+			t.intent.State, t.intent.Response = idempotency.Completed, &idempotency.Response{Status: 200, Seal: answer}
 			w.record(t.intent)
 		}
 	case idempotency.Replayable:
-		Expect(t.round.Terminal().Reply.Seal).To(Equal(w.first[key]))
+		Expect(t.round.Terminal().Response.Seal).To(Equal(w.first[key]))
 		fallthrough
 	default:
 		t.intent.State = idempotency.Released
@@ -172,16 +172,16 @@
 
 // copyAll reads what another node holds and this one lacks, as members do.
 func (w *world) copyAll(n, other *node) {
-	ranges := idempotency.Differing(n.voter.Digests(idempotency.AllIntents), other.voter.Digests(idempotency.AllIntents))
-	wanted := n.voter.Lacking(ranges, other.voter.Briefs(ranges), idempotency.AllIntents)
+	ranges := idempotency.DifferingRanges(n.voter.Digests(idempotency.AllIntents), other.voter.Digests(idempotency.AllIntents))
+	wanted := n.voter.MissingKeys(ranges, other.voter.Summaries(ranges), idempotency.AllIntents)
 	if len(wanted) == 0 {
 		return
 	}
-	cursor := idempotency.Cursor{Ranges: ranges, Only: wanted}
+	cursor := idempotency.Cursor{Ranges: ranges, KeyHashes: wanted}
 	for len(cursor.Ranges) > 0 {
 		var entries []idempotency.Entry
 		entries, cursor = other.voter.Read(cursor, 1+w.random.IntN(1000))
-		for _, entry := range n.voter.Union(entries) {
+		for _, entry := range n.voter.Merge(entries) {
 			n.keep(&entry)
 		}
 	}
--- a/internal/messages/repair.go
+++ b/internal/messages/repair.go
@@ -27,8 +27,8 @@
 
 // BriefsTold is the reply.
 type BriefsTold struct {
-	OK     bool                `cbor:"1,keyasint"`
-	Briefs []idempotency.Brief `cbor:"2,keyasint,omitempty"`
+	OK     bool                        `cbor:"1,keyasint"`
+	Briefs []idempotency.IntentSummary `cbor:"2,keyasint,omitempty"`
 }
 
 // Entries asks a member for the next piece of entries from a cursor on.
--- a/internal/messages/telegram.go
+++ b/internal/messages/telegram.go
@@ -59,8 +59,8 @@
 
 // Vote is the reply; View stands where the asker's view is not the voter's.
 type Vote struct {
-	Ballot idempotency.Ballot `cbor:"1,keyasint"`
-	View   *membership.View   `cbor:"2,keyasint,omitempty"`
+	Ballot idempotency.Vote `cbor:"1,keyasint"`
+	View   *membership.View `cbor:"2,keyasint,omitempty"`
 }
 
 // Record tells a core node what became of an intent.
--- a/internal/points/left_test.go
+++ b/internal/points/left_test.go
@@ -101,12 +101,12 @@
 		p, one := inquiryOn(config.Idempotent, server)
 		a := &attempt{proxy: p, one: one, ungranted: map[string]bool{}}
 		a.intent = idempotency.Intent{Key: idempotency.Key{Tenant: "h", Key: "k"}, State: idempotency.Reserved}
-		a.round = idempotency.NewRound(a.intent.Hash, 1, p.clock.Steady(), timetable.Steady(time.Second))
+		a.round = idempotency.NewRound(a.intent.RequestHash, 1, p.clock.Steady(), timetable.Steady(time.Second))
 		long := &upstream.Reply{Status: 200, Header: http.Header{}, Body: []byte("part"), Rest: io.NopCloser(strings.NewReader("rest"))}
 		reply, err := a.forward(context.Background(), func(context.Context, any) (any, error) { return long, nil })
 		Expect(err).NotTo(HaveOccurred())
 		Expect(reply).To(BeIdenticalTo(long))
 		Expect(a.intent.State).To(Equal(idempotency.TimeoutUnresolved))
-		Expect(a.intent.Reply).To(BeNil())
+		Expect(a.intent.Response).To(BeNil())
 	})
 })
--- a/internal/points/members_test.go
+++ b/internal/points/members_test.go
@@ -57,7 +57,7 @@
 			messages.KindRecord: func(rpc.Call) {},
 		}
 	}
-	granted := messages.Vote{Ballot: idempotency.Ballot{Verdict: idempotency.Granted}}
+	granted := messages.Vote{Ballot: idempotency.Vote{Verdict: idempotency.Granted}}
 
 	It("is won by a majority, each member counted once", func() {
 		a := begin(member("127.0.0.1:0", answer(1, granted)), member("127.0.0.1:0", answer(1, granted)), member("127.0.0.1:0", mute))
@@ -67,8 +67,8 @@
 	})
 
 	It("takes no ballot on another key", func() {
-		ended := &idempotency.Intent{Key: idempotency.Key{Tenant: "h", Key: "another"}, State: idempotency.Completed, Reply: &idempotency.Reply{Status: 200}}
-		held := messages.Vote{Ballot: idempotency.Ballot{Verdict: idempotency.Held, Held: ended}}
+		ended := &idempotency.Intent{Key: idempotency.Key{Tenant: "h", Key: "another"}, State: idempotency.Completed, Response: &idempotency.Response{Status: 200}}
+		held := messages.Vote{Ballot: idempotency.Vote{Verdict: idempotency.KeyInUse, Existing: ended}}
 		a := begin(member("127.0.0.1:0", answer(1, held)), member("127.0.0.1:0", answer(1, held)), member("127.0.0.1:0", answer(1, held)))
 		Expect(a.reserve()).To(Equal(idempotency.NoMajority))
 		found := rpc.Handlers{messages.KindLookup: func(call rpc.Call) { call.Reply(messages.Found{Intent: ended}) }}
--- a/internal/points/replay.go
+++ b/internal/points/replay.go
@@ -28,14 +28,14 @@
 
 // decisions is the paper's replay matrix: from what the vote round came to, to
 // what is done with the inquiry.
-var decisions = map[idempotency.Standing]func(*attempt, context.Context, endpoint.Endpoint) (any, error){
-	idempotency.Won:         (*attempt).forward,
-	idempotency.Replayable:  (*attempt).replay,
-	idempotency.InWork:      (*attempt).resume,
-	idempotency.Conflicting: rejecting(apierror.Conflict),
-	idempotency.Limited:     rejecting(apierror.OverLimit),
-	idempotency.NoMajority:  rejecting(apierror.NoQuorum),
-	idempotency.TurnedAway:  (*attempt).turnAway,
+var decisions = map[idempotency.RoundStatus]func(*attempt, context.Context, endpoint.Endpoint) (any, error){
+	idempotency.Won:           (*attempt).forward,
+	idempotency.Replayable:    (*attempt).replay,
+	idempotency.InProgress:    (*attempt).resume,
+	idempotency.Conflict:      rejecting(apierror.Conflict),
+	idempotency.LimitExceeded: rejecting(apierror.OverLimit),
+	idempotency.NoMajority:    rejecting(apierror.NoQuorum),
+	idempotency.Overloaded:    (*attempt).turnAway,
 }
 
 func rejecting(kind apierror.Kind) func(*attempt, context.Context, endpoint.Endpoint) (any, error) {
@@ -58,8 +58,8 @@
 		a := &attempt{proxy: p, one: one, ungranted: map[string]bool{}}
 		name := p.life + "-" + strconv.FormatUint(p.tries.Add(1), 36)
 		a.intent = idempotency.Intent{
-			Key: one.key, Attempt: idempotency.Attempt(name), Hash: idempotency.HashOf(one.Method, one.Target, one.Body),
-			Lane: one.lane.Name, Service: one.service, Manifest: uint64(one.lane.Revision), Reservation: name,
+			Key: one.key, Attempt: idempotency.Attempt(name), RequestHash: idempotency.HashRequest(one.Method, one.Target, one.Body),
+			Route: one.lane.Name, Service: one.service, RouteRevision: uint64(one.lane.Revision), Reservation: name,
 			State: idempotency.Reserved, CreatedMs: p.clock.Wall().UnixMilli(),
 		}
 		standing := a.reserve()
@@ -79,7 +79,7 @@
 // forward delivers the inquiry of a won round, and records the outcome on a
 // majority before the client gets it.
 func (a *attempt) forward(ctx context.Context, next endpoint.Endpoint) (any, error) {
-	a.one.maySend = func() bool { return a.round.Standing(a.clock.Steady()) == idempotency.Won }
+	a.one.maySend = func() bool { return a.round.Status(a.clock.Steady()) == idempotency.Won }
 	a.step(idempotency.AuthorizationPending)
 	reply, err := next(ctx, a.one)
 	var open *openEnd
@@ -113,7 +113,7 @@
 }
 
 func (a *attempt) step(to idempotency.State) {
-	if next, err := a.intent.Step(to); err == nil {
+	if next, err := a.intent.Transition(to); err == nil {
 		a.intent = next
 		return
 	}
@@ -131,7 +131,7 @@
 		return
 	}
 	a.step(idempotency.Completed)
-	a.intent.Reply = &idempotency.Reply{
+	a.intent.Response = &idempotency.Response{
 		Status: reply.Status, Seal: reply.Header.Get(upstream.HeaderSeal),
 		ContentType: reply.Header.Get("Content-Type"), Body: reply.Body,
 	}
@@ -165,10 +165,10 @@
 // replay answers from the record: no server, no quota.
 func (a *attempt) replay(context.Context, endpoint.Endpoint) (any, error) {
 	a.one.isReplayed = true
-	return replyOf(a.round.Terminal().Reply, a.one.Attempt), nil
+	return replyOf(a.round.Terminal().Response, a.one.Attempt), nil
 }
 
-func replyOf(recorded *idempotency.Reply, attempt string) *upstream.Reply {
+func replyOf(recorded *idempotency.Response, attempt string) *upstream.Reply {
 	header := http.Header{upstream.HeaderAttempt: {attempt}}
 	if recorded.Seal != "" {
 		header[upstream.HeaderSeal] = []string{recorded.Seal}
--- a/internal/points/replay_test.go
+++ b/internal/points/replay_test.go
@@ -34,11 +34,11 @@
 		}
 		a := &attempt{proxy: p, one: one, ungranted: map[string]bool{}}
 		a.intent = idempotency.Intent{Key: idempotency.Key{Tenant: "h", Key: "k"}, State: idempotency.Reserved}
-		a.round = idempotency.NewRound(a.intent.Hash, 3, hand.Steady(), timetable.Steady(250*time.Millisecond))
+		a.round = idempotency.NewRound(a.intent.RequestHash, 3, hand.Steady(), timetable.Steady(250*time.Millisecond))
 		for range 2 {
-			a.round.On(&idempotency.Ballot{Verdict: idempotency.Granted})
+			a.round.AddVote(&idempotency.Vote{Verdict: idempotency.Granted})
 		}
-		Expect(a.round.Standing(hand.Steady())).To(Equal(idempotency.Won))
+		Expect(a.round.Status(hand.Steady())).To(Equal(idempotency.Won))
 		_, err = a.forward(context.Background(), func(context.Context, any) (any, error) {
 			hand.Now += frozen
 			due := time.Now().Add(5 * time.Second)
--- a/internal/points/resume.go
+++ b/internal/points/resume.go
@@ -24,12 +24,12 @@
 	end := time.Now().Add(min(left, a.one.lane.TargetLatency.Std()) / resumeShare)
 	for pause := resumeFirst; time.Now().Add(pause).Before(end); pause *= 2 {
 		a.clock.Sleep(pause)
-		if held := a.lookup(); held != nil && held.Reply != nil {
-			if held.Hash != a.intent.Hash {
+		if held := a.lookup(); held != nil && held.Response != nil {
+			if held.RequestHash != a.intent.RequestHash {
 				return nil, apierror.New(apierror.Conflict, "")
 			}
 			a.one.isReplayed = true
-			return replyOf(held.Reply, a.one.Attempt), nil
+			return replyOf(held.Response, a.one.Attempt), nil
 		}
 	}
 	return nil, apierror.New(apierror.AtWork, "")
@@ -49,7 +49,7 @@
 			if found.reply == nil || found.reply.Intent == nil {
 				continue
 			}
-			if held := found.reply.Intent; held.Key == a.one.key && held.Reply != nil {
+			if held := found.reply.Intent; held.Key == a.one.key && held.Response != nil {
 				return held
 			}
 		case <-alarm.C:
--- a/internal/points/vote.go
+++ b/internal/points/vote.go
@@ -10,10 +10,10 @@
 )
 
 // reserve asks every member of the core at once.
-func (a *attempt) reserve() idempotency.Standing {
+func (a *attempt) reserve() idempotency.RoundStatus {
 	view := a.sight.Load().view
 	began, span := a.clock.Steady(), a.set.Load().Tuning.VoteSpan
-	a.round = idempotency.NewRound(a.intent.Hash, max(1, len(view.Members)), began, timetable.Steady(span))
+	a.round = idempotency.NewRound(a.intent.RequestHash, max(1, len(view.Members)), began, timetable.Steady(span))
 	votes, forget := askMembers[messages.Vote](a.proxy, view, messages.KindReserve, messages.Reserve{Epoch: view.Epoch, Intent: a.intent})
 	defer forget()
 	alarm := time.NewTimer(min(span.Std(), time.Until(a.one.due), a.patience()))
@@ -23,13 +23,13 @@
 		case got := <-votes:
 			a.take(got)
 		case <-alarm.C:
-			return a.round.Standing(began + timetable.Steady(span) + 1)
+			return a.round.Status(began + timetable.Steady(span) + 1)
 		}
-		if standing := a.round.Standing(a.clock.Steady()); standing != idempotency.Undecided {
+		if standing := a.round.Status(a.clock.Steady()); standing != idempotency.Undecided {
 			return standing
 		}
 	}
-	return a.round.Standing(began + timetable.Steady(span) + 1)
+	return a.round.Status(began + timetable.Steady(span) + 1)
 }
 
 const (
@@ -50,9 +50,9 @@
 }
 
 func (a *attempt) take(got said[messages.Vote]) {
-	if got.reply == nil || got.reply.Ballot.Held != nil && got.reply.Ballot.Held.Key != a.intent.Key {
+	if got.reply == nil || got.reply.Ballot.Existing != nil && got.reply.Ballot.Existing.Key != a.intent.Key {
 		// A ballot on another key is none.
-		a.round.On(nil)
+		a.round.AddVote(nil)
 		return
 	}
 	if got.reply.Ballot.Verdict != idempotency.Granted {
@@ -61,7 +61,7 @@
 	if got.reply.View != nil {
 		a.loop.Offer(feed.News{View: got.reply.View})
 	}
-	a.round.On(&got.reply.Ballot)
+	a.round.AddVote(&got.reply.Ballot)
 }
 
 // giveBack frees the votes of an attempt that will never be delivered. Only
--- a/internal/shedding/clients_test.go
+++ b/internal/shedding/clients_test.go
@@ -70,20 +70,20 @@
 
 // secure asks the members for their votes, as a proxy does.
 func (w *world) secure(c *client) bool {
-	c.intent = idempotency.Intent{Key: idempotency.Key{Tenant: "h", Key: c.key}, Attempt: idempotency.Attempt(fmt.Sprint(c.key, "-", c.tries)), Lane: c.lane, Reservation: fmt.Sprint(c.key, "-", c.tries)}
-	round := idempotency.NewRound(c.intent.Hash, len(w.members), w.hand.Steady(), timetable.Steady(time.Second))
+	c.intent = idempotency.Intent{Key: idempotency.Key{Tenant: "h", Key: c.key}, Attempt: idempotency.Attempt(fmt.Sprint(c.key, "-", c.tries)), Route: c.lane, Reservation: fmt.Sprint(c.key, "-", c.tries)}
+	round := idempotency.NewRound(c.intent.RequestHash, len(w.members), w.hand.Steady(), timetable.Steady(time.Second))
 	c.winners = nil
 	for _, m := range w.members {
-		ballot := idempotency.Ballot{Verdict: idempotency.Shed}
+		ballot := idempotency.Vote{Verdict: idempotency.Shed}
 		if m.voter.Find(c.intent.Key) != nil || !w.sheds(m, c.key) {
 			ballot, _ = m.voter.Reserve(c.intent)
 		}
 		if ballot.Verdict == idempotency.Granted {
 			c.winners = append(c.winners, m)
 		}
-		round.On(&ballot)
+		round.AddVote(&ballot)
 	}
-	if round.Standing(w.hand.Steady()) == idempotency.Won {
+	if round.Status(w.hand.Steady()) == idempotency.Won {
 		return true
 	}
 	w.giveBack(c)
@@ -132,7 +132,7 @@
 			w.ran[j.c.key]++
 			w.kept[j.c.key] = true
 			done := j.c.intent
-			done.State, done.Reply = idempotency.Completed, &idempotency.Reply{Status: 200}
+			done.State, done.Response = idempotency.Completed, &idempotency.Response{Status: 200}
 			for _, m := range w.members {
 				_, _ = m.voter.Record(done)
 			}
