--- a/internal/idempotency/compare.go
+++ b/internal/idempotency/compare.go
@@ -23,14 +23,14 @@
 //
 //	ranges := idempotency.Differing(mine.Digests(idempotency.Outcomes), theirs)
 func (v *Voter) Digests(scope Scope) []Digest {
-	out := make([]Digest, RangeCount)
+	digests := make([]Digest, RangeCount)
 	for number := range v.table.ranges {
-		out[number] = v.table.ranges[number].digest
+		digests[number] = v.table.ranges[number].digest
 		if scope == CompletedIntents {
-			out[number] = v.table.ranges[number].completedDigest
+			digests[number] = v.table.ranges[number].completedDigest
 		}
 	}
-	return out
+	return digests
 }
 
 // Differing lists the ranges in which two lists of digests are not the same.
@@ -38,13 +38,13 @@
 // Example:
 //
 //	ranges := idempotency.Differing(mine.Digests(scope), theirs)
-func DifferingRanges(mine, theirs []Digest) (out []Range) {
-	for number := range min(len(mine), len(theirs), RangeCount) {
-		if mine[number] != theirs[number] {
-			out = append(out, Range(number))
+func DifferingRanges(local, remote []Digest) (ranges []Range) {
+	for number := range min(len(local), len(remote), RangeCount) {
+		if local[number] != remote[number] {
+			ranges = append(ranges, Range(number))
 		}
 	}
-	return out
+	return ranges
 }
 
 // Briefs identifies the intents of the given ranges.
@@ -52,16 +52,16 @@
 // Example:
 //
 //	briefs := voter.Briefs(ranges)
-func (v *Voter) Summaries(ranges []Range) (out []IntentSummary) {
+func (v *Voter) Summaries(ranges []Range) (summaries []IntentSummary) {
 	for _, number := range ranges {
 		if number >= RangeCount {
 			continue
 		}
 		for _, intent := range v.table.ranges[number].all() {
-			out = append(out, intent.summary())
+			summaries = append(summaries, intent.summary())
 		}
 	}
-	return out
+	return summaries
 }
 
 // Scope says which intents a comparison is about.
@@ -84,19 +84,19 @@
 // Example:
 //
 //	cursor.Only = mine.Lacking(ranges, theirs, idempotency.AllIntents)
-func (v *Voter) MissingKeys(ranges []Range, theirs []IntentSummary, scope Scope) (out []uint64) {
-	held, isCompleted := map[IntentSummary]bool{}, map[uint64]bool{}
-	for _, brief := range v.Summaries(ranges) {
-		held[brief] = true
-		isCompleted[brief.Key] = isCompleted[brief.Key] || brief.IsCompleted()
+func (v *Voter) MissingKeys(ranges []Range, remote []IntentSummary, scope Scope) (keyHashes []uint64) {
+	held, completed := map[IntentSummary]bool{}, map[uint64]bool{}
+	for _, summary := range v.Summaries(ranges) {
+		held[summary] = true
+		completed[summary.Key] = completed[summary.Key] || summary.IsCompleted()
 	}
-	for _, brief := range theirs {
-		isOutOfScope := scope == CompletedIntents && !brief.IsCompleted()
-		if !isOutOfScope && !held[brief] && !isCompleted[brief.Key] {
-			out = append(out, brief.Key)
+	for _, summary := range remote {
+		outOfScope := scope == CompletedIntents && !summary.IsCompleted()
+		if !outOfScope && !held[summary] && !completed[summary.Key] {
+			keyHashes = append(keyHashes, summary.Key)
 		}
 	}
-	return out
+	return keyHashes
 }
 
 // Read lists entries from the cursor on, up to about so many bytes and one entry at
@@ -105,26 +105,26 @@
 // Example:
 //
 //	entries, rest := voter.Read(cursor, 256<<10)
-func (v *Voter) Read(cursor Cursor, bytes int) (entries []Entry, rest Cursor) {
+func (v *Voter) Read(cursor Cursor, limitBytes int) (entries []Entry, rest Cursor) {
 	wanted := map[uint64]bool{}
 	for _, hash := range cursor.KeyHashes {
 		wanted[hash] = true
 	}
-	for at, number := range cursor.Ranges {
+	for index, number := range cursor.Ranges {
 		if number >= RangeCount {
 			continue
 		}
 		for _, intent := range v.table.sorted(number) {
-			isRead := at == 0 && cursor.After != nil && intent.Key.compare(*cursor.After) <= 0
-			if isRead || len(wanted) > 0 && !wanted[intent.Key.hash()] {
+			alreadyRead := index == 0 && cursor.After != nil && intent.Key.compare(*cursor.After) <= 0
+			if alreadyRead || len(wanted) > 0 && !wanted[intent.Key.hash()] {
 				continue
 			}
-			if bytes <= 0 && len(entries) > 0 && entries[len(entries)-1].Intent.Key != intent.Key {
+			if limitBytes <= 0 && len(entries) > 0 && entries[len(entries)-1].Intent.Key != intent.Key {
 				after := entries[len(entries)-1].Intent.Key
-				return entries, Cursor{Ranges: cursor.Ranges[at:], After: cursorKey(number, after), KeyHashes: cursor.KeyHashes}
+				return entries, Cursor{Ranges: cursor.Ranges[index:], After: cursorKey(number, after), KeyHashes: cursor.KeyHashes}
 			}
 			entries = append(entries, newEntry(intent))
-			bytes -= intent.sizeBytes()
+			limitBytes -= intent.sizeBytes()
 		}
 	}
 	return entries, Cursor{}
@@ -156,15 +156,15 @@
 //	for entry := range voter.Snapshot() { write(entry) }
 func (v *Voter) Snapshot() iter.Seq[Entry] {
 	intents := make([]*Intent, 0, v.table.count)
-	for _, place := range v.byCreation {
-		if intent := v.table.find(place.key); intent != nil && intent.Attempt == place.attempt {
+	for _, created := range v.byCreation {
+		if intent := v.table.find(created.key); intent != nil && intent.Attempt == created.attempt {
 			intents = append(intents, intent)
 		}
 	}
-	var rivals []*Intent
+	var competing []*Intent
 	for number := range v.table.ranges {
-		for _, some := range v.table.ranges[number].competing {
-			rivals = append(rivals, some...)
+		for _, list := range v.table.ranges[number].competing {
+			competing = append(competing, list...)
 		}
 	}
 	return func(yield func(Entry) bool) {
@@ -173,8 +173,8 @@
 				return
 			}
 		}
-		for _, rival := range rivals {
-			if !yield(Entry{Intent: *rival, Competing: true}) {
+		for _, intent := range competing {
+			if !yield(Entry{Intent: *intent, Competing: true}) {
 				return
 			}
 		}
--- a/internal/idempotency/compare_test.go
+++ b/internal/idempotency/compare_test.go
@@ -11,13 +11,13 @@
 )
 
 // voterOf holds operations, completed where the flag says so.
-func voterOf(from, to int, isCompleted bool) *idempotency.Voter {
+func newVoterWith(from, to int, completed bool) *idempotency.Voter {
 	voter := idempotency.NewVoter(policy())
 	for number := from; number < to; number++ {
 		name := fmt.Sprint("operation-", number)
 		intent := idempotency.Intent{Key: idempotency.Key{Tenant: "h", Key: name}, Attempt: idempotency.Attempt(name), Reservation: name, Route: "lane"}
 		voter.Reserve(intent)
-		if isCompleted {
+		if completed {
 			intent.State, intent.Response = idempotency.Completed, &idempotency.Response{Body: []byte(strings.Repeat("x", 100))}
 			_, err := voter.Record(intent)
 			Expect(err).NotTo(HaveOccurred())
@@ -26,16 +26,16 @@
 	return voter
 }
 
-func allRanges() (out []idempotency.Range) {
+func allRanges() (ranges []idempotency.Range) {
 	for number := range idempotency.RangeCount {
-		out = append(out, idempotency.Range(number))
+		ranges = append(ranges, idempotency.Range(number))
 	}
-	return out
+	return ranges
 }
 
 var _ = Describe("the comparison of two tables", func() {
 	It("finds no difference where both hold the same, in whatever order it came", func() {
-		one, other := voterOf(0, 300, true), idempotency.NewVoter(policy())
+		one, other := newVoterWith(0, 300, true), idempotency.NewVoter(policy())
 		entries := one.Entries()
 		for at := range entries {
 			other.Merge(entries[len(entries)-1-at : len(entries)-at])
@@ -46,7 +46,7 @@
 	})
 
 	It("finds a vote among all intents and not among the outcomes", func() {
-		one, other := voterOf(0, 1, false), voterOf(0, 0, false)
+		one, other := newVoterWith(0, 1, false), newVoterWith(0, 0, false)
 		all := idempotency.DifferingRanges(other.Digests(idempotency.AllIntents), one.Digests(idempotency.AllIntents))
 		Expect(all).To(HaveLen(1))
 		Expect(other.MissingKeys(all, one.Summaries(all), idempotency.AllIntents)).To(HaveLen(1))
@@ -55,14 +55,14 @@
 	})
 
 	It("lacks an outcome of which it holds only the vote, and nothing the other way", func() {
-		one, other := voterOf(0, 5, true), voterOf(0, 5, false)
+		one, other := newVoterWith(0, 5, true), newVoterWith(0, 5, false)
 		Expect(other.MissingKeys(allRanges(), one.Summaries(allRanges()), idempotency.CompletedIntents)).To(HaveLen(5))
 		Expect(one.MissingKeys(allRanges(), other.Summaries(allRanges()), idempotency.AllIntents)).To(BeEmpty())
 	})
 
 	It("reads in pieces of about the size asked for, each entry once", func() {
-		voter, seen := voterOf(0, 500, true), map[string]bool{}
-		cursor, pieces := idempotency.Cursor{Ranges: allRanges()}, 0
+		voter, seen := newVoterWith(0, 500, true), map[string]bool{}
+		cursor, pages := idempotency.Cursor{Ranges: allRanges()}, 0
 		for len(cursor.Ranges) > 0 {
 			var entries []idempotency.Entry
 			entries, cursor = voter.Read(cursor, 5000)
@@ -71,10 +71,10 @@
 				Expect(seen[entry.Intent.Key.Key]).To(BeFalse())
 				seen[entry.Intent.Key.Key] = true
 			}
-			pieces++
+			pages++
 		}
 		Expect(seen).To(HaveLen(500))
-		Expect(pieces).To(BeNumerically(">", 40))
+		Expect(pages).To(BeNumerically(">", 40))
 	})
 
 	It("grants no new intent above its ceiling, and still replays and records", func() {
@@ -83,15 +83,15 @@
 		voter := idempotency.NewVoter(bounded)
 		first := idempotency.Intent{Key: idempotency.Key{Key: "1"}, Attempt: "1", Reservation: "1", Route: "lane"}
 		second := idempotency.Intent{Key: idempotency.Key{Key: "2"}, Attempt: "2", Reservation: "2", Route: "lane"}
-		ballot, _ := voter.Reserve(first)
-		Expect(ballot.Verdict).To(Equal(idempotency.Granted))
-		ballot, entry := voter.Reserve(second)
-		Expect(ballot.Verdict).To(Equal(idempotency.Shed))
+		vote, _ := voter.Reserve(first)
+		Expect(vote.Verdict).To(Equal(idempotency.Granted))
+		vote, entry := voter.Reserve(second)
+		Expect(vote.Verdict).To(Equal(idempotency.Shed))
 		Expect(entry).To(BeNil())
 		first.State = idempotency.Completed
 		_, err := voter.Record(first)
 		Expect(err).NotTo(HaveOccurred())
-		ballot, _ = voter.Reserve(first)
-		Expect(ballot.Verdict).To(Equal(idempotency.KeyInUse))
+		vote, _ = voter.Reserve(first)
+		Expect(vote.Verdict).To(Equal(idempotency.KeyInUse))
 	})
 })
--- a/internal/idempotency/competing.go
+++ b/internal/idempotency/competing.go
@@ -20,49 +20,49 @@
 
 // rivalOf is the rival of the key that has the attempt, or nil.
 func (t *table) findCompeting(key Key, attempt Attempt) *Intent {
-	for _, rival := range t.rangeFor(key).competing[key] {
-		if rival.Attempt == attempt {
-			return rival
+	for _, competing := range t.rangeFor(key).competing[key] {
+		if competing.Attempt == attempt {
+			return competing
 		}
 	}
 	return nil
 }
 
-func (t *table) removeCompeting(rival *Intent) {
-	r := t.rangeFor(rival.Key)
-	rest := slices.DeleteFunc(r.competing[rival.Key], func(other *Intent) bool { return other == rival })
-	r.competing[rival.Key] = rest
-	if len(rest) == 0 {
-		delete(r.competing, rival.Key)
+func (t *table) removeCompeting(competing *Intent) {
+	r := t.rangeFor(competing.Key)
+	remaining := slices.DeleteFunc(r.competing[competing.Key], func(other *Intent) bool { return other == competing })
+	r.competing[competing.Key] = remaining
+	if len(remaining) == 0 {
+		delete(r.competing, competing.Key)
 	}
-	r.toggleDigest(rival.summary())
+	r.toggleDigest(competing.summary())
 }
 
 func (t *table) removeAllCompeting(key Key) {
-	for _, rival := range slices.Clone(t.rangeFor(key).competing[key]) {
-		t.removeCompeting(rival)
+	for _, competing := range slices.Clone(t.rangeFor(key).competing[key]) {
+		t.removeCompeting(competing)
 	}
 }
 
 // takeRival removes the key's first rival and returns it, or nil.
 func (t *table) takeCompeting(key Key) *Intent {
-	rivals := t.rangeFor(key).competing[key]
-	if len(rivals) == 0 {
+	competing := t.rangeFor(key).competing[key]
+	if len(competing) == 0 {
 		return nil
 	}
-	first := rivals[0]
+	first := competing[0]
 	t.removeCompeting(first)
 	return first
 }
 
 // all lists the intents of a range, and the rivals after them.
-func (r *keyRange) all() (out []*Intent) {
-	out = make([]*Intent, 0, len(r.intents)+len(r.competing))
+func (r *keyRange) all() (intents []*Intent) {
+	intents = make([]*Intent, 0, len(r.intents)+len(r.competing))
 	for _, intent := range r.intents {
-		out = append(out, intent)
+		intents = append(intents, intent)
 	}
-	for _, rivals := range r.competing {
-		out = append(out, rivals...)
+	for _, competing := range r.competing {
+		intents = append(intents, competing...)
 	}
-	return out
+	return intents
 }
--- a/internal/idempotency/expire.go
+++ b/internal/idempotency/expire.go
@@ -14,29 +14,29 @@
 	v.sortByCreation()
 	window := v.policy.KeyWindow + v.policy.ClockMargin
 	kept := v.byCreation[:0]
-	for at, place := range v.byCreation {
-		intent := v.table.find(place.key)
-		if intent == nil || intent.Attempt != place.attempt {
+	for index, created := range v.byCreation {
+		intent := v.table.find(created.key)
+		if intent == nil || intent.Attempt != created.attempt {
 			continue
 		}
 		age := intent.age(now)
 		if age <= window {
-			kept = append(kept, v.byCreation[at:]...)
+			kept = append(kept, v.byCreation[index:]...)
 			break
 		}
 		if intent.State.IsOpen() {
-			ended, _ := intent.Transition(Expired)
-			entry := Entry{Intent: ended, Quota: &QuotaEvent{QuotaExpire, intent.Reservation, intent.Route}}
+			expired, _ := intent.Transition(Expired)
+			entry := Entry{Intent: expired, Quota: &QuotaEvent{QuotaExpire, intent.Reservation, intent.Route}}
 			_ = v.Apply(entry)
 			entries = append(entries, entry)
 		}
 		if age > v.policy.Retention || v.policy.SoftLimitBytes > 0 && v.sizeBytes > v.policy.SoftLimitBytes {
-			v.sizeBytes -= v.table.find(place.key).sizeBytes()
-			v.table.remove(place.key)
-			v.table.removeAllCompeting(place.key)
+			v.sizeBytes -= v.table.find(created.key).sizeBytes()
+			v.table.remove(created.key)
+			v.table.removeAllCompeting(created.key)
 			continue
 		}
-		kept = append(kept, place)
+		kept = append(kept, created)
 	}
 	v.byCreation = kept
 	return entries
@@ -48,38 +48,38 @@
 // Example:
 //
 //	entries := voter.Union(told)
-func (v *Voter) Merge(told []Entry) (entries []Entry) {
+func (v *Voter) Merge(received []Entry) (entries []Entry) {
 	v.unsorted = true
-	for _, entry := range told {
-		if made := v.mergeIntent(entry.Intent); made != nil {
-			entries = append(entries, *made)
+	for _, entry := range received {
+		if merged := v.mergeIntent(entry.Intent); merged != nil {
+			entries = append(entries, *merged)
 		}
 	}
 	return entries
 }
 
 // unionOf takes one intent of another voter, and returns the entry to keep, if any.
-func (v *Voter) mergeIntent(told Intent) *Entry {
-	held := v.table.find(told.Key)
-	entry := newEntry(&told)
+func (v *Voter) mergeIntent(received Intent) *Entry {
+	existing := v.table.find(received.Key)
+	entry := newEntry(&received)
 	switch {
-	case told.State == Released || held != nil && held.State == Completed:
+	case received.State == Released || existing != nil && existing.State == Completed:
 		return nil
-	case held == nil:
-	case held.Attempt == told.Attempt:
-		if told.State != Completed {
+	case existing == nil:
+	case existing.Attempt == received.Attempt:
+		if received.State != Completed {
 			return nil
 		}
-		made, err := v.Record(told)
+		recorded, err := v.Record(received)
 		if err != nil {
 			return nil
 		}
-		return made
-	case told.State.reportedByOwner() && !held.State.reportedByOwner():
-	case held.State.reportedByOwner() || v.table.findCompeting(told.Key, told.Attempt) != nil:
+		return recorded
+	case received.State.reportedByOwner() && !existing.State.reportedByOwner():
+	case existing.State.reportedByOwner() || v.table.findCompeting(received.Key, received.Attempt) != nil:
 		return nil
 	default:
-		entry = Entry{Intent: told, Competing: true}
+		entry = Entry{Intent: received, Competing: true}
 	}
 	if v.Apply(entry) != nil {
 		return nil
--- a/internal/idempotency/intent.go
+++ b/internal/idempotency/intent.go
@@ -84,7 +84,7 @@
 // Example:
 //
 //	hash := idempotency.HashOf("POST", "/pay/1?x=2", body)
-func HashRequest(method, target string, body []byte) (out RequestHash) {
+func HashRequest(method, target string, body []byte) (hash RequestHash) {
 	sum := sha256.New()
 	var size [8]byte
 	for _, part := range [][]byte{[]byte(method), []byte(target), body} {
@@ -92,8 +92,8 @@
 		sum.Write(size[:])
 		sum.Write(part)
 	}
-	copy(out[:], sum.Sum(nil))
-	return out
+	copy(hash[:], sum.Sum(nil))
+	return hash
 }
 
 // Reply is a recorded terminal response.
--- a/internal/idempotency/quota.go
+++ b/internal/idempotency/quota.go
@@ -39,16 +39,16 @@
 }
 
 func (q *Quota) apply(event QuotaEvent) error {
-	_, isActive := q.reservations[event.Reservation]
+	_, reserved := q.reservations[event.Reservation]
 	if event.Kind == QuotaReserve {
-		if isActive {
+		if reserved {
 			return errors.AlreadyExistsf("reservation %s", event.Reservation)
 		}
 		q.reservations[event.Reservation] = event.Route
 		q.open[event.Route]++
 		return nil
 	}
-	if !isActive {
+	if !reserved {
 		return errors.NotFoundf("reservation %s", event.Reservation)
 	}
 	delete(q.reservations, event.Reservation)
@@ -73,14 +73,14 @@
 //
 //	for route, usage := range quota.Usage() { show(route, usage.Open) }
 func (q *Quota) Usage() map[string]Usage {
-	out := map[string]Usage{}
-	for limit := range q.open {
-		out[limit] = Usage{q.Open(limit), q.Consumed(limit)}
+	usage := map[string]Usage{}
+	for route := range q.open {
+		usage[route] = Usage{q.Open(route), q.Consumed(route)}
 	}
-	for limit := range q.consumed {
-		out[limit] = Usage{q.Open(limit), q.Consumed(limit)}
+	for route := range q.consumed {
+		usage[route] = Usage{q.Open(route), q.Consumed(route)}
 	}
-	return out
+	return usage
 }
 
 // Open is how many reservations a limit holds now.
@@ -88,11 +88,11 @@
 // Example:
 //
 //	isFull := quota.Open(route) >= limit
-func (q *Quota) Open(limit string) int { return q.open[limit] }
+func (q *Quota) Open(route string) int { return q.open[route] }
 
 // Consumed is how many reservations of a limit were used up.
 //
 // Example:
 //
 //	used := quota.Consumed(route)
-func (q *Quota) Consumed(limit string) int { return q.consumed[limit] }
+func (q *Quota) Consumed(route string) int { return q.consumed[route] }
--- a/internal/idempotency/round.go
+++ b/internal/idempotency/round.go
@@ -37,8 +37,8 @@
 // Example:
 //
 //	round := idempotency.NewRound(hash, 3, clock.Steady(), span)
-func NewRound(hash RequestHash, members int, began, span timetable.Steady) *Round {
-	return &Round{RequestHash: hash, members: members, startedAt: began, timeout: span}
+func NewRound(requestHash RequestHash, members int, startedAt, timeout timetable.Steady) *Round {
+	return &Round{RequestHash: requestHash, members: members, startedAt: startedAt, timeout: timeout}
 }
 
 // On takes one member's ballot, or nil from a member that could not be asked.
@@ -46,21 +46,21 @@
 // Example:
 //
 //	round.On(&ballot)
-func (r *Round) AddVote(ballot *Vote) {
+func (r *Round) AddVote(vote *Vote) {
 	switch {
-	case ballot == nil || ballot.Verdict == Refused:
+	case vote == nil || vote.Verdict == Refused:
 		r.failed++
-	case ballot.Verdict == Granted:
+	case vote.Verdict == Granted:
 		r.granted++
-	case ballot.Verdict == OverLimit:
+	case vote.Verdict == OverLimit:
 		r.overLimit++
-	case ballot.Verdict == Shed:
+	case vote.Verdict == Shed:
 		r.shed++
-	case ballot.Verdict == KeyInUse && ballot.Existing != nil:
+	case vote.Verdict == KeyInUse && vote.Existing != nil:
 		r.keyInUse++
-		r.existing = ballot.Existing
-		if !ballot.Existing.State.IsOpen() && ballot.Existing.Response != nil {
-			r.terminal = ballot.Existing
+		r.existing = vote.Existing
+		if !vote.Existing.State.IsOpen() && vote.Existing.Response != nil {
+			r.terminal = vote.Existing
 		}
 	default:
 		r.failed++
@@ -74,15 +74,15 @@
 //	if round.Standing(clock.Steady()) == idempotency.Won { deliver() }
 func (r *Round) Status(now timetable.Steady) RoundStatus {
 	majority := r.members/2 + 1
-	isInTime := now-r.startedAt <= r.timeout
+	inTime := now-r.startedAt <= r.timeout
 	switch {
 	case r.terminal != nil && r.terminal.RequestHash != r.RequestHash:
 		return Conflict
 	case r.terminal != nil:
 		return Replayable
-	case r.granted >= majority && isInTime:
+	case r.granted >= majority && inTime:
 		return Won
-	case r.members-r.keyInUse-r.overLimit-r.failed-r.shed >= majority && isInTime && r.granted+r.keyInUse+r.overLimit+r.failed+r.shed < r.members:
+	case r.members-r.keyInUse-r.overLimit-r.failed-r.shed >= majority && inTime && r.granted+r.keyInUse+r.overLimit+r.failed+r.shed < r.members:
 		return Undecided
 	case r.keyInUse > 0 && r.existing.RequestHash != r.RequestHash:
 		return Conflict
--- a/internal/idempotency/table.go
+++ b/internal/idempotency/table.go
@@ -35,11 +35,11 @@
 }
 
 // sum brings an intent into the digests of its range, or takes it out again.
-func (r *keyRange) toggleDigest(brief IntentSummary) {
-	part := brief.digest()
-	r.digest ^= part
-	if brief.IsCompleted() {
-		r.completedDigest ^= part
+func (r *keyRange) toggleDigest(summary IntentSummary) {
+	digest := summary.digest()
+	r.digest ^= digest
+	if summary.IsCompleted() {
+		r.completedDigest ^= digest
 	}
 }
 
@@ -67,20 +67,20 @@
 
 func (t *table) remove(key Key) {
 	r := t.rangeFor(key)
-	held := r.intents[key]
-	if held == nil {
+	existing := r.intents[key]
+	if existing == nil {
 		return
 	}
 	delete(r.intents, key)
-	r.toggleDigest(held.summary())
+	r.toggleDigest(existing.summary())
 	t.count--
 }
 
 // sorted lists the intents of a range, with their rivals, in the order of their keys.
 func (t *table) sorted(number Range) []*Intent {
-	out := t.ranges[number].all()
-	slices.SortStableFunc(out, func(a, b *Intent) int { return a.Key.compare(b.Key) })
-	return out
+	intents := t.ranges[number].all()
+	slices.SortStableFunc(intents, func(a, b *Intent) int { return a.Key.compare(b.Key) })
+	return intents
 }
 
 // compare orders keys: by tenant, then by key.
@@ -95,8 +95,8 @@
 func rangeOf(key Key) Range {
 	sum := uint64(fnvOffsetBasis)
 	for _, text := range [...]string{key.Tenant, "\x00", key.Key} {
-		for at := range len(text) {
-			sum = (sum ^ uint64(text[at])) * fnvPrime
+		for index := range len(text) {
+			sum = (sum ^ uint64(text[index])) * fnvPrime
 		}
 	}
 	return Range(sum % RangeCount)
@@ -110,11 +110,11 @@
 
 // brief is the intent as it stands in a comparison.
 func (i *Intent) summary() IntentSummary {
-	out := IntentSummary{Key: i.Key.hash()}
+	summary := IntentSummary{Key: i.Key.hash()}
 	if i.State != Completed {
-		out.Attempt = hashOf(string(i.Attempt))
+		summary.Attempt = hashOf(string(i.Attempt))
 	}
-	return out
+	return summary
 }
 
 // IsOutcome tells whether the intent is completed.
--- a/internal/idempotency/voter.go
+++ b/internal/idempotency/voter.go
@@ -102,20 +102,20 @@
 // Example:
 //
 //	ballot, entry := voter.Reserve(intent)
-func (v *Voter) Reserve(wanted Intent) (Vote, *Entry) {
-	held := v.table.find(wanted.Key)
+func (v *Voter) Reserve(requested Intent) (Vote, *Entry) {
+	existing := v.table.find(requested.Key)
 	switch {
-	case held != nil && held.Attempt == wanted.Attempt && held.State == Reserved:
+	case existing != nil && existing.Attempt == requested.Attempt && existing.State == Reserved:
 		return Vote{Verdict: Granted}, nil
-	case held != nil:
-		return Vote{Verdict: KeyInUse, Existing: held}, nil
-	case v.policy.OpenLimit > 0 && v.quota.Open(wanted.Route) >= v.policy.OpenLimit:
+	case existing != nil:
+		return Vote{Verdict: KeyInUse, Existing: existing}, nil
+	case v.policy.OpenLimit > 0 && v.quota.Open(requested.Route) >= v.policy.OpenLimit:
 		return Vote{Verdict: OverLimit}, nil
 	case v.policy.HardLimitBytes > 0 && v.sizeBytes >= v.policy.HardLimitBytes:
 		return Vote{Verdict: Shed}, nil
 	}
-	wanted.State, wanted.Response = Reserved, nil
-	entry := &Entry{Intent: wanted, Quota: &QuotaEvent{QuotaReserve, wanted.Reservation, wanted.Route}}
+	requested.State, requested.Response = Reserved, nil
+	entry := &Entry{Intent: requested, Quota: &QuotaEvent{QuotaReserve, requested.Reservation, requested.Route}}
 	_ = v.Apply(*entry)
 	return Vote{Verdict: Granted}, entry
 }
@@ -127,33 +127,33 @@
 // Example:
 //
 //	entry, err := voter.Record(completed)
-func (v *Voter) Record(told Intent) (*Entry, error) {
-	held := v.table.find(told.Key)
-	isOther := held != nil && held.Attempt != told.Attempt
+func (v *Voter) Record(reported Intent) (*Entry, error) {
+	existing := v.table.find(reported.Key)
+	otherAttempt := existing != nil && existing.Attempt != reported.Attempt
 	switch {
-	case told.State == Released && v.table.findCompeting(told.Key, told.Attempt) != nil:
-		entry := &Entry{Intent: told}
+	case reported.State == Released && v.table.findCompeting(reported.Key, reported.Attempt) != nil:
+		entry := &Entry{Intent: reported}
 		return entry, v.Apply(*entry)
-	case held == nil && (told.State == Released || told.State == Reserved):
+	case existing == nil && (reported.State == Released || reported.State == Reserved):
 		return nil, nil
-	case isOther && told.State == Completed && held.State == Completed:
+	case otherAttempt && reported.State == Completed && existing.State == Completed:
 		// Two attempts ran: it must not be, and whoever watches is told.
 		v.duplicateExecutions++
 		return nil, nil
-	case isOther && (told.State == Released || held.State == Completed):
+	case otherAttempt && (reported.State == Released || existing.State == Completed):
 		return nil, nil
-	case held != nil && !isOther && held.State == told.State:
+	case existing != nil && !otherAttempt && existing.State == reported.State:
 		return nil, nil
-	case held != nil && !isOther:
-		if _, err := held.Transition(told.State); err != nil {
+	case existing != nil && !otherAttempt:
+		if _, err := existing.Transition(reported.State); err != nil {
 			return nil, errors.Trace(err)
 		}
 	}
-	entry := &Entry{Intent: told}
-	if step, isEnd := quotaEventKinds[told.State]; isEnd && held != nil && held.State.IsOpen() && !isOther {
-		entry.Quota = &QuotaEvent{step, told.Reservation, told.Route}
-	} else if told.State.IsOpen() && (held == nil || isOther) {
-		entry.Quota = &QuotaEvent{QuotaReserve, told.Reservation, told.Route}
+	entry := &Entry{Intent: reported}
+	if kind, final := quotaEventKinds[reported.State]; final && existing != nil && existing.State.IsOpen() && !otherAttempt {
+		entry.Quota = &QuotaEvent{kind, reported.Reservation, reported.Route}
+	} else if reported.State.IsOpen() && (existing == nil || otherAttempt) {
+		entry.Quota = &QuotaEvent{QuotaReserve, reported.Reservation, reported.Route}
 	}
 	return entry, v.Apply(*entry)
 }
@@ -170,8 +170,8 @@
 		v.table.addCompeting(intent)
 		return nil
 	}
-	if rival := v.table.findCompeting(intent.Key, intent.Attempt); rival != nil {
-		v.table.removeCompeting(rival)
+	if competing := v.table.findCompeting(intent.Key, intent.Attempt); competing != nil {
+		v.table.removeCompeting(competing)
 		if intent.State == Released {
 			return nil
 		}
@@ -192,11 +192,11 @@
 
 // place puts the intent into the table in place of the one that held the key.
 func (v *Voter) store(intent Intent) {
-	held := v.table.find(intent.Key)
-	if held != nil {
-		v.sizeBytes -= held.sizeBytes()
-		if held.Attempt != intent.Attempt && held.State.IsOpen() {
-			_ = v.quota.apply(QuotaEvent{QuotaRelease, held.Reservation, held.Route})
+	existing := v.table.find(intent.Key)
+	if existing != nil {
+		v.sizeBytes -= existing.sizeBytes()
+		if existing.Attempt != intent.Attempt && existing.State.IsOpen() {
+			_ = v.quota.apply(QuotaEvent{QuotaRelease, existing.Reservation, existing.Route})
 		}
 	}
 	if intent.State == Released {
@@ -209,7 +209,7 @@
 	}
 	v.table.put(&intent)
 	v.sizeBytes += intent.sizeBytes()
-	if held == nil || held.Attempt != intent.Attempt {
+	if existing == nil || existing.Attempt != intent.Attempt {
 		v.byCreation = append(v.byCreation, createdIntent{intent.Key, intent.Attempt, intent.CreatedMs})
 	}
 }
