--- a/internal/idempotency/compare.go
+++ b/internal/idempotency/compare.go
@@ -6,22 +6,18 @@
 	"slices"
 )
 
-// Cursor says which entries of a voter are still to be read. The zero cursor has
-// nothing left. It belongs to the reader: the voter keeps nothing of it.
+// Cursor describes the entries of a voter that are still to be read. The zero cursor
+// has none left. The reader keeps the cursor; the voter holds no state for it.
 type Cursor struct {
-	// Ranges are the ranges left to read, in order.
+	// Ranges are the remaining ranges, in reading order.
 	Ranges []Range `cbor:"1,keyasint,omitempty"`
-	// After is the last key of the first range that was read already.
+	// After is the last key already read in the first range.
 	After *Key `cbor:"2,keyasint,omitempty"`
-	// Only are the hashes of the keys that are wanted; empty means all.
+	// KeyHashes selects keys by hash; empty selects all.
 	KeyHashes []uint64 `cbor:"3,keyasint,omitempty"`
 }
 
-// Digests lists the digest of every range, of the intents in the scope.
-//
-// Example:
-//
-//	ranges := idempotency.Differing(mine.Digests(idempotency.Outcomes), theirs)
+// Digests returns the digest of every range, taken over the intents in scope.
 func (v *Voter) Digests(scope Scope) []Digest {
 	digests := make([]Digest, RangeCount)
 	for number := range v.table.ranges {
@@ -33,11 +29,7 @@
 	return digests
 }
 
-// Differing lists the ranges in which two lists of digests are not the same.
-//
-// Example:
-//
-//	ranges := idempotency.Differing(mine.Digests(scope), theirs)
+// DifferingRanges returns the ranges whose digests differ between two voters.
 func DifferingRanges(local, remote []Digest) (ranges []Range) {
 	for number := range min(len(local), len(remote), RangeCount) {
 		if local[number] != remote[number] {
@@ -47,11 +39,7 @@
 	return ranges
 }
 
-// Briefs identifies the intents of the given ranges.
-//
-// Example:
-//
-//	briefs := voter.Briefs(ranges)
+// Summaries returns the summaries of all intents in the given ranges.
 func (v *Voter) Summaries(ranges []Range) (summaries []IntentSummary) {
 	for _, number := range ranges {
 		if number >= RangeCount {
@@ -64,26 +52,22 @@
 	return summaries
 }
 
-// Scope says which intents a comparison is about.
+// Scope selects the intents that a comparison covers.
 type Scope uint8
 
 // The scopes of a comparison.
 const (
-	// AllIntents is for a member that rebuilds: it also needs the votes of attempts
-	// that may have been granted by a majority.
+	// AllIntents is used by a member that rebuilds its table: it also needs the votes
+	// for attempts that a majority may have granted.
 	AllIntents Scope = iota
-	// Outcomes is for a member that votes. An open intent of another member may be
-	// a vote that was given back everywhere else; only an outcome stands for good.
+	// CompletedIntents is used by a voting member. An open intent on another member
+	// may be a vote that was released everywhere else; only an outcome is final.
 	CompletedIntents
 )
 
-// Lacking lists the hashes of the keys of which another voter, by its briefs of
-// the given ranges, holds what this one lacks: an intent under a key that this one
-// does not know, another attempt that reserved a key, or an outcome.
-//
-// Example:
-//
-//	cursor.Only = mine.Lacking(ranges, theirs, idempotency.AllIntents)
+// MissingKeys returns the hashes of the keys for which another voter, according to
+// its summaries of the given ranges, holds something that this one does not: an
+// intent for an unknown key, another attempt that reserved a key, or an outcome.
 func (v *Voter) MissingKeys(ranges []Range, remote []IntentSummary, scope Scope) (keyHashes []uint64) {
 	held, completed := map[IntentSummary]bool{}, map[uint64]bool{}
 	for _, summary := range v.Summaries(ranges) {
@@ -99,12 +83,8 @@
 	return keyHashes
 }
 
-// Read lists entries from the cursor on, up to about so many bytes and one entry at
-// least, and returns the cursor of the rest.
-//
-// Example:
-//
-//	entries, rest := voter.Read(cursor, 256<<10)
+// Read returns entries from the cursor on, up to about limitBytes but at least one
+// entry, and the cursor for the remaining ones.
 func (v *Voter) Read(cursor Cursor, limitBytes int) (entries []Entry, rest Cursor) {
 	wanted := map[uint64]bool{}
 	for _, hash := range cursor.KeyHashes {
@@ -130,7 +110,8 @@
 	return entries, Cursor{}
 }
 
-// afterIn is the key as the place reached in a range, nil if it is of another.
+// cursorKey returns the key as a position in the range, or nil if it belongs to
+// another range.
 func cursorKey(number Range, key Key) *Key {
 	if rangeOf(key) != number {
 		return nil
@@ -138,7 +119,7 @@
 	return &key
 }
 
-// entryOf is the intent with the reservation that it holds.
+// newEntry returns the entry for an intent, with the reservation if it is open.
 func newEntry(intent *Intent) Entry {
 	entry := Entry{Intent: *intent}
 	if intent.State.IsOpen() {
@@ -147,13 +128,9 @@
 	return entry
 }
 
-// Snapshot lists the table as it stands now, in the order in which it came about:
-// enough to make the table again. It holds no copy of the intents, which are never
-// changed in place, and may be read beside the voter's owner.
-//
-// Example:
-//
-//	for entry := range voter.Snapshot() { write(entry) }
+// Snapshot returns the current table in creation order; applying its entries rebuilds
+// the table. It shares the intents, which are never changed in place, so it may be
+// read while the voter's owner continues to change the table.
 func (v *Voter) Snapshot() iter.Seq[Entry] {
 	intents := make([]*Intent, 0, v.table.count)
 	for _, created := range v.byCreation {
@@ -181,15 +158,11 @@
 	}
 }
 
-// Entries lists the snapshot.
-//
-// Example:
-//
-//	for _, entry := range voter.Entries() { write(entry) }
+// Entries returns the snapshot as a slice.
 func (v *Voter) Entries() []Entry { return slices.Collect(v.Snapshot()) }
 
-// sortByAge brings the order back to that of the intents' creation, after a union or
-// a start: what another voter held came in the order of ranges.
+// sortByCreation restores creation order after a merge or a start: entries from
+// another voter arrive in the order of ranges.
 func (v *Voter) sortByCreation() {
 	if !v.unsorted {
 		return
--- a/internal/idempotency/compare_test.go
+++ b/internal/idempotency/compare_test.go
@@ -10,12 +10,13 @@
 	"ploverhitch/internal/idempotency"
 )
 
-// voterOf holds operations, completed where the flag says so.
+// newVoterWith returns a voter that holds the operations with numbers in [from, to),
+// reserved or completed.
 func newVoterWith(from, to int, completed bool) *idempotency.Voter {
 	voter := idempotency.NewVoter(policy())
 	for number := from; number < to; number++ {
 		name := fmt.Sprint("operation-", number)
-		intent := idempotency.Intent{Key: idempotency.Key{Tenant: "h", Key: name}, Attempt: idempotency.Attempt(name), Reservation: name, Route: "lane"}
+		intent := idempotency.Intent{Key: idempotency.Key{Tenant: "h", Key: name}, Attempt: idempotency.Attempt(name), Reservation: name, Route: "route"}
 		voter.Reserve(intent)
 		if completed {
 			intent.State, intent.Response = idempotency.Completed, &idempotency.Response{Body: []byte(strings.Repeat("x", 100))}
@@ -33,8 +34,8 @@
 	return ranges
 }
 
-var _ = Describe("the comparison of two tables", func() {
-	It("finds no difference where both hold the same, in whatever order it came", func() {
+var _ = Describe("comparison of two tables", func() {
+	It("finds no difference between tables with the same intents, whatever their order of arrival", func() {
 		one, other := newVoterWith(0, 300, true), idempotency.NewVoter(policy())
 		entries := one.Entries()
 		for at := range entries {
@@ -45,7 +46,7 @@
 		}
 	})
 
-	It("finds a vote among all intents and not among the outcomes", func() {
+	It("finds a missing vote when comparing all intents, but not when comparing completed ones", func() {
 		one, other := newVoterWith(0, 1, false), newVoterWith(0, 0, false)
 		all := idempotency.DifferingRanges(other.Digests(idempotency.AllIntents), one.Digests(idempotency.AllIntents))
 		Expect(all).To(HaveLen(1))
@@ -54,13 +55,13 @@
 		Expect(idempotency.DifferingRanges(other.Digests(idempotency.CompletedIntents), one.Digests(idempotency.CompletedIntents))).To(BeEmpty())
 	})
 
-	It("lacks an outcome of which it holds only the vote, and nothing the other way", func() {
+	It("reports an outcome as missing where only the vote is held, and not the reverse", func() {
 		one, other := newVoterWith(0, 5, true), newVoterWith(0, 5, false)
 		Expect(other.MissingKeys(allRanges(), one.Summaries(allRanges()), idempotency.CompletedIntents)).To(HaveLen(5))
 		Expect(one.MissingKeys(allRanges(), other.Summaries(allRanges()), idempotency.AllIntents)).To(BeEmpty())
 	})
 
-	It("reads in pieces of about the size asked for, each entry once", func() {
+	It("reads pages of about the requested size, each entry once", func() {
 		voter, seen := newVoterWith(0, 500, true), map[string]bool{}
 		cursor, pages := idempotency.Cursor{Ranges: allRanges()}, 0
 		for len(cursor.Ranges) > 0 {
@@ -77,12 +78,12 @@
 		Expect(pages).To(BeNumerically(">", 40))
 	})
 
-	It("grants no new intent above its ceiling, and still replays and records", func() {
+	It("grants no new intent above its hard limit, but still records outcomes and reports existing intents", func() {
 		bounded := policy()
 		bounded.HardLimitBytes = 1
 		voter := idempotency.NewVoter(bounded)
-		first := idempotency.Intent{Key: idempotency.Key{Key: "1"}, Attempt: "1", Reservation: "1", Route: "lane"}
-		second := idempotency.Intent{Key: idempotency.Key{Key: "2"}, Attempt: "2", Reservation: "2", Route: "lane"}
+		first := idempotency.Intent{Key: idempotency.Key{Key: "1"}, Attempt: "1", Reservation: "1", Route: "route"}
+		second := idempotency.Intent{Key: idempotency.Key{Key: "2"}, Attempt: "2", Reservation: "2", Route: "route"}
 		vote, _ := voter.Reserve(first)
 		Expect(vote.Verdict).To(Equal(idempotency.Granted))
 		vote, entry := voter.Reserve(second)
--- a/internal/idempotency/competing.go
+++ b/internal/idempotency/competing.go
@@ -2,13 +2,13 @@
 
 import "slices"
 
-// A member that rebuilds may find two attempts that reserved the same key on
-// different members, and cannot tell which of them the majority granted that it was
-// itself counted in. It holds one and keeps the others as rivals: when the one is
-// given back, a rival takes its place, so that the key is never free while an
-// attempt that may have been delivered is known.
+// A member that rebuilds its table may find two attempts that reserved the same key on
+// different members, and cannot tell which of them had the majority that included its
+// own vote. One intent holds the key and the others are kept as competing intents. When
+// the holder is released, a competing intent takes its place, so that a key is never
+// free while an attempt that may have been delivered is known.
 
-// addRival keeps an intent beside the one that holds the key.
+// addCompeting adds an intent that competes with the one that holds the key.
 func (t *table) addCompeting(intent Intent) {
 	r := t.rangeFor(intent.Key)
 	if r.competing == nil {
@@ -18,7 +18,7 @@
 	r.toggleDigest(intent.summary())
 }
 
-// rivalOf is the rival of the key that has the attempt, or nil.
+// findCompeting returns the competing intent of an attempt for the key, or nil.
 func (t *table) findCompeting(key Key, attempt Attempt) *Intent {
 	for _, competing := range t.rangeFor(key).competing[key] {
 		if competing.Attempt == attempt {
@@ -44,7 +44,7 @@
 	}
 }
 
-// takeRival removes the key's first rival and returns it, or nil.
+// takeCompeting removes and returns the first competing intent for the key, or nil.
 func (t *table) takeCompeting(key Key) *Intent {
 	competing := t.rangeFor(key).competing[key]
 	if len(competing) == 0 {
@@ -55,7 +55,7 @@
 	return first
 }
 
-// all lists the intents of a range, and the rivals after them.
+// all returns the intents of a range, followed by the competing ones.
 func (r *keyRange) all() (intents []*Intent) {
 	intents = make([]*Intent, 0, len(r.intents)+len(r.competing))
 	for _, intent := range r.intents {
--- a/internal/idempotency/expire.go
+++ b/internal/idempotency/expire.go
@@ -2,14 +2,9 @@
 
 import "time"
 
-// Tend ends what is past its time: an open intent past the key window expires,
-// ends past the retention are forgotten, and, where the table is larger than
-// its bytes, the oldest ends past the key window go first. It returns the
-// entries to keep.
-//
-// Example:
-//
-//	entries := voter.Tend(clock.Wall())
+// Expire expires open intents past the key window and removes final ones past the
+// retention. While the table exceeds its soft limit, final intents past the key window
+// are removed early, oldest first. It returns the entries to persist.
 func (v *Voter) Expire(now time.Time) (entries []Entry) {
 	v.sortByCreation()
 	window := v.policy.KeyWindow + v.policy.ClockMargin
@@ -42,12 +37,8 @@
 	return entries
 }
 
-// Union adds what another voter holds to a table that is being rebuilt. It may
-// only add: it never grants, and an outcome that was shown stands.
-//
-// Example:
-//
-//	entries := voter.Union(told)
+// Merge adds the entries of another voter to the table and returns the entries to
+// persist. It grants no reservation and never replaces a recorded outcome.
 func (v *Voter) Merge(received []Entry) (entries []Entry) {
 	v.unsorted = true
 	for _, entry := range received {
@@ -58,7 +49,8 @@
 	return entries
 }
 
-// unionOf takes one intent of another voter, and returns the entry to keep, if any.
+// mergeIntent merges one intent of another voter and returns the entry to persist, if
+// any.
 func (v *Voter) mergeIntent(received Intent) *Entry {
 	existing := v.table.find(received.Key)
 	entry := newEntry(&received)
@@ -87,12 +79,8 @@
 	return &entry
 }
 
-// Count tells how many intents stand in each state, and the age of the oldest
+// CountByState returns the number of intents in each state and the age of the oldest
 // open one.
-//
-// Example:
-//
-//	counts, oldest := voter.Count(clock.Wall())
 func (v *Voter) CountByState(now time.Time) (counts map[string]int, oldest time.Duration) {
 	counts = map[string]int{}
 	for number := range v.table.ranges {
--- a/internal/idempotency/expire_test.go
+++ b/internal/idempotency/expire_test.go
@@ -9,14 +9,14 @@
 	"ploverhitch/internal/idempotency"
 )
 
-var _ = Describe("the key window where times of day step", func() {
+var _ = Describe("the key window under clock skew", func() {
 	const (
 		window = time.Minute
 		margin = 10 * time.Second
 		step   = 2 * time.Second
 	)
-	// heldFor is how long after its creation a completed key is held by a voter that
-	// is short of memory, with the clocks of proxy and voter off by so much.
+	// retainedFor returns how long after its creation a completed key is retained by a
+	// voter above its soft limit, with the given clock skews of proxy and voter.
 	retainedFor := func(proxySkew, voterSkew time.Duration) time.Duration {
 		voter := idempotency.NewVoter(idempotency.Policy{OpenLimit: 10, KeyWindow: window, ClockMargin: margin, Retention: 24 * time.Hour, SoftLimitBytes: 1})
 		created := time.Unix(1_000_000, 0)
@@ -36,7 +36,7 @@
 		return 3 * window
 	}
 
-	It("is kept whole though proxy and voter step by 2 s in opposite directions", func() {
+	It("lasts in full when the clocks of proxy and voter step by 2 s in opposite directions", func() {
 		for _, proxySkew := range []time.Duration{-step, 0, step} {
 			for _, voterSkew := range []time.Duration{-step, 0, step} {
 				retained := retainedFor(proxySkew, voterSkew)
@@ -46,7 +46,7 @@
 		}
 	})
 
-	It("is cut short where the clocks are further apart than the margin", func() {
+	It("is shortened when the clocks differ by more than the margin", func() {
 		Expect(retainedFor(-margin, 2*time.Second)).To(BeNumerically("<", window))
 	})
 })
--- a/internal/idempotency/intent.go
+++ b/internal/idempotency/intent.go
@@ -1,6 +1,6 @@
-// Package idempotency is the paper's idempotent replay: one intent record a key, a
-// table of its states, quota kept as events, and the vote by which a key's
-// first attempt becomes the only one that may be delivered.
+// Package idempotency implements idempotent replay of requests: one intent record per
+// operation key, its state machine, quota accounting by events, and the majority vote
+// by which the first attempt for a key becomes the only one that may be delivered.
 package idempotency
 
 import (
@@ -11,11 +11,12 @@
 	"github.com/juju/errors"
 )
 
-// State is where an intent stands.
+// State is the state of an intent.
 type State uint8
 
-// The states of an intent. Reserved, AuthorizationPending and
-// TimeoutUnresolved are open; Completed, Released and Expired are ends.
+// The states of an intent. Reserved, AuthorizationPending and TimeoutUnresolved are
+// open; Completed, Released and Expired are final, except that an outcome may still
+// be recorded for an expired intent.
 const (
 	Absent State = iota
 	Reserved
@@ -31,26 +32,18 @@
 	TimeoutUnresolved: "TimeoutUnresolved", Completed: "Completed", Released: "Released", Expired: "Expired",
 }
 
-// String names the state.
-//
-// Example:
-//
-//	idempotency.Reserved.String() // "Reserved"
+// String returns the name of the state.
 func (s State) String() string { return stateNames[s] }
 
-// IsOpen tells whether the outcome is still to be shown.
-//
-// Example:
-//
-//	if intent.State.IsOpen() { waitForOutcome() }
+// IsOpen reports whether the outcome is still unknown.
 func (s State) IsOpen() bool { return s >= Reserved && s <= TimeoutUnresolved }
 
-// isToldByOwner tells whether only the owner of a delivered attempt can have brought
-// the intent into the state.
+// reportedByOwner reports whether only the owner of a delivered attempt can have
+// moved the intent into the state.
 func (s State) reportedByOwner() bool { return s >= AuthorizationPending && s <= Completed }
 
-// transitions is the one table of what may follow what. Pending may become
-// Released only because a server showed that it did not run the request.
+// transitions lists the allowed state changes. A pending intent becomes Released only
+// when a server has shown that it did not execute the request.
 var transitions = map[State]map[State]bool{
 	Absent:               {Reserved: true, AuthorizationPending: true, TimeoutUnresolved: true, Completed: true},
 	Reserved:             {AuthorizationPending: true, TimeoutUnresolved: true, Completed: true, Released: true, Expired: true},
@@ -59,31 +52,23 @@
 	Expired:              {Completed: true},
 }
 
-// MayFollow tells whether the table allows the step.
-//
-// Example:
-//
-//	idempotency.MayFollow(idempotency.Completed, idempotency.Reserved) // false
+// CanTransition reports whether an intent may change from one state to another.
 func CanTransition(from, to State) bool { return transitions[from][to] }
 
-// Key is a client's operation key within its tenant. The service is no part of
-// it: a route may move between two tries, and the key must still run once.
+// Key is a client's operation key within its tenant. It excludes the service: a route
+// may move between two attempts, and the operation must still execute only once.
 type Key struct {
 	Tenant string `cbor:"1,keyasint"`
 	Key    string `cbor:"2,keyasint"`
 }
 
-// Attempt names one try of one proxy; no two are the same.
+// Attempt is the unique identifier of one attempt by one proxy.
 type Attempt string
 
-// Hash is the digest of what a request asks for.
+// RequestHash identifies the content of a request.
 type RequestHash [16]byte
 
-// HashOf digests method, path with query, and body.
-//
-// Example:
-//
-//	hash := idempotency.HashOf("POST", "/pay/1?x=2", body)
+// HashRequest hashes the method, the path with its query, and the body.
 func HashRequest(method, target string, body []byte) (hash RequestHash) {
 	sum := sha256.New()
 	var size [8]byte
@@ -96,7 +81,7 @@
 	return hash
 }
 
-// Reply is a recorded terminal response.
+// Response is the recorded final response of an operation.
 type Response struct {
 	Status      int    `cbor:"1,keyasint"`
 	Seal        string `cbor:"2,keyasint,omitempty"`
@@ -104,7 +89,7 @@
 	Body        []byte `cbor:"4,keyasint,omitempty"`
 }
 
-// Intent is the record of one key. It is never changed in place.
+// Intent is the record of one operation key. It is never changed in place.
 type Intent struct {
 	Key           Key          `cbor:"1,keyasint"`
 	Attempt       Attempt      `cbor:"2,keyasint"`
@@ -120,27 +105,25 @@
 	Response      *Response    `cbor:"12,keyasint,omitempty"`
 }
 
-// Expiry is what becomes of a key whose window ended with no outcome shown.
+// ExpiryPolicy selects the treatment of a key whose window ended without a known
+// outcome.
 type ExpiryPolicy uint8
 
-// HoldUnresolved keeps answering that the key is in work until the record's
-// retention ends: expiry proves nothing.
+// HoldUnresolved keeps reporting the operation as in progress until the retention of
+// its record ends: expiry does not show whether the operation was executed.
 const HoldUnresolved ExpiryPolicy = 0
 
-// Step returns the intent in its next state, or an error if the table does not
-// allow the step.
-//
-// Example:
-//
-//	done, err := intent.Step(idempotency.Completed)
+// Transition returns the intent in the given state, or an error if the change is not
+// allowed.
 func (i Intent) Transition(to State) (Intent, error) {
 	if !CanTransition(i.State, to) {
-		return i, errors.NotValidf("step from %s to %s", i.State, to)
+		return i, errors.NotValidf("transition from %s to %s", i.State, to)
 	}
 	i.State = to
 	return i, nil
 }
 
+// sizeBytes estimates the memory that the intent takes.
 func (i *Intent) sizeBytes() int {
 	size := 400 + len(i.Key.Key) + len(i.Key.Tenant)
 	if i.Response != nil {
--- a/internal/idempotency/quota.go
+++ b/internal/idempotency/quota.go
@@ -2,11 +2,11 @@
 
 import "github.com/juju/errors"
 
-// QuotaStep is one kind of quota event.
+// QuotaEventKind is the kind of a quota event.
 type QuotaEventKind uint8
 
-// The quota events: a reservation is made, and then consumed, released or
-// expired once.
+// The kinds of quota events: a reservation is made, and then consumed, released or
+// expired exactly once.
 const (
 	QuotaReserve QuotaEventKind = iota + 1
 	QuotaConsume
@@ -14,20 +14,21 @@
 	QuotaExpire
 )
 
-// quotaOf is the event that a step of an intent brings with it.
+// quotaEventKinds maps the final states of an intent to the quota events that they
+// cause.
 var quotaEventKinds = map[State]QuotaEventKind{
 	Completed: QuotaConsume, Released: QuotaRelease, Expired: QuotaExpire,
 }
 
-// QuotaEvent is one line of the quota's account.
+// QuotaEvent is one change of a reservation that counts against a route's limit.
 type QuotaEvent struct {
 	Kind        QuotaEventKind `cbor:"1,keyasint"`
 	Reservation string         `cbor:"2,keyasint"`
 	Route       string         `cbor:"3,keyasint"`
 }
 
-// Quota derives counts from events: the limit counted is the number of open
-// intents of a route.
+// Quota counts reservations by applying quota events. The limited quantity is the
+// number of open intents of a route.
 type Quota struct {
 	reservations map[string]string
 	open         map[string]int
@@ -61,17 +62,13 @@
 	return nil
 }
 
-// Usage is one limit's account.
+// Usage is the number of open and of consumed reservations of a route.
 type Usage struct {
 	Open     int `json:"Open"`
 	Consumed int `json:"Consumed"`
 }
 
-// Usage is the account of every limit that was ever used.
-//
-// Example:
-//
-//	for route, usage := range quota.Usage() { show(route, usage.Open) }
+// Usage returns the usage of every route with open or consumed reservations.
 func (q *Quota) Usage() map[string]Usage {
 	usage := map[string]Usage{}
 	for route := range q.open {
@@ -83,16 +80,8 @@
 	return usage
 }
 
-// Open is how many reservations a limit holds now.
-//
-// Example:
-//
-//	isFull := quota.Open(route) >= limit
+// Open returns the number of reservations that a route holds now.
 func (q *Quota) Open(route string) int { return q.open[route] }
 
-// Consumed is how many reservations of a limit were used up.
-//
-// Example:
-//
-//	used := quota.Consumed(route)
+// Consumed returns the number of consumed reservations of a route.
 func (q *Quota) Consumed(route string) int { return q.consumed[route] }
--- a/internal/idempotency/round.go
+++ b/internal/idempotency/round.go
@@ -2,10 +2,10 @@
 
 import "ploverhitch/internal/timetable"
 
-// Standing is how far a vote round has come.
+// RoundStatus is the result of a vote round so far.
 type RoundStatus uint8
 
-// The standings of a round.
+// The statuses of a round.
 const (
 	Undecided RoundStatus = iota
 	Won
@@ -17,8 +17,8 @@
 	Overloaded
 )
 
-// Round gathers the votes of one attempt. What it comes to depends only on the
-// replies and on the span in which they came.
+// Round collects the votes for one attempt. Its status depends only on the votes and
+// on whether they arrived within the timeout.
 type Round struct {
 	RequestHash RequestHash
 	members     int
@@ -31,21 +31,13 @@
 	existing                             *Intent
 }
 
-// NewRound begins a round among so many members; its grants count only within
-// the span.
-//
-// Example:
-//
-//	round := idempotency.NewRound(hash, 3, clock.Steady(), span)
+// NewRound starts a round among the given number of members. Grants count only until
+// the timeout.
 func NewRound(requestHash RequestHash, members int, startedAt, timeout timetable.Steady) *Round {
 	return &Round{RequestHash: requestHash, members: members, startedAt: startedAt, timeout: timeout}
 }
 
-// On takes one member's ballot, or nil from a member that could not be asked.
-//
-// Example:
-//
-//	round.On(&ballot)
+// AddVote adds the vote of one member, or nil for a member that could not be asked.
 func (r *Round) AddVote(vote *Vote) {
 	switch {
 	case vote == nil || vote.Verdict == Refused:
@@ -67,11 +59,7 @@
 	}
 }
 
-// Standing tells what the replies so far come to.
-//
-// Example:
-//
-//	if round.Standing(clock.Steady()) == idempotency.Won { deliver() }
+// Status evaluates the votes received so far.
 func (r *Round) Status(now timetable.Steady) RoundStatus {
 	majority := r.members/2 + 1
 	inTime := now-r.startedAt <= r.timeout
@@ -96,9 +84,6 @@
 	return NoMajority
 }
 
-// Terminal is the intent whose recorded reply answers the request.
-//
-// Example:
-//
-//	reply := round.Terminal().Reply
+// Terminal returns the final intent whose recorded response answers the request, or
+// nil.
 func (r *Round) Terminal() *Intent { return r.terminal }
--- a/internal/idempotency/simulation_test.go
+++ b/internal/idempotency/simulation_test.go
@@ -10,8 +10,8 @@
 	"ploverhitch/internal/idempotency"
 )
 
-// node is one core node of the simulation: what it tells came from its kept
-// entries, so a restart reads those again.
+// node is one control plane member of the simulation. It persists every entry before
+// it responds, so a restart replays them.
 type node struct {
 	voter   *idempotency.Voter
 	entries []idempotency.Entry
@@ -36,8 +36,8 @@
 	}
 }
 
-// world is three nodes and the proxies' tries, with the plain model beside
-// them: how often each key ran, and what its first run answered.
+// simulation holds the nodes and the proxies' attempts, and the reference model: how
+// often each key was executed, and the response of its first execution.
 type simulation struct {
 	random        *rand.Rand
 	nodes         []*node
@@ -45,7 +45,7 @@
 	executions    map[string]int
 	firstResponse map[string]string
 	attempts      []*simulatedAttempt
-	// losses is how many nodes may be wiped at once.
+	// maxWiped is the maximum number of nodes wiped at once.
 	maxWiped int
 }
 
@@ -58,17 +58,17 @@
 
 func (s *simulation) start() *simulatedAttempt {
 	s.attemptCount++
-	attemptID := fmt.Sprint("try", s.attemptCount)
+	attemptID := fmt.Sprint("attempt-", s.attemptCount)
 	t := &simulatedAttempt{pendingNodes: s.random.Perm(len(s.nodes))}
 	t.intent = idempotency.Intent{
 		Key: idempotency.Key{Tenant: "host", Key: fmt.Sprint(s.random.IntN(8))}, Attempt: idempotency.Attempt(attemptID),
-		Route: "lane", Reservation: attemptID, State: idempotency.Reserved, CreatedMs: 1_000_000_000,
+		Route: "route", Reservation: attemptID, State: idempotency.Reserved, CreatedMs: 1_000_000_000,
 	}
 	t.round = idempotency.NewRound(t.intent.RequestHash, len(s.nodes), 0, 100)
 	return t
 }
 
-// advance asks one more node, and acts on what the round comes to.
+// advance requests one more vote and acts on the status of the round.
 func (s *simulation) advance(t *simulatedAttempt) {
 	if len(t.pendingNodes) > 0 {
 		n := s.nodes[t.pendingNodes[0]]
@@ -79,7 +79,7 @@
 			vote, entry := n.voter.Reserve(t.intent)
 			n.persist(entry)
 			if s.random.IntN(8) == 0 {
-				t.round.AddVote(nil) // the vote was kept, and its reply was lost
+				t.round.AddVote(nil) // the vote was persisted, but its response was lost
 			} else {
 				t.round.AddVote(&vote)
 			}
@@ -91,12 +91,12 @@
 		return
 	case idempotency.Won:
 		s.executions[key]++
-		response := fmt.Sprint("answer of ", t.intent.Attempt)
+		response := fmt.Sprint("response of ", t.intent.Attempt)
 		if s.firstResponse[key] == "" {
 			s.firstResponse[key] = response
 		}
 		switch s.random.IntN(4) {
-		case 0: // the proxy dies: nothing is recorded
+		case 0: // the proxy crashes and records nothing
 		case 1:
 			t.intent.State = idempotency.TimeoutUnresolved
 			s.record(t.intent)
@@ -124,8 +124,8 @@
 	}
 }
 
-// trouble restarts a node, or wipes as many as the world bears and rebuilds them
-// once every round that could count their old votes is over.
+// injectFault restarts a node, or wipes up to maxWiped nodes and rebuilds them once
+// every round that could count their old votes has ended.
 func (s *simulation) injectFault() {
 	if s.random.IntN(2) == 0 {
 		s.nodes[s.random.IntN(len(s.nodes))].restart()
@@ -152,8 +152,8 @@
 	}
 }
 
-// rebuild reads only as many trusted nodes as the read set asks for, and by the way
-// some that are not trusted.
+// rebuild copies from only as many trusted nodes as the read set requires, and from
+// untrusted ones that come before them.
 func (s *simulation) rebuild(n *node) {
 	read, needed := 0, len(s.nodes)-(len(s.nodes)/2+1)+1
 	for _, index := range s.random.Perm(len(s.nodes)) {
@@ -170,7 +170,7 @@
 	n.trusted = true
 }
 
-// copyAll reads what another node holds and this one lacks, as members do.
+// copyMissing copies what another node holds and this one is missing, as members do.
 func (s *simulation) copyMissing(n, other *node) {
 	ranges := idempotency.DifferingRanges(n.voter.Digests(idempotency.AllIntents), other.voter.Digests(idempotency.AllIntents))
 	missing := n.voter.MissingKeys(ranges, other.voter.Summaries(ranges), idempotency.AllIntents)
@@ -187,8 +187,8 @@
 	}
 }
 
-// retell tells the nodes once more how a try ended, as a proxy does that meets one
-// of them again.
+// repeatRecord sends the final state of an attempt to the nodes again, as a proxy does
+// when it reconnects to a member.
 func (s *simulation) repeatRecord() {
 	if t := s.attempts[s.random.IntN(len(s.attempts))]; t.finished && t.intent.State != idempotency.Reserved {
 		s.record(t.intent)
--- a/internal/idempotency/table.go
+++ b/internal/idempotency/table.go
@@ -7,34 +7,34 @@
 	"slices"
 )
 
-// RangeCount is how many ranges the keys are divided into. Members compare their
-// tables by one digest a range.
+// RangeCount is the number of ranges into which keys are divided. Members compare
+// their tables by one digest per range.
 const RangeCount = 1024
 
-// Range numbers one of the ranges of keys.
+// Range is the number of a range of keys.
 type Range uint16
 
-// Digest sums up the intents of one range: two members with the same digest lack
-// nothing of each other in that range.
+// Digest is a combined hash of the intents in one range: two members with equal digests
+// hold the same intents in that range.
 type Digest uint64
 
-// Brief identifies one intent in a comparison of two tables. Attempt is 0 for a
-// completed intent: its outcome stands whatever attempt it came from.
+// IntentSummary identifies one intent in a comparison of two tables. Attempt is 0 for a
+// completed intent: its outcome is final whichever attempt produced it.
 type IntentSummary struct {
 	_       struct{} `cbor:",toarray"`
 	Key     uint64
 	Attempt uint64
 }
 
-// keyRange holds the intents of one range of keys.
+// keyRange holds the intents in one range of keys.
 type keyRange struct {
 	intents   map[Key]*Intent
 	competing map[Key][]*Intent
-	// digest is of all, outcomes of the completed ones.
+	// digest covers all intents, completedDigest only the completed ones.
 	digest, completedDigest Digest
 }
 
-// sum brings an intent into the digests of its range, or takes it out again.
+// toggleDigest adds an intent to the digests of its range, or removes it again.
 func (r *keyRange) toggleDigest(summary IntentSummary) {
 	digest := summary.digest()
 	r.digest ^= digest
@@ -43,7 +43,7 @@
 	}
 }
 
-// table holds the intents by range, and the digest of each range.
+// table holds the intents by range.
 type table struct {
 	ranges [RangeCount]keyRange
 	count  int
@@ -53,7 +53,7 @@
 
 func (t *table) find(key Key) *Intent { return t.rangeFor(key).intents[key] }
 
-// put stores an intent in place of the one of the same key.
+// put stores an intent, replacing the one with the same key.
 func (t *table) put(intent *Intent) {
 	t.remove(intent.Key)
 	r := t.rangeFor(intent.Key)
@@ -76,7 +76,7 @@
 	t.count--
 }
 
-// sorted lists the intents of a range, with their rivals, in the order of their keys.
+// sorted returns the intents of a range, competing ones included, ordered by key.
 func (t *table) sorted(number Range) []*Intent {
 	intents := t.ranges[number].all()
 	slices.SortStableFunc(intents, func(a, b *Intent) int { return a.Key.compare(b.Key) })
@@ -90,8 +90,8 @@
 
 func (k Key) hash() uint64 { return hashOf(k.Tenant, k.Key) }
 
-// rangeOf is the range of a key. It is asked for with every look at the table, and
-// so goes by a cheaper sum than comparisons do.
+// rangeOf returns the range of a key. Every access to the table calls it, so it uses a
+// cheaper hash than comparisons do.
 func rangeOf(key Key) Range {
 	sum := uint64(fnvOffsetBasis)
 	for _, text := range [...]string{key.Tenant, "\x00", key.Key} {
@@ -102,13 +102,13 @@
 	return Range(sum % RangeCount)
 }
 
-// The figures of FNV-1a, 64 bits.
+// The parameters of 64-bit FNV-1a.
 const (
 	fnvOffsetBasis = 14695981039346656037
 	fnvPrime       = 1099511628211
 )
 
-// brief is the intent as it stands in a comparison.
+// summary returns the intent's summary for comparisons.
 func (i *Intent) summary() IntentSummary {
 	summary := IntentSummary{Key: i.Key.hash()}
 	if i.State != Completed {
@@ -117,14 +117,10 @@
 	return summary
 }
 
-// IsOutcome tells whether the intent is completed.
-//
-// Example:
-//
-//	if brief.IsOutcome() { copyAtOnce(brief.Key) }
+// IsCompleted reports whether the intent is completed.
 func (b IntentSummary) IsCompleted() bool { return b.Attempt == 0 }
 
-// digest is the intent's part in the digest of its range.
+// digest returns the intent's contribution to the digests of its range.
 func (b IntentSummary) digest() Digest {
 	var text [16]byte
 	binary.BigEndian.PutUint64(text[:], b.Key)
@@ -133,7 +129,8 @@
 	return Digest(binary.BigEndian.Uint64(sum[:]))
 }
 
-// hashOf digests strings, each with its length, so that no two lists are alike.
+// hashOf hashes strings, each with its length, so that different lists have different
+// inputs.
 func hashOf(parts ...string) uint64 {
 	text := make([]byte, 0, 128)
 	for _, part := range parts {
--- a/internal/idempotency/voter.go
+++ b/internal/idempotency/voter.go
@@ -6,7 +6,7 @@
 	"github.com/juju/errors"
 )
 
-// Verdict is a voter's reply to an attempt.
+// Verdict is a voter's decision on a reservation.
 type Verdict uint8
 
 // The verdicts of a voter.
@@ -15,45 +15,48 @@
 	KeyInUse
 	OverLimit
 	Refused
-	// Shed: the service is overloaded, or the voter's table is full, and no intent is
-	// created for this key now.
+	// Shed means that the service is overloaded or the voter's table is full, and no
+	// intent is created for this key now.
 	Shed
 )
 
-// Ballot is a voter's reply: its verdict, and the intent that holds the key if
-// another attempt does.
+// Vote is a voter's response to a reservation: its verdict, and the existing intent if
+// the key is in use.
 type Vote struct {
 	Verdict  Verdict `cbor:"1,keyasint"`
 	Existing *Intent `cbor:"2,keyasint,omitempty"`
 }
 
-// Policy bounds what a voter keeps.
+// Policy limits what a voter stores and for how long.
 type Policy struct {
 	OpenLimit   int
 	Retention   time.Duration
 	KeyWindow   time.Duration
 	ClockMargin time.Duration
-	// Bytes is what the intents may take before ends past the key window go early.
+	// SoftLimitBytes is the table size above which final intents past the key window
+	// are removed before their retention ends; 0 means no limit.
 	SoftLimitBytes int
-	// Ceiling is what they may take before no new intent is granted; 0 is no bound.
+	// HardLimitBytes is the table size from which on no new intent is granted; 0 means
+	// no limit.
 	HardLimitBytes int
 }
 
-// Entry is what a voter's log keeps of one change: the intent's new record and
-// the quota event that goes with it, in one write.
+// Entry is the log record of one change: the new version of the intent and the
+// associated quota event, in one write.
 type Entry struct {
 	Intent Intent      `cbor:"1,keyasint"`
 	Quota  *QuotaEvent `cbor:"2,keyasint,omitempty"`
-	// IsRival marks an intent that is kept beside the one that holds the key.
+	// Competing marks an intent that is kept in addition to the one that holds the key.
 	Competing bool `cbor:"3,keyasint,omitempty"`
 }
 
-// Voter is one core node's table of intents. It has one owner.
+// Voter is the table of intents on one control plane member, which votes on
+// reservations. It is not safe for concurrent use: one owner calls it.
 type Voter struct {
 	policy     Policy
 	table      table
 	byCreation []createdIntent
-	// isUnsorted says that the order is not that of creation.
+	// unsorted is set while byCreation is not in creation order.
 	unsorted            bool
 	sizeBytes           int
 	quota               *Quota
@@ -66,42 +69,23 @@
 	createdMs int64
 }
 
-// NewVoter makes an empty table.
-//
-// Example:
-//
-//	voter := idempotency.NewVoter(idempotency.Policy{OpenLimit: 100, KeyWindow: time.Minute})
+// NewVoter returns a voter with an empty table.
 func NewVoter(policy Policy) *Voter {
 	return &Voter{policy: policy, unsorted: true, quota: newQuota()}
 }
 
-// Find returns the record of a key, or nil.
-//
-// Example:
-//
-//	if held := voter.Find(key); held != nil { show(held) }
+// Find returns the intent that holds a key, or nil.
 func (v *Voter) Find(key Key) *Intent { return v.table.find(key) }
 
-// Doubles is how many keys were seen with the runs of two attempts.
-//
-// Example:
-//
-//	if voter.Doubles() > before { halt() }
+// DuplicateExecutions returns how often a second completed attempt was reported for a
+// key.
 func (v *Voter) DuplicateExecutions() int { return v.duplicateExecutions }
 
-// Quota is the account derived from the events.
-//
-// Example:
-//
-//	open := voter.Quota().Open(route)
+// Quota returns the reservation counts.
 func (v *Voter) Quota() *Quota { return v.quota }
 
-// Reserve votes for the first attempt that asks for a key. A grant comes with
-// the entry that must be kept before the grant is told.
-//
-// Example:
-//
-//	ballot, entry := voter.Reserve(intent)
+// Reserve grants a key to the first attempt that requests it. A new grant comes with
+// the entry that must be persisted before the vote is sent.
 func (v *Voter) Reserve(requested Intent) (Vote, *Entry) {
 	existing := v.table.find(requested.Key)
 	switch {
@@ -120,13 +104,9 @@
 	return Vote{Verdict: Granted}, entry
 }
 
-// Record takes what the owner of the key's only delivered attempt tells. A
-// vote for another attempt gives way to it, since that one cannot have won.
-// Nothing new gives no entry.
-//
-// Example:
-//
-//	entry, err := voter.Record(completed)
+// Record stores the state that the owner of the key's only delivered attempt reports. It
+// replaces a vote for another attempt, which cannot have won. A report without news
+// returns no entry.
 func (v *Voter) Record(reported Intent) (*Entry, error) {
 	existing := v.table.find(reported.Key)
 	otherAttempt := existing != nil && existing.Attempt != reported.Attempt
@@ -137,7 +117,7 @@
 	case existing == nil && (reported.State == Released || reported.State == Reserved):
 		return nil, nil
 	case otherAttempt && reported.State == Completed && existing.State == Completed:
-		// Two attempts ran: it must not be, and whoever watches is told.
+		// Two attempts were executed, which must not happen; the count is monitored.
 		v.duplicateExecutions++
 		return nil, nil
 	case otherAttempt && (reported.State == Released || existing.State == Completed):
@@ -158,12 +138,8 @@
 	return entry, v.Apply(*entry)
 }
 
-// Apply puts a kept entry into the table, at the time it is made and again
-// when the log is read at a start.
-//
-// Example:
-//
-//	err := voter.Apply(entry)
+// Apply applies an entry to the table, both when it is created and when the log is
+// replayed at a start.
 func (v *Voter) Apply(entry Entry) error {
 	intent := entry.Intent
 	if entry.Competing {
@@ -190,7 +166,7 @@
 	return err
 }
 
-// place puts the intent into the table in place of the one that held the key.
+// store puts the intent into the table, replacing the one that held the key.
 func (v *Voter) store(intent Intent) {
 	existing := v.table.find(intent.Key)
 	if existing != nil {
@@ -204,7 +180,7 @@
 		return
 	}
 	if intent.State.reportedByOwner() {
-		// The owner of an attempt that was delivered says so: the others lost.
+		// The owner reports that this attempt was delivered, so the others have lost.
 		v.table.removeAllCompeting(intent.Key)
 	}
 	v.table.put(&intent)
--- a/internal/idempotency/voter_test.go
+++ b/internal/idempotency/voter_test.go
@@ -15,11 +15,11 @@
 
 func TestIdempotency(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "ledger")
+	RunSpecs(t, "idempotency")
 }
 
-var _ = Describe("intents by vote", func() {
-	DescribeTable("run a key once and replay its first answer, whatever is lost", func(nodes, maxWiped int) {
+var _ = Describe("reservation by majority vote", func() {
+	DescribeTable("executes each key at most once and replays its first response despite lost messages, restarts and wiped nodes", func(nodes, maxWiped int) {
 		executed, replayed := 0, 0
 		for seed := range uint64(400) {
 			sim := &simulation{random: rand.New(rand.NewPCG(seed, 3)), executions: map[string]int{}, firstResponse: map[string]string{}, maxWiped: maxWiped}
@@ -64,7 +64,7 @@
 		Entry("with five nodes, two wiped at once", 5, 2),
 	)
 
-	It("count nothing that came after the round's span", func() {
+	It("counts no grants after the timeout of the round", func() {
 		round := idempotency.NewRound(idempotency.RequestHash{}, 3, 0, timetable.Steady(100))
 		round.AddVote(&idempotency.Vote{Verdict: idempotency.Granted})
 		round.AddVote(&idempotency.Vote{Verdict: idempotency.Granted})
@@ -72,7 +72,7 @@
 		Expect(round.Status(101)).To(Equal(idempotency.NoMajority))
 	})
 
-	It("reject another inquiry under a used key", func() {
+	It("reports a conflict for a different request with a used key", func() {
 		voter := idempotency.NewVoter(policy())
 		one := idempotency.Intent{Attempt: "a", Reservation: "a", RequestHash: idempotency.HashRequest("POST", "/x", []byte("1"))}
 		vote, _ := voter.Reserve(one)
@@ -87,14 +87,14 @@
 })
 
 var _ = Describe("quota", func() {
-	It("is what a plain count over the intents comes to, at every step", func() {
+	It("equals a direct count of the intents after every step", func() {
 		random := rand.New(rand.NewPCG(9, 9))
 		voter := idempotency.NewVoter(policy())
 		states := map[string]idempotency.State{}
 		consumed := 0
 		for step := range 3000 {
 			key := fmt.Sprint(random.IntN(30))
-			intent := idempotency.Intent{Key: idempotency.Key{Key: key}, Attempt: idempotency.Attempt(key), Reservation: fmt.Sprint(key, "/", step), Route: "lane", CreatedMs: 5}
+			intent := idempotency.Intent{Key: idempotency.Key{Key: key}, Attempt: idempotency.Attempt(key), Reservation: fmt.Sprint(key, "/", step), Route: "route", CreatedMs: 5}
 			if existing := voter.Find(intent.Key); existing != nil {
 				intent.Reservation = existing.Reservation
 			}
@@ -118,15 +118,15 @@
 					open++
 				}
 			}
-			Expect(voter.Quota().Open("lane")).To(Equal(open))
-			Expect(voter.Quota().Consumed("lane")).To(Equal(consumed))
+			Expect(voter.Quota().Open("route")).To(Equal(open))
+			Expect(voter.Quota().Consumed("route")).To(Equal(consumed))
 		}
 	})
 
-	It("bounds the open intents of a lane, and frees what is released", func() {
+	It("limits the open intents of a route and frees released reservations", func() {
 		voter := idempotency.NewVoter(idempotency.Policy{OpenLimit: 1, KeyWindow: time.Minute})
-		first := idempotency.Intent{Key: idempotency.Key{Key: "1"}, Attempt: "1", Reservation: "1", Route: "lane"}
-		second := idempotency.Intent{Key: idempotency.Key{Key: "2"}, Attempt: "2", Reservation: "2", Route: "lane"}
+		first := idempotency.Intent{Key: idempotency.Key{Key: "1"}, Attempt: "1", Reservation: "1", Route: "route"}
+		second := idempotency.Intent{Key: idempotency.Key{Key: "2"}, Attempt: "2", Reservation: "2", Route: "route"}
 		vote, _ := voter.Reserve(first)
 		Expect(vote.Verdict).To(Equal(idempotency.Granted))
 		vote, _ = voter.Reserve(second)
@@ -140,12 +140,12 @@
 })
 
 var _ = Describe("retention", func() {
-	It("forgets the oldest ends first, and nothing inside the key window", func() {
+	It("removes the oldest final intents first, and none within the key window", func() {
 		voter := idempotency.NewVoter(idempotency.Policy{Retention: time.Hour, KeyWindow: time.Minute, SoftLimitBytes: 1})
 		atSecond := func(seconds int64) time.Time { return time.UnixMilli(seconds * 1000) }
 		for number := range int64(3) {
 			name := fmt.Sprint(number)
-			intent := idempotency.Intent{Key: idempotency.Key{Key: name}, Attempt: idempotency.Attempt(name), Reservation: name, Route: "lane", CreatedMs: number * 30_000}
+			intent := idempotency.Intent{Key: idempotency.Key{Key: name}, Attempt: idempotency.Attempt(name), Reservation: name, Route: "route", CreatedMs: number * 30_000}
 			voter.Reserve(intent)
 			if number != 1 {
 				intent.State, intent.Response = idempotency.Completed, &idempotency.Response{Status: 200}
@@ -161,6 +161,6 @@
 		Expect(entries).To(HaveLen(1))
 		Expect(entries[0].Intent.State).To(Equal(idempotency.Expired))
 		Expect(voter.Find(idempotency.Key{Key: "2"})).NotTo(BeNil())
-		Expect(voter.Quota().Open("lane")).To(Equal(0))
+		Expect(voter.Quota().Open("route")).To(Equal(0))
 	})
 })
