--- a/internal/emulator/simulation/proxy.go
+++ b/internal/emulator/simulation/proxy.go
@@ -65,7 +65,7 @@
 	intent := intentOf(key, attempt, time.UnixMilli(1_700_000_000_000).Add(w.Now))
 	view := p.findView(t)
 	round, began := p.vote(t, view, intent)
-	switch round.Status(timetable.Steady(w.Now - began)) {
+	switch round.Result(timetable.Steady(w.Now - began)) {
 	case idempotency.Won:
 		w.checks.ran(key, attempt)
 		p.finish(t, view, intent, operation)
@@ -99,7 +99,7 @@
 		for _, ballot := range ballots {
 			trial.AddVote(&ballot)
 		}
-		return trial.Status(timetable.Steady(w.Now-began)) != idempotency.Undecided
+		return trial.Result(timetable.Steady(w.Now-began)) != idempotency.Undecided
 	})
 	for _, ballot := range ballots {
 		round.AddVote(&ballot)
--- a/internal/idempotency/compare.go
+++ b/internal/idempotency/compare.go
@@ -104,7 +104,7 @@
 				return entries, Cursor{Ranges: cursor.Ranges[index:], After: cursorKey(number, after), KeyHashes: cursor.KeyHashes}
 			}
 			entries = append(entries, newEntry(intent))
-			limitBytes -= intent.sizeBytes()
+			limitBytes -= intent.size()
 		}
 	}
 	return entries, Cursor{}
@@ -150,8 +150,8 @@
 				return
 			}
 		}
-		for _, intent := range competing {
-			if !yield(Entry{Intent: *intent, Competing: true}) {
+		for _, other := range competing {
+			if !yield(Entry{Intent: *other, Competing: true}) {
 				return
 			}
 		}
--- a/internal/idempotency/expire.go
+++ b/internal/idempotency/expire.go
@@ -26,7 +26,7 @@
 			entries = append(entries, entry)
 		}
 		if age > v.policy.Retention || v.policy.SoftLimitBytes > 0 && v.sizeBytes > v.policy.SoftLimitBytes {
-			v.sizeBytes -= v.table.find(created.key).sizeBytes()
+			v.sizeBytes -= v.table.find(created.key).size()
 			v.table.remove(created.key)
 			v.table.removeAllCompeting(created.key)
 			continue
--- a/internal/idempotency/intent.go
+++ b/internal/idempotency/intent.go
@@ -101,7 +101,7 @@
 	Reservation   string       `cbor:"8,keyasint"`
 	State         State        `cbor:"9,keyasint"`
 	CreatedMs     int64        `cbor:"10,keyasint"`
-	Expiry        ExpiryPolicy `cbor:"11,keyasint,omitempty"`
+	ExpiryPolicy  ExpiryPolicy `cbor:"11,keyasint,omitempty"`
 	Response      *Response    `cbor:"12,keyasint,omitempty"`
 }
 
@@ -124,7 +124,7 @@
 }
 
 // sizeBytes estimates the memory that the intent takes.
-func (i *Intent) sizeBytes() int {
+func (i *Intent) size() int {
 	size := 400 + len(i.Key.Key) + len(i.Key.Tenant)
 	if i.Response != nil {
 		size += len(i.Response.Body)
--- a/internal/idempotency/round.go
+++ b/internal/idempotency/round.go
@@ -2,22 +2,22 @@
 
 import "ploverhitch/internal/timetable"
 
-// RoundStatus is the result of a vote round so far.
-type RoundStatus uint8
+// Result is the result of a vote round so far.
+type Result uint8
 
-// The statuses of a round.
+// The results of a round.
 const (
-	Undecided RoundStatus = iota
+	Undecided Result = iota
 	Won
 	Replayable
-	Conflict
+	RequestMismatch
 	InProgress
 	LimitExceeded
 	NoMajority
 	Overloaded
 )
 
-// Round collects the votes for one attempt. Its status depends only on the votes and
+// Round collects the votes for one attempt. Its result depends only on the votes and
 // on whether they arrived within the timeout.
 type Round struct {
 	RequestHash RequestHash
@@ -59,13 +59,13 @@
 	}
 }
 
-// Status evaluates the votes received so far.
-func (r *Round) Status(now timetable.Steady) RoundStatus {
+// Result evaluates the votes received so far.
+func (r *Round) Result(now timetable.Steady) Result {
 	majority := r.members/2 + 1
 	inTime := now-r.startedAt <= r.timeout
 	switch {
 	case r.terminal != nil && r.terminal.RequestHash != r.RequestHash:
-		return Conflict
+		return RequestMismatch
 	case r.terminal != nil:
 		return Replayable
 	case r.granted >= majority && inTime:
@@ -73,7 +73,7 @@
 	case r.members-r.keyInUse-r.overLimit-r.failed-r.shed >= majority && inTime && r.granted+r.keyInUse+r.overLimit+r.failed+r.shed < r.members:
 		return Undecided
 	case r.keyInUse > 0 && r.existing.RequestHash != r.RequestHash:
-		return Conflict
+		return RequestMismatch
 	case r.keyInUse > 0:
 		return InProgress
 	case r.overLimit > 0:
--- a/internal/idempotency/simulation_test.go
+++ b/internal/idempotency/simulation_test.go
@@ -68,7 +68,7 @@
 	return t
 }
 
-// advance requests one more vote and acts on the status of the round.
+// advance requests one more vote and acts on the result of the round.
 func (s *simulation) advance(t *simulatedAttempt) {
 	if len(t.pendingNodes) > 0 {
 		n := s.nodes[t.pendingNodes[0]]
@@ -86,7 +86,7 @@
 		}
 	}
 	key := t.intent.Key.Key
-	switch t.round.Status(50) {
+	switch t.round.Result(50) {
 	case idempotency.Undecided:
 		return
 	case idempotency.Won:
--- a/internal/idempotency/table.go
+++ b/internal/idempotency/table.go
@@ -110,11 +110,11 @@
 
 // summary returns the intent's summary for comparisons.
 func (i *Intent) summary() IntentSummary {
-	summary := IntentSummary{Key: i.Key.hash()}
+	identity := IntentSummary{Key: i.Key.hash()}
 	if i.State != Completed {
-		summary.Attempt = hashOf(string(i.Attempt))
+		identity.Attempt = hashOf(string(i.Attempt))
 	}
-	return summary
+	return identity
 }
 
 // IsCompleted reports whether the intent is completed.
--- a/internal/idempotency/voter.go
+++ b/internal/idempotency/voter.go
@@ -170,7 +170,7 @@
 func (v *Voter) store(intent Intent) {
 	existing := v.table.find(intent.Key)
 	if existing != nil {
-		v.sizeBytes -= existing.sizeBytes()
+		v.sizeBytes -= existing.size()
 		if existing.Attempt != intent.Attempt && existing.State.IsOpen() {
 			_ = v.quota.apply(QuotaEvent{QuotaRelease, existing.Reservation, existing.Route})
 		}
@@ -184,7 +184,7 @@
 		v.table.removeAllCompeting(intent.Key)
 	}
 	v.table.put(&intent)
-	v.sizeBytes += intent.sizeBytes()
+	v.sizeBytes += intent.size()
 	if existing == nil || existing.Attempt != intent.Attempt {
 		v.byCreation = append(v.byCreation, createdIntent{intent.Key, intent.Attempt, intent.CreatedMs})
 	}
--- a/internal/idempotency/voter_test.go
+++ b/internal/idempotency/voter_test.go
@@ -68,8 +68,8 @@
 		round := idempotency.NewRound(idempotency.RequestHash{}, 3, 0, timetable.Steady(100))
 		round.AddVote(&idempotency.Vote{Verdict: idempotency.Granted})
 		round.AddVote(&idempotency.Vote{Verdict: idempotency.Granted})
-		Expect(round.Status(100)).To(Equal(idempotency.Won))
-		Expect(round.Status(101)).To(Equal(idempotency.NoMajority))
+		Expect(round.Result(100)).To(Equal(idempotency.Won))
+		Expect(round.Result(101)).To(Equal(idempotency.NoMajority))
 	})
 
 	It("reports a conflict for a different request with a used key", func() {
@@ -82,7 +82,7 @@
 		Expect(entry).To(BeNil())
 		round := idempotency.NewRound(other.RequestHash, 1, 0, 1)
 		round.AddVote(&vote)
-		Expect(round.Status(0)).To(Equal(idempotency.Conflict))
+		Expect(round.Result(0)).To(Equal(idempotency.RequestMismatch))
 	})
 })
 
--- a/internal/points/replay.go
+++ b/internal/points/replay.go
@@ -28,14 +28,14 @@
 
 // decisions is the paper's replay matrix: from what the vote round came to, to
 // what is done with the inquiry.
-var decisions = map[idempotency.RoundStatus]func(*attempt, context.Context, endpoint.Endpoint) (any, error){
-	idempotency.Won:           (*attempt).forward,
-	idempotency.Replayable:    (*attempt).replay,
-	idempotency.InProgress:    (*attempt).resume,
-	idempotency.Conflict:      rejecting(apierror.Conflict),
-	idempotency.LimitExceeded: rejecting(apierror.OverLimit),
-	idempotency.NoMajority:    rejecting(apierror.NoQuorum),
-	idempotency.Overloaded:    (*attempt).turnAway,
+var decisions = map[idempotency.Result]func(*attempt, context.Context, endpoint.Endpoint) (any, error){
+	idempotency.Won:             (*attempt).forward,
+	idempotency.Replayable:      (*attempt).replay,
+	idempotency.InProgress:      (*attempt).resume,
+	idempotency.RequestMismatch: rejecting(apierror.Conflict),
+	idempotency.LimitExceeded:   rejecting(apierror.OverLimit),
+	idempotency.NoMajority:      rejecting(apierror.NoQuorum),
+	idempotency.Overloaded:      (*attempt).turnAway,
 }
 
 func rejecting(kind apierror.Kind) func(*attempt, context.Context, endpoint.Endpoint) (any, error) {
@@ -79,7 +79,7 @@
 // forward delivers the inquiry of a won round, and records the outcome on a
 // majority before the client gets it.
 func (a *attempt) forward(ctx context.Context, next endpoint.Endpoint) (any, error) {
-	a.one.maySend = func() bool { return a.round.Status(a.clock.Steady()) == idempotency.Won }
+	a.one.maySend = func() bool { return a.round.Result(a.clock.Steady()) == idempotency.Won }
 	a.step(idempotency.AuthorizationPending)
 	reply, err := next(ctx, a.one)
 	var open *openEnd
--- a/internal/points/replay_test.go
+++ b/internal/points/replay_test.go
@@ -38,7 +38,7 @@
 		for range 2 {
 			a.round.AddVote(&idempotency.Vote{Verdict: idempotency.Granted})
 		}
-		Expect(a.round.Status(hand.Steady())).To(Equal(idempotency.Won))
+		Expect(a.round.Result(hand.Steady())).To(Equal(idempotency.Won))
 		_, err = a.forward(context.Background(), func(context.Context, any) (any, error) {
 			hand.Now += frozen
 			due := time.Now().Add(5 * time.Second)
--- a/internal/points/vote.go
+++ b/internal/points/vote.go
@@ -10,7 +10,7 @@
 )
 
 // reserve asks every member of the core at once.
-func (a *attempt) reserve() idempotency.RoundStatus {
+func (a *attempt) reserve() idempotency.Result {
 	view := a.sight.Load().view
 	began, span := a.clock.Steady(), a.set.Load().Tuning.VoteSpan
 	a.round = idempotency.NewRound(a.intent.RequestHash, max(1, len(view.Members)), began, timetable.Steady(span))
@@ -23,13 +23,13 @@
 		case got := <-votes:
 			a.take(got)
 		case <-alarm.C:
-			return a.round.Status(began + timetable.Steady(span) + 1)
+			return a.round.Result(began + timetable.Steady(span) + 1)
 		}
-		if standing := a.round.Status(a.clock.Steady()); standing != idempotency.Undecided {
+		if standing := a.round.Result(a.clock.Steady()); standing != idempotency.Undecided {
 			return standing
 		}
 	}
-	return a.round.Status(began + timetable.Steady(span) + 1)
+	return a.round.Result(began + timetable.Steady(span) + 1)
 }
 
 const (
--- a/internal/shedding/clients_test.go
+++ b/internal/shedding/clients_test.go
@@ -83,7 +83,7 @@
 		}
 		round.AddVote(&ballot)
 	}
-	if round.Status(w.hand.Steady()) == idempotency.Won {
+	if round.Result(w.hand.Steady()) == idempotency.Won {
 		return true
 	}
 	w.giveBack(c)
