--- a/internal/balancer/siding.go
+++ b/internal/balancer/siding.go
@@ -19,7 +19,7 @@
 
 // learnt is what the node learnt of a server, whatever the list says of it.
 type learnt struct {
-	Rack *upstream.Rack
+	Rack *upstream.Pool
 
 	atWork atomic.Int64
 	// pace is how long its replies take here beside the lane's usual, smoothed,
@@ -55,7 +55,7 @@
 )
 
 func newSiding(server feed.Server) *Siding {
-	s := &Siding{Server: server, learnt: &learnt{Rack: &upstream.Rack{Address: server.Address, Instance: server.ID}}}
+	s := &Siding{Server: server, learnt: &learnt{Rack: &upstream.Pool{Address: server.Address, Instance: server.ID}}}
 	s.hear(server)
 	return s
 }
--- a/internal/idempotency/voter_test.go
+++ b/internal/idempotency/voter_test.go
@@ -35,8 +35,8 @@
 				case draw < 5:
 					sim.attempts = append(sim.attempts, sim.start())
 				case draw == 18:
-					node := sim.nodes[0]
-					node.down = !node.down
+					target := sim.nodes[0]
+					target.down = !target.down
 				case draw == 19:
 					sim.injectFault()
 				case len(sim.attempts) > 0:
--- a/internal/points/bulk.go
+++ b/internal/points/bulk.go
@@ -43,9 +43,9 @@
 		}
 		end = sync.OnceFunc(end)
 		reply, err := next(ctx, request)
-		if out, isReply := reply.(*upstream.Reply); isReply && out.Rest != nil {
+		if out, isReply := reply.(*upstream.Response); isReply && out.Remainder != nil {
 			// Its sender is answering until the rest has come.
-			out.Rest = &closing{out.Rest, end}
+			out.Remainder = &closing{out.Remainder, end}
 			one.leave = func() { leave(); end() }
 			return reply, err
 		}
--- a/internal/points/copy.go
+++ b/internal/points/copy.go
@@ -40,8 +40,8 @@
 	}
 	began := time.Now()
 	due := began.Add(job.due)
-	reply, err := p.copier.rack(server).Deliver(upstream.Order{
-		Inquiry: job.inquiry, Due: due, Last: due, Connect: serverConnect, Buffer: buffer, In: p.in, Out: p.out,
+	reply, err := p.copier.rack(server).Deliver(upstream.Delivery{
+		Request: job.inquiry, Deadline: due, ResponseDeadline: due, ConnectTimeout: serverConnect, BufferLimit: buffer, Inbound: p.in, Outbound: p.out,
 		MaySend: func() bool { return p.mayCopy(job.mirror, server) },
 	})
 	took := time.Since(began)
@@ -73,15 +73,15 @@
 	return isHeld && s.holdsGrants(p.clock.Steady()) && !s.sheet.IsLive(m.Shadow)
 }
 
-func (c *copied) compare(reply *upstream.Reply, err error, took time.Duration) loopline.Outcome {
+func (c *copied) compare(reply *upstream.Response, err error, took time.Duration) loopline.Outcome {
 	switch {
 	case err != nil:
 		return loopline.Silent
-	case reply.IsNotExecuted():
+	case reply.NotExecuted():
 		return loopline.Turned
 	case reply.Status/100 != c.status/100:
 		return loopline.Status
-	case reply.Rest != nil || !c.hasBody:
+	case reply.Remainder != nil || !c.hasBody:
 		if reply.Length != c.length {
 			return loopline.Body
 		}
--- a/internal/points/deliver.go
+++ b/internal/points/deliver.go
@@ -57,7 +57,7 @@
 // result is how one try at one server ended.
 type result struct {
 	siding *balancer.Siding
-	reply  *upstream.Reply
+	reply  *upstream.Response
 	err    error
 }
 
@@ -72,7 +72,7 @@
 	sent    int
 	unsent  int
 	// fallback is what the client gets if no further try does better.
-	fallback *upstream.Reply
+	fallback *upstream.Response
 	// isOpen: a try that may not be repeated was sent, and its outcome is not
 	// known.
 	isOpen bool
@@ -126,7 +126,7 @@
 	isRepeatable := d.one.lane.IsRepeatable()
 	kind := apierror.Broken
 	switch {
-	case got.err != nil && errors.Is(got.err, upstream.ErrServerLeft):
+	case got.err != nil && errors.Is(got.err, upstream.ErrNotServing):
 		if d.replace() {
 			return nil, nil, false
 		}
@@ -145,7 +145,7 @@
 		if d.isOpen && !d.dedupes() {
 			return nil, &openEnd{kind: apierror.Broken}, true
 		}
-	case got.reply.IsNotExecuted():
+	case got.reply.NotExecuted():
 		kind = apierror.NotExecuted
 		got.reply.Finish(false)
 	case !isRepeatable && isPromise(got.reply.Status):
@@ -223,9 +223,9 @@
 		passOn = bandwidth.BulkLeast
 	}
 	began := d.clock.Steady()
-	reply, err := siding.Rack.Deliver(upstream.Order{
-		Inquiry: d.one.Inquiry, Left: d.breaking(), Due: d.one.due, Last: d.one.due.Add(late), Connect: serverConnect, Buffer: buffer, PassOn: passOn, In: d.in, Out: d.out,
-		IsServing: func() bool { return d.isServing(siding) }, MaySend: d.one.maySend,
+	reply, err := siding.Rack.Deliver(upstream.Delivery{
+		Request: d.one.Request, ClientContext: d.breaking(), Deadline: d.one.due, ResponseDeadline: d.one.due.Add(late), ConnectTimeout: serverConnect, BufferLimit: buffer, StreamThreshold: passOn, Inbound: d.in, Outbound: d.out,
+		Serving: func() bool { return d.isServing(siding) }, MaySend: d.one.maySend,
 	})
 	now := d.clock.Steady()
 	took := time.Duration(now - began)
--- a/internal/points/ending.go
+++ b/internal/points/ending.go
@@ -12,7 +12,7 @@
 // lateEnd is what a try showed after its client was answered: a reply, or that
 // nothing ran after all.
 type lateEnd struct {
-	reply  *upstream.Reply
+	reply  *upstream.Response
 	isFree bool
 }
 
@@ -33,7 +33,7 @@
 			case errors.Is(got.err, upstream.ErrNotSent):
 			case got.err != nil:
 				end.isFree = false
-			case got.reply.IsNotExecuted():
+			case got.reply.NotExecuted():
 			default:
 				end.isFree = false
 				if !isPromise(got.reply.Status) {
--- a/internal/points/inquiry.go
+++ b/internal/points/inquiry.go
@@ -21,7 +21,7 @@
 
 // inquiry is one client's inquiry on its way through the proxy.
 type inquiry struct {
-	*upstream.Inquiry
+	*upstream.Request
 	lane    *config.Route
 	service string
 	sight   *sight
@@ -52,7 +52,7 @@
 func (i *inquiry) takePlace() {
 	switch i.lane.RouteType {
 	case config.Idempotent:
-		i.place, i.isPlaced = balancer.PlaceOf(i.lane.Host, i.Header.Get(upstream.HeaderKey)), true
+		i.place, i.isPlaced = balancer.PlaceOf(i.lane.Host, i.Header.Get(upstream.HeaderOperationKey)), true
 	case config.Download:
 		i.place, i.isPlaced = balancer.PlaceOf(i.lane.Host, i.Target), true
 	}
@@ -88,7 +88,7 @@
 		p.mirror(one, nil, mayHaveRun(err))
 		return
 	}
-	out := reply.(*upstream.Reply)
+	out := reply.(*upstream.Response)
 	isBroken, err := p.answer(w, out)
 	p.settleStage(one, out, nil, isBroken)
 	if isBroken {
@@ -120,7 +120,7 @@
 	case !one.sight.isWhole:
 		return nil, apierror.New(apierror.NoServer, "the manifest is not here yet")
 	}
-	one.sight.findLane(one, r.Host, path, r.Header.Get(upstream.HeaderKey) != "", p.clock.Steady())
+	one.sight.findLane(one, r.Host, path, r.Header.Get(upstream.HeaderOperationKey) != "", p.clock.Steady())
 	if one.lane == nil {
 		return nil, apierror.New(apierror.NoLane, "")
 	}
@@ -144,7 +144,7 @@
 		return nil, apierror.New(apierror.BadInquiry, "the body cannot be read")
 	}
 	_ = http.NewResponseController(w).SetReadDeadline(time.Time{})
-	one.Inquiry = &upstream.Inquiry{
+	one.Request = &upstream.Request{
 		Method: r.Method, Target: r.RequestURI, Host: r.Host, Header: r.Header, Body: body,
 		HasBody: r.ContentLength > 0 || len(r.TransferEncoding) > 0 || r.Method != http.MethodGet && r.Method != http.MethodHead,
 		Attempt: attempt[0],
@@ -197,18 +197,18 @@
 }
 
 // answer passes a server's reply on. isBroken tells that the server broke off.
-func (p *proxy) answer(w http.ResponseWriter, reply *upstream.Reply) (isBroken bool, err error) {
-	upstream.CopyBack(w.Header(), reply.Header)
+func (p *proxy) answer(w http.ResponseWriter, reply *upstream.Response) (isBroken bool, err error) {
+	upstream.CopyResponseHeader(w.Header(), reply.Header)
 	if reply.Length >= 0 {
 		w.Header().Set("Content-Length", strconv.FormatInt(reply.Length, 10))
 	}
 	w.WriteHeader(reply.Status)
 	to := p.out.Writer(w)
 	_, err = to.Write(reply.Body)
-	if reply.Rest == nil {
+	if reply.Remainder == nil {
 		return false, nil
 	}
-	from := &watched{Reader: reply.Rest}
+	from := &watched{Reader: reply.Remainder}
 	if err == nil {
 		_, err = io.Copy(p.out.BulkWriter(w), from)
 	}
--- a/internal/points/left_test.go
+++ b/internal/points/left_test.go
@@ -37,7 +37,7 @@
 	}
 	p.sight.Store(&sight{sheet: p.sight.Load().sheet, yard: yard.Lay(fleet), proxies: 1})
 	return p, &inquiry{
-		Inquiry: &upstream.Inquiry{Method: "POST", Target: "/a", Host: "h", Header: http.Header{upstream.HeaderAttempt: {"t"}}, Attempt: "t"},
+		Request: &upstream.Request{Method: "POST", Target: "/a", Host: "h", Header: http.Header{upstream.HeaderAttempt: {"t"}}, Attempt: "t"},
 		lane:    &config.Route{RouteSpec: config.RouteSpec{Name: "r", RouteType: kind, MaxAttempts: 3}}, sight: p.sight.Load(), service: "s",
 		arrived: time.Now(), due: time.Now().Add(600 * time.Millisecond), leave: func() {},
 	}
@@ -89,7 +89,7 @@
 		for _, status := range []int{408, 429, 503} {
 			_, one := inquiryOn(config.Unsafe, server)
 			d := &delivery{one: one}
-			_, err, isEnd := d.judge(result{reply: &upstream.Reply{Status: status, Header: http.Header{}}})
+			_, err, isEnd := d.judge(result{reply: &upstream.Response{Status: status, Header: http.Header{}}})
 			var open *openEnd
 			Expect(errors.As(err, &open)).To(BeTrue(), "%d: %v", status, err)
 			Expect(open.kind).To(Equal(apierror.Broken))
@@ -102,7 +102,7 @@
 		a := &attempt{proxy: p, one: one, ungranted: map[string]bool{}}
 		a.intent = idempotency.Intent{Key: idempotency.Key{Tenant: "h", Key: "k"}, State: idempotency.Reserved}
 		a.round = idempotency.NewRound(a.intent.RequestHash, 1, p.clock.Steady(), timetable.Steady(time.Second))
-		long := &upstream.Reply{Status: 200, Header: http.Header{}, Body: []byte("part"), Rest: io.NopCloser(strings.NewReader("rest"))}
+		long := &upstream.Response{Status: 200, Header: http.Header{}, Body: []byte("part"), Remainder: io.NopCloser(strings.NewReader("rest"))}
 		reply, err := a.forward(context.Background(), func(context.Context, any) (any, error) { return long, nil })
 		Expect(err).NotTo(HaveOccurred())
 		Expect(reply).To(BeIdenticalTo(long))
--- a/internal/points/members_test.go
+++ b/internal/points/members_test.go
@@ -38,7 +38,7 @@
 		}
 		p.sight.Store(&sight{sheet: p.sight.Load().sheet, yard: p.sight.Load().yard, view: view})
 		one := &inquiry{
-			Inquiry: &upstream.Inquiry{Header: http.Header{}, Attempt: "t"}, lane: &config.Route{}, sight: p.sight.Load(),
+			Request: &upstream.Request{Header: http.Header{}, Attempt: "t"}, lane: &config.Route{}, sight: p.sight.Load(),
 			due: time.Now().Add(time.Second), arrived: time.Now(),
 		}
 		one.key = idempotency.Key{Tenant: "h", Key: "k"}
--- a/internal/points/mirror.go
+++ b/internal/points/mirror.go
@@ -28,7 +28,7 @@
 type copied struct {
 	mirror  *config.Mirror
 	record  *loopline.Record
-	inquiry *upstream.Inquiry
+	inquiry *upstream.Request
 	lane    *config.Route
 	hash    uint64
 	era     uint64
@@ -49,11 +49,11 @@
 	inbox   chan copied
 	lock    sync.Mutex
 	records map[string]*loopline.Record
-	racks   map[string]*upstream.Rack
+	racks   map[string]*upstream.Pool
 }
 
 func newCopier() *copier {
-	return &copier{inbox: make(chan copied, copyInbox), records: map[string]*loopline.Record{}, racks: map[string]*upstream.Rack{}}
+	return &copier{inbox: make(chan copied, copyInbox), records: map[string]*loopline.Record{}, racks: map[string]*upstream.Pool{}}
 }
 
 // keep closes the connections to servers that are no longer listed under their address.
@@ -89,13 +89,13 @@
 }
 
 // rack holds the connections to one shadow server, apart from all others.
-func (c *copier) rack(server *balancer.Siding) *upstream.Rack {
+func (c *copier) rack(server *balancer.Siding) *upstream.Pool {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	name := rackName(server.Server)
 	rack := c.racks[name]
 	if rack == nil {
-		rack = &upstream.Rack{Address: server.Address, Instance: server.ID, Window: copyWindow}
+		rack = &upstream.Pool{Address: server.Address, Instance: server.ID, ReceiveWindow: copyWindow}
 		c.racks[name] = rack
 	}
 	return rack
@@ -104,7 +104,7 @@
 // mirror offers the copy of an inquiry that has ended, once its client has the
 // reply. reply is nil where none came; isOpen tells that it may have run all the
 // same.
-func (p *proxy) mirror(one *inquiry, reply *upstream.Reply, isOpen bool) {
+func (p *proxy) mirror(one *inquiry, reply *upstream.Response, isOpen bool) {
 	if one == nil || one.lane == nil || one.lane.Mirror == nil || one.isReplayed || reply == nil && !isOpen {
 		return
 	}
@@ -136,10 +136,10 @@
 		mirror: m, record: record, lane: one.lane, hash: hash, era: era, place: balancer.Place(hash), due: time.Until(one.due) + time.Since(one.arrived),
 		status: reply.Status, length: reply.Length, tookLive: one.took,
 	}
-	if job.hasBody = reply.Rest == nil; job.hasBody {
+	if job.hasBody = reply.Remainder == nil; job.hasBody {
 		job.body = sha256.Sum256(reply.Body)
 	}
-	inquiry := *one.Inquiry
+	inquiry := *one.Request
 	inquiry.Header = one.Header.Clone()
 	inquiry.Header.Set(loopline.Marker, fmt.Sprintf("%s; version=%d; node=%s; number=%d; at=%d; settled=%t",
 		m.Name, m.Version, p.set.Load().Platform.NodeName, number, p.clock.Wall().UnixMilli(), grant.IsSettled))
--- a/internal/points/replay.go
+++ b/internal/points/replay.go
@@ -50,7 +50,7 @@
 		if one.lane.RouteType != config.Idempotent {
 			return next(ctx, request)
 		}
-		keys := one.Header.Values(upstream.HeaderKey)
+		keys := one.Header.Values(upstream.HeaderOperationKey)
 		if len(keys) != 1 || keys[0] == "" {
 			return nil, apierror.New(apierror.BadInquiry, "one operation key is needed")
 		}
@@ -85,7 +85,7 @@
 	var open *openEnd
 	switch known := err.(type) {
 	case nil:
-		out := reply.(*upstream.Reply)
+		out := reply.(*upstream.Response)
 		a.complete(out)
 		return out, nil
 	case *openEnd:
@@ -122,8 +122,8 @@
 
 // complete records the reply. One that is not at hand whole is not recorded: a part
 // would be replayed as if it were all, so the outcome stays open.
-func (a *attempt) complete(reply *upstream.Reply) {
-	if reply.Rest != nil {
+func (a *attempt) complete(reply *upstream.Response) {
+	if reply.Remainder != nil {
 		if a.intent.State != idempotency.TimeoutUnresolved {
 			a.step(idempotency.TimeoutUnresolved)
 			a.tell(a.intent, 0)
@@ -168,7 +168,7 @@
 	return replyOf(a.round.Terminal().Response, a.one.Attempt), nil
 }
 
-func replyOf(recorded *idempotency.Response, attempt string) *upstream.Reply {
+func replyOf(recorded *idempotency.Response, attempt string) *upstream.Response {
 	header := http.Header{upstream.HeaderAttempt: {attempt}}
 	if recorded.Seal != "" {
 		header[upstream.HeaderSeal] = []string{recorded.Seal}
@@ -176,5 +176,5 @@
 	if recorded.ContentType != "" {
 		header["Content-Type"] = []string{recorded.ContentType}
 	}
-	return &upstream.Reply{Status: recorded.Status, Header: header, Body: recorded.Body, Length: int64(len(recorded.Body))}
+	return &upstream.Response{Status: recorded.Status, Header: header, Body: recorded.Body, Length: int64(len(recorded.Body))}
 }
--- a/internal/points/replay_test.go
+++ b/internal/points/replay_test.go
@@ -24,12 +24,12 @@
 		server, err := standin.NewServer("i-1", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		defer server.Close()
-		rack := &upstream.Rack{Address: server.Address(), Instance: "i-1"}
+		rack := &upstream.Pool{Address: server.Address(), Instance: "i-1"}
 		defer rack.Close()
 		hand := &timetable.Hand{Now: time.Hour}
 		p := newProxy(&settings.Settings{}, hand, func(string, string, ...any) {})
 		one := &inquiry{
-			Inquiry: &upstream.Inquiry{Method: "POST", Target: "/fee/", Host: "h", Header: http.Header{upstream.HeaderAttempt: {"t"}}, Attempt: "t"},
+			Request: &upstream.Request{Method: "POST", Target: "/fee/", Host: "h", Header: http.Header{upstream.HeaderAttempt: {"t"}}, Attempt: "t"},
 			lane:    &config.Route{}, sight: p.sight.Load(),
 		}
 		a := &attempt{proxy: p, one: one, ungranted: map[string]bool{}}
@@ -42,7 +42,7 @@
 		_, err = a.forward(context.Background(), func(context.Context, any) (any, error) {
 			hand.Now += frozen
 			due := time.Now().Add(5 * time.Second)
-			reply, err := rack.Deliver(upstream.Order{Inquiry: one.Inquiry, Due: due, Last: due, Connect: time.Second, Buffer: 1 << 20, MaySend: one.maySend})
+			reply, err := rack.Deliver(upstream.Delivery{Request: one.Request, Deadline: due, ResponseDeadline: due, ConnectTimeout: time.Second, BufferLimit: 1 << 20, MaySend: one.maySend})
 			if errors.Is(err, upstream.ErrNotSent) {
 				return nil, apierror.New(apierror.NotExecuted, "")
 			}
--- a/internal/points/serving.go
+++ b/internal/points/serving.go
@@ -30,9 +30,9 @@
 }
 
 // outcomeOf is what the end of a try shows of its server.
-func (d *delivery) outcomeOf(reply *upstream.Reply, err error) balancer.Outcome {
+func (d *delivery) outcomeOf(reply *upstream.Response, err error) balancer.Outcome {
 	switch {
-	case d.isBrokenOff(err), errors.Is(err, upstream.ErrServerLeft):
+	case d.isBrokenOff(err), errors.Is(err, upstream.ErrNotServing):
 		return balancer.Unasked
 	case errors.Is(err, upstream.ErrNotSent) && errors.Is(err, errors.Timeout):
 		return balancer.Unasked
@@ -40,7 +40,7 @@
 		return balancer.Failed
 	case reply.Status == http.StatusMisdirectedRequest:
 		return balancer.Misdirected
-	case reply.IsNotExecuted():
+	case reply.NotExecuted():
 		return balancer.Full
 	default:
 		return balancer.Served
--- a/internal/points/serving_test.go
+++ b/internal/points/serving_test.go
@@ -40,7 +40,7 @@
 	// begin is a delivery of a lane that allows one attempt.
 	begin := func(laneType config.RouteKind) *delivery {
 		one := &inquiry{
-			Inquiry: &upstream.Inquiry{Method: http.MethodGet, Target: "/a", Host: "h", Header: http.Header{upstream.HeaderAttempt: {"try-1"}}, Attempt: "try-1"},
+			Request: &upstream.Request{Method: http.MethodGet, Target: "/a", Host: "h", Header: http.Header{upstream.HeaderAttempt: {"try-1"}}, Attempt: "try-1"},
 			lane:    &config.Route{RouteSpec: config.RouteSpec{Name: "fee", RouteType: laneType, MaxAttempts: 1}}, service: service,
 			sight: p.sight.Load(), due: time.Now().Add(5 * time.Second),
 		}
@@ -99,7 +99,7 @@
 				reply, err, isEnd := next(d)
 				Expect(err).NotTo(HaveOccurred())
 				Expect(isEnd).To(BeTrue())
-				Expect(string(reply.(*upstream.Reply).Body)).To(HaveSuffix("by x-2"))
+				Expect(string(reply.(*upstream.Response).Body)).To(HaveSuffix("by x-2"))
 				Expect(servers["x-1"].Runs()).To(BeEmpty())
 				Expect(servers["x-2"].Runs()).To(HaveLen(1))
 				Expect([]int{d.sent, d.unsent}).To(Equal([]int{1, 0}))
@@ -136,7 +136,7 @@
 		_, err := p.delivering(context.Background(), d.one)
 		Expect(mayHaveRun(err)).To(BeFalse())
 		d.send(chosen)
-		Expect((<-d.results).err).To(MatchError(upstream.ErrServerLeft))
+		Expect((<-d.results).err).To(MatchError(upstream.ErrNotServing))
 		Expect(servers["x-1"].Runs()).To(BeEmpty())
 		Expect(servers["x-2"].Runs()).To(BeEmpty())
 	})
--- a/internal/points/shed.go
+++ b/internal/points/shed.go
@@ -108,13 +108,13 @@
 const lateTimes = 2
 
 // strainOf counts what the end of a try shows of the service's load.
-func (d *delivery) strainOf(siding *balancer.Siding, reply *upstream.Reply, err error, took time.Duration) {
+func (d *delivery) strainOf(siding *balancer.Siding, reply *upstream.Response, err error, took time.Duration) {
 	if !d.isGauging() || err != nil || reply.Status == http.StatusMisdirectedRequest {
 		return
 	}
 	outcome, lane := shedding.InTime, d.one.lane
 	switch {
-	case reply.IsNotExecuted():
+	case reply.NotExecuted():
 		outcome = shedding.Turned
 	case lane.RouteType == config.Download:
 		// How long bulk takes says more of this node's link than of the service.
--- a/internal/points/stage.go
+++ b/internal/points/stage.go
@@ -90,7 +90,7 @@
 
 // settleStage counts how an inquiry ended for the staged change that touched it. What
 // the record answered shows nothing of the change.
-func (p *proxy) settleStage(one *inquiry, reply *upstream.Reply, err error, isBroken bool) {
+func (p *proxy) settleStage(one *inquiry, reply *upstream.Response, err error, isBroken bool) {
 	if one == nil || one.stage == nil || one.isReplayed {
 		return
 	}
@@ -113,7 +113,7 @@
 	apierror.Busy: outlier.Failed,
 }
 
-func stageOutcome(one *inquiry, reply *upstream.Reply, err error, took time.Duration) (outcome outlier.Outcome, isCounted bool) {
+func stageOutcome(one *inquiry, reply *upstream.Response, err error, took time.Duration) (outcome outlier.Outcome, isCounted bool) {
 	isKeyed := one.lane != nil && one.lane.RouteType == config.Idempotent
 	var known *apierror.Error
 	switch {
--- a/internal/points/trial.go
+++ b/internal/points/trial.go
@@ -75,7 +75,7 @@
 }
 
 // testify counts what a try showed of the server and of its version.
-func (d *delivery) testify(siding *balancer.Siding, mark outlier.Mark, reply *upstream.Reply, err error, took, usual time.Duration) {
+func (d *delivery) testify(siding *balancer.Siding, mark outlier.Mark, reply *upstream.Response, err error, took, usual time.Duration) {
 	outcome := outlier.Good
 	isWarming := siding.WarmLeft(d.clock.Wall()) > 0
 	isSlow := usual > 0 && took > max(slowTimes*usual, slowLeast)
@@ -87,7 +87,7 @@
 		outcome = outlier.Slow
 	case err != nil:
 		outcome = outlier.Broken
-	case reply.IsNotExecuted():
+	case reply.NotExecuted():
 		return
 	case reply.Status == http.StatusInternalServerError || reply.Status == http.StatusBadGateway || reply.Status == http.StatusServiceUnavailable:
 		outcome = outlier.Failed
--- a/internal/upstream/hook.go
+++ b/internal/upstream/hook.go
@@ -16,14 +16,14 @@
 
 // Reply is a server's reply. Its body is whole, unless Rest is set: then Body
 // is what was read so far and Rest the remainder.
-type Reply struct {
+type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
 	// Length is the length that the server announced, or -1.
-	Length int64
-	Rest   io.Reader
-	finish func(isWhole bool)
+	Length    int64
+	Remainder io.Reader
+	finish    func(isWhole bool)
 }
 
 // Finish ends the use of a reply that has a Rest.
@@ -31,7 +31,7 @@
 // Example:
 //
 //	reply.Finish(err == nil)
-func (r *Reply) Finish(isWhole bool) {
+func (r *Response) Finish(isWhole bool) {
 	if r.finish != nil {
 		r.finish(isWhole)
 		r.finish = nil
@@ -43,42 +43,42 @@
 	// ErrNotSent: nothing of the inquiry was sent.
 	ErrNotSent = errors.ConstError("not sent")
 	// ErrServerLeft: the server left between the choice and the first byte.
-	ErrServerLeft = errors.ConstError("the server has left")
+	ErrNotServing = errors.ConstError("the server has left")
 	// ErrUnknown: it was sent, and no reply shows whether it ran.
-	ErrUnknown = errors.ConstError("sent, and the outcome is not known")
+	ErrOutcomeUnknown = errors.ConstError("sent, and the outcome is not known")
 )
 
 // hook is one connection to a server.
-type hook struct {
+type connection struct {
 	conn   net.Conn
 	reader *bufio.Reader
 	// head bounds how long a reply's header may be.
-	head *headLimit
+	limiter *headerLimiter
 	// until is when the server may close it for idleness.
-	until  time.Time
-	isDone bool
+	idleUntil time.Time
+	noReuse   bool
 	// isUsed: an earlier inquiry was sent over it; hasHead: one of them was a HEAD,
 	// whose reply has no body whatever its header says.
-	isUsed, hasHead bool
+	used, sentHead bool
 }
 
 const (
-	idleDefault  = 4 * time.Second
-	idleMargin   = 700 * time.Millisecond
-	serverSilent = 2 * time.Second
+	defaultIdleTimeout = 4 * time.Second
+	idleTimeoutMargin  = 700 * time.Millisecond
+	silenceTimeout     = 2 * time.Second
 )
 
-func dialHook(address string, wait time.Duration, window int) (*hook, error) {
-	conn, err := rpc.DialWindow(address, wait, serverSilent, window)
+func dial(address string, wait time.Duration, window int) (*connection, error) {
+	conn, err := rpc.DialWindow(address, wait, silenceTimeout, window)
 	if err != nil {
 		return nil, err
 	}
-	head := &headLimit{from: conn}
-	return &hook{conn: conn, head: head, reader: bufio.NewReaderSize(head, 4096)}, nil
+	head := &headerLimiter{source: conn}
+	return &connection{conn: conn, limiter: head, reader: bufio.NewReaderSize(head, 4096)}, nil
 }
 
 // window is how much the server may have on its way at once.
-func (h *hook) window() (bytes int) {
+func (h *connection) receiveBuffer() (bytes int) {
 	if tcp, ok := h.conn.(syscall.Conn); ok {
 		if raw, err := tcp.SyscallConn(); err == nil {
 			_ = raw.Control(func(fd uintptr) { bytes, _ = unix.GetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF) })
@@ -88,8 +88,8 @@
 }
 
 // isQuiet tells whether an idle connection is open and holds no stray bytes.
-func (h *hook) isQuiet(now time.Time) bool {
-	if h.reader.Buffered() > 0 || now.After(h.until) {
+func (h *connection) usable(now time.Time) bool {
+	if h.reader.Buffered() > 0 || now.After(h.idleUntil) {
 		return false
 	}
 	tcp, ok := h.conn.(syscall.Conn)
@@ -111,13 +111,13 @@
 }
 
 // send writes the inquiry and tells how much of it went out.
-func (h *hook) send(order Order, left time.Duration, instance string) (count int, err error) {
-	inquiry := order.Inquiry
-	text := inquiry.appendHead(make([]byte, 0, 512+len(inquiry.Body)), left, instance)
+func (h *connection) send(order Delivery, left time.Duration, instance string) (count int, err error) {
+	inquiry := order.Request
+	text := inquiry.appendHeader(make([]byte, 0, 512+len(inquiry.Body)), left, instance)
 	text = append(text, inquiry.Body...)
-	order.Out.Note(len(text))
+	order.Outbound.Note(len(text))
 	return h.conn.Write(text)
 }
 
 // mayReuse tells whether the next inquiry may travel on the connection.
-func (h *hook) mayReuse() bool { return !h.isDone && h.reader.Buffered() == 0 }
+func (h *connection) reusable() bool { return !h.noReuse && h.reader.Buffered() == 0 }
--- a/internal/upstream/receive_fuzz_test.go
+++ b/internal/upstream/receive_fuzz_test.go
@@ -12,10 +12,10 @@
 )
 
 // readAs reads what a server sent as the reply to the attempt "ours".
-func readAs(text []byte, method string, isUsed bool) (*hook, *Reply, error) {
-	head := &headLimit{from: bytes.NewReader(text)}
-	h := &hook{head: head, reader: bufio.NewReaderSize(head, 4096), isUsed: isUsed}
-	reply, err := h.receive(Order{Inquiry: &Inquiry{Method: method, Attempt: "ours"}, Buffer: 1 << 10})
+func readAs(text []byte, method string, isUsed bool) (*connection, *Response, error) {
+	head := &headerLimiter{source: bytes.NewReader(text)}
+	h := &connection{limiter: head, reader: bufio.NewReaderSize(head, 4096), used: isUsed}
+	reply, err := h.receive(Delivery{Request: &Request{Method: method, Attempt: "ours"}, BufferLimit: 1 << 10})
 	return h, reply, err
 }
 
@@ -53,22 +53,22 @@
 			return
 		}
 		ids := reply.Header.Values(HeaderAttempt)
-		isRefusal := len(ids) == 0 && !isUsed && reply.IsNotExecuted()
+		isRefusal := len(ids) == 0 && !isUsed && reply.NotExecuted()
 		if !isRefusal && (len(ids) != 1 || ids[0] != "ours") {
 			t.Fatalf("a reply to %q was taken", ids)
 		}
 		if reply.Status < 200 || reply.Status/100 == 2 && reply.Header.Get(HeaderSeal) == "" {
 			t.Fatalf("status %d without a seal was taken", reply.Status)
 		}
-		if isHead && (len(reply.Body) > 0 || reply.Rest != nil) {
+		if isHead && (len(reply.Body) > 0 || reply.Remainder != nil) {
 			t.Fatal("a reply to HEAD has a body")
 		}
 		if len(reply.Body) > 1<<10+1 {
 			t.Fatalf("%d bytes were held", len(reply.Body))
 		}
 		whole := reply.Body
-		if reply.Rest != nil {
-			rest, err := io.ReadAll(reply.Rest)
+		if reply.Remainder != nil {
+			rest, err := io.ReadAll(reply.Remainder)
 			whole = append(whole, rest...)
 			if err == nil && reply.Length >= 0 && int64(len(whole)) != reply.Length {
 				t.Fatalf("%d bytes look like all of %d", len(whole), reply.Length)
@@ -84,11 +84,11 @@
 func TestReplyTakesNoMemoryForAClaim(t *testing.T) {
 	head := "HTTP/1.1 200 OK\r\n" + HeaderAttempt + ": ours\r\n" + HeaderSeal + ": s\r\nContent-Length: %d\r\n\r\nx"
 	text := strings.NewReader(fmt.Sprintf(head, 60<<20))
-	limit := &headLimit{from: text}
-	h := &hook{head: limit, reader: bufio.NewReader(limit)}
+	limit := &headerLimiter{source: text}
+	h := &connection{limiter: limit, reader: bufio.NewReader(limit)}
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
-	_, err := h.receive(Order{Inquiry: &Inquiry{Method: http.MethodGet, Attempt: "ours"}, Buffer: 64 << 20})
+	_, err := h.receive(Delivery{Request: &Request{Method: http.MethodGet, Attempt: "ours"}, BufferLimit: 64 << 20})
 	runtime.ReadMemStats(&after)
 	if err == nil {
 		t.Fatal("one byte was taken for 60 MB")
@@ -100,10 +100,10 @@
 
 func TestSurplusReplyBeyondItsLimitEndsTheConnection(t *testing.T) {
 	hidden := answer("ours", "200 OK", "", "hidden")
-	head := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: another\r\nContent-Length: %d\r\n\r\n", HeaderAttempt, surplusBytes+1+len(hidden))
-	limit := &headLimit{from: io.MultiReader(strings.NewReader(head), io.LimitReader(zeros{}, surplusBytes+1), strings.NewReader(hidden))}
-	h := &hook{head: limit, reader: bufio.NewReader(limit)}
-	reply, err := h.receive(Order{Inquiry: &Inquiry{Method: http.MethodGet, Attempt: "ours"}, Buffer: 1 << 10})
+	head := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: another\r\nContent-Length: %d\r\n\r\n", HeaderAttempt, maxSkippedBodyBytes+1+len(hidden))
+	limit := &headerLimiter{source: io.MultiReader(strings.NewReader(head), io.LimitReader(zeros{}, maxSkippedBodyBytes+1), strings.NewReader(hidden))}
+	h := &connection{limiter: limit, reader: bufio.NewReader(limit)}
+	reply, err := h.receive(Delivery{Request: &Request{Method: http.MethodGet, Attempt: "ours"}, BufferLimit: 1 << 10})
 	if err == nil {
 		t.Fatalf("%q was taken out of another reply's body", reply.Body)
 	}
--- a/internal/upstream/reuse_test.go
+++ b/internal/upstream/reuse_test.go
@@ -74,11 +74,11 @@
 		e.answer("200 OK", e.id, "hidden")
 		return true
 	})
-	reply, err := s.send("one", "GET", func(order *upstream.Order) { order.Buffer = 4 })
-	if err != nil || reply.Rest == nil {
+	reply, err := s.send("one", "GET", func(order *upstream.Delivery) { order.BufferLimit = 4 })
+	if err != nil || reply.Remainder == nil {
 		t.Fatalf("got %+v, %v", reply, err)
 	}
-	_, _ = io.ReadFull(reply.Rest, make([]byte, 4))
+	_, _ = io.ReadFull(reply.Remainder, make([]byte, 4))
 	reply.Finish(false)
 	_, _ = s.send("two", "GET", nil)
 	if count := s.conns.Load(); count != 2 {
@@ -103,11 +103,11 @@
 		time.Sleep(50 * time.Millisecond)
 		_ = conn.Close()
 	}()
-	s := &scripted{Rack: &upstream.Rack{Address: listener.Addr().String(), Instance: "i-1"}}
-	reply, err := s.send("one", "POST", func(order *upstream.Order) {
-		order.Inquiry.Body, order.Inquiry.HasBody = make([]byte, 16<<20), true
+	s := &scripted{Pool: &upstream.Pool{Address: listener.Addr().String(), Instance: "i-1"}}
+	reply, err := s.send("one", "POST", func(order *upstream.Delivery) {
+		order.Request.Body, order.Request.HasBody = make([]byte, 16<<20), true
 	})
-	if err != nil || !reply.IsNotExecuted() {
+	if err != nil || !reply.NotExecuted() {
 		t.Fatalf("got %+v, %v", reply, err)
 	}
 }
@@ -141,9 +141,9 @@
 		second <- fmt.Sprint(count, " ", next.Header.Get(upstream.HeaderAttempt))
 		exchange{Conn: conn, id: "two"}.answer("200 OK", "two", "body of two")
 	}()
-	s := &scripted{Rack: &upstream.Rack{Address: listener.Addr().String(), Instance: "i-1"}}
-	reply, err := s.send("one", "POST", func(order *upstream.Order) {
-		order.Inquiry.Body, order.Inquiry.HasBody = make([]byte, size), true
+	s := &scripted{Pool: &upstream.Pool{Address: listener.Addr().String(), Instance: "i-1"}}
+	reply, err := s.send("one", "POST", func(order *upstream.Delivery) {
+		order.Request.Body, order.Request.HasBody = make([]byte, size), true
 	})
 	if err != nil || string(reply.Body) != "early" {
 		t.Fatalf("got %+v, %v", reply, err)
--- a/internal/upstream/rules.go
+++ b/internal/upstream/rules.go
@@ -12,40 +12,40 @@
 
 // The headers of the gateway's own protocol.
 const (
-	HeaderAttempt     = "Ploverhitch-Attempt-Id"
-	HeaderDeadline    = "Ploverhitch-Deadline-Ms"
-	HeaderKey         = "Ploverhitch-Operation-Key"
-	HeaderSeal        = "Ploverhitch-Server-Seal"
-	HeaderTarget      = "Ploverhitch-Target-Instance"
-	HeaderNotExecuted = "Ploverhitch-Not-Executed"
-	HeaderInstance    = "Ploverhitch-Instance-Id"
+	HeaderAttempt      = "Ploverhitch-Attempt-Id"
+	HeaderDeadline     = "Ploverhitch-Deadline-Ms"
+	HeaderOperationKey = "Ploverhitch-Operation-Key"
+	HeaderSeal         = "Ploverhitch-Server-Seal"
+	HeaderTarget       = "Ploverhitch-Target-Instance"
+	HeaderNotExecuted  = "Ploverhitch-Not-Executed"
+	HeaderInstance     = "Ploverhitch-Instance-Id"
 )
 
 // Rule says what happens to a header on its way.
-type Rule uint8
+type HeaderRule uint8
 
 // The rules: a header without one is passed along.
 const (
-	Pass Rule = iota
+	Pass HeaderRule = iota
 	// Drop is for headers that concern one connection only.
 	Drop
 	// Rewrite is for headers that this package writes itself.
 	Rewrite
 )
 
-var onward = map[string]Rule{
+var requestRules = map[string]HeaderRule{
 	"Connection": Drop, "Keep-Alive": Drop, "Proxy-Connection": Drop, "Te": Drop, "Trailer": Drop,
 	"Transfer-Encoding": Drop, "Upgrade": Drop, "Expect": Drop, "Proxy-Authorization": Drop, "Proxy-Authenticate": Drop,
 	"Host": Rewrite, "Content-Length": Rewrite, HeaderDeadline: Rewrite, HeaderTarget: Rewrite,
 }
 
-var back = map[string]Rule{
+var responseRules = map[string]HeaderRule{
 	"Connection": Drop, "Keep-Alive": Drop, "Proxy-Connection": Drop, "Te": Drop, "Trailer": Drop,
 	"Transfer-Encoding": Drop, "Upgrade": Drop, "Proxy-Authenticate": Drop, "Content-Length": Rewrite,
 }
 
 // named are the headers that a Connection header gives over to one connection.
-func named(header http.Header) map[string]bool {
+func connectionHeaders(header http.Header) map[string]bool {
 	lines := header["Connection"]
 	if len(lines) == 0 {
 		return nil
@@ -60,7 +60,7 @@
 }
 
 // Inquiry is what is delivered: the client's inquiry, read whole.
-type Inquiry struct {
+type Request struct {
 	Method string
 	// Target is path and query just as the client wrote them.
 	Target string
@@ -73,30 +73,30 @@
 }
 
 // appendHead writes the inquiry's head for one server.
-func (i *Inquiry) appendHead(out []byte, left time.Duration, instance string) []byte {
+func (i *Request) appendHeader(out []byte, left time.Duration, instance string) []byte {
 	out = append(out, i.Method...)
 	out = append(out, ' ')
 	out = append(out, i.Target...)
 	out = append(out, " HTTP/1.1\r\nHost: "...)
 	out = append(out, i.Host...)
-	local := named(i.Header)
+	local := connectionHeaders(i.Header)
 	for name, values := range i.Header {
-		if onward[name] != Pass || local[name] {
+		if requestRules[name] != Pass || local[name] {
 			continue
 		}
 		for _, value := range values {
-			out = appendLine(out, name, value)
+			out = appendField(out, name, value)
 		}
 	}
-	out = appendLine(out, HeaderDeadline, strconv.FormatInt(max(1, left.Milliseconds()), 10))
-	out = appendLine(out, HeaderTarget, instance)
+	out = appendField(out, HeaderDeadline, strconv.FormatInt(max(1, left.Milliseconds()), 10))
+	out = appendField(out, HeaderTarget, instance)
 	if i.HasBody {
-		out = appendLine(out, "Content-Length", strconv.Itoa(len(i.Body)))
+		out = appendField(out, "Content-Length", strconv.Itoa(len(i.Body)))
 	}
 	return append(out, "\r\n\r\n"...)
 }
 
-func appendLine(out []byte, name, value string) []byte {
+func appendField(out []byte, name, value string) []byte {
 	out = append(out, "\r\n"...)
 	out = append(out, name...)
 	out = append(out, ": "...)
@@ -108,10 +108,10 @@
 // Example:
 //
 //	upstream.CopyBack(w.Header(), reply.Header)
-func CopyBack(to, from http.Header) {
-	local := named(from)
+func CopyResponseHeader(to, from http.Header) {
+	local := connectionHeaders(from)
 	for name, values := range from {
-		if back[name] == Pass && !local[name] {
+		if responseRules[name] == Pass && !local[name] {
 			to[name] = values
 		}
 	}
--- a/internal/upstream/script_test.go
+++ b/internal/upstream/script_test.go
@@ -19,7 +19,7 @@
 
 // scripted is a server that does on each of its connections what the test says.
 type scripted struct {
-	*upstream.Rack
+	*upstream.Pool
 	arrivals atomic.Int32
 	conns    atomic.Int32
 }
@@ -42,8 +42,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &scripted{Rack: &upstream.Rack{Address: listener.Addr().String(), Instance: "i-1"}}
-	t.Cleanup(func() { _ = listener.Close(); s.Rack.Close() })
+	s := &scripted{Pool: &upstream.Pool{Address: listener.Addr().String(), Instance: "i-1"}}
+	t.Cleanup(func() { _ = listener.Close(); s.Pool.Close() })
 	go func() {
 		for {
 			conn, err := listener.Accept()
@@ -75,11 +75,11 @@
 }
 
 // send makes one delivery with the id, by the method, within a second.
-func (s *scripted) send(id, method string, change func(*upstream.Order)) (*upstream.Reply, error) {
+func (s *scripted) send(id, method string, change func(*upstream.Delivery)) (*upstream.Response, error) {
 	due := time.Now().Add(time.Second)
-	order := upstream.Order{
-		Inquiry: &upstream.Inquiry{Method: method, Target: "/a", Host: "h", Header: http.Header{upstream.HeaderAttempt: {id}}, Attempt: id},
-		Due:     due, Last: due, Connect: time.Second, Buffer: 1 << 20,
+	order := upstream.Delivery{
+		Request:  &upstream.Request{Method: method, Target: "/a", Host: "h", Header: http.Header{upstream.HeaderAttempt: {id}}, Attempt: id},
+		Deadline: due, ResponseDeadline: due, ConnectTimeout: time.Second, BufferLimit: 1 << 20,
 	}
 	if change != nil {
 		change(&order)
@@ -97,7 +97,7 @@
 
 func (s *scripted) wantUnknown(t *testing.T, id, method string) {
 	t.Helper()
-	if reply, err := s.send(id, method, nil); !errors.Is(err, upstream.ErrUnknown) {
+	if reply, err := s.send(id, method, nil); !errors.Is(err, upstream.ErrOutcomeUnknown) {
 		t.Fatalf("%s got %+v, %v", id, reply, err)
 	}
 }
@@ -121,7 +121,7 @@
 func TestOfWhatNothingWasWrittenNothingRan(t *testing.T) {
 	s := script(t, func(e exchange) bool { e.answer("200 OK", e.id, "x"); return true })
 	// The time to write is over after the last look and before the first byte.
-	reply, err := s.send("one", "POST", func(order *upstream.Order) { order.Last = time.Now().Add(-time.Second) })
+	reply, err := s.send("one", "POST", func(order *upstream.Delivery) { order.ResponseDeadline = time.Now().Add(-time.Second) })
 	if !errors.Is(err, upstream.ErrNotSent) || s.arrivals.Load() != 0 {
 		t.Fatalf("got %+v, %v after %d arrivals", reply, err, s.arrivals.Load())
 	}
@@ -157,7 +157,7 @@
 	s.want(t, "one", "body of one")
 	s.wantUnknown(t, "two", "POST")
 	fresh := script(t, func(e exchange) bool { refuse(e); return false })
-	if reply, err := fresh.send("one", "POST", nil); err != nil || !reply.IsNotExecuted() {
+	if reply, err := fresh.send("one", "POST", nil); err != nil || !reply.NotExecuted() {
 		t.Fatalf("got %+v, %v", reply, err)
 	}
 }
@@ -228,7 +228,7 @@
 	left, leave := context.WithCancel(context.Background())
 	time.AfterFunc(30*time.Millisecond, leave)
 	began := time.Now()
-	if reply, err := s.send("one", "GET", func(order *upstream.Order) { order.Left = left }); !errors.Is(err, upstream.ErrUnknown) {
+	if reply, err := s.send("one", "GET", func(order *upstream.Delivery) { order.ClientContext = left }); !errors.Is(err, upstream.ErrOutcomeUnknown) {
 		t.Fatalf("got %+v, %v", reply, err)
 	}
 	if err := <-ended; err != io.EOF || time.Since(began) > 700*time.Millisecond {
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -22,7 +22,7 @@
 
 var _ = Describe("a rack", func() {
 	var server *standin.Server
-	var rack *upstream.Rack
+	var rack *upstream.Pool
 	tries := 0
 
 	BeforeEach(func() {
@@ -30,19 +30,19 @@
 		server, err = standin.NewServer("i-1", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(func() { server.Close() })
-		rack = &upstream.Rack{Address: server.Address(), Instance: "i-1"}
+		rack = &upstream.Pool{Address: server.Address(), Instance: "i-1"}
 	})
 
-	deliver := func(change func(*upstream.Order)) (*upstream.Reply, string, error) {
+	deliver := func(change func(*upstream.Delivery)) (*upstream.Response, string, error) {
 		tries++
 		id := "try" + strconv.Itoa(tries)
 		header := http.Header{
 			upstream.HeaderAttempt: {id}, "Connection": {"X-Local, close"}, "X-Local": {"1"}, "X-Far": {"2"}, "Te": {"trailers"},
 			upstream.HeaderDeadline: {"999999"}, upstream.HeaderTarget: {"forged"},
 		}
-		order := upstream.Order{
-			Inquiry: &upstream.Inquiry{Method: "POST", Target: "/a/b?c=%2F", Host: "h", Header: header, Body: []byte("x"), HasBody: true, Attempt: id},
-			Due:     time.Now().Add(5 * time.Second), Last: time.Now().Add(5 * time.Second), Connect: time.Second, Buffer: 1 << 20,
+		order := upstream.Delivery{
+			Request:  &upstream.Request{Method: "POST", Target: "/a/b?c=%2F", Host: "h", Header: header, Body: []byte("x"), HasBody: true, Attempt: id},
+			Deadline: time.Now().Add(5 * time.Second), ResponseDeadline: time.Now().Add(5 * time.Second), ConnectTimeout: time.Second, BufferLimit: 1 << 20,
 		}
 		if change != nil {
 			change(&order)
@@ -66,7 +66,7 @@
 		func(act standin.Act) {
 			server.Next(act)
 			_, _, err := deliver(nil)
-			Expect(errors.Is(err, upstream.ErrUnknown)).To(BeTrue())
+			Expect(errors.Is(err, upstream.ErrOutcomeUnknown)).To(BeTrue())
 			// Nothing was sent again, and the connection is not used again.
 			arrivals, _ := server.Counts()
 			Expect(arrivals).To(Equal(1))
@@ -101,14 +101,14 @@
 		Expect(err).NotTo(HaveOccurred())
 		server.Next(standin.CutBefore, standin.Answer)
 		_, _, err = deliver(nil)
-		Expect(errors.Is(err, upstream.ErrUnknown)).To(BeTrue())
+		Expect(errors.Is(err, upstream.ErrOutcomeUnknown)).To(BeTrue())
 		arrivals, conns := server.Counts()
 		Expect(arrivals).To(Equal(2))
 		Expect(conns).To(Equal(1))
 	})
 
 	It("sends nothing once it may not, and says so", func() {
-		_, _, err := deliver(func(order *upstream.Order) { order.MaySend = func() bool { return false } })
+		_, _, err := deliver(func(order *upstream.Delivery) { order.MaySend = func() bool { return false } })
 		Expect(errors.Is(err, upstream.ErrNotSent)).To(BeTrue())
 		server.Close()
 		rack.Close()
@@ -120,12 +120,12 @@
 	It("sends nothing to a server that has left, says so, and keeps the connection", func() {
 		_, _, err := deliver(nil)
 		Expect(err).NotTo(HaveOccurred())
-		hasLeft := func(order *upstream.Order) {
-			order.IsServing = func() bool { return false }
+		hasLeft := func(order *upstream.Delivery) {
+			order.Serving = func() bool { return false }
 			order.MaySend = func() bool { defer GinkgoRecover(); Fail("asked though nothing is to be sent"); return true }
 		}
 		_, _, err = deliver(hasLeft)
-		Expect(errors.Is(err, upstream.ErrServerLeft)).To(BeTrue())
+		Expect(errors.Is(err, upstream.ErrNotServing)).To(BeTrue())
 		Expect(errors.Is(err, upstream.ErrNotSent)).To(BeTrue())
 		_, _, err = deliver(nil)
 		Expect(err).NotTo(HaveOccurred())
@@ -134,7 +134,7 @@
 		server.Close()
 		rack.Close()
 		_, _, err = deliver(hasLeft)
-		Expect(errors.Is(err, upstream.ErrServerLeft)).To(BeTrue(), "a server that ended in order is no failure")
+		Expect(errors.Is(err, upstream.ErrNotServing)).To(BeTrue(), "a server that ended in order is no failure")
 		Expect(errors.Is(err, upstream.ErrNotSent)).To(BeTrue())
 	})
 
@@ -143,23 +143,23 @@
 		for _, isNotExecuted := range []bool{true, true, false} {
 			reply, _, err := deliver(nil)
 			Expect(err).NotTo(HaveOccurred())
-			Expect(reply.IsNotExecuted()).To(Equal(isNotExecuted))
+			Expect(reply.NotExecuted()).To(Equal(isNotExecuted))
 		}
 	})
 
 	It("passes a large reply on in parts", func() {
-		reply, _, err := deliver(func(order *upstream.Order) { order.Buffer = 4 })
+		reply, _, err := deliver(func(order *upstream.Delivery) { order.BufferLimit = 4 })
 		Expect(err).NotTo(HaveOccurred())
-		Expect(reply.Rest).NotTo(BeNil())
+		Expect(reply.Remainder).NotTo(BeNil())
 		Expect(reply.Length).To(BeNumerically(">", 4))
 		reply.Finish(false)
 	})
 
 	It("hands a long success on as it comes, with an error where the server breaks off, and a failure whole", func() {
-		isPassedOn := func(order *upstream.Order) { order.PassOn = 4 }
+		isPassedOn := func(order *upstream.Delivery) { order.StreamThreshold = 4 }
 		reply, id, err := deliver(isPassedOn)
 		Expect(err).NotTo(HaveOccurred())
-		text, err := io.ReadAll(reply.Rest)
+		text, err := io.ReadAll(reply.Remainder)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(string(text)).To(Equal("body of " + id + " by i-1"))
 		reply.Finish(true)
@@ -167,17 +167,17 @@
 		server.Next(standin.CutWithin)
 		reply, _, err = deliver(isPassedOn)
 		Expect(err).NotTo(HaveOccurred())
-		text, err = io.ReadAll(reply.Rest)
+		text, err = io.ReadAll(reply.Remainder)
 		Expect(err).To(MatchError(io.ErrUnexpectedEOF))
 		Expect(len(text)).To(BeNumerically("<", reply.Length))
 		reply.Finish(false)
 
 		server.Next(standin.NoSeal, standin.Fail500)
 		_, _, err = deliver(isPassedOn)
-		Expect(errors.Is(err, upstream.ErrUnknown)).To(BeTrue())
+		Expect(errors.Is(err, upstream.ErrOutcomeUnknown)).To(BeTrue())
 		reply, _, err = deliver(isPassedOn)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(reply.Rest).To(BeNil())
+		Expect(reply.Remainder).To(BeNil())
 		// The connection of the whole one was used again, that of the broken one was not.
 		arrivals, conns := server.Counts()
 		Expect([]int{arrivals, conns}).To(Equal([]int{4, 3}))
@@ -187,7 +187,7 @@
 var _ = Describe("the header rules", func() {
 	It("drop what concerns one connection and pass the rest back", func() {
 		to := http.Header{}
-		upstream.CopyBack(to, http.Header{
+		upstream.CopyResponseHeader(to, http.Header{
 			"Connection": {"X-Local"}, "X-Local": {"1"}, "Keep-Alive": {"timeout=9"}, "Transfer-Encoding": {"chunked"},
 			"X-Far": {"2"}, upstream.HeaderSeal: {"s"},
 		})
