--- a/internal/points/copy.go
+++ b/internal/points/copy.go
@@ -77,7 +77,7 @@
 	switch {
 	case err != nil:
 		return loopline.Silent
-	case reply.NotExecuted():
+	case reply.IsNotExecuted():
 		return loopline.Turned
 	case reply.Status/100 != c.status/100:
 		return loopline.Status
--- a/internal/points/deliver.go
+++ b/internal/points/deliver.go
@@ -145,7 +145,7 @@
 		if d.isOpen && !d.dedupes() {
 			return nil, &openEnd{kind: apierror.Broken}, true
 		}
-	case got.reply.NotExecuted():
+	case got.reply.IsNotExecuted():
 		kind = apierror.NotExecuted
 		got.reply.Finish(false)
 	case !isRepeatable && isPromise(got.reply.Status):
--- a/internal/points/ending.go
+++ b/internal/points/ending.go
@@ -33,7 +33,7 @@
 			case errors.Is(got.err, upstream.ErrNotSent):
 			case got.err != nil:
 				end.isFree = false
-			case got.reply.NotExecuted():
+			case got.reply.IsNotExecuted():
 			default:
 				end.isFree = false
 				if !isPromise(got.reply.Status) {
--- a/internal/points/serving.go
+++ b/internal/points/serving.go
@@ -40,7 +40,7 @@
 		return balancer.Failed
 	case reply.Status == http.StatusMisdirectedRequest:
 		return balancer.Misdirected
-	case reply.NotExecuted():
+	case reply.IsNotExecuted():
 		return balancer.Full
 	default:
 		return balancer.Served
--- a/internal/points/shed.go
+++ b/internal/points/shed.go
@@ -114,7 +114,7 @@
 	}
 	outcome, lane := shedding.InTime, d.one.lane
 	switch {
-	case reply.NotExecuted():
+	case reply.IsNotExecuted():
 		outcome = shedding.Turned
 	case lane.RouteType == config.Download:
 		// How long bulk takes says more of this node's link than of the service.
--- a/internal/points/trial.go
+++ b/internal/points/trial.go
@@ -87,7 +87,7 @@
 		outcome = outlier.Slow
 	case err != nil:
 		outcome = outlier.Broken
-	case reply.NotExecuted():
+	case reply.IsNotExecuted():
 		return
 	case reply.Status == http.StatusInternalServerError || reply.Status == http.StatusBadGateway || reply.Status == http.StatusServiceUnavailable:
 		outcome = outlier.Failed
--- a/internal/upstream/hook.go
+++ b/internal/upstream/hook.go
@@ -23,7 +23,7 @@
 	// Length is the length that the server announced, or -1.
 	Length    int64
 	Remainder io.Reader
-	finish    func(isWhole bool)
+	finish    func(complete bool)
 }
 
 // Finish ends the use of a reply that has a Rest.
@@ -31,9 +31,9 @@
 // Example:
 //
 //	reply.Finish(err == nil)
-func (r *Response) Finish(isWhole bool) {
+func (r *Response) Finish(complete bool) {
 	if r.finish != nil {
-		r.finish(isWhole)
+		r.finish(complete)
 		r.finish = nil
 	}
 }
@@ -68,18 +68,18 @@
 	silenceTimeout     = 2 * time.Second
 )
 
-func dial(address string, wait time.Duration, window int) (*connection, error) {
-	conn, err := rpc.DialWindow(address, wait, silenceTimeout, window)
+func dial(address string, timeout time.Duration, receiveWindow int) (*connection, error) {
+	conn, err := rpc.DialWindow(address, timeout, silenceTimeout, receiveWindow)
 	if err != nil {
 		return nil, err
 	}
-	head := &headerLimiter{source: conn}
-	return &connection{conn: conn, limiter: head, reader: bufio.NewReaderSize(head, 4096)}, nil
+	limiter := &headerLimiter{source: conn}
+	return &connection{conn: conn, limiter: limiter, reader: bufio.NewReaderSize(limiter, 4096)}, nil
 }
 
 // window is how much the server may have on its way at once.
-func (h *connection) receiveBuffer() (bytes int) {
-	if tcp, ok := h.conn.(syscall.Conn); ok {
+func (c *connection) receiveBuffer() (bytes int) {
+	if tcp, ok := c.conn.(syscall.Conn); ok {
 		if raw, err := tcp.SyscallConn(); err == nil {
 			_ = raw.Control(func(fd uintptr) { bytes, _ = unix.GetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF) })
 		}
@@ -88,11 +88,11 @@
 }
 
 // isQuiet tells whether an idle connection is open and holds no stray bytes.
-func (h *connection) usable(now time.Time) bool {
-	if h.reader.Buffered() > 0 || now.After(h.idleUntil) {
+func (c *connection) usable(now time.Time) bool {
+	if c.reader.Buffered() > 0 || now.After(c.idleUntil) {
 		return false
 	}
-	tcp, ok := h.conn.(syscall.Conn)
+	tcp, ok := c.conn.(syscall.Conn)
 	if !ok {
 		return true
 	}
@@ -100,24 +100,24 @@
 	if err != nil {
 		return false
 	}
-	isQuiet := false
-	var one [1]byte
+	usable := false
+	var buffer [1]byte
 	err = raw.Read(func(fd uintptr) bool {
-		_, err := syscall.Read(int(fd), one[:])
-		isQuiet = err == syscall.EAGAIN || err == syscall.EWOULDBLOCK
+		_, err := syscall.Read(int(fd), buffer[:])
+		usable = err == syscall.EAGAIN || err == syscall.EWOULDBLOCK
 		return true
 	})
-	return err == nil && isQuiet
+	return err == nil && usable
 }
 
 // send writes the inquiry and tells how much of it went out.
-func (h *connection) send(order Delivery, left time.Duration, instance string) (count int, err error) {
-	inquiry := order.Request
-	text := inquiry.appendHeader(make([]byte, 0, 512+len(inquiry.Body)), left, instance)
-	text = append(text, inquiry.Body...)
-	order.Outbound.Note(len(text))
-	return h.conn.Write(text)
+func (c *connection) send(delivery Delivery, remaining time.Duration, instance string) (count int, err error) {
+	request := delivery.Request
+	text := request.appendHeader(make([]byte, 0, 512+len(request.Body)), remaining, instance)
+	text = append(text, request.Body...)
+	delivery.Outbound.Note(len(text))
+	return c.conn.Write(text)
 }
 
 // mayReuse tells whether the next inquiry may travel on the connection.
-func (h *connection) reusable() bool { return !h.noReuse && h.reader.Buffered() == 0 }
+func (c *connection) reusable() bool { return !c.noReuse && c.reader.Buffered() == 0 }
--- a/internal/upstream/rack.go
+++ b/internal/upstream/rack.go
@@ -51,7 +51,7 @@
 const maxIdleConnections = 6
 
 // serverLeft tells whether the server is known to have left.
-func (o Delivery) notServing() bool { return o.Serving != nil && !o.Serving() }
+func (d Delivery) notServing() bool { return d.Serving != nil && !d.Serving() }
 
 // Deliver sends the inquiry to the server and reads its reply. The error is
 // ErrNotSent, which is also ErrServerLeft where the server has left, or ErrUnknown.
@@ -59,106 +59,106 @@
 // Example:
 //
 //	reply, err := rack.Deliver(order)
-func (r *Pool) Deliver(order Delivery) (*Response, error) {
-	h := r.get()
-	if h == nil {
+func (p *Pool) Deliver(delivery Delivery) (*Response, error) {
+	c := p.get()
+	if c == nil {
 		var err error
-		if h, err = dial(r.Address, min(order.ConnectTimeout, time.Until(order.Deadline)), r.ReceiveWindow); err != nil {
-			if order.notServing() {
+		if c, err = dial(p.Address, min(delivery.ConnectTimeout, time.Until(delivery.Deadline)), p.ReceiveWindow); err != nil {
+			if delivery.notServing() {
 				err = errors.WithType(err, ErrNotServing)
 			}
 			return nil, errors.WithType(err, ErrNotSent)
 		}
 	}
-	if order.notServing() {
-		r.put(h)
+	if delivery.notServing() {
+		p.put(c)
 		return nil, errors.WithType(errors.WithType(errors.New("no longer serving"), ErrNotServing), ErrNotSent)
 	}
-	left := time.Until(order.Deadline)
-	if left <= 0 || order.MaySend != nil && !order.MaySend() {
-		r.put(h)
+	remaining := time.Until(delivery.Deadline)
+	if remaining <= 0 || delivery.MaySend != nil && !delivery.MaySend() {
+		p.put(c)
 		return nil, errors.WithType(errors.Timeoutf("the time to send"), ErrNotSent)
 	}
-	_ = h.conn.SetDeadline(order.ResponseDeadline)
-	stop := h.closeOnCancel(order.ClientContext)
-	if count, err := h.send(order, left, r.Instance); err != nil {
+	_ = c.conn.SetDeadline(delivery.ResponseDeadline)
+	stop := c.closeOnCancel(delivery.ClientContext)
+	if count, err := c.send(delivery, remaining, p.Instance); err != nil {
 		defer stop()
-		return h.handleSendError(order, count, err)
+		return c.handleSendError(delivery, count, err)
 	}
-	reply, err := h.receive(order)
+	response, err := c.receive(delivery)
 	if err != nil {
 		stop()
-		_ = h.conn.Close()
+		_ = c.conn.Close()
 		return nil, errors.WithType(err, ErrOutcomeUnknown)
 	}
-	finish := func(isWhole bool) {
+	finish := func(complete bool) {
 		stop()
-		h.noReuse = h.noReuse || !isWhole
-		r.put(h)
+		c.noReuse = c.noReuse || !complete
+		p.put(c)
 	}
-	if reply.Remainder != nil {
-		reply.finish = finish
-		return reply, nil
+	if response.Remainder != nil {
+		response.finish = finish
+		return response, nil
 	}
 	finish(true)
-	return reply, nil
+	return response, nil
 }
 
 // unsent ends a delivery whose inquiry did not go out whole. Of what none was
 // written, nothing can have run. A server that answers before it has read all and
 // closes then has left its reply, which is as good as any.
-func (h *connection) handleSendError(order Delivery, count int, err error) (*Response, error) {
-	defer h.conn.Close()
+func (c *connection) handleSendError(delivery Delivery, count int, err error) (*Response, error) {
+	defer c.conn.Close()
 	if count == 0 {
 		return nil, errors.WithType(err, ErrNotSent)
 	}
-	if reply, replyErr := h.receive(order); replyErr == nil && reply.Remainder == nil {
-		return reply, nil
+	if response, receiveErr := c.receive(delivery); receiveErr == nil && response.Remainder == nil {
+		return response, nil
 	}
 	return nil, errors.WithType(err, ErrOutcomeUnknown)
 }
 
 // breakOn breaks the connection once the context ends, until it is told to stop. A
 // connection that may be breaking just then is not used again.
-func (h *connection) closeOnCancel(left context.Context) (stop func()) {
-	if left == nil {
+func (c *connection) closeOnCancel(ctx context.Context) (stop func()) {
+	if ctx == nil {
 		return func() {}
 	}
-	end := context.AfterFunc(left, func() { _ = h.conn.Close() })
-	return func() { h.noReuse = !end() || h.noReuse }
+	cancel := context.AfterFunc(ctx, func() { _ = c.conn.Close() })
+	return func() { c.noReuse = !cancel() || c.noReuse }
 }
 
-func (r *Pool) get() *connection {
+func (p *Pool) get() *connection {
 	now := time.Now()
 	for {
-		r.lock.Lock()
-		if len(r.idle) == 0 {
-			r.lock.Unlock()
+		p.lock.Lock()
+		if len(p.idle) == 0 {
+			p.lock.Unlock()
 			return nil
 		}
-		h := r.idle[len(r.idle)-1]
-		r.idle = r.idle[:len(r.idle)-1]
-		r.lock.Unlock()
-		if h.usable(now) {
-			return h
+		c := p.idle[len(p.idle)-1]
+		p.idle = p.idle[:len(p.idle)-1]
+		p.lock.Unlock()
+		if c.usable(now) {
+			return c
 		}
-		_ = h.conn.Close()
+		_ = c.conn.Close()
 	}
 }
 
-func (r *Pool) put(h *connection) {
-	if !h.reusable() {
-		_ = h.conn.Close()
+func (p *Pool) put(c *connection) {
+	if !c.reusable() {
+		_ = c.conn.Close()
 		return
 	}
-	_ = h.conn.SetDeadline(time.Time{})
-	r.lock.Lock()
-	defer r.lock.Unlock()
-	if r.closed || len(r.idle) >= maxIdleConnections {
-		_ = h.conn.Close()
+	_ = c.conn.SetDeadline(time.Time{})
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	if p.closed || len(p.idle) >= maxIdleConnections {
+		_ = c.conn.Close()
 		return
 	}
-	r.idle = append(r.idle, h)
+	p.idle = append(p.idle, c)
 }
 
 // Close ends the idle connections; those at work end when they are done.
@@ -166,12 +166,12 @@
 // Example:
 //
 //	rack.Close()
-func (r *Pool) Close() {
-	r.lock.Lock()
-	defer r.lock.Unlock()
-	r.closed = true
-	for _, h := range r.idle {
-		_ = h.conn.Close()
+func (p *Pool) Close() {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	p.closed = true
+	for _, c := range p.idle {
+		_ = c.conn.Close()
 	}
-	r.idle = nil
+	p.idle = nil
 }
--- a/internal/upstream/receive.go
+++ b/internal/upstream/receive.go
@@ -30,26 +30,26 @@
 }
 
 // Read reads what the limit leaves.
-func (l *headerLimiter) Read(into []byte) (count int, err error) {
+func (l *headerLimiter) Read(buffer []byte) (count int, err error) {
 	if !l.enabled {
-		return l.source.Read(into)
+		return l.source.Read(buffer)
 	}
 	if l.remaining <= 0 {
 		return 0, errors.NotValidf("header of more than %d bytes", maxHeaderBytes)
 	}
-	count, err = l.source.Read(into[:min(len(into), l.remaining)])
+	count, err = l.source.Read(buffer[:min(len(buffer), l.remaining)])
 	l.remaining -= count
 	return count, err
 }
 
 // receive reads the reply that carries the inquiry's id. A reply with another
 // id belongs to an earlier inquiry: it is passed over, never handed on.
-func (h *connection) receive(order Delivery) (*Response, error) {
-	inquiry := order.Request
-	isUsed := h.used
-	h.used, h.sentHead = true, h.sentHead || inquiry.Method == http.MethodHead
+func (c *connection) receive(delivery Delivery) (*Response, error) {
+	request := delivery.Request
+	used := c.used
+	c.used, c.sentHead = true, c.sentHead || request.Method == http.MethodHead
 	for range maxSkippedResponses {
-		response, err := h.readHeader(inquiry.Method)
+		response, err := c.readHeader(request.Method)
 		if err != nil {
 			return nil, err
 		}
@@ -59,11 +59,11 @@
 		if response.StatusCode < http.StatusOK {
 			continue
 		}
-		if answersAttempt(response, inquiry.Attempt, isUsed) {
-			return h.readBody(response, order)
+		if answersAttempt(response, request.Attempt, used) {
+			return c.readBody(response, delivery)
 		}
-		h.noReuse = true
-		if h.sentHead {
+		c.noReuse = true
+		if c.sentHead {
 			// Whether that reply has a body depends on which inquiry it answers.
 			return nil, errors.NotValidf("reply to another inquiry, of unknown length,")
 		}
@@ -77,22 +77,22 @@
 	return nil, errors.NotValidf("so many replies to other inquiries")
 }
 
-func (h *connection) readHeader(method string) (*http.Response, error) {
-	h.limiter.remaining, h.limiter.enabled = maxHeaderBytes, true
-	response, err := http.ReadResponse(h.reader, &http.Request{Method: method})
-	h.limiter.enabled = false
+func (c *connection) readHeader(method string) (*http.Response, error) {
+	c.limiter.remaining, c.limiter.enabled = maxHeaderBytes, true
+	response, err := http.ReadResponse(c.reader, &http.Request{Method: method})
+	c.limiter.enabled = false
 	return response, errors.Trace(err)
 }
 
 // isReplyTo tells whether a reply is the one to the attempt. A server that turns an
 // inquiry away may do so before it has read the id; that is told from a late reply
 // to an earlier inquiry only where the connection has carried none.
-func answersAttempt(response *http.Response, attempt string, isUsed bool) bool {
+func answersAttempt(response *http.Response, attempt string, used bool) bool {
 	ids := response.Header.Values(HeaderAttempt)
 	if len(ids) > 0 {
 		return len(ids) == 1 && ids[0] == attempt
 	}
-	return !isUsed && notExecuted(response.StatusCode, response.Header)
+	return !used && notExecuted(response.StatusCode, response.Header)
 }
 
 // passOver reads a reply that nobody waits for to its end.
@@ -104,47 +104,47 @@
 	return errors.Trace(err)
 }
 
-func (h *connection) readBody(response *http.Response, order Delivery) (*Response, error) {
-	reply := &Response{Status: response.StatusCode, Header: response.Header, Length: response.ContentLength}
+func (c *connection) readBody(httpResponse *http.Response, delivery Delivery) (*Response, error) {
+	response := &Response{Status: httpResponse.StatusCode, Header: httpResponse.Header, Length: httpResponse.ContentLength}
 	// Of a reply without a length, too, net/http says that its connection ends it.
-	h.noReuse = h.noReuse || response.Close || len(response.Header.Values(HeaderAttempt)) == 0
-	h.idleUntil = time.Now().Add(idleTimeout(response.Header.Get("Keep-Alive")))
-	isSuccess := reply.Status/100 == 2
-	if isSuccess && reply.Header.Get(HeaderSeal) == "" {
+	c.noReuse = c.noReuse || httpResponse.Close || len(httpResponse.Header.Values(HeaderAttempt)) == 0
+	c.idleUntil = time.Now().Add(idleTimeout(httpResponse.Header.Get("Keep-Alive")))
+	success := response.Status/100 == 2
+	if success && response.Header.Get(HeaderSeal) == "" {
 		return nil, errors.NotValidf("success without a seal")
 	}
-	if response.Body == http.NoBody {
-		return reply, nil
+	if httpResponse.Body == http.NoBody {
+		return response, nil
 	}
-	from := order.Inbound.Reader(response.Body, reply.Length, h.receiveBuffer())
-	isPassedOn := isSuccess && order.StreamThreshold > 0 && reply.Length >= order.StreamThreshold
-	if reply.Length > order.BufferLimit || isPassedOn {
-		reply.Remainder = from
-		return reply, nil
+	source := delivery.Inbound.Reader(httpResponse.Body, response.Length, c.receiveBuffer())
+	streamed := success && delivery.StreamThreshold > 0 && response.Length >= delivery.StreamThreshold
+	if response.Length > delivery.BufferLimit || streamed {
+		response.Remainder = source
+		return response, nil
 	}
-	body, err := readLimited(from, reply.Length, order.BufferLimit)
+	body, err := readLimited(source, response.Length, delivery.BufferLimit)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	if reply.Body = body; int64(len(body)) > order.BufferLimit {
-		reply.Remainder = from
+	if response.Body = body; int64(len(body)) > delivery.BufferLimit {
+		response.Remainder = source
 	} else {
-		reply.Length = int64(len(body))
+		response.Length = int64(len(body))
 	}
-	return reply, nil
+	return response, nil
 }
 
-func readLimited(from io.Reader, length, buffer int64) ([]byte, error) {
+func readLimited(source io.Reader, length, limit int64) ([]byte, error) {
 	if length >= 0 {
-		return bounded.Read(from, int(length))
+		return bounded.Read(source, int(length))
 	}
-	return io.ReadAll(io.LimitReader(from, buffer+1))
+	return io.ReadAll(io.LimitReader(source, limit+1))
 }
 
 func idleTimeout(keepAlive string) time.Duration {
 	for _, part := range strings.Split(keepAlive, ",") {
-		if text, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout="); ok {
-			if seconds, err := strconv.Atoi(text); err == nil {
+		if value, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout="); ok {
+			if seconds, err := strconv.Atoi(value); err == nil {
 				return max(0, time.Duration(seconds)*time.Second-idleTimeoutMargin)
 			}
 		}
@@ -158,7 +158,7 @@
 // Example:
 //
 //	if reply.IsNotExecuted() { tryAnother() }
-func (r *Response) NotExecuted() bool { return notExecuted(r.Status, r.Header) }
+func (r *Response) IsNotExecuted() bool { return notExecuted(r.Status, r.Header) }
 
 func notExecuted(status int, header http.Header) bool {
 	return header.Get(HeaderNotExecuted) != "" || status == http.StatusMisdirectedRequest
--- a/internal/upstream/receive_fuzz_test.go
+++ b/internal/upstream/receive_fuzz_test.go
@@ -12,15 +12,15 @@
 )
 
 // readAs reads what a server sent as the reply to the attempt "ours".
-func readAs(text []byte, method string, isUsed bool) (*connection, *Response, error) {
-	head := &headerLimiter{source: bytes.NewReader(text)}
-	h := &connection{limiter: head, reader: bufio.NewReaderSize(head, 4096), used: isUsed}
-	reply, err := h.receive(Delivery{Request: &Request{Method: method, Attempt: "ours"}, BufferLimit: 1 << 10})
-	return h, reply, err
+func receiveText(text []byte, method string, used bool) (*connection, *Response, error) {
+	header := &headerLimiter{source: bytes.NewReader(text)}
+	c := &connection{limiter: header, reader: bufio.NewReaderSize(header, 4096), used: used}
+	response, err := c.receive(Delivery{Request: &Request{Method: method, Attempt: "ours"}, BufferLimit: 1 << 10})
+	return c, response, err
 }
 
-func answer(id, status, more, body string) string {
-	return fmt.Sprintf("HTTP/1.1 %s\r\n%s: %s\r\n%s: seal\r\n%sContent-Length: %d\r\n\r\n%s", status, HeaderAttempt, id, HeaderSeal, more, len(body), body)
+func responseText(id, status, fields, body string) string {
+	return fmt.Sprintf("HTTP/1.1 %s\r\n%s: %s\r\n%s: seal\r\n%sContent-Length: %d\r\n\r\n%s", status, HeaderAttempt, id, HeaderSeal, fields, len(body), body)
 }
 
 // FuzzReceive holds that reading a server's answers never panics, and that an answer
@@ -28,50 +28,50 @@
 // that a success is sealed; and that the body is what stood behind that very header.
 func FuzzReceive(f *testing.F) {
 	for _, text := range []string{
-		answer("ours", "200 OK", "", "body"),
-		answer("another", "200 OK", "", "stray") + answer("ours", "200 OK", "", "body"),
-		"HTTP/1.1 100 Continue\r\n\r\n" + answer("ours", "500 Internal Server Error", "", ""),
-		answer("ours", "200 OK", "Transfer-Encoding: chunked\r\n", "4\r\nbody\r\n0\r\n\r\n"),
-		answer("ours", "200 OK", "", "body")[:100],
+		responseText("ours", "200 OK", "", "body"),
+		responseText("another", "200 OK", "", "stray") + responseText("ours", "200 OK", "", "body"),
+		"HTTP/1.1 100 Continue\r\n\r\n" + responseText("ours", "500 Internal Server Error", "", ""),
+		responseText("ours", "200 OK", "Transfer-Encoding: chunked\r\n", "4\r\nbody\r\n0\r\n\r\n"),
+		responseText("ours", "200 OK", "", "body")[:100],
 		"HTTP/1.1 421 Misdirected Request\r\nContent-Length: 0\r\n\r\n",
 		"HTTP/1.1 503 No\r\n" + HeaderNotExecuted + ": 1\r\nContent-Length: 0\r\n\r\n",
 		"HTTP/1.1 200 OK\r\n" + HeaderAttempt + ": ours\r\n" + HeaderSeal + ": s\r\n\r\nto the end",
 		"HTTP/1.1 200 OK\r\n" + HeaderAttempt + ": ours\r\n" + HeaderSeal + ": s\r\nContent-Length: 99999999999\r\n\r\n",
-		"HTTP/1.1 101 Switching Protocols\r\n\r\n" + answer("ours", "200 OK", "", "body"),
+		"HTTP/1.1 101 Switching Protocols\r\n\r\n" + responseText("ours", "200 OK", "", "body"),
 		"\x00\x01 no answer at all\r\n\r\n",
 	} {
 		f.Add([]byte(text), false, false)
 		f.Add([]byte(text), true, true)
 	}
-	f.Fuzz(func(t *testing.T, text []byte, isHead, isUsed bool) {
+	f.Fuzz(func(t *testing.T, text []byte, isHead, used bool) {
 		method := http.MethodGet
 		if isHead {
 			method = http.MethodHead
 		}
-		_, reply, err := readAs(text, method, isUsed)
+		_, response, err := receiveText(text, method, used)
 		if err != nil {
 			return
 		}
-		ids := reply.Header.Values(HeaderAttempt)
-		isRefusal := len(ids) == 0 && !isUsed && reply.NotExecuted()
-		if !isRefusal && (len(ids) != 1 || ids[0] != "ours") {
+		ids := response.Header.Values(HeaderAttempt)
+		rejected := len(ids) == 0 && !used && response.IsNotExecuted()
+		if !rejected && (len(ids) != 1 || ids[0] != "ours") {
 			t.Fatalf("a reply to %q was taken", ids)
 		}
-		if reply.Status < 200 || reply.Status/100 == 2 && reply.Header.Get(HeaderSeal) == "" {
-			t.Fatalf("status %d without a seal was taken", reply.Status)
+		if response.Status < 200 || response.Status/100 == 2 && response.Header.Get(HeaderSeal) == "" {
+			t.Fatalf("status %d without a seal was taken", response.Status)
 		}
-		if isHead && (len(reply.Body) > 0 || reply.Remainder != nil) {
+		if isHead && (len(response.Body) > 0 || response.Remainder != nil) {
 			t.Fatal("a reply to HEAD has a body")
 		}
-		if len(reply.Body) > 1<<10+1 {
-			t.Fatalf("%d bytes were held", len(reply.Body))
+		if len(response.Body) > 1<<10+1 {
+			t.Fatalf("%d bytes were held", len(response.Body))
 		}
-		whole := reply.Body
-		if reply.Remainder != nil {
-			rest, err := io.ReadAll(reply.Remainder)
+		whole := response.Body
+		if response.Remainder != nil {
+			rest, err := io.ReadAll(response.Remainder)
 			whole = append(whole, rest...)
-			if err == nil && reply.Length >= 0 && int64(len(whole)) != reply.Length {
-				t.Fatalf("%d bytes look like all of %d", len(whole), reply.Length)
+			if err == nil && response.Length >= 0 && int64(len(whole)) != response.Length {
+				t.Fatalf("%d bytes look like all of %d", len(whole), response.Length)
 			}
 		}
 		// Chunks apart, a body stands in one piece in what was sent.
@@ -81,35 +81,35 @@
 	})
 }
 
-func TestReplyTakesNoMemoryForAClaim(t *testing.T) {
-	head := "HTTP/1.1 200 OK\r\n" + HeaderAttempt + ": ours\r\n" + HeaderSeal + ": s\r\nContent-Length: %d\r\n\r\nx"
-	text := strings.NewReader(fmt.Sprintf(head, 60<<20))
-	limit := &headerLimiter{source: text}
-	h := &connection{limiter: limit, reader: bufio.NewReader(limit)}
+func TestAnnouncedLengthAllocatesNoMemory(t *testing.T) {
+	header := "HTTP/1.1 200 OK\r\n" + HeaderAttempt + ": ours\r\n" + HeaderSeal + ": s\r\nContent-Length: %d\r\n\r\nx"
+	text := strings.NewReader(fmt.Sprintf(header, 60<<20))
+	limiter := &headerLimiter{source: text}
+	c := &connection{limiter: limiter, reader: bufio.NewReader(limiter)}
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
-	_, err := h.receive(Delivery{Request: &Request{Method: http.MethodGet, Attempt: "ours"}, BufferLimit: 64 << 20})
+	_, err := c.receive(Delivery{Request: &Request{Method: http.MethodGet, Attempt: "ours"}, BufferLimit: 64 << 20})
 	runtime.ReadMemStats(&after)
 	if err == nil {
 		t.Fatal("one byte was taken for 60 MB")
 	}
-	if taken := after.TotalAlloc - before.TotalAlloc; taken > 1<<20 {
-		t.Fatalf("%d bytes were taken", taken)
+	if allocated := after.TotalAlloc - before.TotalAlloc; allocated > 1<<20 {
+		t.Fatalf("%d bytes were taken", allocated)
 	}
 }
 
-func TestSurplusReplyBeyondItsLimitEndsTheConnection(t *testing.T) {
-	hidden := answer("ours", "200 OK", "", "hidden")
-	head := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: another\r\nContent-Length: %d\r\n\r\n", HeaderAttempt, maxSkippedBodyBytes+1+len(hidden))
-	limit := &headerLimiter{source: io.MultiReader(strings.NewReader(head), io.LimitReader(zeros{}, maxSkippedBodyBytes+1), strings.NewReader(hidden))}
-	h := &connection{limiter: limit, reader: bufio.NewReader(limit)}
-	reply, err := h.receive(Delivery{Request: &Request{Method: http.MethodGet, Attempt: "ours"}, BufferLimit: 1 << 10})
+func TestOversizedSkippedResponseFails(t *testing.T) {
+	hidden := responseText("ours", "200 OK", "", "hidden")
+	header := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: another\r\nContent-Length: %d\r\n\r\n", HeaderAttempt, maxSkippedBodyBytes+1+len(hidden))
+	limiter := &headerLimiter{source: io.MultiReader(strings.NewReader(header), io.LimitReader(zeros{}, maxSkippedBodyBytes+1), strings.NewReader(hidden))}
+	c := &connection{limiter: limiter, reader: bufio.NewReader(limiter)}
+	response, err := c.receive(Delivery{Request: &Request{Method: http.MethodGet, Attempt: "ours"}, BufferLimit: 1 << 10})
 	if err == nil {
-		t.Fatalf("%q was taken out of another reply's body", reply.Body)
+		t.Fatalf("%q was taken out of another reply's body", response.Body)
 	}
 }
 
 // zeros is a source of nothing but zeros.
 type zeros struct{}
 
-func (zeros) Read(into []byte) (int, error) { clear(into); return len(into), nil }
+func (zeros) Read(buffer []byte) (int, error) { clear(buffer); return len(buffer), nil }
--- a/internal/upstream/reuse_test.go
+++ b/internal/upstream/reuse_test.go
@@ -13,80 +13,80 @@
 	"ploverhitch/internal/upstream"
 )
 
-func TestRepliesToHeadLeaveNoBytesToTheNextInquiry(t *testing.T) {
-	const claimed = 900
-	head := "HTTP/1.1 200 OK\r\nPloverhitch-Attempt-Id: %s\r\nPloverhitch-Server-Seal: s\r\n%s\r\n"
+func TestResponsesToHeadLeaveNoBytesForNextRequest(t *testing.T) {
+	const announced = 900
+	header := "HTTP/1.1 200 OK\r\nPloverhitch-Attempt-Id: %s\r\nPloverhitch-Server-Seal: s\r\n%s\r\n"
 	// A reply to HEAD may name a length, or none; neither has a body.
-	for _, length := range []string{fmt.Sprintf("Content-Length: %d\r\n", claimed), "Transfer-Encoding: chunked\r\n", ""} {
-		s := script(t, func(e exchange) bool {
+	for _, length := range []string{fmt.Sprintf("Content-Length: %d\r\n", announced), "Transfer-Encoding: chunked\r\n", ""} {
+		s := newScriptedServer(t, func(e exchange) bool {
 			switch e.number {
 			case 1:
-				_, _ = fmt.Fprintf(e, head, e.id, length)
+				_, _ = fmt.Fprintf(e, header, e.id, length)
 			case 2:
 				// The reply to the HEAD once more: its bytes never come, and what stands
 				// so many bytes later is text in another reply's body.
-				_, _ = fmt.Fprintf(e, head, "head", length)
-				hidden := fmt.Sprintf(head, e.id, "Content-Length: 6\r\n") + "hidden"
-				e.answer("200 OK", e.id, strings.Repeat("x", claimed-len(fmt.Sprintf(head, e.id, "Content-Length: 999\r\n")))+hidden)
+				_, _ = fmt.Fprintf(e, header, "head", length)
+				hidden := fmt.Sprintf(header, e.id, "Content-Length: 6\r\n") + "hidden"
+				e.respond("200 OK", e.id, strings.Repeat("x", announced-len(fmt.Sprintf(header, e.id, "Content-Length: 999\r\n")))+hidden)
 			default:
-				e.answer("200 OK", e.id, "body of "+e.id)
+				e.respond("200 OK", e.id, "body of "+e.id)
 			}
 			return true
 		})
-		if reply, err := s.send("head", "HEAD", nil); err != nil || len(reply.Body) > 0 {
-			t.Fatalf("%q: got %+v, %v", length, reply, err)
+		if response, err := s.send("head", "HEAD", nil); err != nil || len(response.Body) > 0 {
+			t.Fatalf("%q: got %+v, %v", length, response, err)
 		}
-		s.wantUnknown(t, "two", "GET")
-		s.want(t, "three", "body of three")
+		s.expectOutcomeUnknown(t, "two", "GET")
+		s.expectBody(t, "three", "body of three")
 	}
 }
 
-func TestInterimRepliesLeaveTheConnectionInUse(t *testing.T) {
-	s := script(t, func(e exchange) bool {
+func TestInterimResponsesKeepConnectionReusable(t *testing.T) {
+	s := newScriptedServer(t, func(e exchange) bool {
 		_, _ = io.WriteString(e, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\n\r\n")
-		e.answer("200 OK", e.id, "body of "+e.id)
+		e.respond("200 OK", e.id, "body of "+e.id)
 		return true
 	})
-	s.want(t, "one", "body of one")
-	s.want(t, "two", "body of two")
-	if count := s.conns.Load(); count != 1 {
+	s.expectBody(t, "one", "body of one")
+	s.expectBody(t, "two", "body of two")
+	if count := s.connections.Load(); count != 1 {
 		t.Fatalf("%d connections", count)
 	}
 }
 
-func TestConnectionThatTheServerIsToCloseIsNotUsedAgain(t *testing.T) {
-	s := script(t, func(e exchange) bool {
-		e.answer("200 OK\r\nConnection: close", e.id, "body of "+e.id)
+func TestConnectionCloseHeaderPreventsReuse(t *testing.T) {
+	s := newScriptedServer(t, func(e exchange) bool {
+		e.respond("200 OK\r\nConnection: close", e.id, "body of "+e.id)
 		time.Sleep(100 * time.Millisecond)
 		return false
 	})
-	s.want(t, "one", "body of one")
-	s.want(t, "two", "body of two")
+	s.expectBody(t, "one", "body of one")
+	s.expectBody(t, "two", "body of two")
 }
 
-func TestRestOfABrokenBodyIsNotTheNextReply(t *testing.T) {
-	s := script(t, func(e exchange) bool {
+func TestPartlyReadBodyPreventsReuse(t *testing.T) {
+	s := newScriptedServer(t, func(e exchange) bool {
 		if e.number == 1 {
 			_, _ = fmt.Fprintf(e, "HTTP/1.1 200 OK\r\nPloverhitch-Attempt-Id: %s\r\nPloverhitch-Server-Seal: s\r\nContent-Length: 9000\r\n\r\npart", e.id)
 			return true
 		}
 		// What was due of the first body, and in it what looks like a reply.
-		e.answer("200 OK", e.id, "hidden")
+		e.respond("200 OK", e.id, "hidden")
 		return true
 	})
-	reply, err := s.send("one", "GET", func(order *upstream.Delivery) { order.BufferLimit = 4 })
-	if err != nil || reply.Remainder == nil {
-		t.Fatalf("got %+v, %v", reply, err)
+	response, err := s.send("one", "GET", func(delivery *upstream.Delivery) { delivery.BufferLimit = 4 })
+	if err != nil || response.Remainder == nil {
+		t.Fatalf("got %+v, %v", response, err)
 	}
-	_, _ = io.ReadFull(reply.Remainder, make([]byte, 4))
-	reply.Finish(false)
+	_, _ = io.ReadFull(response.Remainder, make([]byte, 4))
+	response.Finish(false)
 	_, _ = s.send("two", "GET", nil)
-	if count := s.conns.Load(); count != 2 {
+	if count := s.connections.Load(); count != 2 {
 		t.Fatalf("%d connections: one with a body half read was used again", count)
 	}
 }
 
-func TestServerThatAnswersBeforeItHasReadAllAndCloses(t *testing.T) {
+func TestServerRespondsEarlyAndCloses(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -103,16 +103,16 @@
 		time.Sleep(50 * time.Millisecond)
 		_ = conn.Close()
 	}()
-	s := &scripted{Pool: &upstream.Pool{Address: listener.Addr().String(), Instance: "i-1"}}
-	reply, err := s.send("one", "POST", func(order *upstream.Delivery) {
-		order.Request.Body, order.Request.HasBody = make([]byte, 16<<20), true
+	s := &scriptedServer{Pool: &upstream.Pool{Address: listener.Addr().String(), Instance: "i-1"}}
+	response, err := s.send("one", "POST", func(delivery *upstream.Delivery) {
+		delivery.Request.Body, delivery.Request.HasBody = make([]byte, 16<<20), true
 	})
-	if err != nil || !reply.NotExecuted() {
-		t.Fatalf("got %+v, %v", reply, err)
+	if err != nil || !response.IsNotExecuted() {
+		t.Fatalf("got %+v, %v", response, err)
 	}
 }
 
-func TestServerThatAnswersEarlyAndReadsOnGetsTheRestOfTheBody(t *testing.T) {
+func TestServerRespondsEarlyAndStillReceivesWholeBody(t *testing.T) {
 	const size = 4 << 20
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -130,7 +130,7 @@
 		if err != nil {
 			return
 		}
-		exchange{Conn: conn, id: "one"}.answer("200 OK", "one", "early")
+		exchange{Conn: conn, id: "one"}.respond("200 OK", "one", "early")
 		time.Sleep(50 * time.Millisecond)
 		count, _ := io.Copy(io.Discard, request.Body)
 		next, err := http.ReadRequest(reader)
@@ -139,16 +139,16 @@
 			return
 		}
 		second <- fmt.Sprint(count, " ", next.Header.Get(upstream.HeaderAttempt))
-		exchange{Conn: conn, id: "two"}.answer("200 OK", "two", "body of two")
+		exchange{Conn: conn, id: "two"}.respond("200 OK", "two", "body of two")
 	}()
-	s := &scripted{Pool: &upstream.Pool{Address: listener.Addr().String(), Instance: "i-1"}}
-	reply, err := s.send("one", "POST", func(order *upstream.Delivery) {
-		order.Request.Body, order.Request.HasBody = make([]byte, size), true
+	s := &scriptedServer{Pool: &upstream.Pool{Address: listener.Addr().String(), Instance: "i-1"}}
+	response, err := s.send("one", "POST", func(delivery *upstream.Delivery) {
+		delivery.Request.Body, delivery.Request.HasBody = make([]byte, size), true
 	})
-	if err != nil || string(reply.Body) != "early" {
-		t.Fatalf("got %+v, %v", reply, err)
+	if err != nil || string(response.Body) != "early" {
+		t.Fatalf("got %+v, %v", response, err)
 	}
-	s.want(t, "two", "body of two")
+	s.expectBody(t, "two", "body of two")
 	if got := <-second; got != fmt.Sprint(size, " two") {
 		t.Fatalf("where the body was due came %q", got)
 	}
--- a/internal/upstream/rules.go
+++ b/internal/upstream/rules.go
@@ -50,13 +50,13 @@
 	if len(lines) == 0 {
 		return nil
 	}
-	out := map[string]bool{}
+	names := map[string]bool{}
 	for _, line := range lines {
 		for _, name := range strings.Split(line, ",") {
-			out[http.CanonicalHeaderKey(strings.TrimSpace(name))] = true
+			names[http.CanonicalHeaderKey(strings.TrimSpace(name))] = true
 		}
 	}
-	return out
+	return names
 }
 
 // Inquiry is what is delivered: the client's inquiry, read whole.
@@ -73,34 +73,34 @@
 }
 
 // appendHead writes the inquiry's head for one server.
-func (i *Request) appendHeader(out []byte, left time.Duration, instance string) []byte {
-	out = append(out, i.Method...)
-	out = append(out, ' ')
-	out = append(out, i.Target...)
-	out = append(out, " HTTP/1.1\r\nHost: "...)
-	out = append(out, i.Host...)
-	local := connectionHeaders(i.Header)
-	for name, values := range i.Header {
-		if requestRules[name] != Pass || local[name] {
+func (r *Request) appendHeader(buffer []byte, remaining time.Duration, instance string) []byte {
+	buffer = append(buffer, r.Method...)
+	buffer = append(buffer, ' ')
+	buffer = append(buffer, r.Target...)
+	buffer = append(buffer, " HTTP/1.1\r\nHost: "...)
+	buffer = append(buffer, r.Host...)
+	hopByHop := connectionHeaders(r.Header)
+	for name, values := range r.Header {
+		if requestRules[name] != Pass || hopByHop[name] {
 			continue
 		}
 		for _, value := range values {
-			out = appendField(out, name, value)
+			buffer = appendField(buffer, name, value)
 		}
 	}
-	out = appendField(out, HeaderDeadline, strconv.FormatInt(max(1, left.Milliseconds()), 10))
-	out = appendField(out, HeaderTarget, instance)
-	if i.HasBody {
-		out = appendField(out, "Content-Length", strconv.Itoa(len(i.Body)))
+	buffer = appendField(buffer, HeaderDeadline, strconv.FormatInt(max(1, remaining.Milliseconds()), 10))
+	buffer = appendField(buffer, HeaderTarget, instance)
+	if r.HasBody {
+		buffer = appendField(buffer, "Content-Length", strconv.Itoa(len(r.Body)))
 	}
-	return append(out, "\r\n\r\n"...)
+	return append(buffer, "\r\n\r\n"...)
 }
 
-func appendField(out []byte, name, value string) []byte {
-	out = append(out, "\r\n"...)
-	out = append(out, name...)
-	out = append(out, ": "...)
-	return append(out, value...)
+func appendField(buffer []byte, name, value string) []byte {
+	buffer = append(buffer, "\r\n"...)
+	buffer = append(buffer, name...)
+	buffer = append(buffer, ": "...)
+	return append(buffer, value...)
 }
 
 // CopyBack puts a server's headers into the client's reply, by the rules.
@@ -109,15 +109,15 @@
 //
 //	upstream.CopyBack(w.Header(), reply.Header)
 func CopyResponseHeader(to, from http.Header) {
-	local := connectionHeaders(from)
+	hopByHop := connectionHeaders(from)
 	for name, values := range from {
-		if responseRules[name] == Pass && !local[name] {
+		if responseRules[name] == Pass && !hopByHop[name] {
 			to[name] = values
 		}
 	}
 	// net/http would add these two by itself.
 	for _, name := range []string{"Date", "Content-Type"} {
-		if _, isThere := to[name]; !isThere {
+		if _, present := to[name]; !present {
 			to[name] = nil
 		}
 	}
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -22,39 +22,39 @@
 
 var _ = Describe("a rack", func() {
 	var server *standin.Server
-	var rack *upstream.Pool
-	tries := 0
+	var pool *upstream.Pool
+	attempts := 0
 
 	BeforeEach(func() {
 		var err error
 		server, err = standin.NewServer("i-1", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(func() { server.Close() })
-		rack = &upstream.Pool{Address: server.Address(), Instance: "i-1"}
+		pool = &upstream.Pool{Address: server.Address(), Instance: "i-1"}
 	})
 
 	deliver := func(change func(*upstream.Delivery)) (*upstream.Response, string, error) {
-		tries++
-		id := "try" + strconv.Itoa(tries)
+		attempts++
+		id := "try" + strconv.Itoa(attempts)
 		header := http.Header{
 			upstream.HeaderAttempt: {id}, "Connection": {"X-Local, close"}, "X-Local": {"1"}, "X-Far": {"2"}, "Te": {"trailers"},
 			upstream.HeaderDeadline: {"999999"}, upstream.HeaderTarget: {"forged"},
 		}
-		order := upstream.Delivery{
+		delivery := upstream.Delivery{
 			Request:  &upstream.Request{Method: "POST", Target: "/a/b?c=%2F", Host: "h", Header: header, Body: []byte("x"), HasBody: true, Attempt: id},
 			Deadline: time.Now().Add(5 * time.Second), ResponseDeadline: time.Now().Add(5 * time.Second), ConnectTimeout: time.Second, BufferLimit: 1 << 20,
 		}
 		if change != nil {
-			change(&order)
+			change(&delivery)
 		}
-		reply, err := rack.Deliver(order)
-		return reply, id, err
+		response, err := pool.Deliver(delivery)
+		return response, id, err
 	}
 
 	It("delivers method, target and body unchanged, with its own deadline and target", func() {
-		reply, id, err := deliver(nil)
+		response, id, err := deliver(nil)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(string(reply.Body)).To(Equal("body of " + id + " by i-1"))
+		Expect(string(response.Body)).To(Equal("body of " + id + " by i-1"))
 		run := server.Runs()[0]
 		Expect(run.Target).To(Equal("/a/b?c=%2F"))
 		Expect(run.Body).To(Equal("x"))
@@ -63,18 +63,18 @@
 	})
 
 	DescribeTable("takes no reply that is not the server's whole reply to this inquiry",
-		func(act standin.Act) {
-			server.Next(act)
+		func(behavior standin.Act) {
+			server.Next(behavior)
 			_, _, err := deliver(nil)
 			Expect(errors.Is(err, upstream.ErrOutcomeUnknown)).To(BeTrue())
 			// Nothing was sent again, and the connection is not used again.
 			arrivals, _ := server.Counts()
 			Expect(arrivals).To(Equal(1))
-			reply, id, err := deliver(nil)
+			response, id, err := deliver(nil)
 			Expect(err).NotTo(HaveOccurred())
-			Expect(reply.Header.Get(upstream.HeaderAttempt)).To(Equal(id))
-			_, conns := server.Counts()
-			Expect(conns).To(Equal(2))
+			Expect(response.Header.Get(upstream.HeaderAttempt)).To(Equal(id))
+			_, connections := server.Counts()
+			Expect(connections).To(Equal(2))
 		},
 		Entry("cut before", standin.CutBefore),
 		Entry("cut within", standin.CutWithin),
@@ -83,12 +83,12 @@
 	)
 
 	DescribeTable("hands on its own reply and never a surplus one",
-		func(act standin.Act) {
+		func(behavior standin.Act) {
 			for range 5 {
-				server.Next(act)
-				reply, id, err := deliver(nil)
+				server.Next(behavior)
+				response, id, err := deliver(nil)
 				Expect(err).NotTo(HaveOccurred())
-				Expect(string(reply.Body)).To(Equal("body of " + id + " by i-1"))
+				Expect(string(response.Body)).To(Equal("body of " + id + " by i-1"))
 			}
 			Expect(server.Runs()).To(HaveLen(5))
 		},
@@ -102,16 +102,16 @@
 		server.Next(standin.CutBefore, standin.Answer)
 		_, _, err = deliver(nil)
 		Expect(errors.Is(err, upstream.ErrOutcomeUnknown)).To(BeTrue())
-		arrivals, conns := server.Counts()
+		arrivals, connections := server.Counts()
 		Expect(arrivals).To(Equal(2))
-		Expect(conns).To(Equal(1))
+		Expect(connections).To(Equal(1))
 	})
 
 	It("sends nothing once it may not, and says so", func() {
-		_, _, err := deliver(func(order *upstream.Delivery) { order.MaySend = func() bool { return false } })
+		_, _, err := deliver(func(delivery *upstream.Delivery) { delivery.MaySend = func() bool { return false } })
 		Expect(errors.Is(err, upstream.ErrNotSent)).To(BeTrue())
 		server.Close()
-		rack.Close()
+		pool.Close()
 		_, _, err = deliver(nil)
 		Expect(errors.Is(err, upstream.ErrNotSent)).To(BeTrue())
 		Expect(server.Runs()).To(BeEmpty())
@@ -120,67 +120,67 @@
 	It("sends nothing to a server that has left, says so, and keeps the connection", func() {
 		_, _, err := deliver(nil)
 		Expect(err).NotTo(HaveOccurred())
-		hasLeft := func(order *upstream.Delivery) {
-			order.Serving = func() bool { return false }
-			order.MaySend = func() bool { defer GinkgoRecover(); Fail("asked though nothing is to be sent"); return true }
+		stopServing := func(delivery *upstream.Delivery) {
+			delivery.Serving = func() bool { return false }
+			delivery.MaySend = func() bool { defer GinkgoRecover(); Fail("asked though nothing is to be sent"); return true }
 		}
-		_, _, err = deliver(hasLeft)
+		_, _, err = deliver(stopServing)
 		Expect(errors.Is(err, upstream.ErrNotServing)).To(BeTrue())
 		Expect(errors.Is(err, upstream.ErrNotSent)).To(BeTrue())
 		_, _, err = deliver(nil)
 		Expect(err).NotTo(HaveOccurred())
-		arrivals, conns := server.Counts()
-		Expect([]int{arrivals, conns}).To(Equal([]int{2, 1}))
+		arrivals, connections := server.Counts()
+		Expect([]int{arrivals, connections}).To(Equal([]int{2, 1}))
 		server.Close()
-		rack.Close()
-		_, _, err = deliver(hasLeft)
+		pool.Close()
+		_, _, err = deliver(stopServing)
 		Expect(errors.Is(err, upstream.ErrNotServing)).To(BeTrue(), "a server that ended in order is no failure")
 		Expect(errors.Is(err, upstream.ErrNotSent)).To(BeTrue())
 	})
 
 	It("tells a server that did not run the inquiry", func() {
 		server.Next(standin.Shed, standin.Misdirect, standin.Fail500)
-		for _, isNotExecuted := range []bool{true, true, false} {
-			reply, _, err := deliver(nil)
+		for _, notExecuted := range []bool{true, true, false} {
+			response, _, err := deliver(nil)
 			Expect(err).NotTo(HaveOccurred())
-			Expect(reply.NotExecuted()).To(Equal(isNotExecuted))
+			Expect(response.IsNotExecuted()).To(Equal(notExecuted))
 		}
 	})
 
 	It("passes a large reply on in parts", func() {
-		reply, _, err := deliver(func(order *upstream.Delivery) { order.BufferLimit = 4 })
+		response, _, err := deliver(func(delivery *upstream.Delivery) { delivery.BufferLimit = 4 })
 		Expect(err).NotTo(HaveOccurred())
-		Expect(reply.Remainder).NotTo(BeNil())
-		Expect(reply.Length).To(BeNumerically(">", 4))
-		reply.Finish(false)
+		Expect(response.Remainder).NotTo(BeNil())
+		Expect(response.Length).To(BeNumerically(">", 4))
+		response.Finish(false)
 	})
 
 	It("hands a long success on as it comes, with an error where the server breaks off, and a failure whole", func() {
-		isPassedOn := func(order *upstream.Delivery) { order.StreamThreshold = 4 }
-		reply, id, err := deliver(isPassedOn)
+		stream := func(delivery *upstream.Delivery) { delivery.StreamThreshold = 4 }
+		response, id, err := deliver(stream)
 		Expect(err).NotTo(HaveOccurred())
-		text, err := io.ReadAll(reply.Remainder)
+		text, err := io.ReadAll(response.Remainder)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(string(text)).To(Equal("body of " + id + " by i-1"))
-		reply.Finish(true)
+		response.Finish(true)
 
 		server.Next(standin.CutWithin)
-		reply, _, err = deliver(isPassedOn)
+		response, _, err = deliver(stream)
 		Expect(err).NotTo(HaveOccurred())
-		text, err = io.ReadAll(reply.Remainder)
+		text, err = io.ReadAll(response.Remainder)
 		Expect(err).To(MatchError(io.ErrUnexpectedEOF))
-		Expect(len(text)).To(BeNumerically("<", reply.Length))
-		reply.Finish(false)
+		Expect(len(text)).To(BeNumerically("<", response.Length))
+		response.Finish(false)
 
 		server.Next(standin.NoSeal, standin.Fail500)
-		_, _, err = deliver(isPassedOn)
+		_, _, err = deliver(stream)
 		Expect(errors.Is(err, upstream.ErrOutcomeUnknown)).To(BeTrue())
-		reply, _, err = deliver(isPassedOn)
+		response, _, err = deliver(stream)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(reply.Remainder).To(BeNil())
+		Expect(response.Remainder).To(BeNil())
 		// The connection of the whole one was used again, that of the broken one was not.
-		arrivals, conns := server.Counts()
-		Expect([]int{arrivals, conns}).To(Equal([]int{4, 3}))
+		arrivals, connections := server.Counts()
+		Expect([]int{arrivals, connections}).To(Equal([]int{4, 3}))
 	})
 })
 
@@ -193,8 +193,8 @@
 		})
 		Expect(to).To(HaveKeyWithValue("X-Far", []string{"2"}))
 		Expect(to).To(HaveKeyWithValue(upstream.HeaderSeal, []string{"s"}))
-		for _, gone := range []string{"Connection", "X-Local", "Keep-Alive", "Transfer-Encoding"} {
-			Expect(to).NotTo(HaveKey(gone))
+		for _, dropped := range []string{"Connection", "X-Local", "Keep-Alive", "Transfer-Encoding"} {
+			Expect(to).NotTo(HaveKey(dropped))
 		}
 	})
 })
