--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -65,11 +65,11 @@
 const (
 	defaultIdleTimeout = 4 * time.Second
 	idleTimeoutMargin  = 700 * time.Millisecond
-	silenceTimeout     = 2 * time.Second
+	peerTimeout     = 2 * time.Second
 )
 
 func dial(address string, timeout time.Duration, receiveWindow int) (*connection, error) {
-	conn, err := rpc.DialWindow(address, timeout, silenceTimeout, receiveWindow)
+	conn, err := rpc.DialWindow(address, timeout, peerTimeout, receiveWindow)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -124,8 +124,8 @@
 	if ctx == nil {
 		return func() {}
 	}
-	cancel := context.AfterFunc(ctx, func() { _ = c.conn.Close() })
-	return func() { c.noReuse = !cancel() || c.noReuse }
+	unregister := context.AfterFunc(ctx, func() { _ = c.conn.Close() })
+	return func() { c.noReuse = !unregister() || c.noReuse }
 }
 
 func (p *Pool) get() *connection {
--- a/internal/upstream/receive_fuzz_test.go
+++ b/internal/upstream/receive_fuzz_test.go
@@ -13,8 +13,8 @@
 
 // readAs reads what a server sent as the reply to the attempt "ours".
 func receiveText(text []byte, method string, used bool) (*connection, *Response, error) {
-	header := &headerLimiter{source: bytes.NewReader(text)}
-	c := &connection{limiter: header, reader: bufio.NewReaderSize(header, 4096), used: used}
+	limiter := &headerLimiter{source: bytes.NewReader(text)}
+	c := &connection{limiter: limiter, reader: bufio.NewReaderSize(limiter, 4096), used: used}
 	response, err := c.receive(Delivery{Request: &Request{Method: method, Attempt: "ours"}, BufferLimit: 1 << 10})
 	return c, response, err
 }
@@ -43,9 +43,9 @@
 		f.Add([]byte(text), false, false)
 		f.Add([]byte(text), true, true)
 	}
-	f.Fuzz(func(t *testing.T, text []byte, isHead, used bool) {
+	f.Fuzz(func(t *testing.T, text []byte, headRequest, used bool) {
 		method := http.MethodGet
-		if isHead {
+		if headRequest {
 			method = http.MethodHead
 		}
 		_, response, err := receiveText(text, method, used)
@@ -60,7 +60,7 @@
 		if response.Status < 200 || response.Status/100 == 2 && response.Header.Get(HeaderSeal) == "" {
 			t.Fatalf("status %d without a seal was taken", response.Status)
 		}
-		if isHead && (len(response.Body) > 0 || response.Remainder != nil) {
+		if headRequest && (len(response.Body) > 0 || response.Remainder != nil) {
 			t.Fatal("a reply to HEAD has a body")
 		}
 		if len(response.Body) > 1<<10+1 {
@@ -68,8 +68,8 @@
 		}
 		whole := response.Body
 		if response.Remainder != nil {
-			rest, err := io.ReadAll(response.Remainder)
-			whole = append(whole, rest...)
+			remainder, err := io.ReadAll(response.Remainder)
+			whole = append(whole, remainder...)
 			if err == nil && response.Length >= 0 && int64(len(whole)) != response.Length {
 				t.Fatalf("%d bytes look like all of %d", len(whole), response.Length)
 			}
