--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -14,23 +14,20 @@
 	"ploverhitch/internal/rpc"
 )
 
-// Reply is a server's reply. Its body is whole, unless Rest is set: then Body
-// is what was read so far and Rest the remainder.
+// Response is a server's response. Body is complete unless Remainder is set: then Body
+// holds what was read so far and Remainder supplies the rest.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
-	// Length is the length that the server announced, or -1.
+	// Length is the announced or the known length of the body, or -1.
 	Length    int64
 	Remainder io.Reader
 	finish    func(complete bool)
 }
 
-// Finish ends the use of a reply that has a Rest.
-//
-// Example:
-//
-//	reply.Finish(err == nil)
+// Finish releases the connection of a response that has a Remainder. The connection is
+// reused only if the body was read completely.
 func (r *Response) Finish(complete bool) {
 	if r.finish != nil {
 		r.finish(complete)
@@ -38,34 +35,39 @@
 	}
 }
 
-// Errors that tell how a delivery failed.
+// Errors that classify a failed delivery.
 const (
-	// ErrNotSent: nothing of the inquiry was sent.
-	ErrNotSent = errors.ConstError("not sent")
-	// ErrServerLeft: the server left between the choice and the first byte.
-	ErrNotServing = errors.ConstError("the server has left")
-	// ErrUnknown: it was sent, and no reply shows whether it ran.
-	ErrOutcomeUnknown = errors.ConstError("sent, and the outcome is not known")
+	// ErrNotSent means that no byte of the request was sent.
+	ErrNotSent = errors.ConstError("request not sent")
+	// ErrNotServing means that the server stopped serving after it was chosen and before
+	// the first byte was sent.
+	ErrNotServing = errors.ConstError("server is no longer serving")
+	// ErrOutcomeUnknown means that the request was sent, at least in part, and no response
+	// shows whether it was executed.
+	ErrOutcomeUnknown = errors.ConstError("request sent, but its outcome is unknown")
 )
 
-// hook is one connection to a server.
+// connection is one connection to a server.
 type connection struct {
 	conn   net.Conn
 	reader *bufio.Reader
-	// head bounds how long a reply's header may be.
+	// limiter limits the size of response headers.
 	limiter *headerLimiter
-	// until is when the server may close it for idleness.
+	// idleUntil is the time from which on the server may close the idle connection.
 	idleUntil time.Time
 	noReuse   bool
-	// isUsed: an earlier inquiry was sent over it; hasHead: one of them was a HEAD,
-	// whose reply has no body whatever its header says.
+	// used is set after the first request. sentHead is set after a HEAD request, whose
+	// response has no body whatever its header says.
 	used, sentHead bool
 }
 
 const (
+	// defaultIdleTimeout applies where the server announces no timeout by Keep-Alive.
 	defaultIdleTimeout = 4 * time.Second
-	idleTimeoutMargin  = 700 * time.Millisecond
-	peerTimeout     = 2 * time.Second
+	// idleTimeoutMargin is subtracted from an announced timeout.
+	idleTimeoutMargin = 700 * time.Millisecond
+	// peerTimeout is how long a connection may go without acknowledgments from the server.
+	peerTimeout = 2 * time.Second
 )
 
 func dial(address string, timeout time.Duration, receiveWindow int) (*connection, error) {
@@ -77,7 +79,8 @@
 	return &connection{conn: conn, limiter: limiter, reader: bufio.NewReaderSize(limiter, 4096)}, nil
 }
 
-// window is how much the server may have on its way at once.
+// receiveBuffer returns the size of the socket's receive buffer, which limits the bytes
+// in flight from the server.
 func (c *connection) receiveBuffer() (bytes int) {
 	if tcp, ok := c.conn.(syscall.Conn); ok {
 		if raw, err := tcp.SyscallConn(); err == nil {
@@ -87,7 +90,7 @@
 	return bytes
 }
 
-// isQuiet tells whether an idle connection is open and holds no stray bytes.
+// usable reports whether an idle connection is still open and has no unread bytes.
 func (c *connection) usable(now time.Time) bool {
 	if c.reader.Buffered() > 0 || now.After(c.idleUntil) {
 		return false
@@ -110,7 +113,7 @@
 	return err == nil && usable
 }
 
-// send writes the inquiry and tells how much of it went out.
+// send writes the request and returns the number of bytes written.
 func (c *connection) send(delivery Delivery, remaining time.Duration, instance string) (count int, err error) {
 	request := delivery.Request
 	text := request.appendHeader(make([]byte, 0, 512+len(request.Body)), remaining, instance)
@@ -119,5 +122,5 @@
 	return c.conn.Write(text)
 }
 
-// mayReuse tells whether the next inquiry may travel on the connection.
+// reusable reports whether the connection may carry another request.
 func (c *connection) reusable() bool { return !c.noReuse && c.reader.Buffered() == 0 }
--- a/internal/upstream/headers.go
+++ b/internal/upstream/headers.go
@@ -1,6 +1,5 @@
-// Package upstream joins the two sides of an inquiry: what net/http reads from
-// clients, and the connections over which it is delivered to servers. A list
-// of rules says what happens to each header.
+// Package upstream delivers client requests to servers over pooled HTTP/1.1
+// connections. Rules per header determine what is forwarded in each direction.
 package upstream
 
 import (
@@ -21,15 +20,15 @@
 	HeaderInstance     = "Ploverhitch-Instance-Id"
 )
 
-// Rule says what happens to a header on its way.
+// HeaderRule determines how a header is forwarded.
 type HeaderRule uint8
 
-// The rules: a header without one is passed along.
+// The header rules. A header without a rule is forwarded unchanged.
 const (
 	Pass HeaderRule = iota
-	// Drop is for headers that concern one connection only.
+	// Drop is for hop-by-hop headers.
 	Drop
-	// Rewrite is for headers that this package writes itself.
+	// Rewrite is for headers that the proxy sets itself.
 	Rewrite
 )
 
@@ -44,7 +43,7 @@
 	"Transfer-Encoding": Drop, "Upgrade": Drop, "Proxy-Authenticate": Drop, "Content-Length": Rewrite,
 }
 
-// named are the headers that a Connection header gives over to one connection.
+// connectionHeaders returns the headers that a Connection header declares hop-by-hop.
 func connectionHeaders(header http.Header) map[string]bool {
 	lines := header["Connection"]
 	if len(lines) == 0 {
@@ -59,20 +58,20 @@
 	return names
 }
 
-// Inquiry is what is delivered: the client's inquiry, read whole.
+// Request is a client's request with its complete body.
 type Request struct {
 	Method string
-	// Target is path and query just as the client wrote them.
+	// Target is the path and query exactly as the client sent them.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// HasBody tells an empty body from none.
+	// HasBody distinguishes an empty body from no body.
 	HasBody bool
 	Attempt string
 }
 
-// appendHead writes the inquiry's head for one server.
+// appendHeader appends the request line and the header for one server instance.
 func (r *Request) appendHeader(buffer []byte, remaining time.Duration, instance string) []byte {
 	buffer = append(buffer, r.Method...)
 	buffer = append(buffer, ' ')
@@ -103,11 +102,8 @@
 	return append(buffer, value...)
 }
 
-// CopyBack puts a server's headers into the client's reply, by the rules.
-//
-// Example:
-//
-//	upstream.CopyBack(w.Header(), reply.Header)
+// CopyResponseHeader copies a server's response header into the response to the client,
+// following the header rules.
 func CopyResponseHeader(to, from http.Header) {
 	hopByHop := connectionHeaders(from)
 	for name, values := range from {
@@ -115,7 +111,7 @@
 			to[name] = values
 		}
 	}
-	// net/http would add these two by itself.
+	// Prevents net/http from adding these two by itself.
 	for _, name := range []string{"Date", "Content-Type"} {
 		if _, present := to[name]; !present {
 			to[name] = nil
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -10,13 +10,13 @@
 	"ploverhitch/internal/bandwidth"
 )
 
-// Rack holds the connections to one server and delivers over them. Unlike
-// http.Transport it never sends an inquiry again by itself, and it passes over
-// replies that belong to other inquiries; see docs/design.md.
+// Pool holds the connections to one server and delivers requests over them. Unlike
+// http.Transport it never retries a request by itself, and it skips responses that
+// belong to other requests; see docs/design.md.
 type Pool struct {
 	Address  string
 	Instance string
-	// Window bounds, if set, what the server may have on its way at once.
+	// ReceiveWindow, if set, limits the bytes in flight from the server.
 	ReceiveWindow int
 
 	lock   sync.Mutex
@@ -24,41 +24,41 @@
 	closed bool
 }
 
-// Order is how one delivery is to be made.
+// Delivery is a request with the parameters of its delivery.
 type Delivery struct {
 	Request *Request
-	// Due is when the client stops waiting; the server is told what is left.
+	// Deadline is when the client stops waiting; the server is sent the remaining time.
 	Deadline time.Time
-	// Last is how long to wait for the reply itself.
+	// ResponseDeadline is until when the request may be written and the response read.
 	ResponseDeadline time.Time
 	ConnectTimeout   time.Duration
-	// Buffer is up to which length a reply is checked whole before it is handed on.
+	// BufferLimit is the length up to which a response body is buffered and checked
+	// completely before it is returned.
 	BufferLimit int64
-	// PassOn, if set, is from which length on a success is handed on as it comes.
+	// StreamThreshold, if set, is the length from which on the body of a successful
+	// response is streamed.
 	StreamThreshold int64
-	// In and Out are the directions of the machine's link.
+	// Inbound and Outbound are the two directions of the machine's network link.
 	Inbound, Outbound *bandwidth.Track
-	// Left, if set, ends when nobody waits for the reply any more: then the
-	// connection is broken, so that the server may stop.
+	// ClientContext, if set, is canceled when nobody waits for the response any more.
+	// The connection is then closed, so that the server can stop its work.
 	ClientContext context.Context
-	// IsServing, if set, is asked immediately before the first byte is sent: a
-	// server that has left meanwhile gets nothing.
+	// Serving, if set, is called immediately before the first byte is sent: a server
+	// that has stopped serving since it was chosen receives nothing.
 	Serving func() bool
-	// MaySend, if set, is asked immediately before the first byte is sent.
+	// MaySend, if set, is called immediately before the first byte is sent.
 	MaySend func() bool
 }
 
+// maxIdleConnections is the number of idle connections kept per server.
 const maxIdleConnections = 6
 
-// serverLeft tells whether the server is known to have left.
+// notServing reports whether the server is known to have stopped serving.
 func (d Delivery) notServing() bool { return d.Serving != nil && !d.Serving() }
 
-// Deliver sends the inquiry to the server and reads its reply. The error is
-// ErrNotSent, which is also ErrServerLeft where the server has left, or ErrUnknown.
-//
-// Example:
-//
-//	reply, err := rack.Deliver(order)
+// Deliver sends the request to the server and reads its response. The error is either
+// ErrNotSent, together with ErrNotServing if the server has stopped serving, or
+// ErrOutcomeUnknown.
 func (p *Pool) Deliver(delivery Delivery) (*Response, error) {
 	c := p.get()
 	if c == nil {
@@ -72,12 +72,12 @@
 	}
 	if delivery.notServing() {
 		p.put(c)
-		return nil, errors.WithType(errors.WithType(errors.New("no longer serving"), ErrNotServing), ErrNotSent)
+		return nil, errors.WithType(errors.WithType(errors.New("server stopped serving before the request was sent"), ErrNotServing), ErrNotSent)
 	}
 	remaining := time.Until(delivery.Deadline)
 	if remaining <= 0 || delivery.MaySend != nil && !delivery.MaySend() {
 		p.put(c)
-		return nil, errors.WithType(errors.Timeoutf("the time to send"), ErrNotSent)
+		return nil, errors.WithType(errors.Timeoutf("sending the request"), ErrNotSent)
 	}
 	_ = c.conn.SetDeadline(delivery.ResponseDeadline)
 	stop := c.closeOnCancel(delivery.ClientContext)
@@ -104,9 +104,9 @@
 	return response, nil
 }
 
-// unsent ends a delivery whose inquiry did not go out whole. Of what none was
-// written, nothing can have run. A server that answers before it has read all and
-// closes then has left its reply, which is as good as any.
+// handleSendError ends a delivery whose request was not written completely. If no byte
+// was written, the server cannot have executed it. A server may respond before it has
+// read the whole request and then close the connection; that response is valid.
 func (c *connection) handleSendError(delivery Delivery, count int, err error) (*Response, error) {
 	defer c.conn.Close()
 	if count == 0 {
@@ -118,8 +118,8 @@
 	return nil, errors.WithType(err, ErrOutcomeUnknown)
 }
 
-// breakOn breaks the connection once the context ends, until it is told to stop. A
-// connection that may be breaking just then is not used again.
+// closeOnCancel closes the connection when the context ends, unless stop is called
+// before. A connection that may already be closing is not reused.
 func (c *connection) closeOnCancel(ctx context.Context) (stop func()) {
 	if ctx == nil {
 		return func() {}
@@ -128,6 +128,7 @@
 	return func() { c.noReuse = !unregister() || c.noReuse }
 }
 
+// get returns a usable idle connection, or nil.
 func (p *Pool) get() *connection {
 	now := time.Now()
 	for {
@@ -146,6 +147,7 @@
 	}
 }
 
+// put returns a connection to the pool, or closes it if it cannot be reused.
 func (p *Pool) put(c *connection) {
 	if !c.reusable() {
 		_ = c.conn.Close()
@@ -161,11 +163,7 @@
 	p.idle = append(p.idle, c)
 }
 
-// Close ends the idle connections; those at work end when they are done.
-//
-// Example:
-//
-//	rack.Close()
+// Close closes the idle connections; those in use are closed after their delivery.
 func (p *Pool) Close() {
 	p.lock.Lock()
 	defer p.lock.Unlock()
--- a/internal/upstream/receive.go
+++ b/internal/upstream/receive.go
@@ -13,23 +13,23 @@
 )
 
 const (
-	// surplusLimit is how many replies to other inquiries, and interim ones, are
-	// passed over, and surplusBytes how long such a reply may be.
+	// maxSkippedResponses limits the responses read for one request: interim ones and
+	// those to other requests are skipped. maxSkippedBodyBytes limits the body of each.
 	maxSkippedResponses = 8
 	maxSkippedBodyBytes = 64 << 20
-	// headBytes is how long the header of a reply may be.
+	// maxHeaderBytes limits the header of a response.
 	maxHeaderBytes = 256 << 10
 )
 
-// headLimit bounds what is read from a connection while a reply's header is read,
-// so that a header without an end takes no memory without one.
+// headerLimiter limits what is read from a connection while a response header is
+// parsed, so that an endless header does not use unlimited memory.
 type headerLimiter struct {
 	source    io.Reader
 	remaining int
 	enabled   bool
 }
 
-// Read reads what the limit leaves.
+// Read reads up to the remaining limit.
 func (l *headerLimiter) Read(buffer []byte) (count int, err error) {
 	if !l.enabled {
 		return l.source.Read(buffer)
@@ -42,8 +42,8 @@
 	return count, err
 }
 
-// receive reads the reply that carries the inquiry's id. A reply with another
-// id belongs to an earlier inquiry: it is passed over, never handed on.
+// receive reads the response that carries the request's attempt ID. A response with
+// another ID belongs to an earlier request: it is skipped and never returned.
 func (c *connection) receive(delivery Delivery) (*Response, error) {
 	request := delivery.Request
 	used := c.used
@@ -54,7 +54,7 @@
 			return nil, err
 		}
 		if response.StatusCode == http.StatusSwitchingProtocols {
-			return nil, errors.NotValidf("change of protocol that nobody asked for")
+			return nil, errors.NotValidf("unrequested protocol switch")
 		}
 		if response.StatusCode < http.StatusOK {
 			continue
@@ -64,17 +64,17 @@
 		}
 		c.noReuse = true
 		if c.sentHead {
-			// Whether that reply has a body depends on which inquiry it answers.
-			return nil, errors.NotValidf("reply to another inquiry, of unknown length,")
+			// Whether the response has a body depends on the request that it answers.
+			return nil, errors.NotValidf("response to another request with unknown body length")
 		}
 		if len(response.Header.Values(HeaderAttempt)) == 0 && notExecuted(response.StatusCode, response.Header) {
-			return nil, errors.NotValidf("refusal of nobody knows which inquiry")
+			return nil, errors.NotValidf("rejection without an attempt ID on a reused connection")
 		}
 		if err = discardBody(response); err != nil {
 			return nil, err
 		}
 	}
-	return nil, errors.NotValidf("so many replies to other inquiries")
+	return nil, errors.NotValidf("sequence of responses without the requested attempt ID")
 }
 
 func (c *connection) readHeader(method string) (*http.Response, error) {
@@ -84,9 +84,9 @@
 	return response, errors.Trace(err)
 }
 
-// isReplyTo tells whether a reply is the one to the attempt. A server that turns an
-// inquiry away may do so before it has read the id; that is told from a late reply
-// to an earlier inquiry only where the connection has carried none.
+// answersAttempt reports whether a response belongs to the attempt. A server may reject
+// a request before it has read the attempt ID. Such a response can be distinguished
+// from a late response to an earlier request only if the connection carried none.
 func answersAttempt(response *http.Response, attempt string, used bool) bool {
 	ids := response.Header.Values(HeaderAttempt)
 	if len(ids) > 0 {
@@ -95,23 +95,26 @@
 	return !used && notExecuted(response.StatusCode, response.Header)
 }
 
-// passOver reads a reply that nobody waits for to its end.
+// discardBody reads and discards the body of a skipped response.
 func discardBody(response *http.Response) error {
 	count, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxSkippedBodyBytes+1))
 	if err == nil && count > maxSkippedBodyBytes {
-		err = errors.NotValidf("surplus reply of more than %d bytes", maxSkippedBodyBytes)
+		err = errors.NotValidf("skipped response of more than %d bytes", maxSkippedBodyBytes)
 	}
 	return errors.Trace(err)
 }
 
+// readBody returns the response with its body, or with a Remainder if the body exceeds
+// the buffer limit or is streamed.
 func (c *connection) readBody(httpResponse *http.Response, delivery Delivery) (*Response, error) {
 	response := &Response{Status: httpResponse.StatusCode, Header: httpResponse.Header, Length: httpResponse.ContentLength}
-	// Of a reply without a length, too, net/http says that its connection ends it.
+	// net/http also sets Close for a response without a length, which ends with its
+	// connection.
 	c.noReuse = c.noReuse || httpResponse.Close || len(httpResponse.Header.Values(HeaderAttempt)) == 0
 	c.idleUntil = time.Now().Add(idleTimeout(httpResponse.Header.Get("Keep-Alive")))
 	success := response.Status/100 == 2
 	if success && response.Header.Get(HeaderSeal) == "" {
-		return nil, errors.NotValidf("success without a seal")
+		return nil, errors.NotValidf("success response without a server seal")
 	}
 	if httpResponse.Body == http.NoBody {
 		return response, nil
@@ -141,6 +144,7 @@
 	return io.ReadAll(io.LimitReader(source, limit+1))
 }
 
+// idleTimeout returns how long a connection may be idle, from its Keep-Alive header.
 func idleTimeout(keepAlive string) time.Duration {
 	for _, part := range strings.Split(keepAlive, ",") {
 		if value, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout="); ok {
@@ -152,12 +156,8 @@
 	return defaultIdleTimeout
 }
 
-// IsNotExecuted tells whether the server showed that it did not run the
-// inquiry.
-//
-// Example:
-//
-//	if reply.IsNotExecuted() { tryAnother() }
+// IsNotExecuted reports whether the response shows that the server did not execute the
+// request.
 func (r *Response) IsNotExecuted() bool { return notExecuted(r.Status, r.Header) }
 
 func notExecuted(status int, header http.Header) bool {
--- a/internal/upstream/receive_fuzz_test.go
+++ b/internal/upstream/receive_fuzz_test.go
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-// readAs reads what a server sent as the reply to the attempt "ours".
+// receiveText reads the given bytes as the response to the attempt "ours".
 func receiveText(text []byte, method string, used bool) (*connection, *Response, error) {
 	limiter := &headerLimiter{source: bytes.NewReader(text)}
 	c := &connection{limiter: limiter, reader: bufio.NewReaderSize(limiter, 4096), used: used}
@@ -23,9 +23,9 @@
 	return fmt.Sprintf("HTTP/1.1 %s\r\n%s: %s\r\n%s: seal\r\n%sContent-Length: %d\r\n\r\n%s", status, HeaderAttempt, id, HeaderSeal, fields, len(body), body)
 }
 
-// FuzzReceive holds that reading a server's answers never panics, and that an answer
-// that is handed on bears the inquiry's own id, or is a refusal on a fresh connection;
-// that a success is sealed; and that the body is what stood behind that very header.
+// FuzzReceive checks that reading arbitrary server output never panics. A returned
+// response carries the request's attempt ID or is a rejection on a new connection, a
+// success carries a server seal, and the body is the one that followed that header.
 func FuzzReceive(f *testing.F) {
 	for _, text := range []string{
 		responseText("ours", "200 OK", "", "body"),
@@ -55,32 +55,33 @@
 		ids := response.Header.Values(HeaderAttempt)
 		rejected := len(ids) == 0 && !used && response.IsNotExecuted()
 		if !rejected && (len(ids) != 1 || ids[0] != "ours") {
-			t.Fatalf("a reply to %q was taken", ids)
+			t.Fatalf("accepted a response to %q", ids)
 		}
 		if response.Status < 200 || response.Status/100 == 2 && response.Header.Get(HeaderSeal) == "" {
-			t.Fatalf("status %d without a seal was taken", response.Status)
+			t.Fatalf("accepted status %d without a server seal", response.Status)
 		}
 		if headRequest && (len(response.Body) > 0 || response.Remainder != nil) {
-			t.Fatal("a reply to HEAD has a body")
+			t.Fatal("response to HEAD has a body")
 		}
 		if len(response.Body) > 1<<10+1 {
-			t.Fatalf("%d bytes were held", len(response.Body))
+			t.Fatalf("buffered %d bytes", len(response.Body))
 		}
 		whole := response.Body
 		if response.Remainder != nil {
 			remainder, err := io.ReadAll(response.Remainder)
 			whole = append(whole, remainder...)
 			if err == nil && response.Length >= 0 && int64(len(whole)) != response.Length {
-				t.Fatalf("%d bytes look like all of %d", len(whole), response.Length)
+				t.Fatalf("read %d bytes without an error; announced length is %d", len(whole), response.Length)
 			}
 		}
-		// Chunks apart, a body stands in one piece in what was sent.
+		// Unless chunked, the body is contiguous in the server's output.
 		if !strings.Contains(strings.ToLower(string(text)), "chunked") && !bytes.Contains(text, whole) {
-			t.Fatal("the body was not sent so")
+			t.Fatal("body differs from what the server sent")
 		}
 	})
 }
 
+// An announced length alone must not allocate memory for the body.
 func TestAnnouncedLengthAllocatesNoMemory(t *testing.T) {
 	header := "HTTP/1.1 200 OK\r\n" + HeaderAttempt + ": ours\r\n" + HeaderSeal + ": s\r\nContent-Length: %d\r\n\r\nx"
 	text := strings.NewReader(fmt.Sprintf(header, 60<<20))
@@ -91,13 +92,15 @@
 	_, err := c.receive(Delivery{Request: &Request{Method: http.MethodGet, Attempt: "ours"}, BufferLimit: 64 << 20})
 	runtime.ReadMemStats(&after)
 	if err == nil {
-		t.Fatal("one byte was taken for 60 MB")
+		t.Fatal("accepted a body of 1 byte with an announced length of 60 MB")
 	}
 	if allocated := after.TotalAlloc - before.TotalAlloc; allocated > 1<<20 {
-		t.Fatalf("%d bytes were taken", allocated)
+		t.Fatalf("allocated %d bytes", allocated)
 	}
 }
 
+// A skipped body above the limit must fail the delivery: text in it that looks like a
+// response must not be returned.
 func TestOversizedSkippedResponseFails(t *testing.T) {
 	hidden := responseText("ours", "200 OK", "", "hidden")
 	header := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: another\r\nContent-Length: %d\r\n\r\n", HeaderAttempt, maxSkippedBodyBytes+1+len(hidden))
@@ -105,11 +108,11 @@
 	c := &connection{limiter: limiter, reader: bufio.NewReader(limiter)}
 	response, err := c.receive(Delivery{Request: &Request{Method: http.MethodGet, Attempt: "ours"}, BufferLimit: 1 << 10})
 	if err == nil {
-		t.Fatalf("%q was taken out of another reply's body", response.Body)
+		t.Fatalf("returned %q from the body of another response", response.Body)
 	}
 }
 
-// zeros is a source of nothing but zeros.
+// zeros is an endless source of zero bytes.
 type zeros struct{}
 
 func (zeros) Read(buffer []byte) (int, error) { clear(buffer); return len(buffer), nil }
--- a/internal/upstream/reuse_test.go
+++ b/internal/upstream/reuse_test.go
@@ -16,15 +16,15 @@
 func TestResponsesToHeadLeaveNoBytesForNextRequest(t *testing.T) {
 	const announced = 900
 	header := "HTTP/1.1 200 OK\r\nPloverhitch-Attempt-Id: %s\r\nPloverhitch-Server-Seal: s\r\n%s\r\n"
-	// A reply to HEAD may name a length, or none; neither has a body.
+	// A response to HEAD may or may not announce a length; it never has a body.
 	for _, length := range []string{fmt.Sprintf("Content-Length: %d\r\n", announced), "Transfer-Encoding: chunked\r\n", ""} {
 		s := newScriptedServer(t, func(e exchange) bool {
 			switch e.number {
 			case 1:
 				_, _ = fmt.Fprintf(e, header, e.id, length)
 			case 2:
-				// The reply to the HEAD once more: its bytes never come, and what stands
-				// so many bytes later is text in another reply's body.
+				// The response to HEAD again: the announced bytes never follow, and at that
+				// offset the body of the next response contains text like a response.
 				_, _ = fmt.Fprintf(e, header, "head", length)
 				hidden := fmt.Sprintf(header, e.id, "Content-Length: 6\r\n") + "hidden"
 				e.respond("200 OK", e.id, strings.Repeat("x", announced-len(fmt.Sprintf(header, e.id, "Content-Length: 999\r\n")))+hidden)
@@ -50,7 +50,7 @@
 	s.expectBody(t, "one", "body of one")
 	s.expectBody(t, "two", "body of two")
 	if count := s.connections.Load(); count != 1 {
-		t.Fatalf("%d connections", count)
+		t.Fatalf("%d connections; interim responses prevented reuse", count)
 	}
 }
 
@@ -70,7 +70,7 @@
 			_, _ = fmt.Fprintf(e, "HTTP/1.1 200 OK\r\nPloverhitch-Attempt-Id: %s\r\nPloverhitch-Server-Seal: s\r\nContent-Length: 9000\r\n\r\npart", e.id)
 			return true
 		}
-		// What was due of the first body, and in it what looks like a reply.
+		// The rest of the first body, containing what looks like a response.
 		e.respond("200 OK", e.id, "hidden")
 		return true
 	})
@@ -82,10 +82,12 @@
 	response.Finish(false)
 	_, _ = s.send("two", "GET", nil)
 	if count := s.connections.Load(); count != 2 {
-		t.Fatalf("%d connections: one with a body half read was used again", count)
+		t.Fatalf("%d connections; want 2, as a partly read body prevents reuse", count)
 	}
 }
 
+// A response that is sent before the whole request was read is returned, even if
+// writing the rest of the request fails.
 func TestServerRespondsEarlyAndCloses(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -112,6 +114,8 @@
 	}
 }
 
+// A response that arrives before the request body was sent must not cut the body off:
+// the server would read the next request as part of it.
 func TestServerRespondsEarlyAndStillReceivesWholeBody(t *testing.T) {
 	const size = 4 << 20
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -150,6 +154,6 @@
 	}
 	s.expectBody(t, "two", "body of two")
 	if got := <-second; got != fmt.Sprint(size, " two") {
-		t.Fatalf("where the body was due came %q", got)
+		t.Fatalf("server read %q instead of the whole body and the second request", got)
 	}
 }
--- a/internal/upstream/scripted_server_test.go
+++ b/internal/upstream/scripted_server_test.go
@@ -17,14 +17,14 @@
 	"ploverhitch/internal/upstream"
 )
 
-// scripted is a server that does on each of its connections what the test says.
+// scriptedServer is a server whose behavior the test defines, with a pool for it.
 type scriptedServer struct {
 	*upstream.Pool
 	requests    atomic.Int32
 	connections atomic.Int32
 }
 
-// exchange is one inquiry that arrived, and its connection.
+// exchange is one received request and its connection.
 type exchange struct {
 	net.Conn
 	id     string
@@ -35,7 +35,8 @@
 	_, _ = fmt.Fprintf(e, "HTTP/1.1 %s\r\nPloverhitch-Attempt-Id: %s\r\nPloverhitch-Server-Seal: s\r\nContent-Length: %d\r\n\r\n%s", status, id, len(body), body)
 }
 
-// script starts a server; do answers an inquiry and tells whether to read on.
+// newScriptedServer starts a server. handle responds to a request and returns whether
+// to read the next one.
 func newScriptedServer(t *testing.T, handle func(exchange) bool) *scriptedServer {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -74,7 +75,7 @@
 	}
 }
 
-// send makes one delivery with the id, by the method, within a second.
+// send delivers one request with the attempt ID and a deadline of one second.
 func (s *scriptedServer) send(id, method string, change func(*upstream.Delivery)) (*upstream.Response, error) {
 	deadline := time.Now().Add(time.Second)
 	delivery := upstream.Delivery{
@@ -113,17 +114,17 @@
 	s.expectBody(t, "one", "body of one")
 	s.expectOutcomeUnknown(t, "two", "POST")
 	if count := s.requests.Load(); count != 2 {
-		t.Fatalf("%d arrivals: it was sent again", count)
+		t.Fatalf("server received %d requests; want 2 without a retry", count)
 	}
 	s.expectBody(t, "three", "body of three")
 }
 
 func TestNothingWrittenReportsNotSent(t *testing.T) {
 	s := newScriptedServer(t, func(e exchange) bool { e.respond("200 OK", e.id, "x"); return true })
-	// The time to write is over after the last look and before the first byte.
+	// The write deadline has passed when the first byte is to be sent.
 	response, err := s.send("one", "POST", func(delivery *upstream.Delivery) { delivery.ResponseDeadline = time.Now().Add(-time.Second) })
 	if !errors.Is(err, upstream.ErrNotSent) || s.requests.Load() != 0 {
-		t.Fatalf("got %+v, %v after %d arrivals", response, err, s.requests.Load())
+		t.Fatalf("got %+v, %v after %d received requests", response, err, s.requests.Load())
 	}
 }
 
@@ -138,7 +139,7 @@
 	s.expectBody(t, "one", "body of one")
 	s.expectBody(t, "two", "body of two")
 	if count := s.connections.Load(); count != 2 {
-		t.Fatalf("%d connections: one that brought a surplus reply was used again", count)
+		t.Fatalf("%d connections; want 2, as a skipped response prevents reuse", count)
 	}
 }
 
@@ -148,7 +149,7 @@
 	}
 	s := newScriptedServer(t, func(e exchange) bool {
 		if e.number == 2 {
-			// A late refusal of an earlier inquiry; this one runs.
+			// A late rejection of an earlier request; this request is executed.
 			reject(e)
 		}
 		e.respond("200 OK", e.id, "body of "+e.id)
@@ -210,7 +211,7 @@
 	})
 	s.expectOutcomeUnknown(t, "one", "GET")
 	if count := <-written; count > 32<<20 {
-		t.Fatalf("%d bytes of header were taken", count)
+		t.Fatalf("read %d bytes of header", count)
 	}
 }
 
@@ -232,7 +233,7 @@
 		t.Fatalf("got %+v, %v", response, err)
 	}
 	if err := <-ended; err != io.EOF || time.Since(startedAt) > 700*time.Millisecond {
-		t.Fatalf("the server saw %v after %v", err, time.Since(startedAt))
+		t.Fatalf("server read error %v after %v", err, time.Since(startedAt))
 	}
 	s.expectBody(t, "two", "body of two")
 }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -20,7 +20,7 @@
 	RunSpecs(t, "upstream")
 }
 
-var _ = Describe("a rack", func() {
+var _ = Describe("Pool", func() {
 	var server *standin.Server
 	var pool *upstream.Pool
 	attempts := 0
@@ -51,7 +51,7 @@
 		return response, id, err
 	}
 
-	It("delivers method, target and body unchanged, with its own deadline and target", func() {
+	It("delivers method, target and body unchanged, and sets its own deadline and target instance", func() {
 		response, id, err := deliver(nil)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(string(response.Body)).To(Equal("body of " + id + " by i-1"))
@@ -62,12 +62,12 @@
 		Expect(strconv.Atoi(run.Deadline)).To(BeNumerically("~", 5000, 1000))
 	})
 
-	DescribeTable("takes no reply that is not the server's whole reply to this inquiry",
+	DescribeTable("accepts only a complete response to this request",
 		func(behavior standin.Act) {
 			server.Next(behavior)
 			_, _, err := deliver(nil)
 			Expect(errors.Is(err, upstream.ErrOutcomeUnknown)).To(BeTrue())
-			// Nothing was sent again, and the connection is not used again.
+			// There is no retry, and the connection is not reused.
 			arrivals, _ := server.Counts()
 			Expect(arrivals).To(Equal(1))
 			response, id, err := deliver(nil)
@@ -76,13 +76,13 @@
 			_, connections := server.Counts()
 			Expect(connections).To(Equal(2))
 		},
-		Entry("cut before", standin.CutBefore),
-		Entry("cut within", standin.CutWithin),
-		Entry("without a seal", standin.NoSeal),
-		Entry("garbage", standin.Garbage),
+		Entry("connection closed before the response", standin.CutBefore),
+		Entry("connection closed within the response", standin.CutWithin),
+		Entry("response without a server seal", standin.NoSeal),
+		Entry("malformed response", standin.Garbage),
 	)
 
-	DescribeTable("hands on its own reply and never a surplus one",
+	DescribeTable("returns the response to its request and never an unmatched one",
 		func(behavior standin.Act) {
 			for range 5 {
 				server.Next(behavior)
@@ -92,11 +92,11 @@
 			}
 			Expect(server.Runs()).To(HaveLen(5))
 		},
-		Entry("before", standin.SurplusBefore),
-		Entry("after", standin.SurplusAfter),
+		Entry("unmatched response before", standin.SurplusBefore),
+		Entry("unmatched response after", standin.SurplusAfter),
 	)
 
-	It("never sends again by itself when a used connection turns out closed", func() {
+	It("does not retry when a reused connection is closed", func() {
 		_, _, err := deliver(nil)
 		Expect(err).NotTo(HaveOccurred())
 		server.Next(standin.CutBefore, standin.Answer)
@@ -107,7 +107,7 @@
 		Expect(connections).To(Equal(1))
 	})
 
-	It("sends nothing once it may not, and says so", func() {
+	It("sends nothing when MaySend forbids it or the server is unreachable, and returns ErrNotSent", func() {
 		_, _, err := deliver(func(delivery *upstream.Delivery) { delivery.MaySend = func() bool { return false } })
 		Expect(errors.Is(err, upstream.ErrNotSent)).To(BeTrue())
 		server.Close()
@@ -117,12 +117,12 @@
 		Expect(server.Runs()).To(BeEmpty())
 	})
 
-	It("sends nothing to a server that has left, says so, and keeps the connection", func() {
+	It("sends nothing to a server that stopped serving, returns ErrNotServing, and keeps the connection", func() {
 		_, _, err := deliver(nil)
 		Expect(err).NotTo(HaveOccurred())
 		stopServing := func(delivery *upstream.Delivery) {
 			delivery.Serving = func() bool { return false }
-			delivery.MaySend = func() bool { defer GinkgoRecover(); Fail("asked though nothing is to be sent"); return true }
+			delivery.MaySend = func() bool { defer GinkgoRecover(); Fail("MaySend called although nothing is to be sent"); return true }
 		}
 		_, _, err = deliver(stopServing)
 		Expect(errors.Is(err, upstream.ErrNotServing)).To(BeTrue())
@@ -134,11 +134,11 @@
 		server.Close()
 		pool.Close()
 		_, _, err = deliver(stopServing)
-		Expect(errors.Is(err, upstream.ErrNotServing)).To(BeTrue(), "a server that ended in order is no failure")
+		Expect(errors.Is(err, upstream.ErrNotServing)).To(BeTrue(), "an orderly shutdown of the server is not a failure")
 		Expect(errors.Is(err, upstream.ErrNotSent)).To(BeTrue())
 	})
 
-	It("tells a server that did not run the inquiry", func() {
+	It("reports a request that the server did not execute", func() {
 		server.Next(standin.Shed, standin.Misdirect, standin.Fail500)
 		for _, notExecuted := range []bool{true, true, false} {
 			response, _, err := deliver(nil)
@@ -147,7 +147,7 @@
 		}
 	})
 
-	It("passes a large reply on in parts", func() {
+	It("streams a response above the buffer limit", func() {
 		response, _, err := deliver(func(delivery *upstream.Delivery) { delivery.BufferLimit = 4 })
 		Expect(err).NotTo(HaveOccurred())
 		Expect(response.Remainder).NotTo(BeNil())
@@ -155,7 +155,7 @@
 		response.Finish(false)
 	})
 
-	It("hands a long success on as it comes, with an error where the server breaks off, and a failure whole", func() {
+	It("streams a success above the threshold, with an error if the server closes early, and buffers a failure", func() {
 		stream := func(delivery *upstream.Delivery) { delivery.StreamThreshold = 4 }
 		response, id, err := deliver(stream)
 		Expect(err).NotTo(HaveOccurred())
@@ -178,14 +178,14 @@
 		response, _, err = deliver(stream)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(response.Remainder).To(BeNil())
-		// The connection of the whole one was used again, that of the broken one was not.
+		// The connection of the complete response was reused, that of the incomplete one was not.
 		arrivals, connections := server.Counts()
 		Expect([]int{arrivals, connections}).To(Equal([]int{4, 3}))
 	})
 })
 
-var _ = Describe("the header rules", func() {
-	It("drop what concerns one connection and pass the rest back", func() {
+var _ = Describe("header rules", func() {
+	It("drop hop-by-hop headers and forward the rest", func() {
 		to := http.Header{}
 		upstream.CopyResponseHeader(to, http.Header{
 			"Connection": {"X-Local"}, "X-Local": {"1"}, "Keep-Alive": {"timeout=9"}, "Transfer-Encoding": {"chunked"},
