--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -93,7 +93,7 @@
 //
 // Example:
 //
-//	rack := &upstream.Rack{Address: server.Address()}
+//	rack := &upstream.Pool{Address: server.Address()}
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
 // Close stops the server and frees what Silent held.
