--- a/internal/idempotency/round.go
+++ b/internal/idempotency/round.go
@@ -7,13 +7,21 @@
 
 // The results of a round.
 const (
+	// Undecided means that outstanding votes may still form a majority of grants.
 	Undecided Result = iota
+	// Won means that a majority granted the key in time.
 	Won
+	// Replayable means that a recorded response answers the request.
 	Replayable
+	// RequestMismatch means that the key was used for a different request.
 	RequestMismatch
+	// InProgress means that another attempt for the same request holds the key.
 	InProgress
+	// LimitExceeded means that the route has too many open intents.
 	LimitExceeded
+	// NoMajority means that too few members granted the key in time.
 	NoMajority
+	// Overloaded means that members shed the request.
 	Overloaded
 )
 
--- a/internal/idempotency/table.go
+++ b/internal/idempotency/table.go
@@ -14,8 +14,8 @@
 // Range is the number of a range of keys.
 type Range uint16
 
-// Digest is a combined hash of the intents in one range: two members with equal digests
-// hold the same intents in that range.
+// Digest is a combined hash of the intents in one range: if two members have equal
+// digests, neither is missing an intent or outcome that the other holds in that range.
 type Digest uint64
 
 // IntentSummary identifies one intent in a comparison of two tables. Attempt is 0 for a
--- a/internal/idempotency/voter.go
+++ b/internal/idempotency/voter.go
@@ -12,8 +12,11 @@
 // The verdicts of a voter.
 const (
 	Granted Verdict = iota + 1
+	// KeyInUse means that another intent holds the key.
 	KeyInUse
+	// OverLimit means that the route has too many open intents.
 	OverLimit
+	// Refused means that the member cannot vote on the request.
 	Refused
 	// Shed means that the service is overloaded or the voter's table is full, and no
 	// intent is created for this key now.
@@ -29,9 +32,13 @@
 
 // Policy limits what a voter stores and for how long.
 type Policy struct {
-	OpenLimit   int
-	Retention   time.Duration
-	KeyWindow   time.Duration
+	// OpenLimit is the maximum number of open intents per route; 0 means no limit.
+	OpenLimit int
+	// Retention is the age at which final intents are removed.
+	Retention time.Duration
+	// KeyWindow is the age up to which every intent is kept and may stay open.
+	KeyWindow time.Duration
+	// ClockMargin extends the key window to allow for clock skew between proxy and voter.
 	ClockMargin time.Duration
 	// SoftLimitBytes is the table size above which final intents past the key window
 	// are removed before their retention ends; 0 means no limit.
