--- a/internal/idempotency/compare.go
+++ b/internal/idempotency/compare.go
@@ -6,194 +6,167 @@
 	"slices"
 )
 
-// Cursor says which entries of a voter are still to be read. The zero cursor has
-// nothing left. It belongs to the reader: the voter keeps nothing of it.
+// Cursor describes the entries of a voter that are still to be read. The zero cursor
+// has none left. The reader keeps the cursor; the voter holds no state for it.
 type Cursor struct {
-	// Ranges are the ranges left to read, in order.
+	// Ranges are the remaining ranges, in reading order.
 	Ranges []Range `cbor:"1,keyasint,omitempty"`
-	// After is the last key of the first range that was read already.
+	// After is the last key already read in the first range.
 	After *Key `cbor:"2,keyasint,omitempty"`
-	// Only are the hashes of the keys that are wanted; empty means all.
-	Only []uint64 `cbor:"3,keyasint,omitempty"`
+	// KeyHashes selects keys by hash; empty selects all.
+	KeyHashes []uint64 `cbor:"3,keyasint,omitempty"`
 }
 
-// Digests lists the digest of every range, of the intents in the scope.
-//
-// Example:
-//
-//	ranges := idempotency.Differing(mine.Digests(idempotency.Outcomes), theirs)
+// Digests returns the digest of every range, taken over the intents in scope.
 func (v *Voter) Digests(scope Scope) []Digest {
-	out := make([]Digest, RangeCount)
+	digests := make([]Digest, RangeCount)
 	for number := range v.table.ranges {
-		out[number] = v.table.ranges[number].digest
-		if scope == Outcomes {
-			out[number] = v.table.ranges[number].outcomes
+		digests[number] = v.table.ranges[number].digest
+		if scope == CompletedIntents {
+			digests[number] = v.table.ranges[number].completedDigest
 		}
 	}
-	return out
+	return digests
 }
 
-// Differing lists the ranges in which two lists of digests are not the same.
-//
-// Example:
-//
-//	ranges := idempotency.Differing(mine.Digests(scope), theirs)
-func Differing(mine, theirs []Digest) (out []Range) {
-	for number := range min(len(mine), len(theirs), RangeCount) {
-		if mine[number] != theirs[number] {
-			out = append(out, Range(number))
+// DifferingRanges returns the ranges whose digests differ between two voters.
+func DifferingRanges(local, remote []Digest) (ranges []Range) {
+	for number := range min(len(local), len(remote), RangeCount) {
+		if local[number] != remote[number] {
+			ranges = append(ranges, Range(number))
 		}
 	}
-	return out
+	return ranges
 }
 
-// Briefs identifies the intents of the given ranges.
-//
-// Example:
-//
-//	briefs := voter.Briefs(ranges)
-func (v *Voter) Briefs(ranges []Range) (out []Brief) {
+// Summaries returns the summaries of all intents in the given ranges.
+func (v *Voter) Summaries(ranges []Range) (summaries []IntentSummary) {
 	for _, number := range ranges {
 		if number >= RangeCount {
 			continue
 		}
 		for _, intent := range v.table.ranges[number].all() {
-			out = append(out, intent.brief())
+			summaries = append(summaries, intent.summary())
 		}
 	}
-	return out
+	return summaries
 }
 
-// Scope says which intents a comparison is about.
+// Scope selects the intents that a comparison covers.
 type Scope uint8
 
 // The scopes of a comparison.
 const (
-	// AllIntents is for a member that rebuilds: it also needs the votes of attempts
-	// that may have been granted by a majority.
+	// AllIntents is used by a member that rebuilds its table: it also needs the votes
+	// for attempts that a majority may have granted.
 	AllIntents Scope = iota
-	// Outcomes is for a member that votes. An open intent of another member may be
-	// a vote that was given back everywhere else; only an outcome stands for good.
-	Outcomes
+	// CompletedIntents is used by a voting member. An open intent on another member
+	// may be a vote that was released everywhere else; only an outcome is final.
+	CompletedIntents
 )
 
-// Lacking lists the hashes of the keys of which another voter, by its briefs of
-// the given ranges, holds what this one lacks: an intent under a key that this one
-// does not know, another attempt that reserved a key, or an outcome.
-//
-// Example:
-//
-//	cursor.Only = mine.Lacking(ranges, theirs, idempotency.AllIntents)
-func (v *Voter) Lacking(ranges []Range, theirs []Brief, scope Scope) (out []uint64) {
-	held, isCompleted := map[Brief]bool{}, map[uint64]bool{}
-	for _, brief := range v.Briefs(ranges) {
-		held[brief] = true
-		isCompleted[brief.Key] = isCompleted[brief.Key] || brief.IsOutcome()
+// MissingKeys returns the hashes of the keys for which another voter, according to
+// its summaries of the given ranges, holds something that this one does not: an
+// intent for an unknown key, another attempt that reserved a key, or an outcome.
+func (v *Voter) MissingKeys(ranges []Range, remote []IntentSummary, scope Scope) (keyHashes []uint64) {
+	held, completed := map[IntentSummary]bool{}, map[uint64]bool{}
+	for _, summary := range v.Summaries(ranges) {
+		held[summary] = true
+		completed[summary.Key] = completed[summary.Key] || summary.IsCompleted()
 	}
-	for _, brief := range theirs {
-		isOutOfScope := scope == Outcomes && !brief.IsOutcome()
-		if !isOutOfScope && !held[brief] && !isCompleted[brief.Key] {
-			out = append(out, brief.Key)
+	for _, summary := range remote {
+		outOfScope := scope == CompletedIntents && !summary.IsCompleted()
+		if !outOfScope && !held[summary] && !completed[summary.Key] {
+			keyHashes = append(keyHashes, summary.Key)
 		}
 	}
-	return out
+	return keyHashes
 }
 
-// Read lists entries from the cursor on, up to about so many bytes and one entry at
-// least, and returns the cursor of the rest.
-//
-// Example:
-//
-//	entries, rest := voter.Read(cursor, 256<<10)
-func (v *Voter) Read(cursor Cursor, bytes int) (entries []Entry, rest Cursor) {
+// Read returns entries from the cursor on, up to about limitBytes but at least one
+// entry, and the cursor for the remaining ones.
+func (v *Voter) Read(cursor Cursor, limitBytes int) (entries []Entry, rest Cursor) {
 	wanted := map[uint64]bool{}
-	for _, hash := range cursor.Only {
+	for _, hash := range cursor.KeyHashes {
 		wanted[hash] = true
 	}
-	for at, number := range cursor.Ranges {
+	for index, number := range cursor.Ranges {
 		if number >= RangeCount {
 			continue
 		}
 		for _, intent := range v.table.sorted(number) {
-			isRead := at == 0 && cursor.After != nil && intent.Key.compare(*cursor.After) <= 0
-			if isRead || len(wanted) > 0 && !wanted[intent.Key.hash()] {
+			alreadyRead := index == 0 && cursor.After != nil && intent.Key.compare(*cursor.After) <= 0
+			if alreadyRead || len(wanted) > 0 && !wanted[intent.Key.hash()] {
 				continue
 			}
-			if bytes <= 0 && len(entries) > 0 && entries[len(entries)-1].Intent.Key != intent.Key {
+			if limitBytes <= 0 && len(entries) > 0 && entries[len(entries)-1].Intent.Key != intent.Key {
 				after := entries[len(entries)-1].Intent.Key
-				return entries, Cursor{Ranges: cursor.Ranges[at:], After: afterIn(number, after), Only: cursor.Only}
+				return entries, Cursor{Ranges: cursor.Ranges[index:], After: cursorKey(number, after), KeyHashes: cursor.KeyHashes}
 			}
-			entries = append(entries, entryOf(intent))
-			bytes -= intent.size()
+			entries = append(entries, newEntry(intent))
+			limitBytes -= intent.size()
 		}
 	}
 	return entries, Cursor{}
 }
 
-// afterIn is the key as the place reached in a range, nil if it is of another.
-func afterIn(number Range, key Key) *Key {
+// cursorKey returns the key as a position in the range, or nil if it belongs to
+// another range.
+func cursorKey(number Range, key Key) *Key {
 	if rangeOf(key) != number {
 		return nil
 	}
 	return &key
 }
 
-// entryOf is the intent with the reservation that it holds.
-func entryOf(intent *Intent) Entry {
+// newEntry returns the entry for an intent, with the reservation if it is open.
+func newEntry(intent *Intent) Entry {
 	entry := Entry{Intent: *intent}
 	if intent.State.IsOpen() {
-		entry.Quota = &QuotaEvent{QuotaReserve, intent.Reservation, intent.Lane}
+		entry.Quota = &QuotaEvent{QuotaReserve, intent.Reservation, intent.Route}
 	}
 	return entry
 }
 
-// Snapshot lists the table as it stands now, in the order in which it came about:
-// enough to make the table again. It holds no copy of the intents, which are never
-// changed in place, and may be read beside the voter's owner.
-//
-// Example:
-//
-//	for entry := range voter.Snapshot() { write(entry) }
+// Snapshot returns the current table in creation order; applying its entries rebuilds
+// the table. It shares the intents, which are never changed in place, so it may be
+// read while the voter's owner continues to change the table.
 func (v *Voter) Snapshot() iter.Seq[Entry] {
 	intents := make([]*Intent, 0, v.table.count)
-	for _, place := range v.order {
-		if intent := v.table.find(place.key); intent != nil && intent.Attempt == place.attempt {
+	for _, created := range v.byCreation {
+		if intent := v.table.find(created.key); intent != nil && intent.Attempt == created.attempt {
 			intents = append(intents, intent)
 		}
 	}
-	var rivals []*Intent
+	var competing []*Intent
 	for number := range v.table.ranges {
-		for _, some := range v.table.ranges[number].rivals {
-			rivals = append(rivals, some...)
+		for _, list := range v.table.ranges[number].competing {
+			competing = append(competing, list...)
 		}
 	}
 	return func(yield func(Entry) bool) {
 		for _, intent := range intents {
-			if !yield(entryOf(intent)) {
+			if !yield(newEntry(intent)) {
 				return
 			}
 		}
-		for _, rival := range rivals {
-			if !yield(Entry{Intent: *rival, IsRival: true}) {
+		for _, other := range competing {
+			if !yield(Entry{Intent: *other, Competing: true}) {
 				return
 			}
 		}
 	}
 }
 
-// Entries lists the snapshot.
-//
-// Example:
-//
-//	for _, entry := range voter.Entries() { write(entry) }
+// Entries returns the snapshot as a slice.
 func (v *Voter) Entries() []Entry { return slices.Collect(v.Snapshot()) }
 
-// sortByAge brings the order back to that of the intents' creation, after a union or
-// a start: what another voter held came in the order of ranges.
-func (v *Voter) sortByAge() {
-	if !v.isUnsorted {
+// sortByCreation restores creation order after a merge or a start: entries from
+// another voter arrive in the order of ranges.
+func (v *Voter) sortByCreation() {
+	if !v.unsorted {
 		return
 	}
-	v.isUnsorted = false
-	slices.SortStableFunc(v.order, func(a, b placed) int { return cmp.Compare(a.createdMs, b.createdMs) })
+	v.unsorted = false
+	slices.SortStableFunc(v.byCreation, func(a, b createdIntent) int { return cmp.Compare(a.createdMs, b.createdMs) })
 }
--- /dev/null
+++ b/internal/idempotency/expire.go
@@ -0,0 +1,95 @@
+package idempotency
+
+import "time"
+
+// Expire expires open intents past the key window and removes final ones past the
+// retention. While the table exceeds its soft limit, final intents past the key window
+// are removed early, oldest first. It returns the entries to persist.
+func (v *Voter) Expire(now time.Time) (entries []Entry) {
+	v.sortByCreation()
+	window := v.policy.KeyWindow + v.policy.ClockMargin
+	kept := v.byCreation[:0]
+	for index, created := range v.byCreation {
+		intent := v.table.find(created.key)
+		if intent == nil || intent.Attempt != created.attempt {
+			continue
+		}
+		age := intent.age(now)
+		if age <= window {
+			kept = append(kept, v.byCreation[index:]...)
+			break
+		}
+		if intent.State.IsOpen() {
+			expired, _ := intent.Transition(Expired)
+			entry := Entry{Intent: expired, Quota: &QuotaEvent{QuotaExpire, intent.Reservation, intent.Route}}
+			_ = v.Apply(entry)
+			entries = append(entries, entry)
+		}
+		if age > v.policy.Retention || v.policy.SoftLimitBytes > 0 && v.sizeBytes > v.policy.SoftLimitBytes {
+			v.sizeBytes -= v.table.find(created.key).size()
+			v.table.remove(created.key)
+			v.table.removeAllCompeting(created.key)
+			continue
+		}
+		kept = append(kept, created)
+	}
+	v.byCreation = kept
+	return entries
+}
+
+// Merge adds the entries of another voter to the table and returns the entries to
+// persist. It grants no reservation and never replaces a recorded outcome.
+func (v *Voter) Merge(received []Entry) (entries []Entry) {
+	v.unsorted = true
+	for _, entry := range received {
+		if merged := v.mergeIntent(entry.Intent); merged != nil {
+			entries = append(entries, *merged)
+		}
+	}
+	return entries
+}
+
+// mergeIntent merges one intent of another voter and returns the entry to persist, if
+// any.
+func (v *Voter) mergeIntent(received Intent) *Entry {
+	existing := v.table.find(received.Key)
+	entry := newEntry(&received)
+	switch {
+	case received.State == Released || existing != nil && existing.State == Completed:
+		return nil
+	case existing == nil:
+	case existing.Attempt == received.Attempt:
+		if received.State != Completed {
+			return nil
+		}
+		recorded, err := v.Record(received)
+		if err != nil {
+			return nil
+		}
+		return recorded
+	case received.State.reportedByOwner() && !existing.State.reportedByOwner():
+	case existing.State.reportedByOwner() || v.table.findCompeting(received.Key, received.Attempt) != nil:
+		return nil
+	default:
+		entry = Entry{Intent: received, Competing: true}
+	}
+	if v.Apply(entry) != nil {
+		return nil
+	}
+	return &entry
+}
+
+// CountByState returns the number of intents in each state and the age of the oldest
+// open one.
+func (v *Voter) CountByState(now time.Time) (counts map[string]int, oldest time.Duration) {
+	counts = map[string]int{}
+	for number := range v.table.ranges {
+		for _, intent := range v.table.ranges[number].intents {
+			counts[intent.State.String()]++
+			if age := intent.age(now); intent.State.IsOpen() && age > oldest {
+				oldest = age
+			}
+		}
+	}
+	return counts, oldest
+}
--- a/internal/idempotency/quota.go
+++ b/internal/idempotency/quota.go
@@ -2,97 +2,86 @@
 
 import "github.com/juju/errors"
 
-// QuotaStep is one kind of quota event.
-type QuotaStep uint8
+// QuotaEventKind is the kind of a quota event.
+type QuotaEventKind uint8
 
-// The quota events: a reservation is made, and then consumed, released or
-// expired once.
+// The kinds of quota events: a reservation is made, and then consumed, released or
+// expired exactly once.
 const (
-	QuotaReserve QuotaStep = iota + 1
+	QuotaReserve QuotaEventKind = iota + 1
 	QuotaConsume
 	QuotaRelease
 	QuotaExpire
 )
 
-// quotaOf is the event that a step of an intent brings with it.
-var quotaOf = map[State]QuotaStep{
+// quotaEventKinds maps the final states of an intent to the quota events that they
+// cause.
+var quotaEventKinds = map[State]QuotaEventKind{
 	Completed: QuotaConsume, Released: QuotaRelease, Expired: QuotaExpire,
 }
 
-// QuotaEvent is one line of the quota's account.
+// QuotaEvent is one change of a reservation that counts against a route's limit.
 type QuotaEvent struct {
-	Step        QuotaStep `cbor:"1,keyasint"`
-	Reservation string    `cbor:"2,keyasint"`
-	Limit       string    `cbor:"3,keyasint"`
+	Kind        QuotaEventKind `cbor:"1,keyasint"`
+	Reservation string         `cbor:"2,keyasint"`
+	Route       string         `cbor:"3,keyasint"`
 }
 
-// Quota derives counts from events: the limit counted is the number of open
-// intents of a route.
+// Quota counts reservations by applying quota events. The limited quantity is the
+// number of open intents of a route.
 type Quota struct {
-	active   map[string]string
-	open     map[string]int
-	consumed map[string]int
+	reservations map[string]string
+	open         map[string]int
+	consumed     map[string]int
 }
 
 func newQuota() *Quota {
-	return &Quota{active: map[string]string{}, open: map[string]int{}, consumed: map[string]int{}}
+	return &Quota{reservations: map[string]string{}, open: map[string]int{}, consumed: map[string]int{}}
 }
 
 func (q *Quota) apply(event QuotaEvent) error {
-	_, isActive := q.active[event.Reservation]
-	if event.Step == QuotaReserve {
-		if isActive {
+	_, reserved := q.reservations[event.Reservation]
+	if event.Kind == QuotaReserve {
+		if reserved {
 			return errors.AlreadyExistsf("reservation %s", event.Reservation)
 		}
-		q.active[event.Reservation] = event.Limit
-		q.open[event.Limit]++
+		q.reservations[event.Reservation] = event.Route
+		q.open[event.Route]++
 		return nil
 	}
-	if !isActive {
+	if !reserved {
 		return errors.NotFoundf("reservation %s", event.Reservation)
 	}
-	delete(q.active, event.Reservation)
-	if q.open[event.Limit]--; q.open[event.Limit] == 0 {
-		delete(q.open, event.Limit)
+	delete(q.reservations, event.Reservation)
+	if q.open[event.Route]--; q.open[event.Route] == 0 {
+		delete(q.open, event.Route)
 	}
-	if event.Step == QuotaConsume {
-		q.consumed[event.Limit]++
+	if event.Kind == QuotaConsume {
+		q.consumed[event.Route]++
 	}
 	return nil
 }
 
-// Usage is one limit's account.
+// Usage is the number of open and of consumed reservations of a route.
 type Usage struct {
 	Open     int `json:"Open"`
 	Consumed int `json:"Consumed"`
 }
 
-// Usage is the account of every limit that was ever used.
-//
-// Example:
-//
-//	for route, usage := range quota.Usage() { show(route, usage.Open) }
+// Usage returns the usage of every route with open or consumed reservations.
 func (q *Quota) Usage() map[string]Usage {
-	out := map[string]Usage{}
-	for limit := range q.open {
-		out[limit] = Usage{q.Open(limit), q.Consumed(limit)}
+	usage := map[string]Usage{}
+	for route := range q.open {
+		usage[route] = Usage{q.Open(route), q.Consumed(route)}
 	}
-	for limit := range q.consumed {
-		out[limit] = Usage{q.Open(limit), q.Consumed(limit)}
+	for route := range q.consumed {
+		usage[route] = Usage{q.Open(route), q.Consumed(route)}
 	}
-	return out
+	return usage
 }
 
-// Open is how many reservations a limit holds now.
-//
-// Example:
-//
-//	isFull := quota.Open(route) >= limit
-func (q *Quota) Open(limit string) int { return q.open[limit] }
+// Open returns the number of reservations that a route holds now.
+func (q *Quota) Open(route string) int { return q.open[route] }
 
-// Consumed is how many reservations of a limit were used up.
-//
-// Example:
-//
-//	used := quota.Consumed(route)
-func (q *Quota) Consumed(limit string) int { return q.consumed[limit] }
+// Consumed returns the number of consumed reservations of a route.
+func (q *Quota) Consumed(route string) int { return q.consumed[route] }
--- a/internal/idempotency/round.go
+++ b/internal/idempotency/round.go
@@ -2,103 +2,96 @@
 
 import "ploverhitch/internal/timetable"
 
-// Standing is how far a vote round has come.
-type Standing uint8
+// Result is the result of a vote round so far.
+type Result uint8
 
-// The standings of a round.
+// The results of a round.
 const (
-	Undecided Standing = iota
+	// Undecided means that outstanding votes may still form a majority of grants.
+	Undecided Result = iota
+	// Won means that a majority granted the key in time.
 	Won
+	// Replayable means that a recorded response answers the request.
 	Replayable
-	Conflicting
-	InWork
-	Limited
+	// RequestMismatch means that the key was used for a different request.
+	RequestMismatch
+	// InProgress means that another attempt for the same request holds the key.
+	InProgress
+	// LimitExceeded means that the route has too many open intents.
+	LimitExceeded
+	// NoMajority means that too few members granted the key in time.
 	NoMajority
-	TurnedAway
+	// Overloaded means that members shed the request.
+	Overloaded
 )
 
-// Round gathers the votes of one attempt. What it comes to depends only on the
-// replies and on the span in which they came.
+// Round collects the votes for one attempt. Its result depends only on the votes and
+// on whether they arrived within the timeout.
 type Round struct {
-	Hash    Hash
-	members int
-	began   timetable.Steady
-	span    timetable.Steady
+	RequestHash RequestHash
+	members     int
+	startedAt   timetable.Steady
+	timeout     timetable.Steady
 
-	granted, held, over, lost int
-	shed                      int
-	terminal                  *Intent
-	other                     *Intent
+	granted, keyInUse, overLimit, failed int
+	shed                                 int
+	terminal                             *Intent
+	existing                             *Intent
 }
 
-// NewRound begins a round among so many members; its grants count only within
-// the span.
-//
-// Example:
-//
-//	round := idempotency.NewRound(hash, 3, clock.Steady(), span)
-func NewRound(hash Hash, members int, began, span timetable.Steady) *Round {
-	return &Round{Hash: hash, members: members, began: began, span: span}
+// NewRound starts a round among the given number of members. Grants count only until
+// the timeout.
+func NewRound(requestHash RequestHash, members int, startedAt, timeout timetable.Steady) *Round {
+	return &Round{RequestHash: requestHash, members: members, startedAt: startedAt, timeout: timeout}
 }
 
-// On takes one member's ballot, or nil from a member that could not be asked.
-//
-// Example:
-//
-//	round.On(&ballot)
-func (r *Round) On(ballot *Ballot) {
+// AddVote adds the vote of one member, or nil for a member that could not be asked.
+func (r *Round) AddVote(vote *Vote) {
 	switch {
-	case ballot == nil || ballot.Verdict == Refused:
-		r.lost++
-	case ballot.Verdict == Granted:
+	case vote == nil || vote.Verdict == Refused:
+		r.failed++
+	case vote.Verdict == Granted:
 		r.granted++
-	case ballot.Verdict == OverLimit:
-		r.over++
-	case ballot.Verdict == Shed:
+	case vote.Verdict == OverLimit:
+		r.overLimit++
+	case vote.Verdict == Shed:
 		r.shed++
-	case ballot.Verdict == Held && ballot.Held != nil:
-		r.held++
-		r.other = ballot.Held
-		if !ballot.Held.State.IsOpen() && ballot.Held.Reply != nil {
-			r.terminal = ballot.Held
+	case vote.Verdict == KeyInUse && vote.Existing != nil:
+		r.keyInUse++
+		r.existing = vote.Existing
+		if !vote.Existing.State.IsOpen() && vote.Existing.Response != nil {
+			r.terminal = vote.Existing
 		}
 	default:
-		r.lost++
+		r.failed++
 	}
 }
 
-// Standing tells what the replies so far come to.
-//
-// Example:
-//
-//	if round.Standing(clock.Steady()) == idempotency.Won { deliver() }
-func (r *Round) Standing(now timetable.Steady) Standing {
+// Result evaluates the votes received so far.
+func (r *Round) Result(now timetable.Steady) Result {
 	majority := r.members/2 + 1
-	isInTime := now-r.began <= r.span
+	inTime := now-r.startedAt <= r.timeout
 	switch {
-	case r.terminal != nil && r.terminal.Hash != r.Hash:
-		return Conflicting
+	case r.terminal != nil && r.terminal.RequestHash != r.RequestHash:
+		return RequestMismatch
 	case r.terminal != nil:
 		return Replayable
-	case r.granted >= majority && isInTime:
+	case r.granted >= majority && inTime:
 		return Won
-	case r.members-r.held-r.over-r.lost-r.shed >= majority && isInTime && r.granted+r.held+r.over+r.lost+r.shed < r.members:
+	case r.members-r.keyInUse-r.overLimit-r.failed-r.shed >= majority && inTime && r.granted+r.keyInUse+r.overLimit+r.failed+r.shed < r.members:
 		return Undecided
-	case r.held > 0 && r.other.Hash != r.Hash:
-		return Conflicting
-	case r.held > 0:
-		return InWork
-	case r.over > 0:
-		return Limited
-	case r.shed > 0 && r.shed >= r.lost:
-		return TurnedAway
+	case r.keyInUse > 0 && r.existing.RequestHash != r.RequestHash:
+		return RequestMismatch
+	case r.keyInUse > 0:
+		return InProgress
+	case r.overLimit > 0:
+		return LimitExceeded
+	case r.shed > 0 && r.shed >= r.failed:
+		return Overloaded
 	}
 	return NoMajority
 }
 
-// Terminal is the intent whose recorded reply answers the request.
-//
-// Example:
-//
-//	reply := round.Terminal().Reply
+// Terminal returns the final intent whose recorded response answers the request, or
+// nil.
 func (r *Round) Terminal() *Intent { return r.terminal }
--- a/internal/idempotency/voter.go
+++ b/internal/idempotency/voter.go
@@ -6,177 +6,160 @@
 	"github.com/juju/errors"
 )
 
-// Verdict is a voter's reply to an attempt.
+// Verdict is a voter's decision on a reservation.
 type Verdict uint8
 
 // The verdicts of a voter.
 const (
 	Granted Verdict = iota + 1
-	Held
+	// KeyInUse means that another intent holds the key.
+	KeyInUse
+	// OverLimit means that the route has too many open intents.
 	OverLimit
+	// Refused means that the member cannot vote on the request.
 	Refused
-	// Shed: the service is overloaded, or the voter's table is full, and no intent is
-	// created for this key now.
+	// Shed means that the service is overloaded or the voter's table is full, and no
+	// intent is created for this key now.
 	Shed
 )
 
-// Ballot is a voter's reply: its verdict, and the intent that holds the key if
-// another attempt does.
-type Ballot struct {
-	Verdict Verdict `cbor:"1,keyasint"`
-	Held    *Intent `cbor:"2,keyasint,omitempty"`
+// Vote is a voter's response to a reservation: its verdict, and the existing intent if
+// the key is in use.
+type Vote struct {
+	Verdict  Verdict `cbor:"1,keyasint"`
+	Existing *Intent `cbor:"2,keyasint,omitempty"`
 }
 
-// Policy bounds what a voter keeps.
+// Policy limits what a voter stores and for how long.
 type Policy struct {
+	// OpenLimit is the maximum number of open intents per route; 0 means no limit.
 	OpenLimit int
+	// Retention is the age at which final intents are removed.
 	Retention time.Duration
+	// KeyWindow is the age up to which every intent is kept and may stay open.
 	KeyWindow time.Duration
-	Margin    time.Duration
-	// Bytes is what the intents may take before ends past the key window go early.
-	Bytes int
-	// Ceiling is what they may take before no new intent is granted; 0 is no bound.
-	Ceiling int
+	// ClockMargin extends the key window to allow for clock skew between proxy and voter.
+	ClockMargin time.Duration
+	// SoftLimitBytes is the table size above which final intents past the key window
+	// are removed before their retention ends; 0 means no limit.
+	SoftLimitBytes int
+	// HardLimitBytes is the table size from which on no new intent is granted; 0 means
+	// no limit.
+	HardLimitBytes int
 }
 
-// Entry is what a voter's log keeps of one change: the intent's new record and
-// the quota event that goes with it, in one write.
+// Entry is the log record of one change: the new version of the intent and the
+// associated quota event, in one write.
 type Entry struct {
 	Intent Intent      `cbor:"1,keyasint"`
 	Quota  *QuotaEvent `cbor:"2,keyasint,omitempty"`
-	// IsRival marks an intent that is kept beside the one that holds the key.
-	IsRival bool `cbor:"3,keyasint,omitempty"`
+	// Competing marks an intent that is kept in addition to the one that holds the key.
+	Competing bool `cbor:"3,keyasint,omitempty"`
 }
 
-// Voter is one core node's table of intents. It has one owner.
+// Voter is the table of intents on one control plane member, which votes on
+// reservations. It is not safe for concurrent use: one owner calls it.
 type Voter struct {
-	policy Policy
-	table  table
-	order  []placed
-	// isUnsorted says that the order is not that of creation.
-	isUnsorted bool
-	bytes      int
-	quota      *Quota
-	doubles    int
+	policy     Policy
+	table      table
+	byCreation []createdIntent
+	// unsorted is set while byCreation is not in creation order.
+	unsorted            bool
+	sizeBytes           int
+	quota               *Quota
+	duplicateExecutions int
 }
 
-type placed struct {
+type createdIntent struct {
 	key       Key
 	attempt   Attempt
 	createdMs int64
 }
 
-// NewVoter makes an empty table.
-//
-// Example:
-//
-//	voter := idempotency.NewVoter(idempotency.Policy{OpenLimit: 100, KeyWindow: time.Minute})
+// NewVoter returns a voter with an empty table.
 func NewVoter(policy Policy) *Voter {
-	return &Voter{policy: policy, isUnsorted: true, quota: newQuota()}
+	return &Voter{policy: policy, unsorted: true, quota: newQuota()}
 }
 
-// Find returns the record of a key, or nil.
-//
-// Example:
-//
-//	if held := voter.Find(key); held != nil { show(held) }
+// Find returns the intent that holds a key, or nil.
 func (v *Voter) Find(key Key) *Intent { return v.table.find(key) }
 
-// Doubles is how many keys were seen with the runs of two attempts.
-//
-// Example:
-//
-//	if voter.Doubles() > before { halt() }
-func (v *Voter) Doubles() int { return v.doubles }
-
-// Quota is the account derived from the events.
-//
-// Example:
-//
-//	open := voter.Quota().Open(route)
+// DuplicateExecutions returns how often a second completed attempt was reported for a
+// key.
+func (v *Voter) DuplicateExecutions() int { return v.duplicateExecutions }
+
+// Quota returns the reservation counts.
 func (v *Voter) Quota() *Quota { return v.quota }
 
-// Reserve votes for the first attempt that asks for a key. A grant comes with
-// the entry that must be kept before the grant is told.
-//
-// Example:
-//
-//	ballot, entry := voter.Reserve(intent)
-func (v *Voter) Reserve(wanted Intent) (Ballot, *Entry) {
-	held := v.table.find(wanted.Key)
+// Reserve grants a key to the first attempt that requests it. A new grant comes with
+// the entry that must be persisted before the vote is sent.
+func (v *Voter) Reserve(requested Intent) (Vote, *Entry) {
+	existing := v.table.find(requested.Key)
 	switch {
-	case held != nil && held.Attempt == wanted.Attempt && held.State == Reserved:
-		return Ballot{Verdict: Granted}, nil
-	case held != nil:
-		return Ballot{Verdict: Held, Held: held}, nil
-	case v.policy.OpenLimit > 0 && v.quota.Open(wanted.Lane) >= v.policy.OpenLimit:
-		return Ballot{Verdict: OverLimit}, nil
-	case v.policy.Ceiling > 0 && v.bytes >= v.policy.Ceiling:
-		return Ballot{Verdict: Shed}, nil
+	case existing != nil && existing.Attempt == requested.Attempt && existing.State == Reserved:
+		return Vote{Verdict: Granted}, nil
+	case existing != nil:
+		return Vote{Verdict: KeyInUse, Existing: existing}, nil
+	case v.policy.OpenLimit > 0 && v.quota.Open(requested.Route) >= v.policy.OpenLimit:
+		return Vote{Verdict: OverLimit}, nil
+	case v.policy.HardLimitBytes > 0 && v.sizeBytes >= v.policy.HardLimitBytes:
+		return Vote{Verdict: Shed}, nil
 	}
-	wanted.State, wanted.Reply = Reserved, nil
-	entry := &Entry{Intent: wanted, Quota: &QuotaEvent{QuotaReserve, wanted.Reservation, wanted.Lane}}
+	requested.State, requested.Response = Reserved, nil
+	entry := &Entry{Intent: requested, Quota: &QuotaEvent{QuotaReserve, requested.Reservation, requested.Route}}
 	_ = v.Apply(*entry)
-	return Ballot{Verdict: Granted}, entry
+	return Vote{Verdict: Granted}, entry
 }
 
-// Record takes what the owner of the key's only delivered attempt tells. A
-// vote for another attempt gives way to it, since that one cannot have won.
-// Nothing new gives no entry.
-//
-// Example:
-//
-//	entry, err := voter.Record(completed)
-func (v *Voter) Record(told Intent) (*Entry, error) {
-	held := v.table.find(told.Key)
-	isOther := held != nil && held.Attempt != told.Attempt
+// Record stores the state that the owner of the key's only delivered attempt reports. It
+// replaces a vote for another attempt, which cannot have won. A report without news
+// returns no entry.
+func (v *Voter) Record(reported Intent) (*Entry, error) {
+	existing := v.table.find(reported.Key)
+	otherAttempt := existing != nil && existing.Attempt != reported.Attempt
 	switch {
-	case told.State == Released && v.table.rivalOf(told.Key, told.Attempt) != nil:
-		entry := &Entry{Intent: told}
+	case reported.State == Released && v.table.findCompeting(reported.Key, reported.Attempt) != nil:
+		entry := &Entry{Intent: reported}
 		return entry, v.Apply(*entry)
-	case held == nil && (told.State == Released || told.State == Reserved):
+	case existing == nil && (reported.State == Released || reported.State == Reserved):
 		return nil, nil
-	case isOther && told.State == Completed && held.State == Completed:
-		// Two attempts ran: it must not be, and whoever watches is told.
-		v.doubles++
+	case otherAttempt && reported.State == Completed && existing.State == Completed:
+		// Two attempts were executed, which must not happen; the count is monitored.
+		v.duplicateExecutions++
 		return nil, nil
-	case isOther && (told.State == Released || held.State == Completed):
+	case otherAttempt && (reported.State == Released || existing.State == Completed):
 		return nil, nil
-	case held != nil && !isOther && held.State == told.State:
+	case existing != nil && !otherAttempt && existing.State == reported.State:
 		return nil, nil
-	case held != nil && !isOther:
-		if _, err := held.Step(told.State); err != nil {
+	case existing != nil && !otherAttempt:
+		if _, err := existing.Transition(reported.State); err != nil {
 			return nil, errors.Trace(err)
 		}
 	}
-	entry := &Entry{Intent: told}
-	if step, isEnd := quotaOf[told.State]; isEnd && held != nil && held.State.IsOpen() && !isOther {
-		entry.Quota = &QuotaEvent{step, told.Reservation, told.Lane}
-	} else if told.State.IsOpen() && (held == nil || isOther) {
-		entry.Quota = &QuotaEvent{QuotaReserve, told.Reservation, told.Lane}
+	entry := &Entry{Intent: reported}
+	if kind, final := quotaEventKinds[reported.State]; final && existing != nil && existing.State.IsOpen() && !otherAttempt {
+		entry.Quota = &QuotaEvent{kind, reported.Reservation, reported.Route}
+	} else if reported.State.IsOpen() && (existing == nil || otherAttempt) {
+		entry.Quota = &QuotaEvent{QuotaReserve, reported.Reservation, reported.Route}
 	}
 	return entry, v.Apply(*entry)
 }
 
-// Apply puts a kept entry into the table, at the time it is made and again
-// when the log is read at a start.
-//
-// Example:
-//
-//	err := voter.Apply(entry)
+// Apply applies an entry to the table, both when it is created and when the log is
+// replayed at a start.
 func (v *Voter) Apply(entry Entry) error {
 	intent := entry.Intent
-	if entry.IsRival {
-		v.table.addRival(intent)
+	if entry.Competing {
+		v.table.addCompeting(intent)
 		return nil
 	}
-	if rival := v.table.rivalOf(intent.Key, intent.Attempt); rival != nil {
-		v.table.dropRival(rival)
+	if competing := v.table.findCompeting(intent.Key, intent.Attempt); competing != nil {
+		v.table.removeCompeting(competing)
 		if intent.State == Released {
 			return nil
 		}
 	}
-	v.place(intent)
+	v.store(intent)
 	var err error
 	if entry.Quota != nil {
 		err = v.quota.apply(*entry.Quota)
@@ -184,32 +167,32 @@
 	if intent.State != Released {
 		return err
 	}
-	if next := v.table.takeRival(intent.Key); next != nil {
-		return v.Apply(entryOf(next))
+	if next := v.table.takeCompeting(intent.Key); next != nil {
+		return v.Apply(newEntry(next))
 	}
 	return err
 }
 
-// place puts the intent into the table in place of the one that held the key.
-func (v *Voter) place(intent Intent) {
-	held := v.table.find(intent.Key)
-	if held != nil {
-		v.bytes -= held.size()
-		if held.Attempt != intent.Attempt && held.State.IsOpen() {
-			_ = v.quota.apply(QuotaEvent{QuotaRelease, held.Reservation, held.Lane})
+// store puts the intent into the table, replacing the one that held the key.
+func (v *Voter) store(intent Intent) {
+	existing := v.table.find(intent.Key)
+	if existing != nil {
+		v.sizeBytes -= existing.size()
+		if existing.Attempt != intent.Attempt && existing.State.IsOpen() {
+			_ = v.quota.apply(QuotaEvent{QuotaRelease, existing.Reservation, existing.Route})
 		}
 	}
 	if intent.State == Released {
 		v.table.remove(intent.Key)
 		return
 	}
-	if intent.State.isToldByOwner() {
-		// The owner of an attempt that was delivered says so: the others lost.
-		v.table.dropRivals(intent.Key)
+	if intent.State.reportedByOwner() {
+		// The owner reports that this attempt was delivered, so the others have lost.
+		v.table.removeAllCompeting(intent.Key)
 	}
 	v.table.put(&intent)
-	v.bytes += intent.size()
-	if held == nil || held.Attempt != intent.Attempt {
-		v.order = append(v.order, placed{intent.Key, intent.Attempt, intent.CreatedMs})
+	v.sizeBytes += intent.size()
+	if existing == nil || existing.Attempt != intent.Attempt {
+		v.byCreation = append(v.byCreation, createdIntent{intent.Key, intent.Attempt, intent.CreatedMs})
 	}
 }
--- a/internal/proxy/await.go
+++ b/internal/proxy/await.go
@@ -28,12 +28,12 @@
 	lookupDeadline := time.Now().Add(min(remaining, a.request.route.TargetLatency.Std()) / lookupTimeDivisor)
 	for delay := initialLookupDelay; time.Now().Add(delay).Before(lookupDeadline); delay *= 2 {
 		a.clock.Sleep(delay)
-		if recorded := a.lookup(); recorded != nil && recorded.Reply != nil {
-			if recorded.Hash != a.intent.Hash {
+		if recorded := a.lookup(); recorded != nil && recorded.Response != nil {
+			if recorded.RequestHash != a.intent.RequestHash {
 				return nil, apierror.New(apierror.Conflict, "")
 			}
 			a.request.replayed = true
-			return recordedResponse(recorded.Reply, a.request.Attempt), nil
+			return recordedResponse(recorded.Response, a.request.Attempt), nil
 		}
 	}
 	return nil, apierror.New(apierror.AtWork, "")
@@ -53,7 +53,7 @@
 			if reply.reply == nil || reply.reply.Intent == nil {
 				continue
 			}
-			if recorded := reply.reply.Intent; recorded.Key == a.request.key && recorded.Reply != nil {
+			if recorded := reply.reply.Intent; recorded.Key == a.request.key && recorded.Response != nil {
 				return recorded
 			}
 		case <-timer.C:
--- a/internal/proxy/canary.go
+++ b/internal/proxy/canary.go
@@ -76,7 +76,7 @@
 
 // recordOutcome counts the outcome of an attempt for its server and for the canary
 // that it belongs to.
-func (d *forwarder) recordOutcome(server *balancer.Siding, mark outlier.Mark, response *upstream.Reply, err error, latency, usualLatency time.Duration) {
+func (d *forwarder) recordOutcome(server *balancer.Siding, mark outlier.Mark, response *upstream.Response, err error, latency, usualLatency time.Duration) {
 	outcome := outlier.Good
 	warming := server.WarmLeft(d.clock.Wall()) > 0
 	slow := usualLatency > 0 && latency > max(slowFactor*usualLatency, slowMin)
--- a/internal/proxy/cancellation_test.go
+++ b/internal/proxy/cancellation_test.go
@@ -38,7 +38,7 @@
 	}
 	p.snapshot.Store(&snapshot{manifest: p.snapshot.Load().manifest, balancer: serverSet.Lay(fleet), proxyCount: 1})
 	return p, &clientRequest{
-		Inquiry: &upstream.Inquiry{Method: "POST", Target: "/a", Host: "h", Header: http.Header{upstream.HeaderAttempt: {"t"}}, Attempt: "t"},
+		Request: &upstream.Request{Method: "POST", Target: "/a", Host: "h", Header: http.Header{upstream.HeaderAttempt: {"t"}}, Attempt: "t"},
 		route:   &config.Route{RouteSpec: config.RouteSpec{Name: "r", RouteType: routeType, MaxAttempts: 3}}, snapshot: p.snapshot.Load(), service: "s",
 		arrivedAt: time.Now(), deadline: time.Now().Add(600 * time.Millisecond), releaseLink: func() {},
 	}
@@ -90,7 +90,7 @@
 		for _, status := range []int{408, 429, 503} {
 			_, req := newTestRequest(config.Unsafe, server)
 			d := &forwarder{request: req}
-			_, err, final := d.handleResult(attemptResult{response: &upstream.Reply{Status: status, Header: http.Header{}}})
+			_, err, final := d.handleResult(attemptResult{response: &upstream.Response{Status: status, Header: http.Header{}}})
 			var unknown *unresolvedError
 			Expect(errors.As(err, &unknown)).To(BeTrue(), "%d: %v", status, err)
 			Expect(unknown.kind).To(Equal(apierror.Broken))
@@ -102,12 +102,12 @@
 		p, req := newTestRequest(config.Idempotent, server)
 		a := &keyedAttempt{proxy: p, request: req, ungranted: map[string]bool{}}
 		a.intent = idempotency.Intent{Key: idempotency.Key{Tenant: "h", Key: "k"}, State: idempotency.Reserved}
-		a.round = idempotency.NewRound(a.intent.Hash, 1, p.clock.Steady(), timetable.Steady(time.Second))
-		partial := &upstream.Reply{Status: 200, Header: http.Header{}, Body: []byte("part"), Rest: io.NopCloser(strings.NewReader("rest"))}
+		a.round = idempotency.NewRound(a.intent.RequestHash, 1, p.clock.Steady(), timetable.Steady(time.Second))
+		partial := &upstream.Response{Status: 200, Header: http.Header{}, Body: []byte("part"), Remainder: io.NopCloser(strings.NewReader("rest"))}
 		reply, err := a.execute(context.Background(), func(context.Context, any) (any, error) { return partial, nil })
 		Expect(err).NotTo(HaveOccurred())
 		Expect(reply).To(BeIdenticalTo(partial))
 		Expect(a.intent.State).To(Equal(idempotency.TimeoutUnresolved))
-		Expect(a.intent.Reply).To(BeNil())
+		Expect(a.intent.Response).To(BeNil())
 	})
 })
--- a/internal/proxy/download.go
+++ b/internal/proxy/download.go
@@ -44,9 +44,9 @@
 		}
 		endTurn = sync.OnceFunc(endTurn)
 		answer, err := next(ctx, request)
-		if response, ok := answer.(*upstream.Reply); ok && response.Rest != nil {
+		if response, ok := answer.(*upstream.Response); ok && response.Remainder != nil {
 			// The server sends until the rest of the body has been read.
-			response.Rest = &notifyingReader{response.Rest, endTurn}
+			response.Remainder = &notifyingReader{response.Remainder, endTurn}
 			req.releaseLink = func() { release(); endTurn() }
 			return answer, err
 		}
--- a/internal/proxy/eligibility.go
+++ b/internal/proxy/eligibility.go
@@ -30,9 +30,9 @@
 }
 
 // serverOutcome classifies what the end of an attempt shows about its server.
-func (d *forwarder) serverOutcome(response *upstream.Reply, err error) balancer.Outcome {
+func (d *forwarder) serverOutcome(response *upstream.Response, err error) balancer.Outcome {
 	switch {
-	case d.abortedByClient(err), errors.Is(err, upstream.ErrServerLeft):
+	case d.abortedByClient(err), errors.Is(err, upstream.ErrNotServing):
 		return balancer.Unasked
 	case errors.Is(err, upstream.ErrNotSent) && errors.Is(err, errors.Timeout):
 		return balancer.Unasked
--- a/internal/proxy/eligibility_test.go
+++ b/internal/proxy/eligibility_test.go
@@ -40,7 +40,7 @@
 	// newForwarder returns a forwarder for a route that allows one attempt.
 	newForwarder := func(routeType config.RouteKind) *forwarder {
 		req := &clientRequest{
-			Inquiry: &upstream.Inquiry{Method: http.MethodGet, Target: "/a", Host: "h", Header: http.Header{upstream.HeaderAttempt: {"try-1"}}, Attempt: "try-1"},
+			Request: &upstream.Request{Method: http.MethodGet, Target: "/a", Host: "h", Header: http.Header{upstream.HeaderAttempt: {"try-1"}}, Attempt: "try-1"},
 			route:   &config.Route{RouteSpec: config.RouteSpec{Name: "fee", RouteType: routeType, MaxAttempts: 1}}, service: service,
 			snapshot: p.snapshot.Load(), deadline: time.Now().Add(5 * time.Second),
 		}
@@ -99,7 +99,7 @@
 				response, err, done := handleNext(fwd)
 				Expect(err).NotTo(HaveOccurred())
 				Expect(done).To(BeTrue())
-				Expect(string(response.(*upstream.Reply).Body)).To(HaveSuffix("by x-2"))
+				Expect(string(response.(*upstream.Response).Body)).To(HaveSuffix("by x-2"))
 				Expect(servers["x-1"].Runs()).To(BeEmpty())
 				Expect(servers["x-2"].Runs()).To(HaveLen(1))
 				Expect([]int{fwd.sentCount, fwd.unsentCount}).To(Equal([]int{1, 0}))
@@ -136,7 +136,7 @@
 		_, err := p.forward(context.Background(), fwd.request)
 		Expect(mayHaveExecuted(err)).To(BeFalse())
 		fwd.send(server)
-		Expect((<-fwd.results).err).To(MatchError(upstream.ErrServerLeft))
+		Expect((<-fwd.results).err).To(MatchError(upstream.ErrNotServing))
 		Expect(servers["x-1"].Runs()).To(BeEmpty())
 		Expect(servers["x-2"].Runs()).To(BeEmpty())
 	})
--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -60,7 +60,7 @@
 // attemptResult is the result of one attempt at one server.
 type attemptResult struct {
 	server   *balancer.Siding
-	response *upstream.Reply
+	response *upstream.Response
 	err      error
 }
 
@@ -75,7 +75,7 @@
 	sentCount   int
 	unsentCount int
 	// fallback is the response to return if no other attempt yields a better one.
-	fallback *upstream.Reply
+	fallback *upstream.Response
 	// unresolved: an unrepeatable attempt was sent and its outcome is unknown.
 	unresolved bool
 	// untrack ends the tracking of a ring-placed request after its last attempt.
@@ -128,7 +128,7 @@
 	repeatable := d.request.route.IsRepeatable()
 	kind := apierror.Broken
 	switch {
-	case result.err != nil && errors.Is(result.err, upstream.ErrServerLeft):
+	case result.err != nil && errors.Is(result.err, upstream.ErrNotServing):
 		if d.replaceAttempt() {
 			return nil, nil, false
 		}
@@ -229,9 +229,9 @@
 		streamAfter = bandwidth.BulkLeast
 	}
 	start := d.clock.Steady()
-	response, err := server.Rack.Deliver(upstream.Order{
-		Inquiry: d.request.Inquiry, Left: d.abortContext(), Due: d.request.deadline, Last: d.request.deadline.Add(lateWait), Connect: serverConnectTimeout, Buffer: bufferLimit, PassOn: streamAfter, In: d.inbound, Out: d.outbound,
-		IsServing: func() bool { return d.acceptsRequests(server) }, MaySend: d.request.maySend,
+	response, err := server.Rack.Deliver(upstream.Delivery{
+		Request: d.request.Request, ClientContext: d.abortContext(), Deadline: d.request.deadline, ResponseDeadline: d.request.deadline.Add(lateWait), ConnectTimeout: serverConnectTimeout, BufferLimit: bufferLimit, StreamThreshold: streamAfter, Inbound: d.inbound, Outbound: d.outbound,
+		Serving: func() bool { return d.acceptsRequests(server) }, MaySend: d.request.maySend,
 	})
 	now := d.clock.Steady()
 	elapsed := time.Duration(now - start)
--- a/internal/proxy/idempotency.go
+++ b/internal/proxy/idempotency.go
@@ -29,14 +29,14 @@
 
 // standingHandlers is the replay decision table: it maps the result of the vote round
 // to the handling of the request.
-var standingHandlers = map[idempotency.Standing]func(*keyedAttempt, context.Context, endpoint.Endpoint) (any, error){
-	idempotency.Won:         (*keyedAttempt).execute,
-	idempotency.Replayable:  (*keyedAttempt).replay,
-	idempotency.InWork:      (*keyedAttempt).awaitOutcome,
-	idempotency.Conflicting: rejectWith(apierror.Conflict),
-	idempotency.Limited:     rejectWith(apierror.OverLimit),
+var standingHandlers = map[idempotency.Result]func(*keyedAttempt, context.Context, endpoint.Endpoint) (any, error){
+	idempotency.Won:             (*keyedAttempt).execute,
+	idempotency.Replayable:      (*keyedAttempt).replay,
+	idempotency.InProgress:      (*keyedAttempt).awaitOutcome,
+	idempotency.RequestMismatch: rejectWith(apierror.Conflict),
+	idempotency.LimitExceeded:     rejectWith(apierror.OverLimit),
 	idempotency.NoMajority:  rejectWith(apierror.NoQuorum),
-	idempotency.TurnedAway:  (*keyedAttempt).rejectOverload,
+	idempotency.Overloaded:      (*keyedAttempt).rejectOverload,
 }
 
 // rejectWith returns a handler that fails every request with an error of the kind.
@@ -54,7 +54,7 @@
 		if req.route.RouteType != config.Idempotent {
 			return next(ctx, request)
 		}
-		keys := req.Header.Values(upstream.HeaderKey)
+		keys := req.Header.Values(upstream.HeaderOperationKey)
 		if len(keys) != 1 || keys[0] == "" {
 			return nil, apierror.New(apierror.BadInquiry, "exactly one operation key is required")
 		}
@@ -62,8 +62,8 @@
 		a := &keyedAttempt{proxy: p, request: req, ungranted: map[string]bool{}}
 		attemptID := p.incarnation + "-" + strconv.FormatUint(p.attemptCount.Add(1), 36)
 		a.intent = idempotency.Intent{
-			Key: req.key, Attempt: idempotency.Attempt(attemptID), Hash: idempotency.HashOf(req.Method, req.Target, req.Body),
-			Lane: req.route.Name, Service: req.service, Manifest: uint64(req.route.Revision), Reservation: attemptID,
+			Key: req.key, Attempt: idempotency.Attempt(attemptID), RequestHash: idempotency.HashRequest(req.Method, req.Target, req.Body),
+			Route: req.route.Name, Service: req.service, RouteRevision: uint64(req.route.Revision), Reservation: attemptID,
 			State: idempotency.Reserved, CreatedMs: p.clock.Wall().UnixMilli(),
 		}
 		standing := a.reserve()
@@ -84,13 +84,13 @@
 // execute forwards the request after a won round, and records the outcome on a majority
 // before the response is returned to the client.
 func (a *keyedAttempt) execute(ctx context.Context, next endpoint.Endpoint) (any, error) {
-	a.request.maySend = func() bool { return a.round.Standing(a.clock.Steady()) == idempotency.Won }
+	a.request.maySend = func() bool { return a.round.Result(a.clock.Steady()) == idempotency.Won }
 	a.transition(idempotency.AuthorizationPending)
 	result, err := next(ctx, a.request)
 	var unresolved *unresolvedError
 	switch typed := err.(type) {
 	case nil:
-		response := result.(*upstream.Reply)
+		response := result.(*upstream.Response)
 		a.complete(response)
 		return response, nil
 	case *unresolvedError:
@@ -121,7 +121,7 @@
 // transition moves the intent to the target state, and logs a transition that is not
 // allowed.
 func (a *keyedAttempt) transition(target idempotency.State) {
-	if next, err := a.intent.Step(target); err == nil {
+	if next, err := a.intent.Transition(target); err == nil {
 		a.intent = next
 		return
 	}
@@ -130,8 +130,8 @@
 
 // complete records the response. A response that is not buffered whole is not recorded,
 // because a part of it would be replayed as the whole; its outcome stays unresolved.
-func (a *keyedAttempt) complete(response *upstream.Reply) {
-	if response.Rest != nil {
+func (a *keyedAttempt) complete(response *upstream.Response) {
+	if response.Remainder != nil {
 		if a.intent.State != idempotency.TimeoutUnresolved {
 			a.transition(idempotency.TimeoutUnresolved)
 			a.recordIntent(a.intent, 0)
@@ -139,7 +139,7 @@
 		return
 	}
 	a.transition(idempotency.Completed)
-	a.intent.Reply = &idempotency.Reply{
+	a.intent.Response = &idempotency.Response{
 		Status: response.Status, Seal: response.Header.Get(upstream.HeaderSeal),
 		ContentType: response.Header.Get("Content-Type"), Body: response.Body,
 	}
@@ -173,11 +173,11 @@
 // replay answers from the stored record, without a server or quota.
 func (a *keyedAttempt) replay(context.Context, endpoint.Endpoint) (any, error) {
 	a.request.replayed = true
-	return recordedResponse(a.round.Terminal().Reply, a.request.Attempt), nil
+	return recordedResponse(a.round.Terminal().Response, a.request.Attempt), nil
 }
 
 // recordedResponse rebuilds a response from its record, under the given attempt ID.
-func recordedResponse(recorded *idempotency.Reply, attemptID string) *upstream.Reply {
+func recordedResponse(recorded *idempotency.Response, attemptID string) *upstream.Response {
 	header := http.Header{upstream.HeaderAttempt: {attemptID}}
 	if recorded.Seal != "" {
 		header[upstream.HeaderSeal] = []string{recorded.Seal}
@@ -185,5 +185,5 @@
 	if recorded.ContentType != "" {
 		header["Content-Type"] = []string{recorded.ContentType}
 	}
-	return &upstream.Reply{Status: recorded.Status, Header: header, Body: recorded.Body, Length: int64(len(recorded.Body))}
+	return &upstream.Response{Status: recorded.Status, Header: header, Body: recorded.Body, Length: int64(len(recorded.Body))}
 }
--- a/internal/proxy/idempotency_test.go
+++ b/internal/proxy/idempotency_test.go
@@ -24,25 +24,25 @@
 		server, err := standin.NewServer("i-1", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		defer server.Close()
-		pool := &upstream.Rack{Address: server.Address(), Instance: "i-1"}
+		pool := &upstream.Pool{Address: server.Address(), Instance: "i-1"}
 		defer pool.Close()
 		clock := &timetable.Hand{Now: time.Hour}
 		p := newProxy(&settings.Settings{}, clock, func(string, string, ...any) {})
 		req := &clientRequest{
-			Inquiry: &upstream.Inquiry{Method: "POST", Target: "/fee/", Host: "h", Header: http.Header{upstream.HeaderAttempt: {"t"}}, Attempt: "t"},
+			Request: &upstream.Request{Method: "POST", Target: "/fee/", Host: "h", Header: http.Header{upstream.HeaderAttempt: {"t"}}, Attempt: "t"},
 			route:   &config.Route{}, snapshot: p.snapshot.Load(),
 		}
 		a := &keyedAttempt{proxy: p, request: req, ungranted: map[string]bool{}}
 		a.intent = idempotency.Intent{Key: idempotency.Key{Tenant: "h", Key: "k"}, State: idempotency.Reserved}
-		a.round = idempotency.NewRound(a.intent.Hash, 3, clock.Steady(), timetable.Steady(250*time.Millisecond))
+		a.round = idempotency.NewRound(a.intent.RequestHash, 3, clock.Steady(), timetable.Steady(250*time.Millisecond))
 		for range 2 {
-			a.round.On(&idempotency.Ballot{Verdict: idempotency.Granted})
+			a.round.AddVote(&idempotency.Vote{Verdict: idempotency.Granted})
 		}
-		Expect(a.round.Standing(clock.Steady())).To(Equal(idempotency.Won))
+		Expect(a.round.Result(clock.Steady())).To(Equal(idempotency.Won))
 		_, err = a.execute(context.Background(), func(context.Context, any) (any, error) {
 			clock.Now += pause
 			deadline := time.Now().Add(5 * time.Second)
-			response, err := pool.Deliver(upstream.Order{Inquiry: req.Inquiry, Due: deadline, Last: deadline, Connect: time.Second, Buffer: 1 << 20, MaySend: req.maySend})
+			response, err := pool.Deliver(upstream.Delivery{Request: req.Request, Deadline: deadline, ResponseDeadline: deadline, ConnectTimeout: time.Second, BufferLimit: 1 << 20, MaySend: req.maySend})
 			if errors.Is(err, upstream.ErrNotSent) {
 				return nil, apierror.New(apierror.NotExecuted, "")
 			}
--- a/internal/proxy/late_result.go
+++ b/internal/proxy/late_result.go
@@ -12,7 +12,7 @@
 // lateResult is what the attempts in flight showed after the client had its
 // answer: a response, or that the request was not executed.
 type lateResult struct {
-	response    *upstream.Reply
+	response    *upstream.Response
 	notExecuted bool
 }
 
--- a/internal/proxy/members_test.go
+++ b/internal/proxy/members_test.go
@@ -38,7 +38,7 @@
 		}
 		p.snapshot.Store(&snapshot{manifest: p.snapshot.Load().manifest, balancer: p.snapshot.Load().balancer, view: view})
 		req := &clientRequest{
-			Inquiry: &upstream.Inquiry{Header: http.Header{}, Attempt: "t"}, route: &config.Route{}, snapshot: p.snapshot.Load(),
+			Request: &upstream.Request{Header: http.Header{}, Attempt: "t"}, route: &config.Route{}, snapshot: p.snapshot.Load(),
 			deadline: time.Now().Add(time.Second), arrivedAt: time.Now(),
 		}
 		req.key = idempotency.Key{Tenant: "h", Key: "k"}
@@ -57,7 +57,7 @@
 			messages.KindRecord: func(rpc.Call) {},
 		}
 	}
-	granted := messages.Vote{Ballot: idempotency.Ballot{Verdict: idempotency.Granted}}
+	granted := messages.Vote{Ballot: idempotency.Vote{Verdict: idempotency.Granted}}
 
 	It("win a vote round with a majority, counting each member once", func() {
 		a := newAttempt(startMember("127.0.0.1:0", votes(1, granted)), startMember("127.0.0.1:0", votes(1, granted)), startMember("127.0.0.1:0", silent))
@@ -67,8 +67,8 @@
 	})
 
 	It("ignore ballots and records of another key", func() {
-		completed := &idempotency.Intent{Key: idempotency.Key{Tenant: "h", Key: "another"}, State: idempotency.Completed, Reply: &idempotency.Reply{Status: 200}}
-		held := messages.Vote{Ballot: idempotency.Ballot{Verdict: idempotency.Held, Held: completed}}
+		completed := &idempotency.Intent{Key: idempotency.Key{Tenant: "h", Key: "another"}, State: idempotency.Completed, Response: &idempotency.Response{Status: 200}}
+		held := messages.Vote{Ballot: idempotency.Vote{Verdict: idempotency.KeyInUse, Existing: completed}}
 		a := newAttempt(startMember("127.0.0.1:0", votes(1, held)), startMember("127.0.0.1:0", votes(1, held)), startMember("127.0.0.1:0", votes(1, held)))
 		Expect(a.reserve()).To(Equal(idempotency.NoMajority))
 		found := rpc.Handlers{messages.KindLookup: func(call rpc.Call) { call.Reply(messages.Found{Intent: completed}) }}
--- a/internal/proxy/mirror.go
+++ b/internal/proxy/mirror.go
@@ -29,7 +29,7 @@
 type mirrorJob struct {
 	mirror   *config.Mirror
 	record   *loopline.Record
-	request  *upstream.Inquiry
+	request  *upstream.Request
 	route    *config.Route
 	hash     uint64
 	era      uint64
@@ -50,11 +50,11 @@
 	queue   chan mirrorJob
 	lock    sync.Mutex
 	records map[string]*loopline.Record
-	pools   map[string]*upstream.Rack
+	pools   map[string]*upstream.Pool
 }
 
 func newMirrorSender() *mirrorSender {
-	return &mirrorSender{queue: make(chan mirrorJob, mirrorQueueSize), records: map[string]*loopline.Record{}, pools: map[string]*upstream.Rack{}}
+	return &mirrorSender{queue: make(chan mirrorJob, mirrorQueueSize), records: map[string]*loopline.Record{}, pools: map[string]*upstream.Pool{}}
 }
 
 // closeUnlisted closes the connections to servers that are no longer listed under their address.
@@ -92,13 +92,13 @@
 
 // poolOf returns the connection pool of a shadow server. It is separate from the
 // pools of the request path.
-func (m *mirrorSender) poolOf(server *balancer.Siding) *upstream.Rack {
+func (m *mirrorSender) poolOf(server *balancer.Siding) *upstream.Pool {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	name := poolName(server.Server)
 	pool := m.pools[name]
 	if pool == nil {
-		pool = &upstream.Rack{Address: server.Address, Instance: server.ID, Window: mirrorWindowBytes}
+		pool = &upstream.Pool{Address: server.Address, Instance: server.ID, ReceiveWindow: mirrorWindowBytes}
 		m.pools[name] = pool
 	}
 	return pool
@@ -107,7 +107,7 @@
 // offerMirror queues the mirrored copy of a request after its client has the
 // response. response is nil if there was none; mayHaveExecuted tells that the request
 // may have been executed without one.
-func (p *proxy) offerMirror(req *clientRequest, response *upstream.Reply, mayHaveExecuted bool) {
+func (p *proxy) offerMirror(req *clientRequest, response *upstream.Response, mayHaveExecuted bool) {
 	if req == nil || req.route == nil || req.route.Mirror == nil || req.replayed || response == nil && !mayHaveExecuted {
 		return
 	}
@@ -139,10 +139,10 @@
 		mirror: m, record: record, route: req.route, hash: hash, era: era, position: balancer.Place(hash), timeout: time.Until(req.deadline) + time.Since(req.arrivedAt),
 		status: response.Status, length: response.Length, liveLatency: req.duration,
 	}
-	if job.bodyComplete = response.Rest == nil; job.bodyComplete {
+	if job.bodyComplete = response.Remainder == nil; job.bodyComplete {
 		job.bodyDigest = sha256.Sum256(response.Body)
 	}
-	mirrored := *req.Inquiry
+	mirrored := *req.Request
 	mirrored.Header = req.Header.Clone()
 	mirrored.Header.Set(loopline.Marker, fmt.Sprintf("%s; version=%d; node=%s; number=%d; at=%d; settled=%t",
 		m.Name, m.Version, p.settings.Load().Platform.NodeName, number, p.clock.Wall().UnixMilli(), grant.IsSettled))
--- a/internal/proxy/mirror_send.go
+++ b/internal/proxy/mirror_send.go
@@ -42,8 +42,8 @@
 	}
 	start := time.Now()
 	deadline := start.Add(job.timeout)
-	response, err := p.trafficMirror.poolOf(server).Deliver(upstream.Order{
-		Inquiry: job.request, Due: deadline, Last: deadline, Connect: serverConnectTimeout, Buffer: bufferBytes, In: p.inbound, Out: p.outbound,
+	response, err := p.trafficMirror.poolOf(server).Deliver(upstream.Delivery{
+		Request: job.request, Deadline: deadline, ResponseDeadline: deadline, ConnectTimeout: serverConnectTimeout, BufferLimit: bufferBytes, Inbound: p.inbound, Outbound: p.outbound,
 		MaySend: func() bool { return p.maySendMirrored(job.mirror, server) },
 	})
 	latency := time.Since(start)
@@ -76,7 +76,7 @@
 }
 
 // compare classifies the result of a mirrored request against the original.
-func (j *mirrorJob) compare(response *upstream.Reply, err error, latency time.Duration) loopline.Outcome {
+func (j *mirrorJob) compare(response *upstream.Response, err error, latency time.Duration) loopline.Outcome {
 	switch {
 	case err != nil:
 		return loopline.Silent
@@ -84,7 +84,7 @@
 		return loopline.Turned
 	case response.Status/100 != j.status/100:
 		return loopline.Status
-	case response.Rest != nil || !j.bodyComplete:
+	case response.Remainder != nil || !j.bodyComplete:
 		if response.Length != j.length {
 			return loopline.Body
 		}
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -21,7 +21,7 @@
 
 // clientRequest is one client's request with the state that the proxy keeps for it.
 type clientRequest struct {
-	*upstream.Inquiry
+	*upstream.Request
 	route     *config.Route
 	service   string
 	snapshot  *snapshot
@@ -52,7 +52,7 @@
 func (i *clientRequest) setRingPosition() {
 	switch i.route.RouteType {
 	case config.Idempotent:
-		i.ringPosition, i.hasRingPosition = balancer.PlaceOf(i.route.Host, i.Header.Get(upstream.HeaderKey)), true
+		i.ringPosition, i.hasRingPosition = balancer.PlaceOf(i.route.Host, i.Header.Get(upstream.HeaderOperationKey)), true
 	case config.Download:
 		i.ringPosition, i.hasRingPosition = balancer.PlaceOf(i.route.Host, i.Target), true
 	}
@@ -89,7 +89,7 @@
 		p.offerMirror(req, nil, mayHaveExecuted(err))
 		return
 	}
-	response := result.(*upstream.Reply)
+	response := result.(*upstream.Response)
 	upstreamFailed, err := p.writeResponse(w, response)
 	p.recordStagedOutcome(req, response, nil, upstreamFailed)
 	if upstreamFailed {
@@ -121,7 +121,7 @@
 	case !req.snapshot.complete:
 		return nil, apierror.New(apierror.NoServer, "the configuration has not been received yet")
 	}
-	req.snapshot.findRoute(req, r.Host, path, r.Header.Get(upstream.HeaderKey) != "", p.clock.Steady())
+	req.snapshot.findRoute(req, r.Host, path, r.Header.Get(upstream.HeaderOperationKey) != "", p.clock.Steady())
 	if req.route == nil {
 		return nil, apierror.New(apierror.NoLane, "")
 	}
@@ -145,7 +145,7 @@
 		return nil, apierror.New(apierror.BadInquiry, "cannot read the request body")
 	}
 	_ = http.NewResponseController(w).SetReadDeadline(time.Time{})
-	req.Inquiry = &upstream.Inquiry{
+	req.Request = &upstream.Request{
 		Method: r.Method, Target: r.RequestURI, Host: r.Host, Header: r.Header, Body: body,
 		HasBody: r.ContentLength > 0 || len(r.TransferEncoding) > 0 || r.Method != http.MethodGet && r.Method != http.MethodHead,
 		Attempt: attemptIDs[0],
@@ -200,18 +200,18 @@
 
 // writeResponse passes a server's response to the client. upstreamFailed reports that
 // the server broke off within the body.
-func (p *proxy) writeResponse(w http.ResponseWriter, response *upstream.Reply) (upstreamFailed bool, err error) {
-	upstream.CopyBack(w.Header(), response.Header)
+func (p *proxy) writeResponse(w http.ResponseWriter, response *upstream.Response) (upstreamFailed bool, err error) {
+	upstream.CopyResponseHeader(w.Header(), response.Header)
 	if response.Length >= 0 {
 		w.Header().Set("Content-Length", strconv.FormatInt(response.Length, 10))
 	}
 	w.WriteHeader(response.Status)
 	writer := p.outbound.Writer(w)
 	_, err = writer.Write(response.Body)
-	if response.Rest == nil {
+	if response.Remainder == nil {
 		return false, nil
 	}
-	reader := &errorRecordingReader{Reader: response.Rest}
+	reader := &errorRecordingReader{Reader: response.Remainder}
 	if err == nil {
 		_, err = io.Copy(p.outbound.BulkWriter(w), reader)
 	}
--- a/internal/proxy/shed.go
+++ b/internal/proxy/shed.go
@@ -113,7 +113,7 @@
 const lateFactor = 2
 
 // countLoad counts what the end of an attempt shows about the load of its service.
-func (d *forwarder) countLoad(server *balancer.Siding, response *upstream.Reply, err error, latency time.Duration) {
+func (d *forwarder) countLoad(server *balancer.Siding, response *upstream.Response, err error, latency time.Duration) {
 	if !d.sheddingEnabled() || err != nil || response.Status == http.StatusMisdirectedRequest {
 		return
 	}
--- a/internal/proxy/staged.go
+++ b/internal/proxy/staged.go
@@ -92,7 +92,7 @@
 
 // recordStagedOutcome counts the outcome of a request for the staged change that
 // affects it. A replayed response shows nothing about the change and is not counted.
-func (p *proxy) recordStagedOutcome(req *clientRequest, response *upstream.Reply, err error, truncated bool) {
+func (p *proxy) recordStagedOutcome(req *clientRequest, response *upstream.Response, err error, truncated bool) {
 	if req == nil || req.stagedChange == nil || req.replayed {
 		return
 	}
@@ -115,7 +115,7 @@
 	apierror.Busy: outlier.Failed,
 }
 
-func stagedOutcome(req *clientRequest, response *upstream.Reply, err error, latency time.Duration) (outcome outlier.Outcome, counted bool) {
+func stagedOutcome(req *clientRequest, response *upstream.Response, err error, latency time.Duration) (outcome outlier.Outcome, counted bool) {
 	keyed := req.route != nil && req.route.RouteType == config.Idempotent
 	var known *apierror.Error
 	switch {
--- a/internal/proxy/vote.go
+++ b/internal/proxy/vote.go
@@ -11,10 +11,10 @@
 
 // reserve requests the votes of all control-plane members in parallel, and returns the
 // result of the round.
-func (a *keyedAttempt) reserve() idempotency.Standing {
+func (a *keyedAttempt) reserve() idempotency.Result {
 	view := a.snapshot.Load().view
 	start, voteSpan := a.clock.Steady(), a.settings.Load().Tuning.VoteSpan
-	a.round = idempotency.NewRound(a.intent.Hash, max(1, len(view.Members)), start, timetable.Steady(voteSpan))
+	a.round = idempotency.NewRound(a.intent.RequestHash, max(1, len(view.Members)), start, timetable.Steady(voteSpan))
 	votes, cancel := callMembers[messages.Vote](a.proxy, view, messages.KindReserve, messages.Reserve{Epoch: view.Epoch, Intent: a.intent})
 	defer cancel()
 	timer := time.NewTimer(min(voteSpan.Std(), time.Until(a.request.deadline), a.voteTimeout()))
@@ -24,13 +24,13 @@
 		case vote := <-votes:
 			a.addVote(vote)
 		case <-timer.C:
-			return a.round.Standing(start + timetable.Steady(voteSpan) + 1)
+			return a.round.Result(start + timetable.Steady(voteSpan) + 1)
 		}
-		if standing := a.round.Standing(a.clock.Steady()); standing != idempotency.Undecided {
+		if standing := a.round.Result(a.clock.Steady()); standing != idempotency.Undecided {
 			return standing
 		}
 	}
-	return a.round.Standing(start + timetable.Steady(voteSpan) + 1)
+	return a.round.Result(start + timetable.Steady(voteSpan) + 1)
 }
 
 const (
@@ -53,9 +53,9 @@
 // addVote counts one member's vote, and takes over a newer membership view that comes
 // with it.
 func (a *keyedAttempt) addVote(vote memberReply[messages.Vote]) {
-	if vote.reply == nil || vote.reply.Ballot.Held != nil && vote.reply.Ballot.Held.Key != a.intent.Key {
+	if vote.reply == nil || vote.reply.Ballot.Existing != nil && vote.reply.Ballot.Existing.Key != a.intent.Key {
 		// A ballot on another key counts as no vote.
-		a.round.On(nil)
+		a.round.AddVote(nil)
 		return
 	}
 	if vote.reply.Ballot.Verdict != idempotency.Granted {
@@ -64,7 +64,7 @@
 	if vote.reply.View != nil {
 		a.updateLoop.Offer(feed.News{View: vote.reply.View})
 	}
-	a.round.On(&vote.reply.Ballot)
+	a.round.AddVote(&vote.reply.Ballot)
 }
 
 // releaseVotes releases the votes of an attempt that will never be sent to a server.
--- a/internal/upstream/receive.go
+++ b/internal/upstream/receive.go
@@ -13,153 +13,153 @@
 )
 
 const (
-	// surplusLimit is how many replies to other inquiries, and interim ones, are
-	// passed over, and surplusBytes how long such a reply may be.
-	surplusLimit = 8
-	surplusBytes = 64 << 20
-	// headBytes is how long the header of a reply may be.
-	headBytes = 256 << 10
+	// maxSkippedResponses limits the responses read for one request: interim ones and
+	// those to other requests are skipped. maxSkippedBodyBytes limits the body of each.
+	maxSkippedResponses = 8
+	maxSkippedBodyBytes = 64 << 20
+	// maxHeaderBytes limits the header of a response.
+	maxHeaderBytes = 256 << 10
 )
 
-// headLimit bounds what is read from a connection while a reply's header is read,
-// so that a header without an end takes no memory without one.
-type headLimit struct {
-	from io.Reader
-	left int
-	isOn bool
+// headerLimiter limits what is read from a connection while a response header is
+// parsed, so that an endless header does not use unlimited memory.
+type headerLimiter struct {
+	source    io.Reader
+	remaining int
+	enabled   bool
 }
 
-// Read reads what the limit leaves.
-func (l *headLimit) Read(into []byte) (count int, err error) {
-	if !l.isOn {
-		return l.from.Read(into)
+// Read reads up to the remaining limit.
+func (l *headerLimiter) Read(buffer []byte) (count int, err error) {
+	if !l.enabled {
+		return l.source.Read(buffer)
 	}
-	if l.left <= 0 {
-		return 0, errors.NotValidf("header of more than %d bytes", headBytes)
+	if l.remaining <= 0 {
+		return 0, errors.NotValidf("header of more than %d bytes", maxHeaderBytes)
 	}
-	count, err = l.from.Read(into[:min(len(into), l.left)])
-	l.left -= count
+	count, err = l.source.Read(buffer[:min(len(buffer), l.remaining)])
+	l.remaining -= count
 	return count, err
 }
 
-// receive reads the reply that carries the inquiry's id. A reply with another
-// id belongs to an earlier inquiry: it is passed over, never handed on.
-func (h *hook) receive(order Order) (*Reply, error) {
-	inquiry := order.Inquiry
-	isUsed := h.isUsed
-	h.isUsed, h.hasHead = true, h.hasHead || inquiry.Method == http.MethodHead
-	for range surplusLimit {
-		response, err := h.readHead(inquiry.Method)
+// receive reads the response that carries the request's attempt ID. A response with
+// another ID belongs to an earlier request: it is skipped and never returned.
+func (c *connection) receive(delivery Delivery) (*Response, error) {
+	request := delivery.Request
+	used := c.used
+	c.used, c.sentHead = true, c.sentHead || request.Method == http.MethodHead
+	for range maxSkippedResponses {
+		response, err := c.readHeader(request.Method)
 		if err != nil {
 			return nil, err
 		}
 		if response.StatusCode == http.StatusSwitchingProtocols {
-			return nil, errors.NotValidf("change of protocol that nobody asked for")
+			return nil, errors.NotValidf("unrequested protocol switch")
 		}
 		if response.StatusCode < http.StatusOK {
 			continue
 		}
-		if isReplyTo(response, inquiry.Attempt, isUsed) {
-			return h.take(response, order)
+		if answersAttempt(response, request.Attempt, used) {
+			return c.readBody(response, delivery)
 		}
-		h.isDone = true
-		if h.hasHead {
-			// Whether that reply has a body depends on which inquiry it answers.
-			return nil, errors.NotValidf("reply to another inquiry, of unknown length,")
+		c.noReuse = true
+		if c.sentHead {
+			// Whether the response has a body depends on the request that it answers.
+			return nil, errors.NotValidf("response to another request with unknown body length")
 		}
-		if len(response.Header.Values(HeaderAttempt)) == 0 && isTurnedAway(response.StatusCode, response.Header) {
-			return nil, errors.NotValidf("refusal of nobody knows which inquiry")
+		if len(response.Header.Values(HeaderAttempt)) == 0 && notExecuted(response.StatusCode, response.Header) {
+			return nil, errors.NotValidf("rejection without an attempt ID on a reused connection")
 		}
-		if err = passOver(response); err != nil {
+		if err = discardBody(response); err != nil {
 			return nil, err
 		}
 	}
-	return nil, errors.NotValidf("so many replies to other inquiries")
+	return nil, errors.NotValidf("sequence of responses without the requested attempt ID")
 }
 
-func (h *hook) readHead(method string) (*http.Response, error) {
-	h.head.left, h.head.isOn = headBytes, true
-	response, err := http.ReadResponse(h.reader, &http.Request{Method: method})
-	h.head.isOn = false
+func (c *connection) readHeader(method string) (*http.Response, error) {
+	c.limiter.remaining, c.limiter.enabled = maxHeaderBytes, true
+	response, err := http.ReadResponse(c.reader, &http.Request{Method: method})
+	c.limiter.enabled = false
 	return response, errors.Trace(err)
 }
 
-// isReplyTo tells whether a reply is the one to the attempt. A server that turns an
-// inquiry away may do so before it has read the id; that is told from a late reply
-// to an earlier inquiry only where the connection has carried none.
-func isReplyTo(response *http.Response, attempt string, isUsed bool) bool {
+// answersAttempt reports whether a response belongs to the attempt. A server may reject
+// a request before it has read the attempt ID. Such a response can be distinguished
+// from a late response to an earlier request only if the connection carried none.
+func answersAttempt(response *http.Response, attempt string, used bool) bool {
 	ids := response.Header.Values(HeaderAttempt)
 	if len(ids) > 0 {
 		return len(ids) == 1 && ids[0] == attempt
 	}
-	return !isUsed && isTurnedAway(response.StatusCode, response.Header)
+	return !used && notExecuted(response.StatusCode, response.Header)
 }
 
-// passOver reads a reply that nobody waits for to its end.
-func passOver(response *http.Response) error {
-	count, err := io.Copy(io.Discard, io.LimitReader(response.Body, surplusBytes+1))
-	if err == nil && count > surplusBytes {
-		err = errors.NotValidf("surplus reply of more than %d bytes", surplusBytes)
+// discardBody reads and discards the body of a skipped response.
+func discardBody(response *http.Response) error {
+	count, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxSkippedBodyBytes+1))
+	if err == nil && count > maxSkippedBodyBytes {
+		err = errors.NotValidf("skipped response of more than %d bytes", maxSkippedBodyBytes)
 	}
 	return errors.Trace(err)
 }
 
-func (h *hook) take(response *http.Response, order Order) (*Reply, error) {
-	reply := &Reply{Status: response.StatusCode, Header: response.Header, Length: response.ContentLength}
-	// Of a reply without a length, too, net/http says that its connection ends it.
-	h.isDone = h.isDone || response.Close || len(response.Header.Values(HeaderAttempt)) == 0
-	h.until = time.Now().Add(idleSpan(response.Header.Get("Keep-Alive")))
-	isSuccess := reply.Status/100 == 2
-	if isSuccess && reply.Header.Get(HeaderSeal) == "" {
-		return nil, errors.NotValidf("success without a seal")
+// readBody returns the response with its body, or with a Remainder if the body exceeds
+// the buffer limit or is streamed.
+func (c *connection) readBody(httpResponse *http.Response, delivery Delivery) (*Response, error) {
+	response := &Response{Status: httpResponse.StatusCode, Header: httpResponse.Header, Length: httpResponse.ContentLength}
+	// net/http also sets Close for a response without a length, which ends with its
+	// connection.
+	c.noReuse = c.noReuse || httpResponse.Close || len(httpResponse.Header.Values(HeaderAttempt)) == 0
+	c.idleUntil = time.Now().Add(idleTimeout(httpResponse.Header.Get("Keep-Alive")))
+	success := response.Status/100 == 2
+	if success && response.Header.Get(HeaderSeal) == "" {
+		return nil, errors.NotValidf("success response without a server seal")
 	}
-	if response.Body == http.NoBody {
-		return reply, nil
+	if httpResponse.Body == http.NoBody {
+		return response, nil
 	}
-	from := order.In.Reader(response.Body, reply.Length, h.window())
-	isPassedOn := isSuccess && order.PassOn > 0 && reply.Length >= order.PassOn
-	if reply.Length > order.Buffer || isPassedOn {
-		reply.Rest = from
-		return reply, nil
+	source := delivery.Inbound.Reader(httpResponse.Body, response.Length, c.receiveBuffer())
+	streamed := success && delivery.StreamThreshold > 0 && response.Length >= delivery.StreamThreshold
+	if response.Length > delivery.BufferLimit || streamed {
+		response.Remainder = source
+		return response, nil
 	}
-	body, err := readAll(from, reply.Length, order.Buffer)
+	body, err := readLimited(source, response.Length, delivery.BufferLimit)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	if reply.Body = body; int64(len(body)) > order.Buffer {
-		reply.Rest = from
+	if response.Body = body; int64(len(body)) > delivery.BufferLimit {
+		response.Remainder = source
 	} else {
-		reply.Length = int64(len(body))
+		response.Length = int64(len(body))
 	}
-	return reply, nil
+	return response, nil
 }
 
-func readAll(from io.Reader, length, buffer int64) ([]byte, error) {
+func readLimited(source io.Reader, length, limit int64) ([]byte, error) {
 	if length >= 0 {
-		return bounded.Read(from, int(length))
+		return bounded.Read(source, int(length))
 	}
-	return io.ReadAll(io.LimitReader(from, buffer+1))
+	return io.ReadAll(io.LimitReader(source, limit+1))
 }
 
-func idleSpan(keepAlive string) time.Duration {
+// idleTimeout returns how long a connection may be idle, from its Keep-Alive header.
+func idleTimeout(keepAlive string) time.Duration {
 	for _, part := range strings.Split(keepAlive, ",") {
-		if text, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout="); ok {
-			if seconds, err := strconv.Atoi(text); err == nil {
-				return max(0, time.Duration(seconds)*time.Second-idleMargin)
+		if value, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout="); ok {
+			if seconds, err := strconv.Atoi(value); err == nil {
+				return max(0, time.Duration(seconds)*time.Second-idleTimeoutMargin)
 			}
 		}
 	}
-	return idleDefault
+	return defaultIdleTimeout
 }
 
-// IsNotExecuted tells whether the server showed that it did not run the
-// inquiry.
-//
-// Example:
-//
-//	if reply.IsNotExecuted() { tryAnother() }
-func (r *Reply) IsNotExecuted() bool { return isTurnedAway(r.Status, r.Header) }
+// IsNotExecuted reports whether the response shows that the server did not execute the
+// request.
+func (r *Response) IsNotExecuted() bool { return notExecuted(r.Status, r.Header) }
 
-func isTurnedAway(status int, header http.Header) bool {
+func notExecuted(status int, header http.Header) bool {
 	return header.Get(HeaderNotExecuted) != "" || status == http.StatusMisdirectedRequest
 }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -20,41 +20,41 @@
 	RunSpecs(t, "upstream")
 }
 
-var _ = Describe("a rack", func() {
+var _ = Describe("Pool", func() {
 	var server *standin.Server
-	var rack *upstream.Rack
-	tries := 0
+	var pool *upstream.Pool
+	attempts := 0
 
 	BeforeEach(func() {
 		var err error
 		server, err = standin.NewServer("i-1", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(func() { server.Close() })
-		rack = &upstream.Rack{Address: server.Address(), Instance: "i-1"}
+		pool = &upstream.Pool{Address: server.Address(), Instance: "i-1"}
 	})
 
-	deliver := func(change func(*upstream.Order)) (*upstream.Reply, string, error) {
-		tries++
-		id := "try" + strconv.Itoa(tries)
+	deliver := func(change func(*upstream.Delivery)) (*upstream.Response, string, error) {
+		attempts++
+		id := "try" + strconv.Itoa(attempts)
 		header := http.Header{
 			upstream.HeaderAttempt: {id}, "Connection": {"X-Local, close"}, "X-Local": {"1"}, "X-Far": {"2"}, "Te": {"trailers"},
 			upstream.HeaderDeadline: {"999999"}, upstream.HeaderTarget: {"forged"},
 		}
-		order := upstream.Order{
-			Inquiry: &upstream.Inquiry{Method: "POST", Target: "/a/b?c=%2F", Host: "h", Header: header, Body: []byte("x"), HasBody: true, Attempt: id},
-			Due:     time.Now().Add(5 * time.Second), Last: time.Now().Add(5 * time.Second), Connect: time.Second, Buffer: 1 << 20,
+		delivery := upstream.Delivery{
+			Request:  &upstream.Request{Method: "POST", Target: "/a/b?c=%2F", Host: "h", Header: header, Body: []byte("x"), HasBody: true, Attempt: id},
+			Deadline: time.Now().Add(5 * time.Second), ResponseDeadline: time.Now().Add(5 * time.Second), ConnectTimeout: time.Second, BufferLimit: 1 << 20,
 		}
 		if change != nil {
-			change(&order)
+			change(&delivery)
 		}
-		reply, err := rack.Deliver(order)
-		return reply, id, err
+		response, err := pool.Deliver(delivery)
+		return response, id, err
 	}
 
-	It("delivers method, target and body unchanged, with its own deadline and target", func() {
-		reply, id, err := deliver(nil)
+	It("delivers method, target and body unchanged, and sets its own deadline and target instance", func() {
+		response, id, err := deliver(nil)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(string(reply.Body)).To(Equal("body of " + id + " by i-1"))
+		Expect(string(response.Body)).To(Equal("body of " + id + " by i-1"))
 		run := server.Runs()[0]
 		Expect(run.Target).To(Equal("/a/b?c=%2F"))
 		Expect(run.Body).To(Equal("x"))
@@ -62,139 +62,139 @@
 		Expect(strconv.Atoi(run.Deadline)).To(BeNumerically("~", 5000, 1000))
 	})
 
-	DescribeTable("takes no reply that is not the server's whole reply to this inquiry",
-		func(act standin.Act) {
-			server.Next(act)
+	DescribeTable("accepts only a complete response to this request",
+		func(behavior standin.Act) {
+			server.Next(behavior)
 			_, _, err := deliver(nil)
-			Expect(errors.Is(err, upstream.ErrUnknown)).To(BeTrue())
-			// Nothing was sent again, and the connection is not used again.
+			Expect(errors.Is(err, upstream.ErrOutcomeUnknown)).To(BeTrue())
+			// There is no retry, and the connection is not reused.
 			arrivals, _ := server.Counts()
 			Expect(arrivals).To(Equal(1))
-			reply, id, err := deliver(nil)
+			response, id, err := deliver(nil)
 			Expect(err).NotTo(HaveOccurred())
-			Expect(reply.Header.Get(upstream.HeaderAttempt)).To(Equal(id))
-			_, conns := server.Counts()
-			Expect(conns).To(Equal(2))
+			Expect(response.Header.Get(upstream.HeaderAttempt)).To(Equal(id))
+			_, connections := server.Counts()
+			Expect(connections).To(Equal(2))
 		},
-		Entry("cut before", standin.CutBefore),
-		Entry("cut within", standin.CutWithin),
-		Entry("without a seal", standin.NoSeal),
-		Entry("garbage", standin.Garbage),
+		Entry("connection closed before the response", standin.CutBefore),
+		Entry("connection closed within the response", standin.CutWithin),
+		Entry("response without a server seal", standin.NoSeal),
+		Entry("malformed response", standin.Garbage),
 	)
 
-	DescribeTable("hands on its own reply and never a surplus one",
-		func(act standin.Act) {
+	DescribeTable("returns the response to its request and never an unmatched one",
+		func(behavior standin.Act) {
 			for range 5 {
-				server.Next(act)
-				reply, id, err := deliver(nil)
+				server.Next(behavior)
+				response, id, err := deliver(nil)
 				Expect(err).NotTo(HaveOccurred())
-				Expect(string(reply.Body)).To(Equal("body of " + id + " by i-1"))
+				Expect(string(response.Body)).To(Equal("body of " + id + " by i-1"))
 			}
 			Expect(server.Runs()).To(HaveLen(5))
 		},
-		Entry("before", standin.SurplusBefore),
-		Entry("after", standin.SurplusAfter),
+		Entry("unmatched response before", standin.SurplusBefore),
+		Entry("unmatched response after", standin.SurplusAfter),
 	)
 
-	It("never sends again by itself when a used connection turns out closed", func() {
+	It("does not retry when a reused connection is closed", func() {
 		_, _, err := deliver(nil)
 		Expect(err).NotTo(HaveOccurred())
 		server.Next(standin.CutBefore, standin.Answer)
 		_, _, err = deliver(nil)
-		Expect(errors.Is(err, upstream.ErrUnknown)).To(BeTrue())
-		arrivals, conns := server.Counts()
+		Expect(errors.Is(err, upstream.ErrOutcomeUnknown)).To(BeTrue())
+		arrivals, connections := server.Counts()
 		Expect(arrivals).To(Equal(2))
-		Expect(conns).To(Equal(1))
+		Expect(connections).To(Equal(1))
 	})
 
-	It("sends nothing once it may not, and says so", func() {
-		_, _, err := deliver(func(order *upstream.Order) { order.MaySend = func() bool { return false } })
+	It("sends nothing when MaySend forbids it or the server is unreachable, and returns ErrNotSent", func() {
+		_, _, err := deliver(func(delivery *upstream.Delivery) { delivery.MaySend = func() bool { return false } })
 		Expect(errors.Is(err, upstream.ErrNotSent)).To(BeTrue())
 		server.Close()
-		rack.Close()
+		pool.Close()
 		_, _, err = deliver(nil)
 		Expect(errors.Is(err, upstream.ErrNotSent)).To(BeTrue())
 		Expect(server.Runs()).To(BeEmpty())
 	})
 
-	It("sends nothing to a server that has left, says so, and keeps the connection", func() {
+	It("sends nothing to a server that stopped serving, returns ErrNotServing, and keeps the connection", func() {
 		_, _, err := deliver(nil)
 		Expect(err).NotTo(HaveOccurred())
-		hasLeft := func(order *upstream.Order) {
-			order.IsServing = func() bool { return false }
-			order.MaySend = func() bool { defer GinkgoRecover(); Fail("asked though nothing is to be sent"); return true }
+		stopServing := func(delivery *upstream.Delivery) {
+			delivery.Serving = func() bool { return false }
+			delivery.MaySend = func() bool { defer GinkgoRecover(); Fail("MaySend called although nothing is to be sent"); return true }
 		}
-		_, _, err = deliver(hasLeft)
-		Expect(errors.Is(err, upstream.ErrServerLeft)).To(BeTrue())
+		_, _, err = deliver(stopServing)
+		Expect(errors.Is(err, upstream.ErrNotServing)).To(BeTrue())
 		Expect(errors.Is(err, upstream.ErrNotSent)).To(BeTrue())
 		_, _, err = deliver(nil)
 		Expect(err).NotTo(HaveOccurred())
-		arrivals, conns := server.Counts()
-		Expect([]int{arrivals, conns}).To(Equal([]int{2, 1}))
+		arrivals, connections := server.Counts()
+		Expect([]int{arrivals, connections}).To(Equal([]int{2, 1}))
 		server.Close()
-		rack.Close()
-		_, _, err = deliver(hasLeft)
-		Expect(errors.Is(err, upstream.ErrServerLeft)).To(BeTrue(), "a server that ended in order is no failure")
+		pool.Close()
+		_, _, err = deliver(stopServing)
+		Expect(errors.Is(err, upstream.ErrNotServing)).To(BeTrue(), "an orderly shutdown of the server is not a failure")
 		Expect(errors.Is(err, upstream.ErrNotSent)).To(BeTrue())
 	})
 
-	It("tells a server that did not run the inquiry", func() {
+	It("reports a request that the server did not execute", func() {
 		server.Next(standin.Shed, standin.Misdirect, standin.Fail500)
-		for _, isNotExecuted := range []bool{true, true, false} {
-			reply, _, err := deliver(nil)
+		for _, notExecuted := range []bool{true, true, false} {
+			response, _, err := deliver(nil)
 			Expect(err).NotTo(HaveOccurred())
-			Expect(reply.IsNotExecuted()).To(Equal(isNotExecuted))
+			Expect(response.IsNotExecuted()).To(Equal(notExecuted))
 		}
 	})
 
-	It("passes a large reply on in parts", func() {
-		reply, _, err := deliver(func(order *upstream.Order) { order.Buffer = 4 })
+	It("streams a response above the buffer limit", func() {
+		response, _, err := deliver(func(delivery *upstream.Delivery) { delivery.BufferLimit = 4 })
 		Expect(err).NotTo(HaveOccurred())
-		Expect(reply.Rest).NotTo(BeNil())
-		Expect(reply.Length).To(BeNumerically(">", 4))
-		reply.Finish(false)
+		Expect(response.Remainder).NotTo(BeNil())
+		Expect(response.Length).To(BeNumerically(">", 4))
+		response.Finish(false)
 	})
 
-	It("hands a long success on as it comes, with an error where the server breaks off, and a failure whole", func() {
-		isPassedOn := func(order *upstream.Order) { order.PassOn = 4 }
-		reply, id, err := deliver(isPassedOn)
+	It("streams a success above the threshold, with an error if the server closes early, and buffers a failure", func() {
+		stream := func(delivery *upstream.Delivery) { delivery.StreamThreshold = 4 }
+		response, id, err := deliver(stream)
 		Expect(err).NotTo(HaveOccurred())
-		text, err := io.ReadAll(reply.Rest)
+		text, err := io.ReadAll(response.Remainder)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(string(text)).To(Equal("body of " + id + " by i-1"))
-		reply.Finish(true)
+		response.Finish(true)
 
 		server.Next(standin.CutWithin)
-		reply, _, err = deliver(isPassedOn)
+		response, _, err = deliver(stream)
 		Expect(err).NotTo(HaveOccurred())
-		text, err = io.ReadAll(reply.Rest)
+		text, err = io.ReadAll(response.Remainder)
 		Expect(err).To(MatchError(io.ErrUnexpectedEOF))
-		Expect(len(text)).To(BeNumerically("<", reply.Length))
-		reply.Finish(false)
+		Expect(len(text)).To(BeNumerically("<", response.Length))
+		response.Finish(false)
 
 		server.Next(standin.NoSeal, standin.Fail500)
-		_, _, err = deliver(isPassedOn)
-		Expect(errors.Is(err, upstream.ErrUnknown)).To(BeTrue())
-		reply, _, err = deliver(isPassedOn)
+		_, _, err = deliver(stream)
+		Expect(errors.Is(err, upstream.ErrOutcomeUnknown)).To(BeTrue())
+		response, _, err = deliver(stream)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(reply.Rest).To(BeNil())
-		// The connection of the whole one was used again, that of the broken one was not.
-		arrivals, conns := server.Counts()
-		Expect([]int{arrivals, conns}).To(Equal([]int{4, 3}))
+		Expect(response.Remainder).To(BeNil())
+		// The connection of the complete response was reused, that of the incomplete one was not.
+		arrivals, connections := server.Counts()
+		Expect([]int{arrivals, connections}).To(Equal([]int{4, 3}))
 	})
 })
 
-var _ = Describe("the header rules", func() {
-	It("drop what concerns one connection and pass the rest back", func() {
+var _ = Describe("header rules", func() {
+	It("drop hop-by-hop headers and forward the rest", func() {
 		to := http.Header{}
-		upstream.CopyBack(to, http.Header{
+		upstream.CopyResponseHeader(to, http.Header{
 			"Connection": {"X-Local"}, "X-Local": {"1"}, "Keep-Alive": {"timeout=9"}, "Transfer-Encoding": {"chunked"},
 			"X-Far": {"2"}, upstream.HeaderSeal: {"s"},
 		})
 		Expect(to).To(HaveKeyWithValue("X-Far", []string{"2"}))
 		Expect(to).To(HaveKeyWithValue(upstream.HeaderSeal, []string{"s"}))
-		for _, gone := range []string{"Connection", "X-Local", "Keep-Alive", "Transfer-Encoding"} {
-			Expect(to).NotTo(HaveKey(gone))
+		for _, dropped := range []string{"Connection", "X-Local", "Keep-Alive", "Transfer-Encoding"} {
+			Expect(to).NotTo(HaveKey(dropped))
 		}
 	})
 })
