--- a/internal/control/accepted.go
+++ b/internal/control/accepted.go
@@ -9,28 +9,27 @@
 	"ploverhitch/internal/control/registry"
 )
 
-// classNames are the operators' words for the classes of items.
+// classNames are the names of the item classes in the operator API.
 var classNames = map[config.Class]string{
 	config.RouteItem: "Route", config.ServiceItem: "Service", config.LimitsItem: "Limits",
 	config.SiteItem: "Site", config.PlanItem: "Plan", config.MirrorItem: "Mirror",
 }
 
-// AcceptedVersion is one version of an item that was accepted, and the hash of its
-// content.
+// AcceptedVersion is an accepted version of an item with the hash of its content.
 type AcceptedVersion struct {
 	Revision config.Version `json:"Revision"`
 	Content  string         `json:"Content"`
 }
 
-// AcceptedItem is an item with the versions that are remembered of it, the oldest
-// first.
+// AcceptedItem is an item with its retained accepted versions, oldest first.
 type AcceptedItem struct {
 	Class    string            `json:"Class"`
 	Name     string            `json:"Name"`
 	Accepted []AcceptedVersion `json:"Accepted"`
 }
 
-// AcceptedPage is what this node remembers under a name; Index is that of its set.
+// AcceptedPage lists the items of a name that this node retains; Index is the index of
+// its item set.
 type AcceptedPage struct {
 	Index uint64         `json:"Index"`
 	Items []AcceptedItem `json:"Items"`
@@ -38,7 +37,7 @@
 
 func decodeItemName(_ context.Context, r *http.Request) (any, error) { return r.PathValue("name"), nil }
 
-// acceptedPoint tells the versions that were accepted of the items of a name.
+// acceptedEndpoint returns the accepted versions of the items with a name.
 func (n *node) acceptedEndpoint(_ context.Context, request any) (any, error) {
 	name, page := request.(string), AcceptedPage{Items: []AcceptedItem{}}
 	n.store.read(func(t *tables) {
--- a/internal/control/call.go
+++ b/internal/control/call.go
@@ -23,7 +23,7 @@
 	return connection
 }
 
-// ask makes a call to a member, which may be this node itself.
+// call sends a request to a member, which may be this node itself.
 func (n *node) call(member string, kind rpc.Kind, request, reply any, timeout time.Duration) error {
 	if member != n.self {
 		return n.connection(member).Ask(kind, request, reply, timeout)
@@ -31,13 +31,13 @@
 	return n.callSelf(kind, request, reply, timeout)
 }
 
-// askSelf hands a call to this node's own handler. As on a line, the reply is
-// written while the handler gives it, since its tables change afterwards; one reply
-// counts, and nobody waits for a late or a further one.
+// callSelf passes a request to this node's own handler. As on a connection, the reply
+// is encoded while the handler runs, since the handler's data may change afterwards.
+// Only the first reply counts; late and further replies are discarded without blocking.
 func (n *node) callSelf(kind rpc.Kind, request, result any, timeout time.Duration) error {
 	handle, known := n.callHandlers[kind]
 	if !known {
-		return errors.NotImplementedf("call of kind %d", kind)
+		return errors.NotImplementedf("handler for calls of kind %d", kind)
 	}
 	body, err := cbor.Marshal(request)
 	if err != nil {
@@ -65,12 +65,12 @@
 		}
 		return rpc.Unpack(data, result)
 	case <-timer.C:
-		return errors.Timeoutf("call to self")
+		return errors.Timeoutf("call to this node")
 	}
 }
 
-// askAll asks every member at once and gives the replies in the order in which
-// they come, until enough says so or the span ends.
+// callAll calls all members concurrently and passes the replies to enough in order of
+// arrival. It returns once enough returns true or all calls have ended.
 func callAll[T any](n *node, members []string, kind rpc.Kind, request any, timeout time.Duration, enough func(member string, reply T) bool) {
 	type memberReply struct {
 		member string
@@ -92,8 +92,8 @@
 	}
 }
 
-// isDone asks every member and tells whether a majority of the view says that it
-// is done.
+// majorityDone calls all members and reports whether a majority of the view confirms
+// that the request is done.
 func (n *node) majorityDone(view membership.View, kind rpc.Kind, request any, timeout time.Duration) bool {
 	count := 0
 	callAll(n, view.Members, kind, request, timeout, func(_ string, done messages.Done) bool {
@@ -105,19 +105,18 @@
 	return count >= view.Majority()
 }
 
-// holder is who holds the duty, as far as this node knows.
+// leader returns the leader's address as far as this node knows it, else "".
 func (n *node) leader() (leader string) {
 	n.store.read(func(t *tables) { leader = t.term.Holder })
 	return leader
 }
 
-// order brings an operator's order to the holder of the duty, wherever it came
-// in.
+// callLeader forwards an operator's command to the leader, whichever node received it.
 func (n *node) callLeader(kind rpc.Kind, command any) error {
 	leader := n.leader()
 	var result messages.Ordered
 	if leader == "" || n.call(leader, kind, command, &result, orderSpan) != nil {
-		return apierror.New(apierror.Gone, "the holder of the duty")
+		return apierror.New(apierror.Gone, "the leader does not answer")
 	}
 	return resultError(result)
 }
--- a/internal/control/catchup.go
+++ b/internal/control/catchup.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	// pageBytes is about how much of the item set, or of the changes of it, one
-	// frame or record carries.
+	// pageBytes is the approximate size of the part of the item set, or of its
+	// changes, that one frame or record carries.
 	pageBytes = 64 << 10
-	// catchUpPages bounds how many frames one catching up may take.
+	// maxCatchUpPages bounds how many frames one catch-up may take.
 	maxCatchUpPages = 4096
-	// learnSpan bounds how long a catching up waits for its own disk.
+	// learnTimeout bounds how long a catch-up waits for the local disk.
 	learnTimeout = 2 * time.Second
 )
 
-// learn takes decided changes in the order of its calls, and publishes them once
-// they are kept. Then it calls done with whether some do not follow what this node
-// holds.
+// learn applies decided changes in the order of its calls and publishes them once they
+// are persisted. Then it calls done; gap is true if changes are missing between this
+// node's item set and those passed.
 func (n *node) learn(changes []registry.Change, done func(gap bool)) {
 	var items []config.Item
 	gap := false
@@ -45,15 +45,16 @@
 	})
 }
 
-// learnNow is learn; it waits until the changes are kept, or the span ends.
+// learnAndWait calls learn and waits until the changes are persisted or learnTimeout
+// expires.
 func (n *node) learnAndWait(changes []registry.Change) {
 	done := make(chan struct{})
 	n.learn(changes, func(bool) { close(done) })
 	closedWithin(done, learnTimeout)
 }
 
-// onLearn takes changes before it returns, so that a Prepare for the next one, which
-// comes after them on the same connection, finds them here.
+// onLearn enqueues the changes before it returns, so that a Prepare for the next
+// change, which follows on the same connection, finds them applied.
 func (n *node) onLearn(in messages.Learn, _ func(messages.Done)) {
 	n.learn(in.Changes, func(gap bool) {
 		if gap {
@@ -91,8 +92,8 @@
 	}, func() { reply(missed) })
 }
 
-// catchUpWith brings this node's set up to another's; while it does so already,
-// there is nothing to do.
+// catchUpFrom brings this node's item set up to that of another member. It does
+// nothing while another catch-up is running.
 func (r *configReplicator) catchUpFrom(member string) {
 	if member == "" || member == r.node.self {
 		return
@@ -104,12 +105,12 @@
 	}
 	defer func() { <-r.catchingUp }()
 	if err := r.node.catchUp(member); err != nil {
-		r.node.log("info", "catching up", "with", member, "error", err)
+		r.node.log("info", "cannot catch up with the configuration", "member", member, "error", err)
 	}
 }
 
-// catchUp reads what this node lacks from another, as changes or, where that is
-// cheaper or the only way, as the whole set.
+// catchUp reads what this node lacks from another member: the missing changes or,
+// where that is smaller or the changes are no longer available, the whole set.
 func (n *node) catchUp(member string) error {
 	for range maxCatchUpPages {
 		var from registry.Index
@@ -129,10 +130,10 @@
 			n.learnAndWait(missed.Changes)
 		}
 	}
-	return apierror.New(apierror.Gone, "the changes come faster than they are read")
+	return apierror.New(apierror.Gone, "configuration changes arrive faster than they can be read")
 }
 
-// catchUpByPages reads the whole set, and the changes made meanwhile.
+// catchUpByPages reads the whole set page by page, then the changes made meanwhile.
 func (n *node) catchUpByPages(member string) error {
 	var assembly registry.Assembly
 	var changes []registry.Change
@@ -144,7 +145,7 @@
 			return err
 		}
 		if missed.Page == nil {
-			return apierror.New(apierror.Gone, "a page of the configuration")
+			return apierror.New(apierror.Gone, "the member returned no page of the configuration")
 		}
 		if assembly.Add(*missed.Page); number == 0 {
 			first = missed.Page.Index
@@ -166,13 +167,13 @@
 	}
 	set, complete := assembly.Finish(changes)
 	if !complete {
-		return apierror.New(apierror.Gone, "the changes made while the configuration was read")
+		return apierror.New(apierror.Gone, "changes made while the configuration was read are missing")
 	}
 	n.installSet(set)
 	return nil
 }
 
-// install replaces this node's set, keeps it and publishes it.
+// installSet replaces this node's item set, persists it and publishes it.
 func (n *node) installSet(set *registry.Set) {
 	installed := false
 	n.store.persist(func(t *tables) (records []record) {
--- a/internal/control/config_replicator.go
+++ b/internal/control/config_replicator.go
@@ -16,48 +16,50 @@
 )
 
 const (
-	// proposeSpan bounds how long an order waits for a decision at this node;
-	// operators take another node after a second of silence.
+	// proposeTimeout bounds how long a proposal waits for a decision at this node;
+	// operators' clients try another node after one second without an answer.
 	proposeTimeout = 900 * time.Millisecond
-	// backoffStep is the unit of the random pause after a lost round.
+	// backoffStep is the unit of the random backoff after a lost round.
 	backoffStep = 12 * time.Millisecond
-	// maintainPeriod is how often a replica looks for changes that were accepted
-	// but whose decision nobody told, and undecidedAfter how long it waits first;
-	// members take turns by rankStep.
+	// maintainInterval is how often a replica looks for a change that it accepted but
+	// whose decision it was not told. It waits for undecidedDelay before it completes
+	// the change, plus rankDelay for each member that precedes it in the view, so that
+	// members don't compete.
 	maintainInterval  = 50 * time.Millisecond
 	undecidedDelay    = 150 * time.Millisecond
 	rankDelay         = 80 * time.Millisecond
 	proposalQueueSize = 256
 	maxBatchSize      = 64
-	// isolatedSpan is for how long no majority may answer before an order is
-	// given up: longer than it takes to make broken connections again.
+	// noMajorityTimeout is how long no majority may answer before the proposals are
+	// given up: longer than it takes to reconnect broken connections.
 	noMajorityTimeout = 400 * time.Millisecond
 )
 
-// order is an operator's order that waits for a decision.
+// proposal is a set of items that waits for a decision.
 type proposal struct {
 	items    []config.Item
 	deadline timetable.Steady
 	result   chan proposalResult
 }
 
-// decision is what became of an order, and the set in which it holds.
+// proposalResult is the outcome of a proposal and the index of the item set that
+// contains it.
 type proposalResult struct {
 	index registry.Index
 	err   error
 }
 
-// registrar proposes the orders that reach this node and keeps its replica of
-// the item set up to date.
+// configReplicator runs the rounds for the proposals that reach this node and keeps
+// its replica of the item set up to date.
 type configReplicator struct {
 	node  *node
 	queue chan *proposal
-	// round is the highest round of a ballot met; the proposing loop owns it.
+	// round is the highest ballot round seen; only the proposing loop accesses it.
 	round uint64
-	// catching holds one place: a node catches up with one other at a time.
+	// catchingUp has capacity one: a node catches up with one member at a time.
 	catchingUp chan struct{}
-	// undecided is the accepted change last seen without its decision, and since
-	// when; the maintaining loop owns both.
+	// undecidedBallot is the ballot of the accepted change last seen without its
+	// decision, undecidedSince when it was first seen; only maintain accesses them.
 	undecidedBallot membership.Number
 	undecidedSince  timetable.Steady
 }
@@ -66,7 +68,7 @@
 	return &configReplicator{node: n, queue: make(chan *proposal, proposalQueueSize), catchingUp: make(chan struct{}, 1)}
 }
 
-// ballotName is a name for ballots that no other life of the process has.
+// newProposerID returns a proposer identity that no other run of the process uses.
 func newProposerID(address string) string {
 	return address + "#" + strconv.FormatUint(rand.Uint64(), 36)
 }
@@ -76,7 +78,7 @@
 	timetable.Each(ctx, r.queue, func(first *proposal) { r.decide(r.batch(first)) })
 }
 
-// batch is the order with those that wait behind it.
+// batch returns a proposal together with those that wait behind it.
 func (r *configReplicator) batch(first *proposal) []*proposal {
 	proposals := []*proposal{first}
 	for len(proposals) < maxBatchSize {
@@ -90,18 +92,18 @@
 	return proposals
 }
 
-// isServing tells whether this node votes in the epoch.
+// canVote reports whether this node votes in the epoch.
 func (n *node) canVote(t *tables, epoch membership.Epoch) bool {
 	return t.trusted && t.view.Epoch == epoch && t.view.Has(n.self)
 }
 
-// submit has this node propose an order and waits for what becomes of it.
+// submit queues a proposal at this node and waits for its result.
 func (r *configReplicator) submit(items []config.Item) (registry.Index, error) {
 	p := &proposal{items: items, deadline: r.node.clock.Steady() + timetable.Steady(proposeTimeout), result: make(chan proposalResult, 1)}
 	select {
 	case r.queue <- p:
 	default:
-		return 0, apierror.New(apierror.Gone, "too many orders wait")
+		return 0, apierror.New(apierror.Gone, "too many configuration changes are waiting")
 	}
 	timer := time.NewTimer(proposeTimeout)
 	defer timer.Stop()
@@ -113,7 +115,7 @@
 	}
 }
 
-// settle proposes until the orders are decided on, or their time is over.
+// decide runs rounds until the proposals are decided or their deadlines have passed.
 func (r *configReplicator) decide(proposals []*proposal) {
 	majorityAt := r.node.clock.Steady()
 	for attempt := 1; time.Duration(r.node.clock.Steady()-majorityAt) < noMajorityTimeout; attempt++ {
@@ -136,8 +138,8 @@
 	}
 }
 
-// propose plays one round for the orders and tells whether they are decided on,
-// and whether a majority was heard at all.
+// runRound runs one round for the proposals and reports whether they were decided, and
+// whether a majority answered at all.
 func (r *configReplicator) runRound(proposals []*proposal) (decided, heard bool) {
 	n := r.node
 	round, view, canVote := registry.Round{}, membership.View{}, false
@@ -172,7 +174,7 @@
 	return true, heard
 }
 
-// tell brings a decided change to every member, this one first.
+// broadcast sends a decided change to every member, after applying it to this one.
 func (r *configReplicator) broadcast(change registry.Change) {
 	n := r.node
 	n.learn([]registry.Change{change}, func(bool) {})
@@ -184,8 +186,9 @@
 	}
 }
 
-// bringUp sends members that could not take part in a round what they lack, so that
-// they can in the next. One that lacks more than is kept catches up by itself.
+// sendMissing sends members that were too far behind to take part in a round the
+// changes they lack, so that they can take part in the next. A member that lacks
+// changes that are no longer retained catches up by itself.
 func (r *configReplicator) sendMissing(behind map[string]registry.Index) {
 	for member, index := range behind {
 		message := messages.Learn{From: r.node.self}
@@ -199,8 +202,9 @@
 	}
 }
 
-// maintain finishes what a proposer left: a change that this replica accepted but
-// whose decision it was not told, and a set of an older build without a number.
+// maintain completes what a proposer left unfinished: a change that this replica
+// accepted but whose decision it was not told, and an item set of an older build that
+// has no index yet.
 func (r *configReplicator) maintain() {
 	n := r.node
 	var accepted membership.Number
@@ -227,6 +231,6 @@
 	}
 	r.undecidedSince = 0
 	if _, err := r.submit(nil); err != nil {
-		n.log("info", "finishing a change", "error", err)
+		n.log("info", "cannot complete a configuration change", "error", err)
 	}
 }
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -17,14 +17,15 @@
 
 const maxRequestBytes = 32 << 20
 
-// call is one call of the operators' interface: what it does, and how its
-// request is read.
+// operation is one operation of the operator API: its endpoint and the decoder of its
+// request.
 type operation struct {
 	endpoint endpoint.Endpoint
 	decode   kithttp.DecodeRequestFunc
 }
 
-// table is the operators' interface, as api/control.yaml lays it down.
+// operations maps route patterns to the operations of the operator API, which
+// api/control.yaml specifies.
 func (n *node) operations() map[string]operation {
 	return map[string]operation{
 		"POST /v1/config/modify":          {n.modifyEndpoint, decodeItems(config.ParseModify)},
@@ -54,7 +55,7 @@
 	return mux
 }
 
-// decoding reads a call that brings items.
+// decodeItems returns a decoder for requests that contain configuration items.
 func decodeItems(parse func([]byte) ([]config.Item, error)) kithttp.DecodeRequestFunc {
 	return func(_ context.Context, r *http.Request) (any, error) {
 		body, err := io.ReadAll(http.MaxBytesReader(nil, r.Body, maxRequestBytes))
@@ -69,7 +70,7 @@
 	}
 }
 
-// readOrder reads an order whole and checks it by itself.
+// readCommand decodes an operator's command from the request body and validates it.
 func readCommand(r *http.Request, limit int64, command interface{ check() error }) error {
 	body, err := io.ReadAll(http.MaxBytesReader(nil, r.Body, limit))
 	if err == nil {
@@ -108,7 +109,7 @@
 	return err
 }
 
-// writeError answers by the table of kinds.
+// writeError writes an error response with the status and headers of the error's kind.
 func writeError(_ context.Context, err error, w http.ResponseWriter) {
 	kind := apierror.Gone
 	var known *apierror.Error
--- a/internal/control/handlers.go
+++ b/internal/control/handlers.go
@@ -11,7 +11,7 @@
 	"ploverhitch/internal/rpc"
 )
 
-// handlers is the table from a frame's kind to what the node does with it.
+// newHandlers maps the kinds of frames to their handlers.
 func (n *node) newHandlers() rpc.Handlers {
 	return rpc.Handlers{
 		feed.KindFollow:           n.hub.Handle,
@@ -50,8 +50,8 @@
 	}
 }
 
-// answering reads the call's body as T and hands it over with the closure that
-// answers it.
+// typedHandler decodes the call's body as T and passes it to handle with a function
+// that sends the reply.
 func typedHandler[T, R any](handle func(in T, reply func(R))) func(rpc.Call) {
 	return func(call rpc.Call) {
 		var in T
@@ -128,7 +128,7 @@
 			return nil
 		}
 		if in.Since != nil {
-			// A change of what this node does not hold is of no use to it.
+			// A delta applies only to the reading that it is based on.
 			if accepted = *in.Since == t.fleet.Reading(); !accepted {
 				return nil
 			}
@@ -147,7 +147,7 @@
 	})
 }
 
-// onDump answers with all that this member keeps beside the intents.
+// onDump replies with this member's state other than the intents and the item set.
 func (n *node) onDump(in messages.Dump, reply func(messages.Page)) {
 	var page messages.Page
 	n.store.enqueue(func(t *tables) []record {
--- a/internal/control/modify.go
+++ b/internal/control/modify.go
@@ -10,21 +10,23 @@
 	"ploverhitch/internal/messages"
 )
 
-// forwardSpan bounds how long another member may take over an order before this
-// node proposes it itself.
+// forwardTimeout bounds how long another member may take to propose a change before
+// this node offers it to the next member, or proposes it itself.
 const forwardTimeout = 350 * time.Millisecond
 
-// errNoDecision says that an order may or may not come to hold.
-var errUndecided = apierror.New(apierror.Gone, "keeping the configuration")
+// errUndecided reports a change whose outcome is unknown: it may still be accepted.
+var errUndecided = apierror.New(apierror.Gone, "the outcome of the configuration change is unknown")
 
-// modify takes an operator's call: it is acknowledged once a majority has
-// accepted the change that holds it, or has shown that it holds already.
+// modify applies an operator's change of configuration items. It returns nil once a
+// majority has accepted the change that contains the items, or has confirmed that
+// they are already part of the configuration.
 func (n *node) modify(items []config.Item) error {
 	_, err := n.commit(items)
 	return err
 }
 
-// commit is modify; it also tells the index of the set in which the order holds.
+// commit does what modify does and also returns the index of the item set that
+// contains the items.
 func (n *node) commit(items []config.Item) (registry.Index, error) {
 	for _, member := range n.proposers() {
 		if member == n.self {
@@ -41,7 +43,7 @@
 	return 0, errUndecided
 }
 
-// orderError is what stands against an order, by the answer of the node that decided.
+// resultError converts the result that another node returned into an error.
 func resultError(result messages.Ordered) error {
 	if result.Kind == apierror.None {
 		return nil
@@ -49,9 +51,9 @@
 	return apierror.New(result.Kind, result.Detail)
 }
 
-// proposers are the members to offer an order to, in turn: the live holder of the
-// duty first, as proposals from one node don't compete; then this node, if it is
-// a member, and else the others.
+// proposers lists the members that may propose a change, in the order in which they
+// are tried. A live leader comes first, as proposals from a single node don't compete
+// with each other. Then comes this node if it can vote, otherwise all other members.
 func (n *node) proposers() (members []string) {
 	view, leader, canVote := membership.View{}, "", false
 	n.store.read(func(t *tables) { view, leader, canVote = t.view, t.term.Holder, n.canVote(t, t.view.Epoch) })
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -40,46 +40,45 @@
 	mu          sync.Mutex
 	connections map[string]*rpc.Line
 
-	// watch and newcomers belong to the membership loop.
+	// livenessWatch and joining are accessed only by the membership loop; joining holds
+	// the time of the last request of each address that asked to join.
 	livenessWatch *membership.Watch
 	memberLoop    *timetable.Loop[func()]
 	joining       map[string]timetable.Steady
 	startedAt     timetable.Steady
 	eligible      atomic.Bool
 	isLeader      atomic.Bool
-	// myTerm is the term that this life of the process claimed.
+	// ownTerm is the term that this run of the process claimed.
 	ownTerm       atomic.Uint64
 	claiming      atomic.Bool
 	lease         *dutyLease
 	contact       contact
 	proposingView atomic.Bool
-	// isTakingOffer keeps the offers of many agents from being taken side by side.
+	// takingOffer ensures that offers of several agents are handled one at a time.
 	takingOffer atomic.Bool
 	viewRound   atomic.Uint64
-	// heard is when each trial began.
+	// trialStarts holds the start time of each trial.
 	trialStarts sync.Map
 	coordinator *coordinator
 	listWatch   *listWatch
-	// told is which reading of the fleet each member is known to have.
+	// memberReadings holds the fleet reading that each member is known to have.
 	memberReadings sync.Map
-	// telling marks the members that a reading is on its way to.
+	// sendingReadings marks the members to which a reading is being sent.
 	sendingReadings sync.Map
 
 	configReplicator *configReplicator
-	// proposer names this life of the process in ballots: a round number that is
-	// used again after a restart must not make the same ballot.
+	// proposerID identifies this run of the process in ballots: a round number that is
+	// reused after a restart must not produce the same ballot.
 	proposerID string
-	// lag is how far the intents are behind those of the other members.
+	// lag tracks how many intents of the other members are missing here.
 	lag replicationLag
 }
 
-// Run runs a control node until the context ends.
-//
-// Example:
-//
-//	err := control.Run(ctx, set, path, note)
+// Run runs a control node until the context is cancelled. It reloads the settings file
+// at path whenever it changes.
 func Run(ctx context.Context, set *settings.Settings, path string, log func(level, text string, pairs ...any)) error {
-	// The process goes on for a moment after it was told to end.
+	// After the cancellation the node still runs until it has handed over the leader
+	// lease and left.
 	stopping := ctx.Done()
 	ctx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
@@ -101,14 +100,14 @@
 	n.callHandlers = n.newHandlers()
 	internalListener, err := net.Listen("tcp4", n.self)
 	if err != nil {
-		return errors.Annotate(err, "internal port")
+		return errors.Annotate(err, "cannot listen on the internal port")
 	}
 	defer internalListener.Close()
 	operatorListener, err := net.Listen("tcp4", set.Platform.Bind.ControlPlane)
 	if err != nil {
-		return errors.Annotate(err, "control plane")
+		return errors.Annotate(err, "cannot listen on the control plane address")
 	}
-	go settings.Watch(ctx, path, func(changed *settings.Settings) { n.settings.Store(changed) }, func(err error) { log("warn", "settings", "error", err) })
+	go settings.Watch(ctx, path, func(changed *settings.Settings) { n.settings.Store(changed) }, func(err error) { log("warn", "cannot reload the settings", "error", err) })
 	go n.store.run(ctx)
 	n.publishState()
 	go rpc.Serve(internalListener, n.callHandlers, silenceTimeout)
@@ -133,20 +132,20 @@
 	return nil
 }
 
-// open reads the disk.
+// openDisk opens the store and replays its log.
 func (n *node) openDisk(set *settings.Settings) error {
 	p, t := set.Platform, set.Tuning
 	policy := idempotency.Policy{
 		OpenLimit: t.OpenLimit, Retention: t.Retention.Std(), KeyWindow: p.Bounds.KeyWindow.Std(),
 		Margin: 10 * time.Second, Bytes: maxIntentBytes(p.Limits), Ceiling: p.Limits.MemoryMb << 20 * 2 / 5,
 	}
-	reportError := func(err error) { n.log("error", "disk", "error", err) }
+	reportError := func(err error) { n.log("error", "disk failure", "error", err) }
 	disk, err := storage.Folder(p.DataDir)
 	if err != nil {
 		return err
 	}
 	if n.store, err = openStore(disk, policy, n.clock, reportError); err != nil {
-		return errors.Annotate(err, "data folder")
+		return errors.Annotate(err, "cannot open the data folder")
 	}
 	n.store.self = n.self
 	n.store.tables.grantor = lease.NewGrantor(leaseSpan(t))
@@ -156,8 +155,8 @@
 	return nil
 }
 
-// tableBytes is what the intents may take: a quarter of the memory, and of the
-// disk, where a checkpoint and the log beside it each hold them once.
+// maxIntentBytes returns how much space the intents may take: a quarter of the memory,
+// and of the disk, where both the checkpoint and the log hold a copy of them.
 func maxIntentBytes(limits settings.Limits) int {
 	bytes := limits.MemoryMb << 20 / 4
 	if limits.DiskMb > 0 {
@@ -166,7 +165,7 @@
 	return bytes
 }
 
-// announce puts what the disk held into the feed.
+// publishState publishes the stored items, view and fleet in the feed.
 func (n *node) publishState() {
 	n.store.read(func(t *tables) {
 		view, fleet := t.view, t.fleet
@@ -179,7 +178,7 @@
 	return view
 }
 
-// adopt takes a newer view, keeps it, and publishes it.
+// adoptView persists and publishes a view that is newer than the present one.
 func (n *node) adoptView(view membership.View) bool {
 	return n.store.persist(func(t *tables) []record {
 		if view.Epoch <= t.view.Epoch {
@@ -200,7 +199,8 @@
 	return addresses
 }
 
-// known is whom to ask for the present view: the members known and the seeds.
+// contactAddresses lists the addresses to ask for the present view: those of the known
+// members and the seeds.
 func (n *node) contactAddresses() []string {
 	return membership.FirstView(append(n.seedAddresses(), n.view().Members...)).Members
 }
--- a/internal/control/recovery.go
+++ b/internal/control/recovery.go
@@ -10,10 +10,11 @@
 
 const recoveryInterval = 150 * time.Millisecond
 
-// settle brings the node from what its disk holds to a trusted member: a whole
-// new system trusts its first view at once; a node whose disk was lost, or one
-// that is new, waits until no vote round can still count an old vote of its
-// own, reads what the others hold, and only then votes.
+// recoverState turns a started node into a trusted member, which may vote. In a
+// system that is being bootstrapped, a node with an empty disk trusts itself in the
+// first view at once. A node that is new or lost its disk first waits until no round
+// can still count a vote that it gave earlier, then reads the state of the other
+// members, and only then votes.
 func (n *node) recoverState(ctx context.Context) {
 	p := n.settings.Load().Platform
 	var empty bool
@@ -22,7 +23,8 @@
 		n.adoptView(first)
 		n.trust()
 	}
-	// since is when this node last may have answered as a trusted member.
+	// untrustedSince is the latest time at which this node may have voted as a trusted
+	// member.
 	untrustedSince := n.clock.Steady()
 	for ctx.Err() == nil {
 		n.discoverView()
@@ -32,7 +34,7 @@
 		case view.Has(n.self) && trusted:
 			n.clock.Sleep(10 * recoveryInterval)
 		case view.Has(n.self):
-			// Twice the span: the round and its messages on their way.
+			// Twice the vote timeout covers the round and its messages in transit.
 			if wait := 2*n.voteTimeout() - time.Duration(n.clock.Steady()-untrustedSince); wait > 0 {
 				n.clock.Sleep(wait)
 			}
@@ -54,12 +56,12 @@
 
 func (n *node) trust() { n.setTrusted(true) }
 
-// distrust is what a member does that finds itself out of the view: what it
-// holds may be behind, so it must rebuild before it votes again.
+// distrust is called by a member that finds itself outside the view: its state may
+// be out of date, so it must rebuild before it votes again.
 func (n *node) distrust() { n.setTrusted(false) }
 
 func (n *node) setTrusted(trusted bool) {
-	n.log("info", "trust", "trusted", trusted)
+	n.log("info", "this member's trust changes", "trusted", trusted)
 	n.store.persist(func(t *tables) []record {
 		if t.trusted == trusted && !t.empty {
 			return nil
@@ -84,14 +86,14 @@
 	}
 }
 
-// rebuild reads what the other members hold and keeps the union. It tells whether
-// enough of them were read.
+// rebuild reads the state of the other members and persists the union. It reports
+// whether enough members were read.
 func (n *node) rebuild(view membership.View) bool {
 	var progress readProgress
 	for _, member := range view.Others(n.self) {
 		trusted, err := n.copyMember(member, view.Epoch)
 		if err != nil {
-			n.log("info", "rebuild", "member", member, "error", err)
+			n.log("info", "cannot read the state of a member for the rebuild", "member", member, "error", err)
 			continue
 		}
 		if progress.add(trusted); progress.trusted >= view.ReadSet() {
@@ -102,13 +104,13 @@
 		return false
 	}
 	if progress.trusted < view.ReadSet() {
-		n.log("error", "more members lost their disks than the view bears: going on with what is left", "trusted", progress.trusted, "needed", view.ReadSet())
+		n.log("error", "more members lost their disks than the view tolerates; continuing with the remaining state", "trusted", progress.trusted, "needed", view.ReadSet())
 	}
 	n.publishState()
 	return n.view().Epoch == view.Epoch
 }
 
-// readings counts the members that were read whole.
+// readProgress counts the members whose state was read completely.
 type readProgress struct{ complete, trusted int }
 
 func (r *readProgress) add(trusted bool) {
@@ -118,15 +120,15 @@
 	}
 }
 
-// suffice tells whether whatever a majority held was seen. Only trusted members
-// count: another that lost its disk has forgotten its part in a majority. Where all
-// other members were read and still too few are trusted, nobody is left who could
-// teach more, and waiting would only keep the system down.
+// sufficient reports whether everything that a majority held has been read. Only
+// trusted members count, as another member that lost its disk no longer has the
+// votes it gave. If all other members were read and too few of them are trusted, no
+// further source of state is left and waiting would only keep the system down.
 func (r *readProgress) sufficient(view membership.View) bool {
 	return r.trusted >= view.ReadSet() || r.complete >= len(view.Members)-1
 }
 
-// readMember reads all that a member holds, and tells whether it is trusted.
+// copyMember copies the state of a member and reports whether that member is trusted.
 func (n *node) copyMember(member string, epoch membership.Epoch) (trusted bool, err error) {
 	if _, err = n.copyIntents(member, epoch, copyAtOnce); err != nil {
 		return false, err
@@ -144,7 +146,7 @@
 	return page.IsTrusted, nil
 }
 
-// union takes what another member holds beside the intents.
+// union merges in another member's state other than its intents.
 func (t *tables) union(page messages.Page) (records []record) {
 	if page.Term.Number > t.term.Number {
 		term := page.Term
--- a/internal/control/replicate.go
+++ b/internal/control/replicate.go
@@ -10,16 +10,17 @@
 )
 
 const (
-	// comparePeriod is how often a trusted member compares its intents with another.
+	// compareInterval is how often a trusted member compares its intents with those of
+	// another member.
 	compareInterval = time.Second
-	// compareSettle is how long a difference must last before it is copied.
+	// compareDelay is how long a difference must last before it is copied.
 	compareDelay = 400 * time.Millisecond
-	// copyRest lies between two pieces, so that votes and records come first.
+	// copyPause separates two chunks, so that votes and records take precedence.
 	copyPause = 50 * time.Millisecond
 )
 
-// lag is how many intents each of the other members held, when they were compared
-// last, that this one lacked.
+// replicationLag records, per member, how many of that member's intents this node
+// lacked at the last comparison.
 type replicationLag struct {
 	mu      sync.Mutex
 	missing map[string]int
@@ -34,7 +35,7 @@
 	l.missing[member] = count
 }
 
-// most is the largest count of the members of the view.
+// largest returns the largest count among the members of the view.
 func (l *replicationLag) largest(view membership.View) (count int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -44,9 +45,9 @@
 	return count
 }
 
-// replicate compares the intents with those of one other member after the other and
-// copies what this one lacks, so that a record that a bare majority holds is soon on
-// every member.
+// replicateIntents compares the intents with those of the other members in turn and
+// copies those that are missing here, so that a record held by a bare majority soon
+// reaches every member.
 func (n *node) replicateIntents(ctx context.Context) {
 	next := 0
 	ticker := time.NewTicker(compareInterval)
@@ -69,16 +70,16 @@
 	}
 }
 
-// copyOutcomes copies what another member holds and this one lacks, at the pace of a
-// member that has votes to give.
+// copyOutcomes copies the outcomes that another member holds and this one lacks. It
+// pauses between chunks, as this member is serving votes meanwhile.
 func (n *node) copyOutcomes(member string, epoch membership.Epoch) {
 	missing, err := n.copyIntents(member, epoch, copyMode{settle: compareDelay, rest: copyPause, scope: idempotency.Outcomes})
 	if err != nil {
-		n.log("debug", "compare", "member", member, "error", err)
+		n.log("debug", "cannot compare intents", "member", member, "error", err)
 		return
 	}
 	n.lag.set(member, missing)
 	if missing > 0 {
-		n.log("info", "copied intents that were lacking", "member", member, "count", missing)
+		n.log("info", "copied missing intents", "member", member, "count", missing)
 	}
 }
--- a/internal/control/round_draft.go
+++ b/internal/control/round_draft.go
@@ -8,7 +8,7 @@
 	"ploverhitch/internal/control/registry"
 )
 
-// attempt is the draft of one round.
+// roundDraft builds the change that one round proposes from the waiting proposals.
 type roundDraft struct {
 	node      *node
 	proposals []*proposal
@@ -17,8 +17,8 @@
 	errs      []error
 }
 
-// draft lays the orders on the set that the round's change follows. It is called
-// once a majority has promised.
+// build applies the proposals to the item set that precedes the round's change and
+// returns the change, if there is one. It is called once a majority has promised.
 func (d *roundDraft) build(legacy []config.Item) (change registry.Change, ok bool) {
 	n := d.node
 	n.store.read(func(t *tables) {
@@ -47,11 +47,11 @@
 
 func (n *node) logDroppedRoutes(names []string) {
 	for _, name := range names {
-		n.log("warn", "a route of an older build shares host and prefix with another and is dropped", "route", name)
+		n.log("warn", "a route stored by an older build shares host and prefix with another and is dropped", "route", name)
 	}
 }
 
-// answer gives each order what came of it.
+// reply sends each proposal its result.
 func (d *roundDraft) reply(outcome registry.Outcome) {
 	index := d.index - 1
 	if outcome.Decided != nil {
@@ -70,7 +70,8 @@
 	return err
 }
 
-// checkOrder checks the set that an order would make, and the order by itself.
+// checkProposal validates the configuration that a proposal would produce, and the
+// proposal's own items.
 func (n *node) checkProposal(book config.Book, newer, unseen []config.Item) error {
 	if err := book.Check(); err != nil {
 		return err
--- a/internal/control/round_transport.go
+++ b/internal/control/round_transport.go
@@ -12,22 +12,23 @@
 	"ploverhitch/internal/timetable"
 )
 
-// peers carries the messages of one round; promises count from when it began,
-// acceptances from when the Accept was sent.
+// roundTransport sends the messages of one round to the members of a view. The time
+// limit for promises runs from the start of the round, that for acceptances from
+// when the Accept is sent.
 type roundTransport struct {
 	node      *node
 	view      membership.View
 	startedAt timetable.Steady
 }
 
-// Prepare asks all members for their promise.
+// Prepare asks all members for a promise.
 func (t *roundTransport) Prepare(prepare registry.Prepare) []registry.Promise {
 	return callRound(t.node, t.view, messages.KindPrepare, prepare, t.startedAt,
 		func(promise *registry.Promise) *bool { return &promise.OK },
 		func(promise registry.Promise) bool { return promise.IsLost(prepare) })
 }
 
-// Accept asks all members for their acceptance, unless the promises are too old by now.
+// Accept asks all members to accept a change, unless the promises have expired.
 func (t *roundTransport) Accept(accept registry.Accept) []registry.Acceptance {
 	if t.node.voteExpired(t.startedAt) {
 		return nil
@@ -39,15 +40,17 @@
 
 func (n *node) voteTimeout() time.Duration { return n.settings.Load().Tuning.VoteSpan.Std() }
 
-// isVoteOver tells whether what was asked for at that time counts no more.
+// voteExpired reports whether votes requested at that time no longer count.
 func (n *node) voteExpired(startedAt timetable.Steady) bool {
 	return time.Duration(n.clock.Steady()-startedAt) > n.voteTimeout()
 }
 
-// askRound asks all members of a view, and returns once a majority has agreed or one
-// shows that the round is lost. isOK points at an answer's agreement: it counts within
-// a vote span of began only, as a member that lost its disk waits twice that before it
-// takes part again. What came later still tells what stands against the round.
+// callRound calls all members of a view and returns once a majority has agreed or an
+// answer shows that the round is lost. okField returns a pointer to the field that
+// holds an answer's agreement. Agreement counts only within the vote timeout from
+// startedAt, as a member that lost its disk waits twice that long before it votes
+// again. Answers that arrive later are returned without their agreement, since they
+// still show why the round can't succeed.
 func callRound[T any](n *node, view membership.View, kind rpc.Kind, request any, startedAt timetable.Steady, okField func(*T) *bool, lost func(T) bool) (answers []T) {
 	count := 0
 	callAll(n, view.Members, kind, request, n.voteTimeout(), func(_ string, answer T) bool {
@@ -70,7 +73,7 @@
 	var promise registry.Promise
 	n.store.enqueue(func(t *tables) []record {
 		if !n.canVote(t, in.Epoch) {
-			// It has no part in the round, and no index that the proposer may go by.
+			// This node doesn't vote in the epoch, and the proposer must not rely on its index.
 			promise = registry.Promise{View: newerView(t, in.Epoch)}
 			return nil
 		}
@@ -97,7 +100,7 @@
 	}, func() { reply(acceptance) })
 }
 
-// onPropose has this node propose another's order.
+// onPropose proposes a change on behalf of another node.
 func (n *node) onPropose(in messages.Propose, reply func(messages.Ordered)) {
 	go func() {
 		index, err := n.configReplicator.submit(in.Items)
@@ -110,7 +113,8 @@
 	}()
 }
 
-// onOffer takes items that an agent holds and the configuration lacks.
+// onOffer adds to the configuration the items that only an agent still holds. It
+// ignores offers that arrive while another is being handled.
 func (n *node) onOffer(in messages.Offer, reply func(messages.Done)) {
 	if !n.takingOffer.CompareAndSwap(false, true) {
 		return
@@ -124,7 +128,7 @@
 		missing := book.Newer(in.Items)
 		if len(missing) > 0 {
 			err = n.modify(missing)
-			n.log("warn", "items that only an agent held", "items", len(missing), "error", err)
+			n.log("warn", "restoring items that only an agent held", "items", len(missing), "error", err)
 		}
 		reply(messages.Done{OK: err == nil})
 	}()
@@ -138,7 +142,7 @@
 	return []record{{Durable: &durable}}
 }
 
-// newerView is the node's view, where it is newer than the asker's.
+// newerView returns the node's view if it is newer than the caller's epoch, else nil.
 func newerView(t *tables, epoch membership.Epoch) *membership.View {
 	if t.view.Epoch <= epoch {
 		return nil
--- a/internal/control/store.go
+++ b/internal/control/store.go
@@ -1,5 +1,6 @@
-// Package control is the core program: it keeps configuration items, intents and
-// views on disk, votes, agrees on membership, and holds duties.
+// Package control is the control plane process. It stores configuration items, intents
+// and membership views on disk, votes on intents and configuration changes, agrees with
+// the other members on the membership, and takes part in the election of the leader.
 package control
 
 import (
@@ -16,27 +17,27 @@
 	"ploverhitch/internal/timetable"
 )
 
-// command is a change for the store: act reads and changes the tables and
-// returns what must be kept; done runs once that, and all before it, is.
+// command is an operation on the store. apply reads and changes the tables and returns
+// the records to persist; done runs once these and all earlier records are persisted.
 type command struct {
 	apply func(*tables) []record
 	done  func()
 }
 
-// store owns the tables and the log. A batch of commands shares one sync.
+// store owns the tables and the log. The commands of a batch share one disk sync.
 type store struct {
 	loop   *timetable.Loop[command]
 	tables *tables
 	log    *storage.Log
 	clock  timetable.Clock
-	// unsaved is what a failing disk has not taken yet; nothing is told before
-	// it is kept.
+	// unwritten holds encoded records that are not in the log yet, for example because
+	// the disk fails; callbacks run only once all of them are written.
 	unwritten   [][]byte
 	callbacks   []func()
 	reportError func(error)
-	// isWriting says that a checkpoint is being written; there is one at a time.
+	// checkpointing is true while a checkpoint is being written; there is one at a time.
 	checkpointing atomic.Bool
-	// self is this node's name among the members.
+	// self is this node's address in the membership view.
 	self string
 }
 
@@ -45,7 +46,7 @@
 	log, err := storage.Open(disk, func(data []byte) error {
 		var r record
 		if err := cbor.Unmarshal(data, &r); err != nil {
-			return errors.Annotate(err, "a record of the log")
+			return errors.Annotate(err, "cannot decode a log record")
 		}
 		s.tables.apply(r)
 		return nil
@@ -54,11 +55,11 @@
 		return nil, errors.Trace(err)
 	}
 	if s.log = log; len(log.Damages()) > 0 {
-		// What could be read still counts as told, but the node is treated
-		// as one whose disk was lost: it votes again once it has rebuilt.
-		reportError(errors.New("records of the log cannot be read; the node rebuilds from the others"))
+		// The readable records stay valid, but the node is treated as one that lost
+		// its disk: it votes again only after it has rebuilt its state.
+		reportError(errors.New("log records cannot be read; the node rebuilds its state from the other members"))
 		for _, damage := range log.Damages()[:min(len(log.Damages()), maxLoggedDamages)] {
-			reportError(errors.Errorf("damage, %d in all: %s", len(log.Damages()), damage))
+			reportError(errors.Errorf("damaged log record (%d in total): %s", len(log.Damages()), damage))
 		}
 		trusted := false
 		r := record{Trusted: &trusted}
@@ -74,22 +75,23 @@
 	s.loop.Put(command{apply, done})
 }
 
-// read runs look with the tables and waits for it.
+// read runs fn with the tables and waits until it has run.
 func (s *store) read(fn func(*tables)) {
 	done := make(chan struct{})
 	s.enqueue(func(t *tables) []record { fn(t); return nil }, func() { close(done) })
 	<-done
 }
 
-// keep runs act and waits until what it returned is kept, or the span ends.
+// persist runs apply and waits until the records that it returns are persisted. It
+// returns false if the timeout expires first.
 func (s *store) persist(apply func(*tables) []record, timeout time.Duration) bool {
 	done := make(chan struct{})
 	s.enqueue(apply, func() { close(done) })
 	return closedWithin(done, timeout)
 }
 
-// isClosedWithin waits for the channel to be closed, and tells whether it was before
-// the span ended.
+// closedWithin waits for the channel to be closed and reports whether that happened
+// within the timeout.
 func closedWithin(closed <-chan struct{}, timeout time.Duration) bool {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
@@ -101,13 +103,13 @@
 	}
 }
 
-// damagesNoted is how many places of damage the log names one by one.
+// maxLoggedDamages is how many damaged log records are reported individually.
 const maxLoggedDamages = 20
 
 const (
 	maintenanceInterval = 250 * time.Millisecond
 	checkpointLogBytes  = 24 << 20
-	// repairBytes is how large the log of a member that repairs may grow.
+	// repairLogBytes is how large the log may grow while a member rebuilds its state.
 	repairLogBytes = 3 * checkpointLogBytes
 )
 
@@ -157,7 +159,8 @@
 	view := s.tables.view
 	limit := checkpointThreshold(slices.Index(view.Members, s.self), len(view.Members))
 	if !s.tables.trusted {
-		// What is read in a repair would be written several times over.
+		// Checkpoints at the usual size would write the state read in a rebuild
+		// several times over.
 		limit = repairLogBytes
 	}
 	if s.log.Grown() >= limit && len(s.unwritten) == 0 {
@@ -165,9 +168,10 @@
 	}
 }
 
-// checkpointAt is how large the log of the member at a place in the view may grow.
-// All members keep the same, so the places differ: checkpoints written at once would
-// hold up the syncs of a majority, and with them its votes and news.
+// checkpointThreshold returns how large the log of the member at a position in the
+// view may grow before a checkpoint is written. All members store the same data, so
+// the threshold depends on the position: checkpoints written at the same time would
+// delay the syncs of a majority, and with them its votes and its published updates.
 func checkpointThreshold(position, members int) int64 {
 	if position < 0 {
 		return checkpointLogBytes
@@ -175,8 +179,8 @@
 	return checkpointLogBytes - int64(checkpointLogBytes/2*position/members)
 }
 
-// checkpoint begins a new segment and writes, beside the loop, all that came
-// before it, unless the last checkpoint is still being written.
+// checkpoint starts a new segment and writes all earlier state in a goroutine, unless
+// the previous checkpoint is still being written.
 func (s *store) checkpoint() {
 	if !s.checkpointing.CompareAndSwap(false, true) {
 		return
--- a/internal/control/tables.go
+++ b/internal/control/tables.go
@@ -15,7 +15,7 @@
 	"ploverhitch/internal/trial"
 )
 
-// record is one kept change; exactly one part is set.
+// record is one change in the log; exactly one field is set.
 type record struct {
 	Entry    *idempotency.Entry   `cbor:"1,keyasint,omitempty"`
 	Items    []config.Item        `cbor:"2,keyasint,omitempty"`
@@ -25,36 +25,36 @@
 	Trusted  *bool                `cbor:"6,keyasint,omitempty"`
 	Fleet    *feed.Fleet          `cbor:"7,keyasint,omitempty"`
 	Trial    *trial.State         `cbor:"8,keyasint,omitempty"`
-	// Change is a decided change of the item set, Page a part of a whole set, and
-	// Durable the registry's acceptor. Items stand in the logs of older builds.
+	// Change is a decided change of the item set, Page is a part of a whole set, and
+	// Durable is the registry's acceptor. Items occurs only in logs of older builds.
 	Change  *registry.Change  `cbor:"9,keyasint,omitempty"`
 	Page    *registry.Page    `cbor:"10,keyasint,omitempty"`
 	Durable *registry.Durable `cbor:"11,keyasint,omitempty"`
 }
 
-// tables is everything that is kept; the store alone touches it.
+// tables is the in-memory state of a member. Only the store's loop accesses it.
 type tables struct {
 	voter *idempotency.Voter
-	// registry is this node's replica of the item set, loading the pages of a set
-	// that is being read from the disk.
+	// registry is this node's replica of the item set; assembly collects the pages of
+	// a set that is being read from the disk.
 	registry *registry.Replica
 	assembly registry.Assembly
 	acceptor membership.Acceptor
 	view     membership.View
 	term     membership.Term
-	// grantor is what this member has promised of the duty; it isn't kept.
+	// grantor tracks this member's promises of the leader lease; it isn't persisted.
 	grantor *lease.Grantor
-	// fleet is kept so that a core that lost its power can tell at once which
-	// servers there were.
+	// fleet is persisted so that the control plane knows the servers at once after a
+	// power loss of all its members.
 	fleet feed.Fleet
-	// fleetAt is when the fleet was heard, 0 if it was read from the disk.
+	// fleetReceivedAt is when the fleet was received, 0 if it was read from the disk.
 	fleetReceivedAt timetable.Steady
 	trials          map[string]trial.State
 	trusted         bool
 	empty           bool
 	digest          string
-	// sheet is the compiled book of the digest sheetOf, mirrors and versions the
-	// orders to copy in that of mirrorsOf.
+	// compiled is the compiled form of the book with the digest compiledDigest. mirrors
+	// and versions are the mirroring rules of the book with the digest mirrorsDigest.
 	compiled       *config.Sheet
 	compiledDigest string
 	mirrors        []loopline.Mirror
@@ -66,7 +66,8 @@
 	return &tables{voter: idempotency.NewVoter(policy), registry: registry.NewReplica(), trials: map[string]trial.State{}, empty: true}
 }
 
-// apply puts one record into the tables, as it is made and at every start.
+// apply updates the tables with one record, both when it is created and when the log
+// is replayed at start.
 func (t *tables) apply(r record) {
 	t.empty = false
 	switch {
@@ -99,7 +100,7 @@
 	}
 }
 
-// load takes a page of a set; the set counts once its last page was read.
+// addPage adds a page of a set, which is installed once its last page has been read.
 func (t *tables) addPage(page registry.Page) {
 	t.assembly.Add(page)
 	if !page.IsLast {
@@ -112,17 +113,17 @@
 	t.assembly = registry.Assembly{}
 }
 
-// book is the item set; who looks at it must not change or keep it.
+// book returns the item set; callers must neither modify nor retain it.
 func (t *tables) book() config.Book { return t.registry.Items }
 
-// isHeard tells whether the fleet was heard within the span; one that was read from
-// the disk was not.
+// fleetFresh reports whether the fleet was received within maxAge; a fleet that was
+// read from the disk is not fresh.
 func (t *tables) fleetFresh(now timetable.Steady, maxAge time.Duration) bool {
 	return t.fleetReceivedAt > 0 && time.Duration(now-t.fleetReceivedAt) <= maxAge
 }
 
-// compiled is the book made ready for reading; it is made again only where an item is
-// new.
+// compiledBook returns the book compiled for lookups. It is compiled again only after
+// an item has changed.
 func (t *tables) compiledBook() *config.Sheet {
 	if digest := t.bookDigest(); t.compiled == nil || t.compiledDigest != digest {
 		t.compiled, t.compiledDigest = t.book().Compile(), digest
@@ -130,8 +131,8 @@
 	return t.compiled
 }
 
-// mirrorsNow are the orders to copy; the book is looked through only where an item is
-// new.
+// currentMirrors returns the mirroring rules. The book is searched again only after an
+// item has changed.
 func (t *tables) currentMirrors() ([]loopline.Mirror, []config.Version) {
 	if digest := t.bookDigest(); t.mirrorsDigest != digest {
 		t.mirrors, t.versions = t.book().Mirrors()
@@ -147,8 +148,9 @@
 	return t.digest
 }
 
-// snapshot lists enough to make the tables again, as they stand now. The entries
-// are made one by one as it is read, which may be beside the store.
+// snapshot returns the records from which the present tables can be rebuilt. The
+// entries are created one by one during the iteration, which may run concurrently
+// with the store.
 func (t *tables) snapshot() iter.Seq[record] {
 	head, entries := t.headRecords(), t.voter.Snapshot()
 	return func(yield func(record) bool) {
@@ -165,7 +167,7 @@
 	}
 }
 
-// heads are the records of all but the intents.
+// headRecords returns the records of all state except the intents.
 func (t *tables) headRecords() (records []record) {
 	view, term, acceptor, trusted := t.view, t.term, t.acceptor, t.trusted
 	fleet := t.fleet
