--- a/internal/control/call_test.go
+++ b/internal/control/call_test.go
@@ -16,7 +16,7 @@
 	table := map[string]int{"a": 1}
 	n := nodeWithHandler(func(call rpc.Call) {
 		call.Reply(table)
-		// The owner goes on changing its table.
+		// The handler modifies its data after replying.
 		table["a"] = 2
 	})
 	var reply map[string]int
@@ -42,19 +42,19 @@
 			t.Fatalf("got %d, %v", reply, err)
 		}
 	case <-time.After(5 * time.Second):
-		t.Fatal("the handler stands still: nobody takes its second reply")
+		t.Fatal("the handler is blocked on its second reply")
 	}
 	if saved.Reply(9) && reply != 0 {
-		t.Fatal("a late reply changed what was answered")
+		t.Fatal("a late reply changed the result")
 	}
 }
 
 func TestSelfCallWithoutReplyTimesOut(t *testing.T) {
 	n := nodeWithHandler(func(rpc.Call) {})
 	if err := n.call("self", messages.KindView, nil, nil, 10*time.Millisecond); err == nil {
-		t.Fatal("no reply was taken for one")
+		t.Fatal("a call without a reply succeeded")
 	}
 	if err := n.call("self", messages.KindOrder, nil, nil, time.Second); err == nil {
-		t.Fatal("a call of a kind that nobody answers was answered")
+		t.Fatal("a call of a kind without a handler succeeded")
 	}
 }
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -13,8 +13,8 @@
 	RunSpecs(t, "control")
 }
 
-var _ = Describe("the operators' interface", func() {
-	It("answers the calls of api/control.yaml and no others", func() {
+var _ = Describe("the operator API", func() {
+	It("serves exactly the operations of api/control.yaml", func() {
 		document, err := openapi3.NewLoader().LoadFromFile("../../api/control.yaml")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(document.Validate(GinkgoT().Context())).To(Succeed())
--- a/internal/control/legacy_test.go
+++ b/internal/control/legacy_test.go
@@ -12,14 +12,14 @@
 	"ploverhitch/internal/timetable"
 )
 
-var _ = Describe("the items that an older build kept without numbers", func() {
+var _ = Describe("items that an older build stored without an index", func() {
 	route := func(name string, version config.Version) config.Item {
 		body := `{"Name":"` + name + `","PathPrefix":"/x/","LaneType":"safe","Timeout":"1s","Service":"s","Revision":"r1"}`
 		return config.Item{ID: config.ID{Class: config.RouteItem, Name: name}, Version: version, Host: "h", Body: []byte(body)}
 	}
 	service := config.Item{ID: config.ID{Class: config.ServiceItem, Name: "s"}, Version: 1, Body: []byte(`{"Name":"s","Revision":"r1"}`)}
 
-	It("become the first change, valid and whole, with what was dropped said in the log", func() {
+	It("become the first change, which is valid and complete, and dropped routes are logged", func() {
 		n := newMember(&timetable.Hand{Now: time.Hour}, membership.View{Epoch: 1, Members: []string{"a"}})
 		logged := make(chan string, 16)
 		n.log = func(_, message string, pairs ...any) {
@@ -47,7 +47,7 @@
 			Expect(t.book()[route("left", 1).ID].Dropped).To(BeTrue())
 			Expect(string(t.book()[route("right", 2).ID].Body)).To(ContainSubstring(`"RouteType":"safe"`))
 		})
-		// A second one has nothing to do.
+		// A second proposal makes no further change.
 		index, err = n.configReplicator.submit(nil)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(index).To(BeEquivalentTo(1))
--- a/internal/control/member_test.go
+++ b/internal/control/member_test.go
@@ -21,7 +21,7 @@
 	"ploverhitch/internal/trial"
 )
 
-var _ = Describe("what a member of the core refuses", func() {
+var _ = Describe("requests that a control plane member refuses", func() {
 	var n *node
 	var clock *timetable.Hand
 	const leaseDuration = 900 * time.Millisecond
@@ -67,7 +67,7 @@
 		})
 	}
 
-	It("is any vote while it is not trusted, or under another epoch", func() {
+	It("refuses votes while it is not trusted and for other epochs", func() {
 		Expect(reserve(3, "k")).To(Equal(idempotency.Refused))
 		n.trust()
 		Expect(reserve(2, "k")).To(Equal(idempotency.Refused))
@@ -77,10 +77,10 @@
 		Expect(reserve(3, "l")).To(Equal(idempotency.Refused))
 	})
 
-	It("is a claim that is no higher than its fence, and whatever an older holder still says", func() {
-		Expect(claim(7)).To(BeFalse(), "it is not trusted yet")
+	It("refuses lease claims that don't exceed its term, and fleets and trials of an earlier leader", func() {
+		Expect(claim(7)).To(BeFalse(), "the member is not trusted yet")
 		n.trust()
-		Expect(claim(7)).To(BeFalse(), "it is new in the view, and others may have promised the duty")
+		Expect(claim(7)).To(BeFalse(), "the member may have promised the leader lease before its restart")
 		clock.Now += leaseDuration
 		Expect(claim(7)).To(BeTrue())
 		Expect(claim(7)).To(BeFalse())
@@ -88,7 +88,7 @@
 		Expect(sendFleet(feed.Fleet{Term: 6, Count: 9, Holder: "old"})).To(BeFalse())
 		Expect(sendFleet(feed.Fleet{Term: 7, Count: 1, Holder: "new"})).To(BeTrue())
 		Expect(n.fleet().Holder).To(Equal("new"))
-		// A change of a reading that it does not hold is of no use to it.
+		// A delta to a reading that the member doesn't have can't be applied.
 		Expect(sendFleet(feed.Fleet{Term: 7, Count: 5, Holder: "later", Since: &feed.Reading{Term: 7, Count: 4}})).To(BeFalse())
 		Expect(n.fleet().Holder).To(Equal("new"))
 		Expect(writeTrial(6, 3)).To(BeFalse())
@@ -96,7 +96,7 @@
 		Expect(writeTrial(7, 3)).To(BeTrue())
 	})
 
-	It("is a new intent that the cutoff in force turns away, never one that it holds, and none once the cutoff lapsed", func() {
+	It("sheds new intents above the cutoff, but not existing ones, and none once the cutoff has expired", func() {
 		n.trust()
 		body, err := json.Marshal(config.RouteSpec{Name: "fee", PathPrefix: "/fee/", RouteType: config.Idempotent, Service: "fees", MaxAttempts: 1, Revision: 1})
 		Expect(err).NotTo(HaveOccurred())
@@ -105,10 +105,10 @@
 		cutoff := shedding.Cutoff{Service: "fees", Number: 1, Seed: 5, Tier: 0, Part: 1}
 		Expect(sendFleet(feed.Fleet{Term: 1, Count: 1, Cutoffs: []shedding.Cutoff{cutoff}})).To(BeTrue())
 		Expect(reserve(3, "new")).To(Equal(idempotency.Shed))
-		Expect(reserve(3, "old")).To(Equal(idempotency.Granted), "the attempt's own vote stands")
+		Expect(reserve(3, "old")).To(Equal(idempotency.Granted), "the vote given to the attempt earlier remains valid")
 		var held *idempotency.Intent
 		n.store.read(func(t *tables) { held = t.voter.Find(idempotency.Key{Tenant: "h", Key: "new"}) })
-		Expect(held).To(BeNil(), "a refusal keeps nothing")
+		Expect(held).To(BeNil(), "a shed intent is not stored")
 		clock.Now += feed.GrantSpan + time.Millisecond
 		Expect(reserve(3, "new")).To(Equal(idempotency.Granted))
 	})
--- a/internal/control/record_test.go
+++ b/internal/control/record_test.go
@@ -18,7 +18,7 @@
 	"ploverhitch/internal/trial"
 )
 
-// FuzzRecord gives the tables a record of any bytes, as a damaged disk may.
+// FuzzRecord applies records decoded from arbitrary bytes, as a damaged disk may return.
 func FuzzRecord(f *testing.F) {
 	trusted := true
 	entry := idempotency.Entry{Intent: completed(1, 10)}
@@ -50,8 +50,8 @@
 	})
 }
 
-var _ = Describe("a log with a record that cannot be decoded", func() {
-	It("opens, names the place, keeps the rest, and leaves the member untrusted until it has rebuilt", func() {
+var _ = Describe("a log with undecodable records", func() {
+	It("opens, reports the position of the damage, keeps the other records, and leaves the member untrusted", func() {
 		disk := standin.NewDisk(rand.New(rand.NewPCG(1, 1)))
 		log, err := storage.Open(disk, func([]byte) error { return nil })
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/control/round_transport_test.go
+++ b/internal/control/round_transport_test.go
@@ -12,8 +12,8 @@
 	"ploverhitch/internal/timetable"
 )
 
-// silentMember is the address of a member that takes connections and says nothing, as
-// a stopped process does.
+// unresponsiveMember returns the address of a member that accepts connections but never
+// answers, like a stopped process.
 func unresponsiveMember() string {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
@@ -21,7 +21,7 @@
 	return listener.Addr().String()
 }
 
-var _ = Describe("a round with a member that is silent", func() {
+var _ = Describe("a round with unresponsive members", func() {
 	var n *node
 	var view membership.View
 	low, high := membership.Number{Round: 2, Node: "a#1"}, membership.Number{Round: 9, Node: "b#1"}
@@ -31,14 +31,14 @@
 		n = newMember(&timetable.Hand{Now: time.Hour}, view)
 	})
 
-	// atOnce runs act, which must not wait for the silent members.
+	// withoutWaiting checks that run doesn't wait for the unresponsive members.
 	withoutWaiting := func(run func()) {
 		startedAt := time.Now()
 		run()
 		Expect(time.Since(startedAt)).To(BeNumerically("<", n.settings.Load().Tuning.VoteSpan.Std()))
 	}
 
-	It("is lost at once where another shows a higher ballot, and tells the proposer so", func() {
+	It("fails immediately and returns the higher ballot when a member has promised one", func() {
 		n.store.read(func(t *tables) { _, _ = t.registry.Promise(registry.Prepare{Epoch: 1, Index: 1, Ballot: high}) })
 		transport := &roundTransport{node: n, view: view, startedAt: n.clock.Steady()}
 		withoutWaiting(func() {
@@ -55,7 +55,7 @@
 		})
 	})
 
-	It("is lost at once where another knows the decision", func() {
+	It("fails immediately when a member already knows the decision", func() {
 		n.learnAndWait([]registry.Change{{Index: 1}})
 		withoutWaiting(func() {
 			round := registry.Round{Epoch: 1, Index: 1, Ballot: low, Majority: 2}
@@ -63,7 +63,7 @@
 		})
 	})
 
-	It("waits for the silent ones a vote span and no longer where nothing stands against it", func() {
+	It("waits exactly the vote timeout for the unresponsive members when no member objects", func() {
 		startedAt := time.Now()
 		round := registry.Round{Epoch: 1, Index: 1, Ballot: low, Majority: 2}
 		outcome := round.Run(&roundTransport{node: n, view: view, startedAt: n.clock.Steady()})
@@ -71,7 +71,7 @@
 		Expect(time.Since(startedAt)).To(BeNumerically("~", n.settings.Load().Tuning.VoteSpan.Std(), 100*time.Millisecond))
 	})
 
-	It("is lost at once for a new view too", func() {
+	It("fails immediately on a higher ballot for a new view as well", func() {
 		n.store.read(func(t *tables) { _, _ = t.acceptor.On(t.view, membership.Motion{Epoch: 1, Number: high}) })
 		withoutWaiting(func() {
 			responses := n.askMotion(view, membership.Motion{Epoch: 1, Number: low})
--- a/internal/control/store_test.go
+++ b/internal/control/store_test.go
@@ -12,7 +12,7 @@
 )
 
 var _ = Describe("a checkpoint", func() {
-	It("is not begun while another is being written", func() {
+	It("does not start while another is being written", func() {
 		disk := standin.NewDisk(rand.New(rand.NewPCG(1, 1)))
 		s, err := openStore(disk, idempotency.Policy{}, &timetable.Hand{}, func(err error) { Expect(err).NotTo(HaveOccurred()) })
 		Expect(err).NotTo(HaveOccurred())
@@ -26,13 +26,13 @@
 	})
 })
 
-var _ = Describe("the size at which a member writes its checkpoint", func() {
-	It("differs by its place in the view, so that members with the same log do not write at once", func() {
+var _ = Describe("the log size at which a member writes a checkpoint", func() {
+	It("depends on the position in the view, so that members with the same log do not write simultaneously", func() {
 		for members := 1; members <= 9; members++ {
 			previous := int64(checkpointLogBytes + checkpointLogBytes/18)
 			for position := range members {
 				threshold := checkpointThreshold(position, members)
-				// Far enough apart that one is done before the next begins.
+				// The thresholds are far enough apart that one checkpoint ends before the next starts.
 				Expect(previous - threshold).To(BeNumerically(">=", checkpointLogBytes/18))
 				Expect(threshold).To(And(BeNumerically("<=", checkpointLogBytes), BeNumerically(">", checkpointLogBytes/2)))
 				previous = threshold
