--- a/internal/control/member_test.go
+++ b/internal/control/member_test.go
@@ -80,7 +80,7 @@
 	It("refuses lease claims that don't exceed its term, and fleets and trials of an earlier leader", func() {
 		Expect(claim(7)).To(BeFalse(), "the member is not trusted yet")
 		n.trust()
-		Expect(claim(7)).To(BeFalse(), "the member may have promised the leader lease before its restart")
+		Expect(claim(7)).To(BeFalse(), "the member is new in the view and doesn't know which promises of the leader lease still run")
 		clock.Now += leaseDuration
 		Expect(claim(7)).To(BeTrue())
 		Expect(claim(7)).To(BeFalse())
--- a/internal/control/recovery.go
+++ b/internal/control/recovery.go
@@ -61,7 +61,7 @@
 func (n *node) distrust() { n.setTrusted(false) }
 
 func (n *node) setTrusted(trusted bool) {
-	n.log("info", "this member's trust changes", "trusted", trusted)
+	n.log("info", "setting the trusted state of this member", "trusted", trusted)
 	n.store.persist(func(t *tables) []record {
 		if t.trusted == trusted && !t.empty {
 			return nil
--- a/internal/control/round_transport.go
+++ b/internal/control/round_transport.go
@@ -128,7 +128,7 @@
 		missing := book.Newer(in.Items)
 		if len(missing) > 0 {
 			err = n.modify(missing)
-			n.log("warn", "restoring items that only an agent held", "items", len(missing), "error", err)
+			n.log("warn", "proposed items that only an agent held", "items", len(missing), "error", err)
 		}
 		reply(messages.Done{OK: err == nil})
 	}()
