--- a/internal/control/config_replicator.go
+++ b/internal/control/config_replicator.go
@@ -115,7 +115,8 @@
 	}
 }
 
-// decide runs rounds until the proposals are decided or their deadlines have passed.
+// decide runs rounds until the proposals are decided, their deadlines have passed, or
+// no majority has answered for noMajorityTimeout.
 func (r *configReplicator) decide(proposals []*proposal) {
 	majorityAt := r.node.clock.Steady()
 	for attempt := 1; time.Duration(r.node.clock.Steady()-majorityAt) < noMajorityTimeout; attempt++ {
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -46,8 +46,9 @@
 	memberLoop    *timetable.Loop[func()]
 	joining       map[string]timetable.Steady
 	startedAt     timetable.Steady
-	eligible      atomic.Bool
-	isLeader      atomic.Bool
+	// eligible is whether this node may become the leader.
+	eligible atomic.Bool
+	isLeader atomic.Bool
 	// ownTerm is the term that this run of the process claimed.
 	ownTerm       atomic.Uint64
 	claiming      atomic.Bool
--- a/internal/control/round_transport_test.go
+++ b/internal/control/round_transport_test.go
@@ -63,7 +63,7 @@
 		})
 	})
 
-	It("waits exactly the vote timeout for the unresponsive members when no member objects", func() {
+	It("waits for the unresponsive members until the vote timeout when no member objects", func() {
 		startedAt := time.Now()
 		round := registry.Round{Epoch: 1, Index: 1, Ballot: low, Majority: 2}
 		outcome := round.Run(&roundTransport{node: n, view: view, startedAt: n.clock.Steady()})
