--- /dev/null
+++ b/internal/control/call.go
@@ -0,0 +1,122 @@
+package control
+
+import (
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+	"github.com/juju/errors"
+
+	"ploverhitch/internal/apierror"
+	"ploverhitch/internal/membership"
+	"ploverhitch/internal/messages"
+	"ploverhitch/internal/rpc"
+)
+
+func (n *node) connection(address string) *rpc.Line {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	connection := n.connections[address]
+	if connection == nil {
+		connection = rpc.NewLine(address, connectTimeout, silenceTimeout)
+		n.connections[address] = connection
+	}
+	return connection
+}
+
+// call sends a request to a member, which may be this node itself.
+func (n *node) call(member string, kind rpc.Kind, request, reply any, timeout time.Duration) error {
+	if member != n.self {
+		return n.connection(member).Ask(kind, request, reply, timeout)
+	}
+	return n.callSelf(kind, request, reply, timeout)
+}
+
+// callSelf passes a request to this node's own handler. As on a connection, the reply
+// is encoded while the handler runs, since the handler's data may change afterwards.
+// Only the first reply counts; late and further replies are discarded without blocking.
+func (n *node) callSelf(kind rpc.Kind, request, result any, timeout time.Duration) error {
+	handle, known := n.callHandlers[kind]
+	if !known {
+		return errors.NotImplementedf("handler for calls of kind %d", kind)
+	}
+	body, err := cbor.Marshal(request)
+	if err != nil {
+		return errors.Trace(err)
+	}
+	replies := make(chan []byte, 1)
+	handle(rpc.Call{Body: body, Reply: func(reply any) bool {
+		data, err := cbor.Marshal(reply)
+		if err != nil {
+			return false
+		}
+		select {
+		case replies <- data:
+			return true
+		default:
+			return false
+		}
+	}})
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
+	select {
+	case data := <-replies:
+		if result == nil {
+			return nil
+		}
+		return rpc.Unpack(data, result)
+	case <-timer.C:
+		return errors.Timeoutf("call to this node")
+	}
+}
+
+// callAll calls all members concurrently and passes the replies to enough in order of
+// arrival. It returns once enough returns true or all calls have ended.
+func callAll[T any](n *node, members []string, kind rpc.Kind, request any, timeout time.Duration, enough func(member string, reply T) bool) {
+	type memberReply struct {
+		member string
+		reply  T
+		err    error
+	}
+	replies := make(chan memberReply, len(members))
+	for _, member := range members {
+		go func() {
+			r := memberReply{member: member}
+			r.err = n.call(member, kind, request, &r.reply, timeout)
+			replies <- r
+		}()
+	}
+	for range members {
+		if r := <-replies; r.err == nil && enough(r.member, r.reply) {
+			return
+		}
+	}
+}
+
+// majorityDone calls all members and reports whether a majority of the view confirms
+// that the request is done.
+func (n *node) majorityDone(view membership.View, kind rpc.Kind, request any, timeout time.Duration) bool {
+	count := 0
+	callAll(n, view.Members, kind, request, timeout, func(_ string, done messages.Done) bool {
+		if done.OK {
+			count++
+		}
+		return count >= view.Majority()
+	})
+	return count >= view.Majority()
+}
+
+// leader returns the leader's address as far as this node knows it, else "".
+func (n *node) leader() (leader string) {
+	n.store.read(func(t *tables) { leader = t.term.Holder })
+	return leader
+}
+
+// callLeader forwards an operator's command to the leader, whichever node received it.
+func (n *node) callLeader(kind rpc.Kind, command any) error {
+	leader := n.leader()
+	var result messages.Ordered
+	if leader == "" || n.call(leader, kind, command, &result, orderSpan) != nil {
+		return apierror.New(apierror.Gone, "the leader does not answer")
+	}
+	return resultError(result)
+}
--- a/internal/control/replicate.go
+++ b/internal/control/replicate.go
@@ -10,46 +10,47 @@
 )
 
 const (
-	// comparePeriod is how often a trusted member compares its intents with another.
-	comparePeriod = time.Second
-	// compareSettle is how long a difference must last before it is copied.
-	compareSettle = 400 * time.Millisecond
-	// copyRest lies between two pieces, so that votes and records come first.
-	copyRest = 50 * time.Millisecond
+	// compareInterval is how often a trusted member compares its intents with those of
+	// another member.
+	compareInterval = time.Second
+	// compareDelay is how long a difference must last before it is copied.
+	compareDelay = 400 * time.Millisecond
+	// copyPause separates two chunks, so that votes and records take precedence.
+	copyPause = 50 * time.Millisecond
 )
 
-// lag is how many intents each of the other members held, when they were compared
-// last, that this one lacked.
-type lag struct {
-	lock   sync.Mutex
-	counts map[string]int
+// replicationLag records, per member, how many of that member's intents this node
+// lacked at the last comparison.
+type replicationLag struct {
+	mu      sync.Mutex
+	missing map[string]int
 }
 
-func (l *lag) set(member string, count int) {
-	l.lock.Lock()
-	defer l.lock.Unlock()
-	if l.counts == nil {
-		l.counts = map[string]int{}
+func (l *replicationLag) set(member string, count int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.missing == nil {
+		l.missing = map[string]int{}
 	}
-	l.counts[member] = count
+	l.missing[member] = count
 }
 
-// most is the largest count of the members of the view.
-func (l *lag) most(view membership.View) (count int) {
-	l.lock.Lock()
-	defer l.lock.Unlock()
+// largest returns the largest count among the members of the view.
+func (l *replicationLag) largest(view membership.View) (count int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	for _, member := range view.Members {
-		count = max(count, l.counts[member])
+		count = max(count, l.missing[member])
 	}
 	return count
 }
 
-// replicate compares the intents with those of one other member after the other and
-// copies what this one lacks, so that a record that a bare majority holds is soon on
-// every member.
-func (n *node) replicate(ctx context.Context) {
-	turn := 0
-	ticker := time.NewTicker(comparePeriod)
+// replicateIntents compares the intents with those of the other members in turn and
+// copies those that are missing here, so that a record held by a bare majority soon
+// reaches every member.
+func (n *node) replicateIntents(ctx context.Context) {
+	next := 0
+	ticker := time.NewTicker(compareInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -58,27 +59,27 @@
 		case <-ticker.C:
 		}
 		var view membership.View
-		isTrusted := false
-		n.store.read(func(t *tables) { view, isTrusted = t.view, t.isTrusted })
+		trusted := false
+		n.store.read(func(t *tables) { view, trusted = t.view, t.trusted })
 		others := view.Others(n.self)
-		if !isTrusted || !view.Has(n.self) || len(others) == 0 {
+		if !trusted || !view.Has(n.self) || len(others) == 0 {
 			continue
 		}
-		turn++
-		n.copyOutcomes(others[turn%len(others)], view.Epoch)
+		next++
+		n.copyOutcomes(others[next%len(others)], view.Epoch)
 	}
 }
 
-// copyOutcomes copies what another member holds and this one lacks, at the pace of a
-// member that has votes to give.
+// copyOutcomes copies the outcomes that another member holds and this one lacks. It
+// pauses between chunks, as this member is serving votes meanwhile.
 func (n *node) copyOutcomes(member string, epoch membership.Epoch) {
-	lacking, err := n.copyIntents(member, epoch, copyMode{settle: compareSettle, rest: copyRest, scope: idempotency.CompletedIntents})
+	missing, err := n.copyIntents(member, epoch, copyMode{settle: compareDelay, rest: copyPause, scope: idempotency.CompletedIntents})
 	if err != nil {
-		n.note("debug", "compare", "member", member, "error", err)
+		n.log("debug", "cannot compare intents", "member", member, "error", err)
 		return
 	}
-	n.lag.set(member, lacking)
-	if lacking > 0 {
-		n.note("info", "copied intents that were lacking", "member", member, "count", lacking)
+	n.lag.set(member, missing)
+	if missing > 0 {
+		n.log("info", "copied missing intents", "member", member, "count", missing)
 	}
 }
--- a/internal/control/tables.go
+++ b/internal/control/tables.go
@@ -15,7 +15,7 @@
 	"ploverhitch/internal/trial"
 )
 
-// record is one kept change; exactly one part is set.
+// record is one change in the log; exactly one field is set.
 type record struct {
 	Entry    *idempotency.Entry   `cbor:"1,keyasint,omitempty"`
 	Items    []config.Item        `cbor:"2,keyasint,omitempty"`
@@ -25,50 +25,51 @@
 	Trusted  *bool                `cbor:"6,keyasint,omitempty"`
 	Fleet    *feed.Fleet          `cbor:"7,keyasint,omitempty"`
 	Trial    *trial.State         `cbor:"8,keyasint,omitempty"`
-	// Change is a decided change of the item set, Page a part of a whole set, and
-	// Durable the registry's acceptor. Items stand in the logs of older builds.
+	// Change is a decided change of the item set, Page is a part of a whole set, and
+	// Durable is the registry's acceptor. Items occurs only in logs of older builds.
 	Change  *registry.Change  `cbor:"9,keyasint,omitempty"`
 	Page    *registry.Page    `cbor:"10,keyasint,omitempty"`
 	Durable *registry.Durable `cbor:"11,keyasint,omitempty"`
 }
 
-// tables is everything that is kept; the store alone touches it.
+// tables is the in-memory state of a member. Only the store's loop accesses it.
 type tables struct {
 	voter *idempotency.Voter
-	// registry is this node's replica of the item set, loading the pages of a set
-	// that is being read from the disk.
+	// registry is this node's replica of the item set; assembly collects the pages of
+	// a set that is being read from the disk.
 	registry *registry.Replica
-	loading  registry.Assembly
+	assembly registry.Assembly
 	acceptor membership.Acceptor
 	view     membership.View
 	term     membership.Term
-	// grantor is what this member has promised of the duty; it isn't kept.
+	// grantor tracks this member's promises of the leader lease; it isn't persisted.
 	grantor *lease.Grantor
-	// fleet is kept so that a core that lost its power can tell at once which
-	// servers there were.
+	// fleet is persisted so that the control plane knows the servers at once after a
+	// power loss of all its members.
 	fleet feed.Fleet
-	// fleetAt is when the fleet was heard, 0 if it was read from the disk.
-	fleetAt   timetable.Steady
-	trials    map[string]trial.State
-	isTrusted bool
-	isEmpty   bool
-	digest    string
-	// sheet is the compiled book of the digest sheetOf, mirrors and versions the
-	// orders to copy in that of mirrorsOf.
-	sheet     *config.Sheet
-	sheetOf   string
-	mirrors   []loopline.Mirror
-	versions  []config.Version
-	mirrorsOf string
+	// fleetReceivedAt is when the fleet was received, 0 if it was read from the disk.
+	fleetReceivedAt timetable.Steady
+	trials          map[string]trial.State
+	trusted         bool
+	empty           bool
+	digest          string
+	// compiled is the compiled form of the book with the digest compiledDigest. mirrors
+	// and versions are the mirroring rules of the book with the digest mirrorsDigest.
+	compiled       *config.Sheet
+	compiledDigest string
+	mirrors        []loopline.Mirror
+	versions       []config.Version
+	mirrorsDigest  string
 }
 
 func newTables(policy idempotency.Policy) *tables {
-	return &tables{voter: idempotency.NewVoter(policy), registry: registry.NewReplica(), trials: map[string]trial.State{}, isEmpty: true}
+	return &tables{voter: idempotency.NewVoter(policy), registry: registry.NewReplica(), trials: map[string]trial.State{}, empty: true}
 }
 
-// apply puts one record into the tables, as it is made and at every start.
+// apply updates the tables with one record, both when it is created and when the log
+// is replayed at start.
 func (t *tables) apply(r record) {
-	t.isEmpty = false
+	t.empty = false
 	switch {
 	case r.Entry != nil:
 		_ = t.voter.Apply(*r.Entry)
@@ -88,54 +89,54 @@
 	case r.Trial != nil:
 		t.trials[r.Trial.Subject] = *r.Trial
 	case r.Trusted != nil:
-		t.isTrusted = *r.Trusted
+		t.trusted = *r.Trusted
 	case r.Change != nil:
 		t.registry.Learn(*r.Change)
 		t.digest = ""
 	case r.Page != nil:
-		t.load(*r.Page)
+		t.addPage(*r.Page)
 	case r.Durable != nil:
 		t.registry.Restore(*r.Durable)
 	}
 }
 
-// load takes a page of a set; the set counts once its last page was read.
-func (t *tables) load(page registry.Page) {
-	t.loading.Add(page)
+// addPage adds a page of a set, which is installed once its last page has been read.
+func (t *tables) addPage(page registry.Page) {
+	t.assembly.Add(page)
 	if !page.IsLast {
 		return
 	}
-	if set, isWhole := t.loading.Finish(nil); isWhole {
+	if set, complete := t.assembly.Finish(nil); complete {
 		t.registry.Install(set)
 		t.digest = ""
 	}
-	t.loading = registry.Assembly{}
+	t.assembly = registry.Assembly{}
 }
 
-// book is the item set; who looks at it must not change or keep it.
+// book returns the item set; callers must neither modify nor retain it.
 func (t *tables) book() config.Book { return t.registry.Items }
 
-// isHeard tells whether the fleet was heard within the span; one that was read from
-// the disk was not.
-func (t *tables) isHeard(now timetable.Steady, span time.Duration) bool {
-	return t.fleetAt > 0 && time.Duration(now-t.fleetAt) <= span
+// fleetFresh reports whether the fleet was received within maxAge; a fleet that was
+// read from the disk is not fresh.
+func (t *tables) fleetFresh(now timetable.Steady, maxAge time.Duration) bool {
+	return t.fleetReceivedAt > 0 && time.Duration(now-t.fleetReceivedAt) <= maxAge
 }
 
-// compiled is the book made ready for reading; it is made again only where an item is
-// new.
-func (t *tables) compiled() *config.Sheet {
-	if digest := t.bookDigest(); t.sheet == nil || t.sheetOf != digest {
-		t.sheet, t.sheetOf = t.book().Compile(), digest
+// compiledBook returns the book compiled for lookups. It is compiled again only after
+// an item has changed.
+func (t *tables) compiledBook() *config.Sheet {
+	if digest := t.bookDigest(); t.compiled == nil || t.compiledDigest != digest {
+		t.compiled, t.compiledDigest = t.book().Compile(), digest
 	}
-	return t.sheet
+	return t.compiled
 }
 
-// mirrorsNow are the orders to copy; the book is looked through only where an item is
-// new.
-func (t *tables) mirrorsNow() ([]loopline.Mirror, []config.Version) {
-	if digest := t.bookDigest(); t.mirrorsOf != digest {
+// currentMirrors returns the mirroring rules. The book is searched again only after an
+// item has changed.
+func (t *tables) currentMirrors() ([]loopline.Mirror, []config.Version) {
+	if digest := t.bookDigest(); t.mirrorsDigest != digest {
 		t.mirrors, t.versions = t.book().Mirrors()
-		t.mirrorsOf = digest
+		t.mirrorsDigest = digest
 	}
 	return t.mirrors, t.versions
 }
@@ -147,10 +148,11 @@
 	return t.digest
 }
 
-// snapshot lists enough to make the tables again, as they stand now. The entries
-// are made one by one as it is read, which may be beside the store.
+// snapshot returns the records from which the present tables can be rebuilt. The
+// entries are created one by one during the iteration, which may run concurrently
+// with the store.
 func (t *tables) snapshot() iter.Seq[record] {
-	head, entries := t.heads(), t.voter.Snapshot()
+	head, entries := t.headRecords(), t.voter.Snapshot()
 	return func(yield func(record) bool) {
 		for _, r := range head {
 			if !yield(r) {
@@ -165,18 +167,18 @@
 	}
 }
 
-// heads are the records of all but the intents.
-func (t *tables) heads() (out []record) {
-	view, term, acceptor, isTrusted := t.view, t.term, t.acceptor, t.isTrusted
+// headRecords returns the records of all state except the intents.
+func (t *tables) headRecords() (records []record) {
+	view, term, acceptor, trusted := t.view, t.term, t.acceptor, t.trusted
 	fleet := t.fleet
-	out = append(out, record{View: &view}, record{Term: &term}, record{Acceptor: &acceptor}, record{Trusted: &isTrusted}, record{Fleet: &fleet})
+	records = append(records, record{View: &view}, record{Term: &term}, record{Acceptor: &acceptor}, record{Trusted: &trusted}, record{Fleet: &fleet})
 	for page := range t.registry.Pages(pageBytes) {
-		out = append(out, record{Page: &page})
+		records = append(records, record{Page: &page})
 	}
 	durable := t.registry.Durable()
-	out = append(out, record{Durable: &durable})
+	records = append(records, record{Durable: &durable})
 	for _, state := range t.trials {
-		out = append(out, record{Trial: &state})
+		records = append(records, record{Trial: &state})
 	}
-	return out
+	return records
 }
