--- a/internal/control/leader_lease.go
+++ b/internal/control/leader_lease.go
@@ -107,7 +107,7 @@
 func (n *node) stepDown() {
 	n.isHolder.Store(false)
 	if n.myTerm.Swap(0) != 0 {
-		go n.releaseLease()
+		go n.release()
 	}
 }
 
@@ -116,12 +116,12 @@
 	n.isFit.Store(false)
 	n.isHolder.Store(false)
 	if n.myTerm.Swap(0) != 0 {
-		n.releaseLease()
+		n.release()
 	}
 }
 
 // release ends the lease here, and only then tells the other members.
-func (n *node) releaseLease() {
+func (n *node) release() {
 	term, members := n.lease.end()
 	if term == 0 {
 		return
--- a/internal/control/list_poller.go
+++ b/internal/control/list_poller.go
@@ -66,7 +66,7 @@
 	if delay := p.untilNextRead(leading); delay > 0 {
 		return min(delay, readCheckInterval)
 	}
-	p.reader.onPage, p.reader.callsPerSecond = p.onPage, p.pace(leading).Burst()
+	p.reader.onPage, p.reader.callsPerSecond = p.handlePage, p.pace(leading).Burst()
 	p.lastRead.started = p.clock.Steady()
 	read, err := p.reader.read(ctx)
 	p.lastRead.ended, p.lastRead.calls = p.clock.Steady(), read.calls
@@ -104,7 +104,7 @@
 
 // tookPage tells which servers leave by one page, which cannot wait for the rest of the
 // list, and now and then that the reading goes on.
-func (p *listPoller) onPage(servers []feed.Server) {
+func (p *listPoller) handlePage(servers []feed.Server) {
 	p.publishLeaving(servers)
 	if now := p.clock.Steady(); time.Duration(now-p.progressSentAt) >= listing.ProgressPeriod {
 		p.progressSentAt = now
--- a/internal/control/list_reader_test.go
+++ b/internal/control/list_reader_test.go
@@ -38,11 +38,11 @@
 		return newListReader(timetable.Real(), func() string { return strings.TrimPrefix(server.URL, "http://") })
 	}
 	// expectWhole expects a reading of every page, made in so many calls.
-	expectWhole := func(reader *listReader, calls int) {
+	expectWhole := func(reader *listReader, expectedCalls int) {
 		GinkgoHelper()
 		read, err := reader.read(context.Background())
 		Expect(err).NotTo(HaveOccurred())
-		Expect(read.calls).To(Equal(calls))
+		Expect(read.calls).To(Equal(expectedCalls))
 		ready := map[string]bool{}
 		for _, server := range read.servers {
 			ready[server.ID] = server.IsReady
--- a/internal/control/standby.go
+++ b/internal/control/standby.go
@@ -44,7 +44,7 @@
 
 // share is the part of the platform's rate with which the node is to read in the holder's
 // stead, 0 if it is not to.
-func (t *listTracker) rateShare(view membership.View, leader, self string, inContact bool, now timetable.Steady) float64 {
+func (t *listTracker) share(view membership.View, leader, self string, inContact bool, now timetable.Steady) float64 {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	share := t.watch.Share(view, leader, self, now)
@@ -73,7 +73,7 @@
 // holder's stead, 0 if it does not.
 func (n *node) standbyRateShare() float64 {
 	view, leader := n.viewAndLeader()
-	return n.listWatch.rateShare(view, leader, n.self, n.hasQuorumContact(), n.clock.Steady())
+	return n.listWatch.share(view, leader, n.self, n.hasQuorumContact(), n.clock.Steady())
 }
 
 // tellLeaving tells every member which servers the list shows leaving that nobody has
--- a/internal/control/standby_test.go
+++ b/internal/control/standby_test.go
@@ -27,8 +27,8 @@
 	const next = 800 * time.Millisecond
 	var n *node
 	var clock *timetable.Hand
-	fleet := func(count uint64, leader string, isReady bool) *feed.Fleet {
-		return &feed.Fleet{Term: 1, Count: count, Holder: leader, Servers: []feed.Server{{ID: "a", IsReady: isReady}, {ID: "b", IsReady: true}}}
+	fleet := func(count uint64, publisher string, isReady bool) *feed.Fleet {
+		return &feed.Fleet{Term: 1, Count: count, Holder: publisher, Servers: []feed.Server{{ID: "a", IsReady: isReady}, {ID: "b", IsReady: true}}}
 	}
 	leaving := func() (out map[string]bool) {
 		n.hub.Read(func(board *feed.Board) { out = maps.Clone(board.Leaving) })
