--- a/internal/control/list_poller.go
+++ b/internal/control/list_poller.go
@@ -16,7 +16,7 @@
 	maxFailedReads = 4
 	// readCheckInterval is how often a node that is not reading the list checks whether
 	// a read is due.
-	readCheckInterval  = 50 * time.Millisecond
+	readCheckInterval = 50 * time.Millisecond
 	// ineligibleDuration is how long a leader that cannot read the list stays ineligible.
 	ineligibleDuration = 3 * time.Second
 )
