--- a/internal/control/leader_lease_test.go
+++ b/internal/control/leader_lease_test.go
@@ -20,8 +20,8 @@
 	"ploverhitch/internal/trial"
 )
 
-// newMember is a trusted member of a view whose other members can't be reached, but
-// for those that answer.
+// newTestMember returns a trusted member "a" of a view. The other members are unreachable
+// unless the test listens on their addresses.
 func newTestMember(clock *timetable.Hand, view membership.View) *node {
 	n := &node{
 		self: "a", clock: clock, hub: feed.NewHub(), note: func(string, string, ...any) {}, lines: map[string]*rpc.Line{},
@@ -46,7 +46,7 @@
 
 const testLeaseDuration = 900 * time.Millisecond
 
-var _ = Describe("the lease of the duty at a member", func() {
+var _ = Describe("the leader lease at a member", func() {
 	var n *node
 	var clock *timetable.Hand
 	view := membership.View{Epoch: 1, Members: []string{"a", "b", "c"}}
@@ -70,7 +70,7 @@
 		n = newTestMember(clock, view)
 	})
 
-	It("is refused to another while the holder renews it, and granted once the last promise has ended", func() {
+	It("is refused to another member while the leader renews it, and granted once the last promise has expired", func() {
 		Expect(claim(1, termOf("b", 1))).To(BeTrue())
 		clock.Now += testLeaseDuration - time.Millisecond
 		Expect(claim(1, termOf("c", 2))).To(BeFalse())
@@ -79,10 +79,10 @@
 		Expect(claim(1, termOf("c", 2))).To(BeFalse())
 		clock.Now += time.Millisecond
 		Expect(claim(1, termOf("c", 2))).To(BeTrue())
-		Expect(renew(1, termOf("b", 1))).To(BeFalse(), "the older holder is fenced off")
+		Expect(renew(1, termOf("b", 1))).To(BeFalse(), "the former leader is not rejected")
 	})
 
-	It("is neither granted nor renewed in another epoch, or by a member that isn't trusted", func() {
+	It("is neither granted nor renewed in another epoch or by an untrusted member", func() {
 		Expect(claim(2, termOf("b", 1))).To(BeFalse())
 		Expect(claim(1, termOf("b", 1))).To(BeTrue())
 		Expect(renew(2, termOf("b", 1))).To(BeFalse())
@@ -92,14 +92,14 @@
 		Expect(claim(1, termOf("c", 2))).To(BeFalse())
 	})
 
-	It("passes on at once when its holder gives it up", func() {
+	It("can be claimed by another member as soon as the leader releases it", func() {
 		Expect(claim(1, termOf("b", 1))).To(BeTrue())
 		Expect(done(func(answer func(messages.Done)) { n.onRelease(messages.Release{Term: termOf("b", 1)}, answer) })).To(BeTrue())
 		Expect(claim(1, termOf("c", 2))).To(BeTrue())
 	})
 
-	Describe("that this node holds", func() {
-		// hold wins the lease from this member and one more.
+	Describe("held by this node", func() {
+		// hold acquires the lease with the votes of this member and one more.
 		hold := func(number uint64) {
 			round := n.lease.startRound(number, view, clock.Steady())
 			n.lease.acknowledge(round, "a")
@@ -116,13 +116,13 @@
 			n.coordinator.listed = []feed.Server{{ID: "i-1", Service: "fees", IsReady: true}}
 		})
 
-		It("lets it publish and write while it is valid", func() {
+		It("permits publishing and writing while it is valid", func() {
 			Expect(n.coordinator.isMaster()).To(BeTrue())
 			n.coordinator.publish()
 			Eventually(func() uint64 { return n.fleet().Term }).Should(BeEquivalentTo(1))
 		})
 
-		It("stops all publishing when it ends by the steady clock, though nobody was heard of", func() {
+		It("stops publishing and writing when it expires by the monotonic clock, without any message", func() {
 			clock.Now += testLeaseDuration
 			Expect(n.coordinator.isMaster()).To(BeFalse())
 			before := published()
@@ -134,14 +134,14 @@
 			Expect(n.coordinator.states).To(BeEmpty())
 			var kept int
 			n.store.read(func(t *tables) { kept = len(t.trials) })
-			Expect(kept).To(BeZero(), "a writing was kept after the end of the lease")
+			Expect(kept).To(BeZero(), "a write was stored after the lease had expired")
 			ordered := make(chan messages.Ordered, 1)
-			n.decide(func(answer messages.Ordered) { ordered <- answer }, func(*coordinator) (apierror.Kind, string) { panic("decided without a lease") })
+			n.decide(func(answer messages.Ordered) { ordered <- answer }, func(*coordinator) (apierror.Kind, string) { panic("decided without a valid lease") })
 			go n.coordinator.run(GinkgoT().Context())
 			Eventually(ordered).Should(Receive(HaveField("Kind", apierror.Gone)))
 		})
 
-		It("goes on under its term once a majority has renewed it, with what it knew", func() {
+		It("continues under the same term with the same state once a majority renews it", func() {
 			clock.Now += testLeaseDuration
 			Expect(n.coordinator.isMaster()).To(BeFalse())
 			hold(1)
@@ -149,15 +149,15 @@
 			Expect(n.coordinator.listed).To(HaveLen(1))
 		})
 
-		It("ends at once when it steps down, and a late round doesn't bring it back", func() {
+		It("ends when the node steps down, and a later round of the same term doesn't restore it", func() {
 			n.stepDown()
 			Eventually(func() bool { return n.holdsLease(1) }).Should(BeFalse())
 			Expect(n.lease.startRound(1, view, clock.Steady())).To(BeZero())
 			Expect(n.coordinator.isMaster()).To(BeFalse())
 		})
 
-		It("is not changed by a step of the time of day", func() {
-			// The clock of the lease has no time of day to read: Wall isn't asked.
+		It("does not depend on the wall clock", func() {
+			// The clock panics if the wall time is read.
 			n.clock = monotonicOnly{clock}
 			Expect(n.holdsLease(1)).To(BeTrue())
 			Expect(renew(1, termOf("a", 1))).To(BeTrue())
@@ -167,14 +167,14 @@
 	})
 })
 
-// steadyOnly is a clock whose time of day must not be asked for.
+// monotonicOnly is a clock that panics if its wall time is read.
 type monotonicOnly struct{ timetable.Clock }
 
-// Wall fails the test.
-func (monotonicOnly) Wall() time.Time { panic("the time of day decides nothing here") }
+// Wall panics.
+func (monotonicOnly) Wall() time.Time { panic("the leader lease read the wall clock") }
 
-var _ = Describe("the promises of a process that has just started", func() {
-	// granted tells whether a claim of the duty is granted now.
+var _ = Describe("the lease promises of a process that has just started", func() {
+	// granted reports whether a claim of leadership is granted now.
 	granted := func(n *node) bool {
 		return n.store.tables.grantor.Claim(membership.Term{Number: 3, Holder: "b"}, membership.Term{Number: 4, Holder: "c"}, n.clock.Steady())
 	}
@@ -186,7 +186,7 @@
 		return n
 	}
 
-	It("are none in a system that never ran, and unknown for a span in any other", func() {
+	It("are empty in a newly bootstrapped system, and unknown for one lease duration in any other", func() {
 		clock, folder := &timetable.Hand{Now: time.Hour}, GinkgoT().TempDir()
 		first := open(clock, folder, true)
 		Expect(granted(first)).To(BeTrue())
--- a/internal/control/list_reader_test.go
+++ b/internal/control/list_reader_test.go
@@ -16,10 +16,10 @@
 	"ploverhitch/internal/timetable"
 )
 
-var _ = Describe("a reading of the platform's list", func() {
+var _ = Describe("a read of the platform's server list", func() {
 	const pages = 4
-	// platform serves a list of some pages, one server each; act may answer a call,
-	// which it knows by its number, otherwise.
+	// platform serves a list of several pages with one server each. handle gets the number
+	// of the call, and may respond to it instead.
 	platform := func(handle func(call int64, w http.ResponseWriter, r *http.Request) (isDone bool)) *listReader {
 		var calls atomic.Int64
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -37,7 +37,7 @@
 		DeferCleanup(server.Close)
 		return newListReader(timetable.Real(), func() string { return strings.TrimPrefix(server.URL, "http://") })
 	}
-	// expectWhole expects a reading of every page, made in so many calls.
+	// expectWhole expects a read of all pages with the given number of calls.
 	expectWhole := func(reader *listReader, expectedCalls int) {
 		GinkgoHelper()
 		read, err := reader.read(context.Background())
@@ -51,26 +51,26 @@
 	}
 	hang := func(r *http.Request) bool { <-r.Context().Done(); return true }
 
-	It("takes one call for a page", func() {
+	It("makes one call per page", func() {
 		reader := platform(func(int64, http.ResponseWriter, *http.Request) bool { return false })
 		expectWhole(reader, pages)
 		expectWhole(reader, pages)
 	})
 
-	It("asks for a page again beside a call that hangs, and does not wait for that one", func() {
+	It("hedges a call that hangs and does not wait for it", func() {
 		reader := platform(func(call int64, _ http.ResponseWriter, r *http.Request) bool { return call == 2 && hang(r) })
 		began := time.Now()
 		expectWhole(reader, pages+1)
 		Expect(time.Since(began)).To(BeNumerically("<", pageTimeout))
 	})
 
-	It("asks for a page again after a refusal, rather than for the whole list", func() {
+	It("retries a rejected page rather than the whole list", func() {
 		refuse := func(w http.ResponseWriter) bool { w.WriteHeader(http.StatusTooManyRequests); return true }
 		reader := platform(func(call int64, w http.ResponseWriter, _ *http.Request) bool { return call == 3 && refuse(w) })
 		expectWhole(reader, pages+1)
 	})
 
-	It("gives a page a bounded number of calls and a bounded time", func() {
+	It("limits the number of calls and the time for a page", func() {
 		reader := platform(func(_ int64, _ http.ResponseWriter, r *http.Request) bool { return hang(r) })
 		began := time.Now()
 		read, err := reader.read(context.Background())
@@ -79,7 +79,7 @@
 		Expect(time.Since(began)).To(BeNumerically("<", 2*pageTimeout))
 	})
 
-	It("goes on from the page that failed, once, with the pages before it", func() {
+	It("resumes once at the page that failed and keeps the pages before it", func() {
 		var isFailing atomic.Bool
 		isFailing.Store(true)
 		reader := platform(func(_ int64, w http.ResponseWriter, r *http.Request) bool {
@@ -97,7 +97,7 @@
 		}
 		_, err := reader.read(context.Background())
 		Expect(err).To(HaveOccurred())
-		Expect(shown).To(Equal([]string{"i-0", "i-1"}), "the pages that came are told")
+		Expect(shown).To(Equal([]string{"i-0", "i-1"}), "onPage did not get the pages that were read")
 		isFailing.Store(false)
 		expectWhole(reader, 2)
 		Expect(shown).To(Equal([]string{"i-0", "i-1", "i-2", "i-3"}))
@@ -108,11 +108,11 @@
 			Expect(err).To(HaveOccurred())
 		}
 		isFailing.Store(false)
-		// It failed a second time, so the reading begins anew.
+		// The page failed a second time, so the read starts from the beginning.
 		expectWhole(reader, pages)
 	})
 
-	It("makes no more calls than before at a platform that is slow for long", func() {
+	It("adapts the hedge delay to a platform that stays slow, and makes no extra calls", func() {
 		reader := platform(func(int64, http.ResponseWriter, *http.Request) bool {
 			time.Sleep(minHedgeDelay + 30*time.Millisecond)
 			return false
--- a/internal/control/list_zones_test.go
+++ b/internal/control/list_zones_test.go
@@ -17,11 +17,11 @@
 	"ploverhitch/internal/timetable"
 )
 
-var _ = Describe("a reading of the list by zone", func() {
+var _ = Describe("a read of the server list by zone", func() {
 	const pages = 2
 	names := []string{"a", "b", "c"}
-	// zoned serves a list of some pages a zone, one server each; act may answer a call
-	// otherwise.
+	// platform serves a list of several pages per zone with one server each. handle may
+	// respond to a call instead.
 	platform := func(handle func(zone string, w http.ResponseWriter, r *http.Request) (isDone bool)) *listReader {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			zone := r.URL.Query().Get("Zone")
@@ -48,7 +48,7 @@
 	}
 	all := []string{"a-0", "a-1", "b-0", "b-1", "c-0", "c-1"}
 
-	It("reads the zones side by side, the pages of each in their order", func() {
+	It("reads the zones concurrently and the pages of each zone in sequence", func() {
 		var calls atomic.Int64
 		reader := platform(func(string, http.ResponseWriter, *http.Request) bool {
 			calls.Add(1)
@@ -58,13 +58,13 @@
 		began := time.Now()
 		read, err := reader.read(context.Background())
 		Expect(err).NotTo(HaveOccurred())
-		Expect(time.Since(began)).To(BeNumerically("<", 200*time.Millisecond), "one after the other takes 300 ms")
+		Expect(time.Since(began)).To(BeNumerically("<", 200*time.Millisecond), "reading the zones in sequence takes 300 ms")
 		Expect(ids(read.servers)).To(Equal(all))
 		Expect(read.calls).To(Equal(pages * len(names)))
 		Expect(calls.Load()).To(BeEquivalentTo(pages * len(names)))
 	})
 
-	It("tells the pages of the others while one zone's hang, and asks only for those again", func() {
+	It("passes on the pages of other zones while one zone hangs, and rereads only that zone", func() {
 		var isHanging atomic.Bool
 		isHanging.Store(true)
 		reader := platform(func(zone string, _ http.ResponseWriter, r *http.Request) bool {
@@ -91,7 +91,7 @@
 		Expect(ids(read.servers)).To(Equal(all))
 	})
 
-	It("reads all as one where the platform does not know the zones by their names", func() {
+	It("reads all zones as one if the platform does not know the zone names", func() {
 		reader := platform(func(zone string, w http.ResponseWriter, _ *http.Request) bool {
 			if zone != "" {
 				_, _ = fmt.Fprint(w, `{"Instances":[],"NextToken":null}`)
@@ -105,7 +105,7 @@
 		Expect(ids(read.servers)).To(Equal([]string{"-0", "-1"}))
 	})
 
-	It("is made where the zones are large, of the zones in the settings and of those that servers show", func() {
+	It("is used if the zones are large, for the zones in the settings and those of the known servers", func() {
 		configured := map[string]string{"a": "r", "b": "r"}
 		var servers []feed.Server
 		for range 2*minServersPerZone - 1 {
@@ -118,6 +118,6 @@
 			servers = append(servers, feed.Server{Cell: "c"})
 		}
 		Expect(zonesOf(configured, servers)).To(Equal([]string{"a", "b", "c"}))
-		Expect(zonesOf(map[string]string{"a": "r"}, servers[:2*minServersPerZone])).To(BeEmpty(), "one zone is all")
+		Expect(zonesOf(map[string]string{"a": "r"}, servers[:2*minServersPerZone])).To(BeEmpty(), "a single zone needs no read by zone")
 	})
 })
--- a/internal/control/quorum_contact_test.go
+++ b/internal/control/quorum_contact_test.go
@@ -16,10 +16,10 @@
 	"ploverhitch/internal/timetable"
 )
 
-var _ = Describe("a reading from a node's own state", func() {
+var _ = Describe("a read of a node's local state", func() {
 	view := membership.View{Epoch: 1, Members: []string{"a", "127.0.0.1:1", "127.0.0.1:2"}}
 
-	It("needs a contact with a majority of the view that is no older than the bound; the status needs none", func() {
+	It("requires a quorum contact no older than maxContactAge, and the newest fleet; the status requires none", func() {
 		clock := &timetable.Hand{Now: time.Hour}
 		n := newTestMember(clock, view)
 		go n.memberLoop.Run(GinkgoT().Context(), runAll, 0, nil)
@@ -45,7 +45,7 @@
 		for _, path := range local {
 			Expect(get(path).Code).To(Equal(http.StatusServiceUnavailable), path)
 		}
-		// In contact, but the majority has a fleet that this node hasn't heard of yet.
+		// The node has quorum contact, but the majority has a fleet that this node lacks.
 		clock.Now += time.Millisecond
 		n.contact.record(clock.Steady(), feed.Reading{Term: 2, Count: 1})
 		Expect(get("/v1/fleet").Code).To(Equal(http.StatusServiceUnavailable))
@@ -53,11 +53,11 @@
 		Expect(get("/v1/fleet").Code).To(Equal(http.StatusOK))
 	})
 
-	It("isn't enough for the duty while the majority has a newer fleet; a lost member's is waited for no more", func() {
+	It("doesn't make a node ready to lead while the majority has a newer fleet; a fleet that only a failed member had is not waited for", func() {
 		clock := &timetable.Hand{Now: time.Hour}
 		n := newTestMember(clock, view)
 		newest := feed.Reading{Term: 2, Count: 5}
-		Expect(n.isReadyToLead(newest)).To(BeFalse(), "it has had no contact")
+		Expect(n.isReadyToLead(newest)).To(BeFalse(), "the node has had no quorum contact")
 		n.contact.record(clock.Steady(), newest)
 		Expect(n.isReadyToLead(feed.Reading{Term: 2, Count: 4})).To(BeFalse())
 		Expect(n.isReadyToLead(newest)).To(BeTrue())
@@ -66,7 +66,7 @@
 		Expect(n.isReadyToLead(feed.Reading{Term: 2, Count: 4})).To(BeTrue())
 	})
 
-	It("counts the members that answer in the same epoch, and no others", func() {
+	It("counts only the members that answer in the same epoch", func() {
 		clock := &timetable.Hand{Now: time.Hour}
 		n := newTestMember(clock, membership.View{Epoch: 1, Members: []string{"a"}})
 		other := httptest.NewUnstartedServer(nil)
--- a/internal/control/standby_test.go
+++ b/internal/control/standby_test.go
@@ -22,7 +22,7 @@
 	"ploverhitch/internal/timetable"
 )
 
-var _ = Describe("a reading of the list in the holder's stead", func() {
+var _ = Describe("a standby read of the server list", func() {
 	const leader, self, other, silentAfter = "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", 1200 * time.Millisecond
 	const next = 800 * time.Millisecond
 	var n *node
@@ -35,11 +35,11 @@
 		return out
 	}
 	hear := func() { n.runInMemberLoop(func() { n.watch.Hear(membership.Beat{From: leader, IsFit: true}) }) }
-	// read is what the holder tells once it has read the list.
+	// read reports a complete read by the leader.
 	read := func() {
 		n.onListProgress(messages.ListProgress{From: leader, IsWhole: true, Age: timetable.Span(100 * time.Millisecond), Next: timetable.Span(next)}, nil)
 	}
-	// overdue is when a reading counts as overdue for the last in the order.
+	// overdue is the time after which a read is overdue for the last member in the order.
 	const overdue = next + time.Second
 
 	BeforeEach(func() {
@@ -60,7 +60,7 @@
 		read()
 	})
 
-	It("begins when a reading is overdue, and ends once the holder reads again", func() {
+	It("starts when a read is overdue, and ends when the leader reads again", func() {
 		clock.Sleep(next)
 		Expect(n.isStandbyReader()).To(BeFalse())
 		clock.Sleep(overdue - next)
@@ -69,7 +69,7 @@
 		Expect(n.isStandbyReader()).To(BeFalse())
 	})
 
-	It("begins while the holder's heartbeats go on but no reading of the list does", func() {
+	It("starts if the leader sends heartbeats but does not read the list", func() {
 		for range 10 {
 			clock.Sleep(overdue / 10)
 			hear()
@@ -77,14 +77,14 @@
 		Expect(n.isStandbyReader()).To(BeTrue())
 	})
 
-	It("ends after a while at a node that reaches no majority and hears of no reading", func() {
+	It("ends after isolatedReadLimit at a node without quorum contact that is told of no read", func() {
 		clock.Sleep(isolatedReadLimit + time.Millisecond)
 		Expect(n.isStandbyReader()).To(BeFalse())
 		n.contact.record(clock.Steady(), feed.Reading{})
 		Expect(n.isStandbyReader()).To(BeTrue())
 	})
 
-	It("is not for the holder, for one outside of the view, or for all at once", func() {
+	It("is made neither by the leader, nor by a node outside the view, nor by all members at once", func() {
 		clock.Sleep(next + 250*time.Millisecond)
 		n.hub.Publish(feed.News{Fleet: fleet(2, self, true)})
 		Expect(n.isStandbyReader()).To(BeFalse())
@@ -98,12 +98,12 @@
 		Expect(n.isStandbyReader()).To(BeFalse())
 	})
 
-	It("is told by a holder whose coordinator is held up, and not beside what was published", func() {
+	It("publishes draining servers though the leader's coordinator is blocked, unless the fleet already shows them", func() {
 		platform := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			_, _ = io.WriteString(w, `{"Instances":[{"InstanceId":"a","State":"draining"},{"InstanceId":"b","State":"ready"}],"NextToken":null}`)
 		}))
 		DeferCleanup(platform.Close)
-		// Nobody runs the coordinator's loop.
+		// The coordinator's loop does not run.
 		n.coordinator = newCoordinator(n)
 		n.isHolder.Store(true)
 		poller := &listPoller{node: n, reader: newListReader(clock, func() string { return platform.Listener.Addr().String() })}
@@ -122,10 +122,10 @@
 		n.hub.Publish(feed.News{Fleet: fleet(2, self, false)})
 		clock.Sleep(time.Second)
 		poller.poll(context.Background())
-		Expect(published).To(Equal([]string{"a"}), "the fleet says so by now")
+		Expect(published).To(Equal([]string{"a"}), "published again though the fleet already shows the server draining")
 	})
 
-	It("comes as often as the node's share of the rate allows, as what the node is now", func() {
+	It("is paced by the share of the rate limit for the node's present role", func() {
 		n.coordinator = newCoordinator(n)
 		set := *n.set.Load()
 		set.Platform.CloudApi.RatePerS = 50
@@ -133,13 +133,13 @@
 		poller := &listPoller{node: n}
 		poller.lastRead.started, poller.lastRead.ended, poller.lastRead.calls = clock.Steady(), clock.Steady(), 30
 		view, _ := n.viewAndLeader()
-		// One that hears of nobody, and reaches no majority, leaves room for others.
+		// An isolated node leaves part of the rate limit to nodes that it doesn't know of.
 		clock.Sleep(overdue)
 		poller.lastRead.started, poller.lastRead.ended = clock.Steady(), clock.Steady()
 		Expect(poller.untilNextRead(false)).To(BeNumerically("~", 3*time.Second, time.Millisecond))
 		n.contact.record(clock.Steady(), feed.Reading{})
 		Expect(poller.untilNextRead(false)).To(BeNumerically("~", time.Second, time.Millisecond))
-		// A holder that has lost its lease may have a successor that reads.
+		// A leader whose lease has expired may have a successor that reads.
 		Expect(poller.untilNextRead(true)).To(BeNumerically("~", 3*time.Second, time.Millisecond))
 		n.myTerm.Store(2)
 		round := n.lease.startRound(2, view, clock.Steady())
@@ -148,7 +148,7 @@
 		Expect(poller.untilNextRead(true)).To(BeNumerically("~", time.Second, time.Millisecond))
 	})
 
-	It("is told of to the other members only when it was complete", func() {
+	It("counts as a read of the list only when it was complete", func() {
 		var isFailing atomic.Bool
 		isFailing.Store(true)
 		platform := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -173,7 +173,7 @@
 		Expect(age).To(BeNumerically("<", time.Second))
 	})
 
-	It("tells this node's followers which servers leave, as another member's does", func() {
+	It("publishes the draining servers to this node's followers, and those that another member reports", func() {
 		n.publishLeaving([]feed.Server{{ID: "a", IsReady: true}, {ID: "b", IsReady: true}})
 		Expect(leaving()).To(BeEmpty())
 		n.publishLeaving([]feed.Server{{ID: "a"}, {ID: "b", IsReady: true}})
--- a/internal/control/takeover_test.go
+++ b/internal/control/takeover_test.go
@@ -20,20 +20,20 @@
 	"ploverhitch/internal/trial"
 )
 
-var _ = Describe("a holder that takes the duty", func() {
+var _ = Describe("a node that becomes the leader", func() {
 	const leaver = "i-1"
 	view := membership.View{Epoch: 1, Members: []string{"a"}}
 	var n *node
 	var clock *timetable.Hand
 
-	// grant makes this member grant the duty.
+	// grant makes this member grant the leader lease.
 	grant := func(holder string, number uint64) {
 		clock.Now += testLeaseDuration
 		granted := make(chan messages.Done, 1)
 		n.onClaim(messages.Claim{Epoch: 1, Term: membership.Term{Number: number, Holder: holder}}, func(done messages.Done) { granted <- done })
 		Expect((<-granted).OK).To(BeTrue())
 	}
-	// hold makes this node the holder of the duty under a new term.
+	// hold makes this node the leader under a new term.
 	hold := func(number uint64) {
 		grant("a", number)
 		round := n.lease.startRound(number, view, clock.Steady())
@@ -55,7 +55,7 @@
 		n = newTestMember(clock, view)
 	})
 
-	It("calls no server ready that left while another held it", func() {
+	It("doesn't publish a server as ready that started draining under another leader", func() {
 		hold(1)
 		n.coordinator.updateServers([]feed.Server{{ID: leaver, Service: "s", IsReady: true}, {ID: "i-2", Service: "s", IsReady: true}})
 		Eventually(isReady).Should(BeTrue())
@@ -69,10 +69,10 @@
 		Expect((<-told).OK).To(BeTrue())
 		hold(3)
 		Eventually(func() uint64 { n.coordinator.conduct(); return n.fleet().Term }).Should(BeEquivalentTo(3))
-		Expect(isReady()).To(BeFalse(), "the list of this node's earlier term was published again")
+		Expect(isReady()).To(BeFalse(), "published the server list of this node's earlier term")
 	})
 
-	It("halts no staged change for keys with two runs that were known before", func() {
+	It("doesn't halt a staged change for duplicate executions that were known before", func() {
 		first, second := completed(1, 10), completed(1, 10)
 		second.Attempt = "another"
 		for _, intent := range []idempotency.Intent{first, second} {
@@ -91,7 +91,7 @@
 		n.coordinator.conduct()
 		Expect(n.coordinator.states[staged.Subject].Reason).To(BeEmpty())
 		Expect(n.coordinator.states[staged.Subject].Phase).To(Equal(trial.Trying))
-		// One that comes to light from now on does halt it.
+		// A duplicate that is found from now on halts it.
 		third := completed(1, 10)
 		third.Attempt = "a third"
 		kept := make(chan messages.Done, 1)
@@ -102,8 +102,8 @@
 	})
 })
 
-var _ = Describe("a server that leaves while a reading of the list is held up", func() {
-	It("is told although a later page of the list does not come", func() {
+var _ = Describe("a server that starts draining while a read of the list is blocked", func() {
+	It("is published though a later page of the list gets no response", func() {
 		platform := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Query().Get("PageToken") != "" {
 				<-r.Context().Done()
