--- a/internal/control/leader_lease_test.go
+++ b/internal/control/leader_lease_test.go
@@ -99,8 +99,8 @@
 	})
 
 	Describe("held by this node", func() {
-		// hold acquires the lease with the votes of this member and one more.
-		hold := func(number uint64) {
+		// acquireLease acquires the lease with the votes of this member and one more.
+		acquireLease := func(number uint64) {
 			round := n.lease.startRound(number, view, clock.Steady())
 			n.lease.acknowledge(round, "a")
 			Expect(n.lease.acknowledge(round, "b")).To(BeTrue())
@@ -112,7 +112,7 @@
 
 		BeforeEach(func() {
 			Expect(claim(1, termOf("a", 1))).To(BeTrue())
-			hold(1)
+			acquireLease(1)
 			n.coordinator.listed = []feed.Server{{ID: "i-1", Service: "fees", IsReady: true}}
 		})
 
@@ -132,9 +132,9 @@
 			Consistently(func() []feed.Reading { return published() }, "100ms").Should(Equal(before))
 			Expect(n.coordinator.write(trial.State{Subject: "fees"})).NotTo(Succeed())
 			Expect(n.coordinator.states).To(BeEmpty())
-			var kept int
-			n.store.read(func(t *tables) { kept = len(t.trials) })
-			Expect(kept).To(BeZero(), "a write was stored after the lease had expired")
+			var stored int
+			n.store.read(func(t *tables) { stored = len(t.trials) })
+			Expect(stored).To(BeZero(), "a write was stored after the lease had expired")
 			ordered := make(chan messages.Ordered, 1)
 			n.decide(func(answer messages.Ordered) { ordered <- answer }, func(*coordinator) (apierror.Kind, string) { panic("decided without a valid lease") })
 			go n.coordinator.run(GinkgoT().Context())
@@ -144,7 +144,7 @@
 		It("continues under the same term with the same state once a majority renews it", func() {
 			clock.Now += testLeaseDuration
 			Expect(n.coordinator.isMaster()).To(BeFalse())
-			hold(1)
+			acquireLease(1)
 			Expect(n.coordinator.isMaster()).To(BeTrue())
 			Expect(n.coordinator.listed).To(HaveLen(1))
 		})
@@ -193,10 +193,10 @@
 		first.store.handle([]command{{act: func(*tables) []record { return []record{{Term: &membership.Term{Number: 4, Holder: "c"}}} }}})
 		for _, folder := range []string{folder, GinkgoT().TempDir()} {
 			clock.Now += time.Hour
-			again := open(clock, folder, false)
-			Expect(granted(again)).To(BeFalse())
+			restarted := open(clock, folder, false)
+			Expect(granted(restarted)).To(BeFalse())
 			clock.Now += leaseDuration(settings.Defaults())
-			Expect(granted(again)).To(BeTrue())
+			Expect(granted(restarted)).To(BeTrue())
 		}
 	})
 })
--- a/internal/control/leadership.go
+++ b/internal/control/leadership.go
@@ -43,7 +43,7 @@
 	var term membership.Term
 	var index registry.Index
 	var trusted bool
-	seen := n.watch.Direct()
+	directlySeen := n.watch.Direct()
 	var heldFleet feed.Reading
 	eligible := n.isFit.Load()
 	candidate := ""
@@ -53,7 +53,7 @@
 		return nil
 	}, func() {
 		eligible = eligible && trusted && n.isReadyToLead(heldFleet)
-		beat := membership.Beat{From: n.self, View: view, Term: term, Index: uint64(index), Seen: seen, IsFit: eligible}
+		beat := membership.Beat{From: n.self, View: view, Term: term, Index: uint64(index), Seen: directlySeen, IsFit: eligible}
 		fleet := n.fleet()
 		beat.FleetTerm, beat.FleetCount = fleet.Term, fleet.Count
 		for _, watcher := range membership.Watchers(view.Members, n.self, heartbeatTargetCount) {
--- a/internal/control/list_reader_test.go
+++ b/internal/control/list_reader_test.go
@@ -89,18 +89,18 @@
 			w.WriteHeader(http.StatusInternalServerError)
 			return true
 		})
-		var shown []string
+		var received []string
 		reader.onPage = func(page []feed.Server) {
 			for _, server := range page {
-				shown = append(shown, server.ID)
+				received = append(received, server.ID)
 			}
 		}
 		_, err := reader.read(context.Background())
 		Expect(err).To(HaveOccurred())
-		Expect(shown).To(Equal([]string{"i-0", "i-1"}), "onPage did not get the pages that were read")
+		Expect(received).To(Equal([]string{"i-0", "i-1"}), "onPage did not get the pages that were read")
 		isFailing.Store(false)
 		expectWhole(reader, 2)
-		Expect(shown).To(Equal([]string{"i-0", "i-1", "i-2", "i-3"}))
+		Expect(received).To(Equal([]string{"i-0", "i-1", "i-2", "i-3"}))
 		expectWhole(reader, pages)
 		isFailing.Store(true)
 		for range 2 {
--- a/internal/control/list_zones_test.go
+++ b/internal/control/list_zones_test.go
@@ -19,7 +19,7 @@
 
 var _ = Describe("a read of the server list by zone", func() {
 	const pages = 2
-	names := []string{"a", "b", "c"}
+	zoneNames := []string{"a", "b", "c"}
 	// platform serves a list of several pages per zone with one server each. handle may
 	// respond to a call instead.
 	platform := func(handle func(zone string, w http.ResponseWriter, r *http.Request) (isDone bool)) *listReader {
@@ -37,7 +37,7 @@
 		}))
 		DeferCleanup(server.Close)
 		reader := newListReader(timetable.Real(), func() string { return strings.TrimPrefix(server.URL, "http://") })
-		reader.zones = func() ([]string, int) { return names, pages * len(names) }
+		reader.zones = func() ([]string, int) { return zoneNames, pages * len(zoneNames) }
 		return reader
 	}
 	ids := func(servers []feed.Server) (out []string) {
@@ -60,8 +60,8 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(time.Since(began)).To(BeNumerically("<", 200*time.Millisecond), "reading the zones in sequence takes 300 ms")
 		Expect(ids(read.servers)).To(Equal(all))
-		Expect(read.calls).To(Equal(pages * len(names)))
-		Expect(calls.Load()).To(BeEquivalentTo(pages * len(names)))
+		Expect(read.calls).To(Equal(pages * len(zoneNames)))
+		Expect(calls.Load()).To(BeEquivalentTo(pages * len(zoneNames)))
 	})
 
 	It("passes on the pages of other zones while one zone hangs, and rereads only that zone", func() {
@@ -75,15 +75,15 @@
 			return false
 		})
 		var lock sync.Mutex
-		var shown []string
+		var received []string
 		reader.onPage = func(servers []feed.Server) {
 			lock.Lock()
 			defer lock.Unlock()
-			shown = append(shown, ids(servers)...)
+			received = append(received, ids(servers)...)
 		}
 		_, err := reader.read(context.Background())
 		Expect(err).To(HaveOccurred())
-		Expect(shown).To(ConsistOf("a-0", "a-1", "c-0", "c-1"))
+		Expect(received).To(ConsistOf("a-0", "a-1", "c-0", "c-1"))
 		isHanging.Store(false)
 		read, err := reader.read(context.Background())
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/control/standby_test.go
+++ b/internal/control/standby_test.go
@@ -34,9 +34,9 @@
 		n.hub.Read(func(board *feed.Board) { out = maps.Clone(board.Leaving) })
 		return out
 	}
-	hear := func() { n.runInMemberLoop(func() { n.watch.Hear(membership.Beat{From: leader, IsFit: true}) }) }
-	// read reports a complete read by the leader.
-	read := func() {
+	sendHeartbeat := func() { n.runInMemberLoop(func() { n.watch.Hear(membership.Beat{From: leader, IsFit: true}) }) }
+	// reportRead reports a complete read by the leader.
+	reportRead := func() {
 		n.onListProgress(messages.ListProgress{From: leader, IsWhole: true, Age: timetable.Span(100 * time.Millisecond), Next: timetable.Span(next)}, nil)
 	}
 	// overdue is the time after which a read is overdue for the last member in the order.
@@ -56,8 +56,8 @@
 		go n.memberLoop.Run(ctx, runAll, 0, nil)
 		view := membership.View{Epoch: 1, Members: []string{leader, self, other}}
 		n.hub.Publish(feed.News{View: &view, Fleet: fleet(1, leader, true)})
-		hear()
-		read()
+		sendHeartbeat()
+		reportRead()
 	})
 
 	It("starts when a read is overdue, and ends when the leader reads again", func() {
@@ -65,14 +65,14 @@
 		Expect(n.isStandbyReader()).To(BeFalse())
 		clock.Sleep(overdue - next)
 		Expect(n.isStandbyReader()).To(BeTrue())
-		read()
+		reportRead()
 		Expect(n.isStandbyReader()).To(BeFalse())
 	})
 
 	It("starts if the leader sends heartbeats but does not read the list", func() {
 		for range 10 {
 			clock.Sleep(overdue / 10)
-			hear()
+			sendHeartbeat()
 		}
 		Expect(n.isStandbyReader()).To(BeTrue())
 	})
@@ -88,11 +88,11 @@
 		clock.Sleep(next + 250*time.Millisecond)
 		n.hub.Publish(feed.News{Fleet: fleet(2, self, true)})
 		Expect(n.isStandbyReader()).To(BeFalse())
-		wide := membership.View{Epoch: 2, Members: []string{leader, self, other, "127.0.0.1:4", "127.0.0.1:5", "127.0.0.1:6"}}
-		n.hub.Publish(feed.News{View: &wide, Fleet: fleet(3, leader, true)})
-		for _, member := range wide.Members[1:] {
+		largeView := membership.View{Epoch: 2, Members: []string{leader, self, other, "127.0.0.1:4", "127.0.0.1:5", "127.0.0.1:6"}}
+		n.hub.Publish(feed.News{View: &largeView, Fleet: fleet(3, leader, true)})
+		for _, member := range largeView.Members[1:] {
 			n.self = member
-			Expect(n.isStandbyReader()).To(Equal(listing.Rank(wide, leader, member) == 0), member)
+			Expect(n.isStandbyReader()).To(Equal(listing.Rank(largeView, leader, member) == 0), member)
 		}
 		n.self = "127.0.0.1:9"
 		Expect(n.isStandbyReader()).To(BeFalse())
--- a/internal/control/takeover_test.go
+++ b/internal/control/takeover_test.go
@@ -21,7 +21,7 @@
 )
 
 var _ = Describe("a node that becomes the leader", func() {
-	const leaver = "i-1"
+	const drainingID = "i-1"
 	view := membership.View{Epoch: 1, Members: []string{"a"}}
 	var n *node
 	var clock *timetable.Hand
@@ -33,8 +33,8 @@
 		n.onClaim(messages.Claim{Epoch: 1, Term: membership.Term{Number: number, Holder: holder}}, func(done messages.Done) { granted <- done })
 		Expect((<-granted).OK).To(BeTrue())
 	}
-	// hold makes this node the leader under a new term.
-	hold := func(number uint64) {
+	// becomeLeader makes this node the leader under a new term.
+	becomeLeader := func(number uint64) {
 		grant("a", number)
 		round := n.lease.startRound(number, view, clock.Steady())
 		Expect(n.lease.acknowledge(round, "a")).To(BeTrue())
@@ -43,7 +43,7 @@
 	}
 	isReady := func() bool {
 		for _, server := range n.fleet().Servers {
-			if server.ID == leaver {
+			if server.ID == drainingID {
 				return server.IsReady
 			}
 		}
@@ -56,18 +56,18 @@
 	})
 
 	It("doesn't publish a server as ready that started draining under another leader", func() {
-		hold(1)
-		n.coordinator.updateServers([]feed.Server{{ID: leaver, Service: "s", IsReady: true}, {ID: "i-2", Service: "s", IsReady: true}})
+		becomeLeader(1)
+		n.coordinator.updateServers([]feed.Server{{ID: drainingID, Service: "s", IsReady: true}, {ID: "i-2", Service: "s", IsReady: true}})
 		Eventually(isReady).Should(BeTrue())
 		n.stepDown()
 		Eventually(func() bool { return n.holdsLease(1) }).Should(BeFalse())
 		n.coordinator.isMaster()
 		grant("b", 2)
 		told := make(chan messages.Done, 1)
-		n.onFleet(feed.Fleet{Term: 2, Count: 9, Holder: "b", Servers: []feed.Server{{ID: leaver, Service: "s"}, {ID: "i-2", Service: "s", IsReady: true}}},
+		n.onFleet(feed.Fleet{Term: 2, Count: 9, Holder: "b", Servers: []feed.Server{{ID: drainingID, Service: "s"}, {ID: "i-2", Service: "s", IsReady: true}}},
 			func(done messages.Done) { told <- done })
 		Expect((<-told).OK).To(BeTrue())
-		hold(3)
+		becomeLeader(3)
 		Eventually(func() uint64 { n.coordinator.conduct(); return n.fleet().Term }).Should(BeEquivalentTo(3))
 		Expect(isReady()).To(BeFalse(), "published the server list of this node's earlier term")
 	})
@@ -76,9 +76,9 @@
 		first, second := completed(1, 10), completed(1, 10)
 		second.Attempt = "another"
 		for _, intent := range []idempotency.Intent{first, second} {
-			kept := make(chan messages.Done, 1)
-			n.onRecord(messages.Record{Intent: intent}, func(done messages.Done) { kept <- done })
-			<-kept
+			stored := make(chan messages.Done, 1)
+			n.onRecord(messages.Record{Intent: intent}, func(done messages.Done) { stored <- done })
+			<-stored
 		}
 		staged := trial.State{
 			Subject: trial.StagePrefix + "change", Number: 1, Term: 1, Count: 1, Phase: trial.Trying, Duration: timetable.Span(time.Minute),
@@ -87,16 +87,16 @@
 		written := make(chan messages.Done, 1)
 		n.onTrial(messages.Trial{Epoch: 1, State: staged}, func(done messages.Done) { written <- done })
 		Expect((<-written).OK).To(BeTrue())
-		hold(2)
+		becomeLeader(2)
 		n.coordinator.conduct()
 		Expect(n.coordinator.states[staged.Subject].Reason).To(BeEmpty())
 		Expect(n.coordinator.states[staged.Subject].Phase).To(Equal(trial.Trying))
 		// A duplicate that is found from now on halts it.
 		third := completed(1, 10)
 		third.Attempt = "a third"
-		kept := make(chan messages.Done, 1)
-		n.onRecord(messages.Record{Intent: third}, func(done messages.Done) { kept <- done })
-		<-kept
+		stored := make(chan messages.Done, 1)
+		n.onRecord(messages.Record{Intent: third}, func(done messages.Done) { stored <- done })
+		<-stored
 		n.coordinator.conduct()
 		Expect(n.coordinator.states[staged.Subject].Phase).To(Equal(trial.Reverted))
 	})
