--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -8,8 +8,8 @@
 	"ploverhitch/internal/messages"
 )
 
-// list takes a reading of the platform's list.
-func (c *coordinator) list(servers []feed.Server) {
+// updateServers processes a complete read of the platform's server list.
+func (c *coordinator) updateServers(servers []feed.Server) {
 	if !c.isMaster() {
 		return
 	}
@@ -19,21 +19,21 @@
 		known[server.ID] = true
 	}
 	c.court.Keep(func(id string) bool { return known[id] })
-	c.settleVersions()
+	c.initializeVersions()
 	c.publish()
 }
 
-func (c *coordinator) isVersioned() bool { return c.settings.Load().Platform.Bounds.CanaryShare > 0 }
+func (c *coordinator) tracksVersions() bool { return c.settings.Load().Platform.Bounds.CanaryShare > 0 }
 
-// settleVersions notes which version is in force where that is not known yet:
-// the one that most of a service's ready servers show.
-func (c *coordinator) settleVersions() {
-	if !c.isVersioned() {
+// initializeVersions records the version in force of each service for which it is not known
+// yet: the one that most of the service's ready servers run.
+func (c *coordinator) initializeVersions() {
+	if !c.tracksVersions() {
 		return
 	}
 	counts := map[string]map[string]int{}
 	for _, server := range c.listed {
-		if state, isKnown := c.states[server.Service]; server.IsReady && (!isKnown || state.InForce == "") {
+		if state, known := c.states[server.Service]; server.IsReady && (!known || state.InForce == "") {
 			if counts[server.Service] == nil {
 				counts[server.Service] = map[string]int{}
 			}
@@ -55,26 +55,27 @@
 	}
 }
 
-// publish lays the fleet as it is to be used, and tells every member that has
-// not confirmed it; while shares are granted, it renews them.
+// publish builds the fleet from the current server list and sends it to every member that
+// has not confirmed it. While the fleet holds grants, a new count renews them each
+// renewPeriod.
 func (c *coordinator) publish() {
 	if !c.holdsLease(c.term) {
 		return
 	}
 	now := c.clock.Steady()
 	c.laidOutAt = now
-	next := feed.Fleet{Term: c.term, Count: c.last.Count, Servers: slices.Clone(c.withoutLeaving()), Holder: c.self}
+	next := feed.Fleet{Term: c.term, Count: c.last.Count, Servers: slices.Clone(c.serversWithoutLeaving()), Holder: c.self}
 	if next.Servers == nil {
 		return
 	}
-	next.Proxies = c.proxies()
+	next.Proxies = c.proxyCount()
 	c.grade(&next)
 	next.Stages, next.Cutoffs, next.Mirrors = c.stages(), c.cutoffs(), c.mirrors()
-	isSame := c.last.Term == c.term && c.last.Proxies == next.Proxies && c.last.Holder == next.Holder &&
+	unchanged := c.last.Term == c.term && c.last.Proxies == next.Proxies && c.last.Holder == next.Holder &&
 		slices.Equal(c.last.Shares, next.Shares) && sameStages(c.last.Stages, next.Stages) && slices.Equal(c.last.Servers, next.Servers) &&
 		slices.Equal(c.last.Cutoffs, next.Cutoffs) && slices.Equal(c.last.Mirrors, next.Mirrors)
-	isRenewal := next.HoldsGrants() && time.Duration(now-c.toldAt) >= renewPeriod
-	if !isSame || isRenewal {
+	renewal := next.HoldsGrants() && time.Duration(now-c.toldAt) >= renewPeriod
+	if !unchanged || renewal {
 		next.Count++
 		c.last, c.toldAt = next, now
 		if c.published = append(c.published, next); len(c.published) > publishedKept {
@@ -86,19 +87,20 @@
 			}
 		}
 	}
-	c.tell(c.last)
+	c.sendFleet(c.last)
 }
 
-// withoutLeaving is the list with what this node's feed knows to leave: another
-// member may have read that after the list at hand.
-func (c *coordinator) withoutLeaving() (servers []feed.Server) {
+// serversWithoutLeaving is the server list, corrected by the draining servers that this
+// node's feed knows of: another member may have read the list later than this node.
+func (c *coordinator) serversWithoutLeaving() (servers []feed.Server) {
 	c.hub.Read(func(board *feed.Board) { servers = board.WithoutLeaving(c.listed) })
 	return servers
 }
 
-// proxies is how many share the servers' connections: those that report, which
-// in this term, and at its beginning by the last holder's word, were never fewer.
-func (c *coordinator) proxies() int {
+// proxyCount is the number of proxies that share the servers' connections: the larger of the
+// followers and the reporting proxies. Within a term the count never falls; at the start of
+// a term it is at least the last leader's count until proxiesSpan has passed.
+func (c *coordinator) proxyCount() int {
 	count := max(len(c.hub.Followers()), c.court.Proxies(proxiesSpan))
 	if c.last.Term == c.term || time.Duration(c.clock.Steady()-c.termAt) < proxiesSpan {
 		count = max(count, c.last.Proxies)
@@ -106,23 +108,23 @@
 	return count
 }
 
-// tell brings the reading to every member that has not confirmed it yet, as a
-// change where the member holds one that is still known; no member waits for
-// another.
-func (c *coordinator) tell(fleet feed.Fleet) {
+// sendFleet sends the fleet to every member that has not confirmed it yet: as a difference
+// if the member's last confirmed fleet is still kept, and complete otherwise. The members
+// are sent to concurrently.
+func (c *coordinator) sendFleet(fleet feed.Fleet) {
 	for _, member := range c.view().Members {
-		told, _ := c.memberReadings.Load(member)
-		at, isTold := told.(feed.Reading)
-		if isTold && !fleet.Reading().Outranks(at) {
+		value, _ := c.memberReadings.Load(member)
+		confirmed, known := value.(feed.Reading)
+		if known && !fleet.Reading().Outranks(confirmed) {
 			continue
 		}
-		if _, isOnWay := c.sendingReadings.LoadOrStore(member, true); isOnWay {
+		if _, sending := c.sendingReadings.LoadOrStore(member, true); sending {
 			continue
 		}
-		out := fleet
-		for _, old := range c.published {
-			if isTold && old.Reading() == at {
-				out = fleet.ChangeOf(old)
+		message := fleet
+		for _, previous := range c.published {
+			if known && previous.Reading() == confirmed {
+				message = fleet.ChangeOf(previous)
 			}
 		}
 		go func() {
@@ -131,11 +133,11 @@
 				return
 			}
 			var done messages.Done
-			switch err := c.call(member, messages.KindFleet, out, &done, callTimeout); {
+			switch err := c.call(member, messages.KindFleet, message, &done, callTimeout); {
 			case err == nil && done.OK:
 				c.memberReadings.Store(member, fleet.Reading())
 			case err == nil:
-				// What it holds is not what was thought: it gets the whole.
+				// The member does not have the assumed fleet; send the complete one next time.
 				c.memberReadings.Delete(member)
 			}
 		}()
--- a/internal/control/handlers.go
+++ b/internal/control/handlers.go
@@ -26,7 +26,7 @@
 		messages.KindPropose:      typedHandler(n.onPropose),
 		messages.KindOffer:        typedHandler(n.onOffer),
 		messages.KindMotion:       typedHandler(n.onMotion),
-		messages.KindBeat:         typedHandler(n.onBeat),
+		messages.KindBeat:         typedHandler(n.onHeartbeat),
 		messages.KindClaim:        typedHandler(n.onClaim),
 		messages.KindFleet:        typedHandler(n.onFleet),
 		messages.KindDump:         typedHandler(n.onDump),
--- /dev/null
+++ b/internal/control/leadership.go
@@ -0,0 +1,195 @@
+package control
+
+import (
+	"time"
+
+	"ploverhitch/internal/control/registry"
+	"ploverhitch/internal/feed"
+	"ploverhitch/internal/membership"
+	"ploverhitch/internal/messages"
+	"ploverhitch/internal/timetable"
+)
+
+const (
+	// heartbeatTargetCount is the number of members that receive this node's heartbeats.
+	heartbeatTargetCount = 2
+	claimRetryDelay      = 200 * time.Millisecond
+)
+
+// runInMemberLoop runs f in the membership loop and waits until it returns.
+func (n *node) runInMemberLoop(f func()) {
+	runAndWait(n.memberLoop, f)
+}
+
+// runAndWait runs f in the loop and waits until it returns.
+func runAndWait(loop *timetable.Loop[func()], f func()) {
+	done := make(chan struct{})
+	loop.Put(func() { f(); close(done) })
+	<-done
+}
+
+// runAll runs the functions of a batch in order.
+func runAll(batch []func()) {
+	for _, f := range batch {
+		f()
+	}
+}
+
+// heartbeat runs periodically in the membership loop. It sends a heartbeat to the members
+// that monitor this node, then checks whether leadership or the view has to change. Slow
+// work runs in other goroutines.
+func (n *node) heartbeat() {
+	var view membership.View
+	var term membership.Term
+	var index registry.Index
+	var trusted bool
+	directlySeen := n.livenessWatch.Direct()
+	var heldFleet feed.Reading
+	eligible := n.eligible.Load()
+	candidate := ""
+	n.store.enqueue(func(t *tables) []record {
+		view, term, index, trusted = t.view, t.term, t.registry.Index, t.trusted
+		heldFleet = t.fleet.Reading()
+		return nil
+	}, func() {
+		eligible = eligible && trusted && n.isReadyToLead(heldFleet)
+		beat := membership.Beat{From: n.self, View: view, Term: term, Index: uint64(index), Seen: directlySeen, IsFit: eligible}
+		fleet := n.fleet()
+		beat.FleetTerm, beat.FleetCount = fleet.Term, fleet.Count
+		for _, watcher := range membership.Watchers(view.Members, n.self, heartbeatTargetCount) {
+			n.connection(watcher).Send(messages.KindBeat, beat, nil)
+		}
+		n.memberLoop.Offer(func() {
+			if !view.Has(n.self) || !trusted {
+				n.stepDown()
+				return
+			}
+			candidate = n.livenessWatch.First(view, n.self, eligible)
+			n.updateLeadership(view, term, candidate)
+			if n.isLeader.Load() {
+				n.maintainView(view)
+			}
+		})
+	})
+}
+
+// updateLeadership renews the lease, steps down or claims leadership, depending on which
+// member is the candidate: the first live and eligible one in the agreed order.
+func (n *node) updateLeadership(view membership.View, term membership.Term, candidate string) {
+	switch {
+	case term.Holder == n.self && term.Number == n.ownTerm.Load() && candidate == n.self:
+		n.isLeader.Store(true)
+		go n.renewLease(view, term)
+	case candidate != n.self:
+		n.stepDown()
+	default:
+		n.isLeader.Store(false)
+		// After a start, a node waits until it could have received heartbeats of
+		// the members before it in the order. The first member has none to wait for.
+		if view.Members[0] != n.self && n.clock.Steady()-n.startedAt < timetable.Steady(n.settings.Load().Tuning.SilentAfter) {
+			return
+		}
+		go n.claimLeadership(view, membership.Term{Number: term.Number + 1, Holder: n.self})
+	}
+}
+
+// claimLeadership asks a majority to grant the leader lease and to reject all lower terms.
+func (n *node) claimLeadership(view membership.View, term membership.Term) {
+	if !n.claiming.CompareAndSwap(false, true) {
+		return
+	}
+	defer n.claiming.Store(false)
+	round := n.lease.startRound(term.Number, view, n.clock.Steady())
+	if !n.requestLease(view, messages.KindClaim, messages.Claim{Epoch: view.Epoch, Term: term}, round) {
+		n.clock.Sleep(claimRetryDelay)
+		return
+	}
+	n.ownTerm.Store(term.Number)
+	n.log("info", "this node is now the leader", "term", term.Number)
+	// Take over and announce the new term now rather than at the next heartbeat.
+	n.memberLoop.Offer(n.heartbeat)
+}
+
+// onHeartbeat records a heartbeat of a member and adopts its view and term if they are
+// newer. If the member's configuration is ahead, this node fetches the changes from it.
+func (n *node) onHeartbeat(beat membership.Beat, _ func(messages.Done)) {
+	n.memberLoop.Offer(func() { n.livenessWatch.Hear(beat) })
+	n.memberReadings.Store(beat.From, feed.Reading{Term: beat.FleetTerm, Count: beat.FleetCount})
+	behind := false
+	n.store.enqueue(func(t *tables) (out []record) {
+		behind = registry.Index(beat.Index) > t.registry.Index
+		if beat.View.Epoch > t.view.Epoch {
+			view := beat.View
+			r := record{View: &view}
+			t.apply(r)
+			out = append(out, r)
+			n.hub.Publish(feed.News{View: &view})
+		}
+		if beat.Term.Number > t.term.Number {
+			term := beat.Term
+			t.term = term
+			out = append(out, record{Term: &term})
+		}
+		return out
+	}, func() {
+		if behind {
+			go n.configReplicator.catchUpFrom(beat.From)
+		}
+	})
+}
+
+// maintainView replaces a member that has been silent for longer than ReplaceAfter with a
+// node that asks to join, or adds the node while there are fewer members than the fault
+// tolerance requires. Without such a node, the view stays.
+func (n *node) maintainView(view membership.View) {
+	current, now := n.settings.Load(), n.clock.Steady()
+	replacement := ""
+	for address, lastSeen := range n.joining {
+		recent := time.Duration(now-lastSeen) < current.Tuning.SilentAfter.Std()
+		if recent && !view.Has(address) && (replacement == "" || address < replacement) {
+			replacement = address
+		}
+	}
+	if replacement == "" {
+		return
+	}
+	lost, longestSilence := "", current.Tuning.ReplaceAfter.Std()
+	for _, member := range view.Members {
+		silence := n.livenessWatch.Silence(member, n.startedAt)
+		if member != n.self && silence > longestSilence {
+			lost, longestSilence = member, silence
+		}
+	}
+	if lost == "" && len(view.Members) >= 2*current.Platform.FaultTolerance.Machines+1 {
+		return
+	}
+	go n.changeView(view, view.Swap(lost, replacement))
+}
+
+// changeView proposes a new view to the members of the present one, one proposal at a time.
+func (n *node) changeView(view, proposed membership.View) {
+	if !n.proposingView.CompareAndSwap(false, true) {
+		return
+	}
+	defer n.proposingView.Store(false)
+	number := membership.Number{Round: n.viewRound.Add(1), Node: n.proposerID}
+	ask := func(motion membership.Motion) []membership.Response { return n.requestViewChange(view, motion) }
+	decided, highest, ok := membership.Propose(view, proposed, number, ask)
+	n.viewRound.Store(max(n.viewRound.Load(), highest.Round))
+	if ok {
+		n.log("warn", "view changed", "epoch", decided.Epoch, "members", decided.Members)
+		n.adoptView(decided)
+	}
+}
+
+// requestViewChange sends a proposal for the next view to all members.
+func (n *node) requestViewChange(view membership.View, motion membership.Motion) []membership.Response {
+	return callRound(n, view, messages.KindMotion, motion, n.clock.Steady(),
+		func(response *membership.Response) *bool { return &response.OK },
+		func(response membership.Response) bool { return motion.Number.Below(response.Promised) })
+}
+
+// onJoin records a node that asks to become a member.
+func (n *node) onJoin(in messages.Join, _ func(messages.Done)) {
+	n.memberLoop.Offer(func() { n.joining[in.Address] = n.clock.Steady() })
+}
--- a/internal/control/leave.go
+++ b/internal/control/leave.go
@@ -9,42 +9,42 @@
 )
 
 const (
-	// leaveSpan is how long a member that is told to end waits for the others to
-	// copy what they lack of it.
-	leaveSpan = 1500 * time.Millisecond
-	// handOverLongest is how long one of them may take.
-	handOverLongest = time.Second
+	// leaveTimeout is how long a member that shuts down waits for the others to copy the
+	// outcomes that they lack.
+	leaveTimeout = 1500 * time.Millisecond
+	// leaveCallTimeout is the timeout of the call to one member.
+	leaveCallTimeout = time.Second
 )
 
-// leave is what a member does before it ends in order, once it has given the duty
-// away: it has the others copy the outcomes that they lack, so that it is the only
-// holder of none. Whether it comes back, nobody tells it.
+// leave runs on an orderly shutdown, after the node has given up leadership. It makes the
+// other members copy the outcomes that they lack, so that no outcome is stored only here: a
+// node that shuts down cannot know whether it will be started again.
 func (n *node) leave() {
 	view := n.view()
 	if !view.Has(n.self) {
 		return
 	}
-	var all sync.WaitGroup
+	var calls sync.WaitGroup
 	for _, member := range view.Others(n.self) {
-		all.Go(func() {
-			var done messages.Done
-			err := n.connection(member).Ask(messages.KindLeave, messages.Leave{Epoch: view.Epoch, Address: n.self}, &done, handOverLongest)
-			if err != nil || !done.OK {
-				n.log("info", "leaving, and a member has not copied what it lacks", "member", member, "error", err)
+		calls.Go(func() {
+			var reply messages.Done
+			err := n.connection(member).Ask(messages.KindLeave, messages.Leave{Epoch: view.Epoch, Address: n.self}, &reply, leaveCallTimeout)
+			if err != nil || !reply.OK {
+				n.log("info", "shutting down; a member has not copied the missing outcomes", "member", member, "error", err)
 			}
 		})
 	}
-	ended := make(chan struct{})
-	go func() { all.Wait(); close(ended) }()
-	alarm := time.NewTimer(leaveSpan)
-	defer alarm.Stop()
+	done := make(chan struct{})
+	go func() { calls.Wait(); close(done) }()
+	timer := time.NewTimer(leaveTimeout)
+	defer timer.Stop()
 	select {
-	case <-ended:
-	case <-alarm.C:
+	case <-done:
+	case <-timer.C:
 	}
 }
 
-// onLeave copies what this member lacks of one that is about to end.
+// onLeave copies the outcomes that this node lacks from a member that shuts down.
 func (n *node) onLeave(in messages.Leave, answer func(messages.Done)) {
 	go func() {
 		_, err := n.copyIntents(in.Address, in.Epoch, copyMode{scope: idempotency.CompletedIntents})
--- a/internal/control/list_zones_test.go
+++ b/internal/control/list_zones_test.go
@@ -17,15 +17,15 @@
 	"ploverhitch/internal/timetable"
 )
 
-var _ = Describe("a reading of the list by zone", func() {
+var _ = Describe("a read of the server list by zone", func() {
 	const pages = 2
-	names := []string{"a", "b", "c"}
-	// zoned serves a list of some pages a zone, one server each; act may answer a call
-	// otherwise.
-	zoned := func(act func(zone string, w http.ResponseWriter, r *http.Request) (isDone bool)) *listReader {
+	zoneNames := []string{"a", "b", "c"}
+	// platform serves a list of several pages per zone with one server each. handle may
+	// respond to a call instead.
+	platform := func(handle func(zone string, w http.ResponseWriter, r *http.Request) (isDone bool)) *listReader {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			zone := r.URL.Query().Get("Zone")
-			if act(zone, w, r) {
+			if handle(zone, w, r) {
 				return
 			}
 			page, next := 0, "null"
@@ -37,7 +37,7 @@
 		}))
 		DeferCleanup(server.Close)
 		reader := newListReader(timetable.Real(), func() string { return strings.TrimPrefix(server.URL, "http://") })
-		reader.zones = func() ([]string, int) { return names, pages * len(names) }
+		reader.zones = func() ([]string, int) { return zoneNames, pages * len(zoneNames) }
 		return reader
 	}
 	ids := func(servers []feed.Server) (out []string) {
@@ -48,9 +48,9 @@
 	}
 	all := []string{"a-0", "a-1", "b-0", "b-1", "c-0", "c-1"}
 
-	It("reads the zones side by side, the pages of each in their order", func() {
+	It("reads the zones concurrently and the pages of each zone in sequence", func() {
 		var calls atomic.Int64
-		reader := zoned(func(string, http.ResponseWriter, *http.Request) bool {
+		reader := platform(func(string, http.ResponseWriter, *http.Request) bool {
 			calls.Add(1)
 			time.Sleep(50 * time.Millisecond)
 			return false
@@ -58,16 +58,16 @@
 		began := time.Now()
 		read, err := reader.read(context.Background())
 		Expect(err).NotTo(HaveOccurred())
-		Expect(time.Since(began)).To(BeNumerically("<", 200*time.Millisecond), "one after the other takes 300 ms")
+		Expect(time.Since(began)).To(BeNumerically("<", 200*time.Millisecond), "reading the zones in sequence takes 300 ms")
 		Expect(ids(read.servers)).To(Equal(all))
-		Expect(read.calls).To(Equal(pages * len(names)))
-		Expect(calls.Load()).To(BeEquivalentTo(pages * len(names)))
+		Expect(read.calls).To(Equal(pages * len(zoneNames)))
+		Expect(calls.Load()).To(BeEquivalentTo(pages * len(zoneNames)))
 	})
 
-	It("tells the pages of the others while one zone's hang, and asks only for those again", func() {
+	It("passes on the pages of other zones while one zone hangs, and rereads only that zone", func() {
 		var isHanging atomic.Bool
 		isHanging.Store(true)
-		reader := zoned(func(zone string, _ http.ResponseWriter, r *http.Request) bool {
+		reader := platform(func(zone string, _ http.ResponseWriter, r *http.Request) bool {
 			if zone == "b" && isHanging.Load() {
 				<-r.Context().Done()
 				return true
@@ -75,15 +75,15 @@
 			return false
 		})
 		var lock sync.Mutex
-		var shown []string
+		var received []string
 		reader.onPage = func(servers []feed.Server) {
 			lock.Lock()
 			defer lock.Unlock()
-			shown = append(shown, ids(servers)...)
+			received = append(received, ids(servers)...)
 		}
 		_, err := reader.read(context.Background())
 		Expect(err).To(HaveOccurred())
-		Expect(shown).To(ConsistOf("a-0", "a-1", "c-0", "c-1"))
+		Expect(received).To(ConsistOf("a-0", "a-1", "c-0", "c-1"))
 		isHanging.Store(false)
 		read, err := reader.read(context.Background())
 		Expect(err).NotTo(HaveOccurred())
@@ -91,8 +91,8 @@
 		Expect(ids(read.servers)).To(Equal(all))
 	})
 
-	It("reads all as one where the platform does not know the zones by their names", func() {
-		reader := zoned(func(zone string, w http.ResponseWriter, _ *http.Request) bool {
+	It("reads all zones as one if the platform does not know the zone names", func() {
+		reader := platform(func(zone string, w http.ResponseWriter, _ *http.Request) bool {
 			if zone != "" {
 				_, _ = fmt.Fprint(w, `{"Instances":[],"NextToken":null}`)
 			}
@@ -105,19 +105,19 @@
 		Expect(ids(read.servers)).To(Equal([]string{"-0", "-1"}))
 	})
 
-	It("is made where the zones are large, of the zones in the settings and of those that servers show", func() {
-		settled := map[string]string{"a": "r", "b": "r"}
+	It("is used if the zones are large, for the zones in the settings and those of the known servers", func() {
+		configured := map[string]string{"a": "r", "b": "r"}
 		var servers []feed.Server
-		for range 2*zonedLeast - 1 {
+		for range 2*minServersPerZone - 1 {
 			servers = append(servers, feed.Server{Cell: "a"})
 		}
-		Expect(zonesOf(settled, servers)).To(BeEmpty())
+		Expect(zonesOf(configured, servers)).To(BeEmpty())
 		servers = append(servers, feed.Server{Cell: "a"})
-		Expect(zonesOf(settled, servers)).To(Equal([]string{"a", "b"}))
-		for range zonedLeast {
+		Expect(zonesOf(configured, servers)).To(Equal([]string{"a", "b"}))
+		for range minServersPerZone {
 			servers = append(servers, feed.Server{Cell: "c"})
 		}
-		Expect(zonesOf(settled, servers)).To(Equal([]string{"a", "b", "c"}))
-		Expect(zonesOf(map[string]string{"a": "r"}, servers[:2*zonedLeast])).To(BeEmpty(), "one zone is all")
+		Expect(zonesOf(configured, servers)).To(Equal([]string{"a", "b", "c"}))
+		Expect(zonesOf(map[string]string{"a": "r"}, servers[:2*minServersPerZone])).To(BeEmpty(), "a single zone needs no read by zone")
 	})
 })
--- a/internal/control/modify.go
+++ b/internal/control/modify.go
@@ -58,7 +58,7 @@
 	view, leader, canVote := membership.View{}, "", false
 	n.store.read(func(t *tables) { view, leader, canVote = t.view, t.term.Holder, n.canVote(t, t.view.Epoch) })
 	leaderLive := false
-	n.inMemberLoop(func() { leaderLive = n.livenessWatch.IsLive(leader) })
+	n.runInMemberLoop(func() { leaderLive = n.livenessWatch.IsLive(leader) })
 	if leader != n.self && view.Has(leader) && (leaderLive || !canVote) {
 		members = append(members, leader)
 	}
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -52,8 +52,8 @@
 	// ownTerm is the term that this run of the process claimed.
 	ownTerm       atomic.Uint64
 	claiming      atomic.Bool
-	lease         *dutyLease
-	contact       contact
+	lease         *leaderLease
+	contact     quorumContact
 	proposingView atomic.Bool
 	// takingOffer ensures that offers of several agents are handled one at a time.
 	takingOffer atomic.Bool
@@ -61,7 +61,7 @@
 	// trialStarts holds the start time of each trial.
 	trialStarts sync.Map
 	coordinator *coordinator
-	listWatch   *listWatch
+	listWatch   *listTracker
 	// memberReadings holds the fleet reading that each member is known to have.
 	memberReadings sync.Map
 	// sendingReadings marks the members to which a reading is being sent.
@@ -91,8 +91,8 @@
 	n.proposerID = newProposerID(n.self)
 	n.startedAt = n.clock.Steady()
 	n.livenessWatch = membership.NewWatch(n.clock, set.Tuning.SilentAfter.Std())
-	n.lease = newDutyLease(leaseSpan(set.Tuning))
-	n.listWatch = newListWatch(n.startedAt)
+	n.lease = newLeaderLease(leaseDuration(set.Tuning))
+	n.listWatch = newListTracker(n.startedAt)
 	if err := n.openDisk(set); err != nil {
 		return err
 	}
@@ -112,8 +112,8 @@
 	go n.store.run(ctx)
 	n.publishState()
 	go rpc.Serve(internalListener, n.callHandlers, silenceTimeout)
-	go timetable.Every(ctx, set.Tuning.Beat.Std()/touchesPerBeat, n.touch)
-	go n.memberLoop.Run(ctx, actAll, set.Tuning.Beat.Std(), n.beat)
+	go timetable.Every(ctx, set.Tuning.Beat.Std()/contactChecksPerHeartbeat, n.refreshQuorumContact)
+	go n.memberLoop.Run(ctx, runAll, set.Tuning.Beat.Std(), n.heartbeat)
 	go n.recoverState(ctx)
 	go n.configReplicator.run(ctx)
 	go n.replicateIntents(ctx)
@@ -122,7 +122,7 @@
 	server := &http.Server{Handler: n.operatorHandler(), ReadHeaderTimeout: 5 * time.Second, IdleTimeout: 30 * time.Second}
 	go func() {
 		<-stopping
-		n.handOver()
+		n.releaseOnShutdown()
 		n.leave()
 		cancel()
 		_ = server.Close()
@@ -149,7 +149,7 @@
 		return errors.Annotate(err, "cannot open the data folder")
 	}
 	n.store.self = n.self
-	n.store.tables.grantor = lease.NewGrantor(leaseSpan(t))
+	n.store.tables.grantor = lease.NewGrantor(leaseDuration(t))
 	if newSystem := p.Bootstrap && n.store.tables.empty; !newSystem {
 		n.store.tables.grantor.Wait(n.clock.Steady())
 	}
--- a/internal/control/reading.go
+++ b/internal/control/read_config.go
@@ -12,26 +12,27 @@
 	"ploverhitch/internal/messages"
 )
 
-// readAttempts is how often a reading is tried again while the view or the set
-// move under it.
+// readAttempts is the maximum number of attempts to read the configuration while the view or
+// the configuration changes concurrently.
 const readAttempts = 3
 
-// read returns the configuration as a majority of the view holds it: this node
-// has every change that was acknowledged before the call.
-func (n *node) read() (book config.Book, err error) {
+// readConfig is a linearizable read of the configuration: the result has every change that
+// was acknowledged before the call, as confirmed by a majority of the view.
+func (n *node) readConfig() (book config.Book, err error) {
 	for range readAttempts {
-		if book, err = n.readOnce(); err == nil {
+		if book, err = n.readConfigOnce(); err == nil {
 			return book, nil
 		}
 	}
 	return nil, err
 }
 
-func (n *node) readOnce() (config.Book, error) {
+// readConfigOnce makes one attempt at a linearizable read.
+func (n *node) readConfigOnce() (config.Book, error) {
 	view, count := n.view(), 0
-	highest, furthest := registry.State{}, ""
+	highest, source := registry.State{}, ""
 	var newer *membership.View
-	isUndecided := false
+	undecided := false
 	callAll(n, view.Members, messages.KindState, messages.State{Epoch: view.Epoch}, callTimeout, func(member string, state registry.State) bool {
 		if state.View != nil && (newer == nil || state.View.Epoch > newer.Epoch) {
 			newer = state.View
@@ -39,10 +40,10 @@
 		if !state.OK {
 			return false
 		}
-		if count++; furthest == "" || state.Index > highest.Index {
-			highest, furthest, isUndecided = state, member, false
+		if count++; source == "" || state.Index > highest.Index {
+			highest, source, undecided = state, member, false
 		}
-		isUndecided = isUndecided || state.Index == highest.Index && state.Acceptor.Change != nil
+		undecided = undecided || state.Index == highest.Index && state.Acceptor.Change != nil
 		return count >= view.Majority()
 	})
 	if newer != nil {
@@ -51,19 +52,21 @@
 	if count < view.Majority() || count == 0 {
 		return nil, apierror.New(apierror.Gone, "reading the configuration")
 	}
-	if isUndecided {
-		// What some have accepted may be decided and acknowledged already.
+	if undecided {
+		// A change that some members have accepted may already be decided and
+		// acknowledged; complete it before reading.
 		index, err := n.commit(nil)
 		if err != nil {
 			return nil, err
 		}
 		highest.Index = max(highest.Index, index)
 	}
-	return n.bookAt(highest.Index, furthest)
+	return n.bookAt(highest.Index, source)
 }
 
-// bookAt is a copy of the set once this node has reached the index; the member
-// asked first may be behind where the change was decided meanwhile.
+// bookAt returns a copy of the configuration once this node has reached the index. It
+// fetches missing changes from the given member first, then from the others: the first may
+// lack a change that was decided during the read.
 func (n *node) bookAt(index registry.Index, member string) (book config.Book, err error) {
 	sources := append([]string{member}, n.view().Members...)
 	for _, source := range sources {
@@ -76,28 +79,28 @@
 			err = n.catchUp(source)
 		}
 	}
-	return nil, apierror.New(apierror.Gone, fmt.Sprintf("reading change %d of the configuration: %v", index, err))
+	return nil, apierror.New(apierror.Gone, fmt.Sprintf("reading the configuration at index %d: %v", index, err))
 }
 
-// rebuild makes this replica whole after its memory was lost or grew old: it has
-// every change that a majority decided, and knows what a majority promised or
-// accepted for the next.
+// rebuild restores this replica after its state was lost or became outdated. Afterwards it
+// has every change that a majority decided, and knows what a majority promised or accepted
+// for the next one.
 func (r *configReplicator) rebuild(view membership.View) bool {
 	n := r.node
 	var states []registry.State
 	var sources []string
-	whole := 0
+	complete := 0
 	callAll(n, view.Members, messages.KindState, messages.State{Epoch: view.Epoch}, callTimeout, func(member string, state registry.State) bool {
 		if member == n.self || !state.OK && !state.IsRebuilding {
 			return false
 		}
 		if states, sources = append(states, state), append(sources, member); state.OK {
-			whole++
+			complete++
 		}
 		return false
 	})
-	// Where all others have been read, nobody is left who could know more.
-	if isAll := len(states) == len(view.Members)-1; whole < view.ReadSet() && !isAll {
+	// If all other members have answered, no member is left that could know more.
+	if allAnswered := len(states) == len(view.Members)-1; complete < view.ReadSet() && !allAnswered {
 		return false
 	}
 	for _, member := range sources {
@@ -105,13 +108,13 @@
 			return false
 		}
 	}
-	isRebuilt := false
+	rebuilt := false
 	n.store.persist(func(t *tables) []record {
 		if t.view.Epoch != view.Epoch {
 			return nil
 		}
-		isRebuilt = t.registry.Rebuilt(states, rand.Uint64())
-		return durableRecord(t, isRebuilt)
+		rebuilt = t.registry.Rebuilt(states, rand.Uint64())
+		return durableRecord(t, rebuilt)
 	}, 5*time.Second)
-	return isRebuilt
+	return rebuilt
 }
--- a/internal/control/recovery.go
+++ b/internal/control/recovery.go
@@ -68,7 +68,7 @@
 		}
 		r := record{Trusted: &trusted}
 		t.apply(r)
-		n.awaitPromises(t)
+		n.waitForEarlierPromises(t)
 		return []record{r}
 	}, 5*time.Second)
 }
--- a/internal/control/round_transport.go
+++ b/internal/control/round_transport.go
@@ -121,7 +121,7 @@
 	}
 	go func() {
 		defer n.takingOffer.Store(false)
-		book, err := n.read()
+		book, err := n.readConfig()
 		if err != nil {
 			return
 		}
--- a/internal/control/round_transport_test.go
+++ b/internal/control/round_transport_test.go
@@ -28,7 +28,7 @@
 
 	BeforeEach(func() {
 		view = membership.View{Epoch: 1, Members: []string{"a", unresponsiveMember(), unresponsiveMember()}}
-		n = newMember(&timetable.Hand{Now: time.Hour}, view)
+		n = newTestMember(&timetable.Hand{Now: time.Hour}, view)
 	})
 
 	// withoutWaiting checks that run doesn't wait for the unresponsive members.
@@ -74,7 +74,7 @@
 	It("fails immediately on a higher ballot for a new view as well", func() {
 		n.store.read(func(t *tables) { _, _ = t.acceptor.On(t.view, membership.Motion{Epoch: 1, Number: high}) })
 		withoutWaiting(func() {
-			responses := n.askMotion(view, membership.Motion{Epoch: 1, Number: low})
+			responses := n.requestViewChange(view, membership.Motion{Epoch: 1, Number: low})
 			Expect(responses).To(HaveLen(1))
 			Expect(responses[0].Promised).To(Equal(high))
 		})
