--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -53,7 +53,7 @@
 	ownTerm       atomic.Uint64
 	claiming      atomic.Bool
 	lease         *leaderLease
-	contact     quorumContact
+	contact       quorumContact
 	proposingView atomic.Bool
 	// takingOffer ensures that offers of several agents are handled one at a time.
 	takingOffer atomic.Bool
--- a/internal/proxy/idempotency.go
+++ b/internal/proxy/idempotency.go
@@ -34,8 +34,8 @@
 	idempotency.Replayable:      (*keyedAttempt).replay,
 	idempotency.InProgress:      (*keyedAttempt).awaitOutcome,
 	idempotency.RequestMismatch: rejectWith(apierror.Conflict),
-	idempotency.LimitExceeded:     rejectWith(apierror.OverLimit),
-	idempotency.NoMajority:  rejectWith(apierror.NoQuorum),
+	idempotency.LimitExceeded:   rejectWith(apierror.OverLimit),
+	idempotency.NoMajority:      rejectWith(apierror.NoQuorum),
 	idempotency.Overloaded:      (*keyedAttempt).rejectOverload,
 }
 
