--- a/internal/control/call.go
+++ b/internal/control/call.go
@@ -115,7 +115,7 @@
 func (n *node) callLeader(kind rpc.Kind, command any) error {
 	leader := n.leader()
 	var result messages.Ordered
-	if leader == "" || n.call(leader, kind, command, &result, orderSpan) != nil {
+	if leader == "" || n.call(leader, kind, command, &result, commandTimeout) != nil {
 		return apierror.New(apierror.Gone, "the leader does not answer")
 	}
 	return resultError(result)
--- a/internal/control/coordinator.go
+++ b/internal/control/coordinator.go
@@ -18,88 +18,88 @@
 // hears the proxies' reports, and drives the trials. Its loop owns its tables.
 type coordinator struct {
 	*node
-	loop  *timetable.Loop[func()]
-	court *outlier.Court
+	loop     *timetable.Loop[func()]
+	detector *outlier.Court
 	// term is the one for which states were read; 0 while the duty is not here.
-	term   uint64
-	states map[string]trial.State
-	drives map[string]*drive
+	term     uint64
+	states   map[string]trial.State
+	progress map[string]*rolloutProgress
 	// written counts this term's writings; no two share a number.
-	written uint64
-	listed  []feed.Server
-	last    feed.Fleet
-	toldAt  timetable.Steady
+	writeCount    uint64
+	listedServers []feed.Server
+	lastFleet     feed.Fleet
+	lastCountAt   timetable.Steady
 	// published are the last readings, for telling what has changed since them.
-	published []feed.Fleet
+	recentFleets []feed.Fleet
 	// paces are the servers' as last told, and when; termAt is when the term
 	// began here.
-	paces   map[string]int
-	pacedAt timetable.Steady
-	termAt  timetable.Steady
+	relativeLatencies map[string]int
+	latenciesReadAt   timetable.Steady
+	termStartedAt     timetable.Steady
 	// laidOutAt is when the fleet was laid out last.
-	laidOutAt timetable.Steady
+	fleetBuiltAt timetable.Steady
 	// cells are where the proxies are; tree is the sites, of the book with the
 	// digest treeOf; office gives out their room under officeTerm.
-	cells      map[string]string
-	tree       *branchline.Tree
-	treeOf     string
-	office     *branchline.Office
-	officeTerm uint64
-	laid       feed.Reading
-	laidAt     timetable.Steady
+	proxyZones       map[string]string
+	siteTree         *branchline.Tree
+	siteTreeDigest   string
+	allocator        *branchline.Office
+	allocatorTerm    uint64
+	allocatedReading feed.Reading
+	allocatedAt      timetable.Steady
 	// gauge measures the load and decides on cutoffs; copying are the mirrors in
 	// force, of which eras have begun.
-	gauge   *shedding.Gauge
-	copying map[string]*copying
-	eras    uint64
+	loadGauge     *shedding.Gauge
+	activeMirrors map[string]*activeMirror
+	eraCount      uint64
 	// repeats are the orders that came again, by their subject.
-	repeats map[string]repeat
+	repeatedCommands map[string]repeatedCommand
 }
 
 // drive is what the holder alone knows of an active trial.
-type drive struct {
-	number  uint64
-	phase   trial.Phase
-	wave    int
-	phaseAt timetable.Steady
+type rolloutProgress struct {
+	number         uint64
+	phase          trial.Phase
+	wave           int
+	phaseStartedAt timetable.Steady
 	// full is the first reading in which the new version had everything.
-	full    feed.Reading
-	finding outlier.Finding
+	fullShareReading feed.Reading
+	finding          outlier.Finding
 	// doubled is how many keys with two runs were known here as the drive began: what
 	// this node counted in an earlier term says nothing of the trial.
-	doubled int
+	knownDuplicates int
 }
 
 const (
-	conductPeriod = 100 * time.Millisecond
-	renewPeriod   = 300 * time.Millisecond
+	coordinationInterval = 100 * time.Millisecond
+	grantRenewalInterval = 300 * time.Millisecond
 	// publishPeriod is how often the fleet is laid out anew with nothing granted.
-	publishPeriod = 300 * time.Millisecond
+	publishInterval = 300 * time.Millisecond
 	// pacePeriod is how often new paces are told: each telling costs every proxy
 	// a little, and they come from as many servers as there are.
-	pacePeriod = time.Second
+	latencyPublishInterval = time.Second
 	// publishedKept is how many readings are kept for telling changes.
-	publishedKept = 6
+	maxRecentFleets = 6
 	// proxiesSpan is how long a proxy counts after its last report.
-	proxiesSpan = 5 * time.Second
+	proxyReportMaxAge = 5 * time.Second
 )
 
 func newCoordinator(n *node) *coordinator {
 	return &coordinator{
-		node: n, loop: timetable.NewLoop[func()](1024), court: outlier.NewCourt(n.clock),
-		states: map[string]trial.State{}, drives: map[string]*drive{}, cells: map[string]string{},
-		copying: map[string]*copying{}, gauge: shedding.NewGauge(n.clock, rand.Uint64), repeats: map[string]repeat{},
+		node: n, loop: timetable.NewLoop[func()](1024), detector: outlier.NewCourt(n.clock),
+		states: map[string]trial.State{}, progress: map[string]*rolloutProgress{}, proxyZones: map[string]string{},
+		activeMirrors: map[string]*activeMirror{}, loadGauge: shedding.NewGauge(n.clock, rand.Uint64), repeatedCommands: map[string]repeatedCommand{},
 	}
 }
 
 func (c *coordinator) run(ctx context.Context) {
-	c.loop.Run(ctx, runAll, conductPeriod, c.conduct)
+	c.loop.Run(ctx, runAll, coordinationInterval, c.coordinate)
 }
 
 // conduct is the alarm.
-func (c *coordinator) conduct() {
-	c.court.Tend()
-	if !c.isMaster() {
+func (c *coordinator) coordinate() {
+	c.detector.Tend()
+	if !c.ensureLeading() {
 		return
 	}
 	for _, state := range c.states {
@@ -109,26 +109,26 @@
 			return
 		case !state.Phase.IsActive():
 		case state.IsStaged():
-			c.driveStage(state)
+			c.advanceStagedChange(state)
 		default:
-			c.drive(state)
+			c.advanceRollout(state)
 		}
 	}
-	isChanged, now := c.measure(), c.clock.Steady()
+	cutoffsChanged, now := c.updateCutoffs(), c.clock.Steady()
 	switch {
-	case isChanged, c.last.HoldsGrants(), time.Duration(now-c.laidOutAt) >= publishPeriod:
+	case cutoffsChanged, c.lastFleet.HoldsGrants(), time.Duration(now-c.fleetBuiltAt) >= publishInterval:
 		c.publish()
-	case c.last.Term == c.term:
-		c.sendFleet(c.last)
+	case c.lastFleet.Term == c.term:
+		c.sendFleet(c.lastFleet)
 	}
-	c.layTree()
+	c.updateAllocation()
 }
 
 // isMaster tells whether this node holds the duty by a lease that is valid now, and
 // has read, under its term, what a majority keeps. What is known of the term stays
 // while the lease is interrupted: if it becomes valid again under the same term,
 // nobody else held the duty meanwhile.
-func (c *coordinator) isMaster() bool {
+func (c *coordinator) ensureLeading() bool {
 	term := c.ownTerm.Load()
 	if !c.isLeader.Load() || term == 0 {
 		c.term = 0
@@ -140,39 +140,39 @@
 	if c.term == term {
 		return true
 	}
-	states, _, fence, err := c.gatherTrials()
-	if err != nil || fence > term {
+	states, _, highestTerm, err := c.collectRollouts()
+	if err != nil || highestTerm > term {
 		return false
 	}
 	// Every trial is written again under this term, so that whatever an older
 	// holder left on a few members can no longer come to light.
 	for subject, state := range states {
-		c.written = max(c.written, state.Count)
+		c.writeCount = max(c.writeCount, state.Count)
 		state.Term = term
 		states[subject] = state
-		if c.writeTrial(state) != nil {
+		if c.writeRollout(state) != nil {
 			return false
 		}
 	}
-	c.term, c.states, c.drives, c.termAt = term, states, map[string]*drive{}, c.clock.Steady()
-	clear(c.copying)
-	c.takeGauge()
-	var held feed.Fleet
-	c.store.read(func(t *tables) { held = t.fleet })
+	c.term, c.states, c.progress, c.termStartedAt = term, states, map[string]*rolloutProgress{}, c.clock.Steady()
+	clear(c.activeMirrors)
+	c.resetLoadGauge()
+	var fleet feed.Fleet
+	c.store.read(func(t *tables) { fleet = t.fleet })
 	// An earlier term's own reading is older than what the holders since then read.
-	c.last, c.listed = held, held.Servers
+	c.lastFleet, c.listedServers = fleet, fleet.Servers
 	return c.holdsLease(term)
 }
 
 // write keeps the next state of a subject on a majority, and only then goes by
 // it.
-func (c *coordinator) write(state trial.State) error {
+func (c *coordinator) commitState(state trial.State) error {
 	if !c.holdsLease(c.term) {
 		return apierror.New(apierror.Gone, "the lease has ended")
 	}
-	c.written++
-	state.Term, state.Count = c.term, c.written
-	if err := c.writeTrial(state); err != nil {
+	c.writeCount++
+	state.Term, state.Count = c.term, c.writeCount
+	if err := c.writeRollout(state); err != nil {
 		return err
 	}
 	c.states[state.Subject] = state
@@ -180,51 +180,51 @@
 }
 
 // drive takes one step of a trial, where the facts come to one.
-func (c *coordinator) drive(state trial.State) {
-	d := c.driveOf(state)
-	facts := c.facts(state, d)
-	d.finding = facts.Finding
+func (c *coordinator) advanceRollout(state trial.State) {
+	progress := c.progressOf(state)
+	facts := c.facts(state, progress)
+	progress.finding = facts.Finding
 	event, reason := state.Next(facts)
 	if event == trial.None {
 		return
 	}
-	next, isDone := state.Step(event, reason, facts.Elapsed)
-	if !isDone {
+	next, permitted := state.Step(event, reason, facts.Elapsed)
+	if !permitted {
 		return
 	}
-	if err := c.write(next); err != nil {
+	if err := c.commitState(next); err != nil {
 		return
 	}
 	c.log("warn", "trial", "subject", state.Subject, "phase", next.Phase, "target", next.Target, "elapsed", facts.Elapsed, "reason", reason)
-	c.driveOf(next)
+	c.progressOf(next)
 }
 
 // driveOf is what is known of the trial in its present phase and wave.
-func (c *coordinator) driveOf(state trial.State) *drive {
-	d := c.drives[state.Subject]
-	if d != nil && d.number == state.Number && d.phase == state.Phase && d.wave == state.Wave {
-		return d
-	}
-	next := &drive{number: state.Number, phase: state.Phase, wave: state.Wave, phaseAt: c.clock.Steady()}
-	if d != nil && d.number == state.Number {
-		next.full, next.finding, next.doubled = d.full, d.finding, d.doubled
+func (c *coordinator) progressOf(state trial.State) *rolloutProgress {
+	previous := c.progress[state.Subject]
+	if previous != nil && previous.number == state.Number && previous.phase == state.Phase && previous.wave == state.Wave {
+		return previous
+	}
+	next := &rolloutProgress{number: state.Number, phase: state.Phase, wave: state.Wave, phaseStartedAt: c.clock.Steady()}
+	if previous != nil && previous.number == state.Number {
+		next.fullShareReading, next.finding, next.knownDuplicates = previous.fullShareReading, previous.finding, previous.knownDuplicates
 	} else {
-		c.store.read(func(t *tables) { next.doubled = t.voter.DuplicateExecutions() })
+		c.store.read(func(t *tables) { next.knownDuplicates = t.voter.DuplicateExecutions() })
 	}
-	c.drives[state.Subject] = next
+	c.progress[state.Subject] = next
 	return next
 }
 
-func (c *coordinator) facts(state trial.State, d *drive) trial.Facts {
+func (c *coordinator) facts(state trial.State, progress *rolloutProgress) trial.Facts {
 	now := c.clock.Steady()
 	facts := trial.Facts{
-		Elapsed: time.Duration(now - c.beganAt(state)), InPhase: time.Duration(now - d.phaseAt),
-		Finding: c.court.Hearing(state.Subject, state.Number, 0),
+		Elapsed: time.Duration(now - c.rolloutStartedAt(state)), InPhase: time.Duration(now - progress.phaseStartedAt),
+		Finding: c.detector.Hearing(state.Subject, state.Number, 0),
 	}
-	old, fresh := sides(c.listed, state)
-	facts.Ready, facts.Old = capacity(c.listed, fresh), capacity(c.listed, old)
-	facts.Touch = c.court.Touch(state.Subject, d.full)
-	if d.full.Term == 0 {
+	current, target := splitByVersion(c.listedServers, state)
+	facts.Ready, facts.Old = totalCapacity(c.listedServers, target), totalCapacity(c.listedServers, current)
+	facts.Touch = c.detector.Touch(state.Subject, progress.fullShareReading)
+	if progress.fullShareReading.Term == 0 {
 		facts.Touch.Behind = max(1, facts.Touch.Behind)
 	}
 	return facts
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -10,15 +10,15 @@
 
 // updateServers processes a complete read of the platform's server list.
 func (c *coordinator) updateServers(servers []feed.Server) {
-	if !c.isMaster() {
+	if !c.ensureLeading() {
 		return
 	}
-	c.listed = feed.Settle(c.listed, servers)
+	c.listedServers = feed.Settle(c.listedServers, servers)
 	known := map[string]bool{}
-	for _, server := range c.listed {
+	for _, server := range c.listedServers {
 		known[server.ID] = true
 	}
-	c.court.Keep(func(id string) bool { return known[id] })
+	c.detector.Keep(func(id string) bool { return known[id] })
 	c.initializeVersions()
 	c.publish()
 }
@@ -32,7 +32,7 @@
 		return
 	}
 	counts := map[string]map[string]int{}
-	for _, server := range c.listed {
+	for _, server := range c.listedServers {
 		if state, known := c.states[server.Service]; server.IsReady && (!known || state.InForce == "") {
 			if counts[server.Service] == nil {
 				counts[server.Service] = map[string]int{}
@@ -50,7 +50,7 @@
 		state := c.states[service]
 		state.Subject, state.InForce = service, best
 		if best != "" && best != state.Target {
-			_ = c.write(state)
+			_ = c.commitState(state)
 		}
 	}
 }
@@ -63,37 +63,37 @@
 		return
 	}
 	now := c.clock.Steady()
-	c.laidOutAt = now
-	next := feed.Fleet{Term: c.term, Count: c.last.Count, Servers: slices.Clone(c.serversWithoutLeaving()), Holder: c.self}
+	c.fleetBuiltAt = now
+	next := feed.Fleet{Term: c.term, Count: c.lastFleet.Count, Servers: slices.Clone(c.serversWithoutLeaving()), Holder: c.self}
 	if next.Servers == nil {
 		return
 	}
 	next.Proxies = c.proxyCount()
-	c.grade(&next)
-	next.Stages, next.Cutoffs, next.Mirrors = c.stages(), c.cutoffs(), c.mirrors()
-	unchanged := c.last.Term == c.term && c.last.Proxies == next.Proxies && c.last.Holder == next.Holder &&
-		slices.Equal(c.last.Shares, next.Shares) && sameStages(c.last.Stages, next.Stages) && slices.Equal(c.last.Servers, next.Servers) &&
-		slices.Equal(c.last.Cutoffs, next.Cutoffs) && slices.Equal(c.last.Mirrors, next.Mirrors)
-	renewal := next.HoldsGrants() && time.Duration(now-c.toldAt) >= renewPeriod
+	c.assignGrades(&next)
+	next.Stages, next.Cutoffs, next.Mirrors = c.stageGrants(), c.cutoffs(), c.mirrorGrants()
+	unchanged := c.lastFleet.Term == c.term && c.lastFleet.Proxies == next.Proxies && c.lastFleet.Holder == next.Holder &&
+		slices.Equal(c.lastFleet.Shares, next.Shares) && sameStages(c.lastFleet.Stages, next.Stages) && slices.Equal(c.lastFleet.Servers, next.Servers) &&
+		slices.Equal(c.lastFleet.Cutoffs, next.Cutoffs) && slices.Equal(c.lastFleet.Mirrors, next.Mirrors)
+	renewal := next.HoldsGrants() && time.Duration(now-c.lastCountAt) >= grantRenewalInterval
 	if !unchanged || renewal {
 		next.Count++
-		c.last, c.toldAt = next, now
-		if c.published = append(c.published, next); len(c.published) > publishedKept {
-			c.published = slices.Clone(c.published[1:])
+		c.lastFleet, c.lastCountAt = next, now
+		if c.recentFleets = append(c.recentFleets, next); len(c.recentFleets) > maxRecentFleets {
+			c.recentFleets = slices.Clone(c.recentFleets[1:])
 		}
 		for _, share := range next.Shares {
-			if d := c.drives[share.Service]; d != nil && share.Part >= 1 && d.full.Term == 0 {
-				d.full = next.Reading()
+			if progress := c.progress[share.Service]; progress != nil && share.Part >= 1 && progress.fullShareReading.Term == 0 {
+				progress.fullShareReading = next.Reading()
 			}
 		}
 	}
-	c.sendFleet(c.last)
+	c.sendFleet(c.lastFleet)
 }
 
 // serversWithoutLeaving is the server list, corrected by the draining servers that this
 // node's feed knows of: another member may have read the list later than this node.
 func (c *coordinator) serversWithoutLeaving() (servers []feed.Server) {
-	c.hub.Read(func(board *feed.Board) { servers = board.WithoutLeaving(c.listed) })
+	c.hub.Read(func(board *feed.Board) { servers = board.WithoutLeaving(c.listedServers) })
 	return servers
 }
 
@@ -101,9 +101,9 @@
 // followers and the reporting proxies. Within a term the count never falls; at the start of
 // a term it is at least the last leader's count until proxiesSpan has passed.
 func (c *coordinator) proxyCount() int {
-	count := max(len(c.hub.Followers()), c.court.Proxies(proxiesSpan))
-	if c.last.Term == c.term || time.Duration(c.clock.Steady()-c.termAt) < proxiesSpan {
-		count = max(count, c.last.Proxies)
+	count := max(len(c.hub.Followers()), c.detector.Proxies(proxyReportMaxAge))
+	if c.lastFleet.Term == c.term || time.Duration(c.clock.Steady()-c.termStartedAt) < proxyReportMaxAge {
+		count = max(count, c.lastFleet.Proxies)
 	}
 	return count
 }
@@ -122,7 +122,7 @@
 			continue
 		}
 		message := fleet
-		for _, previous := range c.published {
+		for _, previous := range c.recentFleets {
 			if known && previous.Reading() == confirmed {
 				message = fleet.ChangeOf(previous)
 			}
--- a/internal/control/gauge.go
+++ b/internal/control/gauge.go
@@ -12,54 +12,54 @@
 	"ploverhitch/internal/timetable"
 )
 
-func (n *node) isGauging() bool { return n.settings.Load().Tuning.Loadgauge == settings.GaugeOn }
+func (n *node) loadGaugeOn() bool { return n.settings.Load().Tuning.Loadgauge == settings.GaugeOn }
 
 // heldSpan is how fresh the last holder's cutoffs must be to be gone on from.
-const heldSpan = 5 * time.Second
+const cutoffsMaxAge = 5 * time.Second
 
 // takeGauge begins to measure under this node's term, from the cutoffs that the
 // last holder told a moment ago.
-func (c *coordinator) takeGauge() {
-	c.gauge = shedding.NewGauge(c.clock, rand.Uint64)
+func (c *coordinator) resetLoadGauge() {
+	c.loadGauge = shedding.NewGauge(c.clock, rand.Uint64)
 	c.store.read(func(t *tables) {
-		if t.fleetFresh(c.clock.Steady(), heldSpan) {
-			c.gauge.Hold(t.fleet.Cutoffs)
+		if t.fleetFresh(c.clock.Steady(), cutoffsMaxAge) {
+			c.loadGauge.Hold(t.fleet.Cutoffs)
 		}
 	})
 }
 
 // measure decides on the cutoffs, and tells whether they have changed.
-func (c *coordinator) measure() bool {
-	return c.isGauging() && c.gauge.Decide(c.strained)
+func (c *coordinator) updateCutoffs() bool {
+	return c.loadGaugeOn() && c.loadGauge.Decide(c.overloadedShare)
 }
 
 // strained is the part of a service's ready servers that are overloaded.
-func (c *coordinator) strained(service string) float64 {
+func (c *coordinator) overloadedShare(service string) float64 {
 	var group []string
-	for _, server := range c.listed {
+	for _, server := range c.listedServers {
 		if server.Service == service && server.IsReady {
 			group = append(group, server.ID)
 		}
 	}
-	return c.court.Strained(group)
+	return c.detector.Strained(group)
 }
 
 func (c *coordinator) cutoffs() []shedding.Cutoff {
-	if !c.isGauging() {
+	if !c.loadGaugeOn() {
 		return nil
 	}
-	return c.gauge.Cutoffs()
+	return c.loadGauge.Cutoffs()
 }
 
 // sheds tells whether this member refuses its vote for a new intent, as the
 // service is overloaded. An intent that exists is never asked about: its replay,
 // its resuming and its record go on.
-func (t *tables) sheds(wanted idempotency.Intent, now timetable.Steady) bool {
-	if len(t.fleet.Cutoffs) == 0 || !t.fleetFresh(now, feed.GrantSpan) || t.voter.Find(wanted.Key) != nil {
+func (t *tables) sheds(intent idempotency.Intent, now timetable.Steady) bool {
+	if len(t.fleet.Cutoffs) == 0 || !t.fleetFresh(now, feed.GrantSpan) || t.voter.Find(intent.Key) != nil {
 		return false
 	}
 	for _, cutoff := range t.fleet.Cutoffs {
-		if cutoff.Service == wanted.Service && cutoff.Sheds(t.compiledBook().Order.TierOf(wanted.Route), wanted.Key.Tenant, wanted.Key.Key) {
+		if cutoff.Service == intent.Service && cutoff.Sheds(t.compiledBook().Order.TierOf(intent.Route), intent.Key.Tenant, intent.Key.Key) {
 			return true
 		}
 	}
@@ -73,16 +73,16 @@
 	Order    []shedding.Rung    `json:"Order"`
 	Cutoffs  []shedding.Cutoff  `json:"Cutoffs"`
 	Accounts []shedding.Account `json:"Accounts"`
-	IsHolder bool               `json:"IsHolder"`
-	Holder   string             `json:"Holder"`
+	IsLeader bool               `json:"IsHolder"`
+	Leader   string             `json:"Holder"`
 }
 
-func (n *node) loadPoint(context.Context, any) (any, error) {
+func (n *node) loadEndpoint(context.Context, any) (any, error) {
 	c := n.coordinator
-	page := LoadPage{Mode: n.settings.Load().Tuning.Loadgauge, Order: []shedding.Rung{}, Cutoffs: []shedding.Cutoff{}, Accounts: []shedding.Account{}, Holder: n.leader()}
+	page := LoadPage{Mode: n.settings.Load().Tuning.Loadgauge, Order: []shedding.Rung{}, Cutoffs: []shedding.Cutoff{}, Accounts: []shedding.Account{}, Leader: n.leader()}
 	runAndWait(c.loop, func() {
-		if page.IsHolder = c.isMaster(); page.IsHolder {
-			page.Accounts = append(page.Accounts, c.gauge.Accounts()...)
+		if page.IsLeader = c.ensureLeading(); page.IsLeader {
+			page.Accounts = append(page.Accounts, c.loadGauge.Accounts()...)
 		}
 	})
 	n.store.read(func(t *tables) {
--- a/internal/control/grading.go
+++ b/internal/control/grading.go
@@ -11,12 +11,12 @@
 )
 
 // grade says of each server whether it may get requests, and which it shares.
-func (c *coordinator) grade(fleet *feed.Fleet) {
+func (c *coordinator) assignGrades(fleet *feed.Fleet) {
 	groups := map[string][]string{}
 	for i, server := range fleet.Servers {
-		state, isKnown := c.states[server.Service]
+		state, known := c.states[server.Service]
 		switch {
-		case !c.tracksVersions() || !isKnown || state.InForce == "" || server.Revision == state.InForce:
+		case !c.tracksVersions() || !known || state.InForce == "" || server.Revision == state.InForce:
 			fleet.Servers[i].Grade = feed.Open
 		default:
 			fleet.Servers[i].Grade = feed.Shut
@@ -26,25 +26,25 @@
 			groups[group] = append(groups[group], server.ID)
 		}
 	}
-	aside := map[string]bool{}
+	ejected := map[string]bool{}
 	for _, group := range groups {
-		for id := range c.court.Aside(group) {
-			aside[id] = true
+		for id := range c.detector.Aside(group) {
+			ejected[id] = true
 		}
 	}
-	if now := c.clock.Steady(); c.paces == nil || time.Duration(now-c.pacedAt) >= pacePeriod {
-		c.paces, c.pacedAt = make(map[string]int, len(fleet.Servers)), now
+	if now := c.clock.Steady(); c.relativeLatencies == nil || time.Duration(now-c.latenciesReadAt) >= latencyPublishInterval {
+		c.relativeLatencies, c.latenciesReadAt = make(map[string]int, len(fleet.Servers)), now
 		for _, server := range fleet.Servers {
-			c.paces[server.ID] = c.court.Pace(server.ID)
+			c.relativeLatencies[server.ID] = c.detector.Pace(server.ID)
 		}
 	}
 	for i := range fleet.Servers {
-		fleet.Servers[i].IsAside = aside[fleet.Servers[i].ID]
-		fleet.Servers[i].Pace = c.paces[fleet.Servers[i].ID]
+		fleet.Servers[i].IsAside = ejected[fleet.Servers[i].ID]
+		fleet.Servers[i].Pace = c.relativeLatencies[fleet.Servers[i].ID]
 	}
 	for subject, state := range c.states {
-		if d := c.drives[subject]; state.Phase.IsActive() && !state.IsStaged() && d != nil && d.number == state.Number {
-			c.share(fleet, state, d)
+		if progress := c.progress[subject]; state.Phase.IsActive() && !state.IsStaged() && progress != nil && progress.number == state.Number {
+			c.grantShare(fleet, state, progress)
 		}
 	}
 	sort.Slice(fleet.Shares, func(i, j int) bool { return fleet.Shares[i].Service < fleet.Shares[j].Service })
@@ -52,69 +52,69 @@
 
 // share grants a version on trial its part of the requests, at just so many of
 // its servers that each is about as busy as one of the version in force.
-func (c *coordinator) share(fleet *feed.Fleet, state trial.State, d *drive) {
-	inPhase := time.Duration(c.clock.Steady() - d.phaseAt)
-	part := state.Share(c.plan(), trial.Facts{InPhase: inPhase, Finding: d.finding})
+func (c *coordinator) grantShare(fleet *feed.Fleet, state trial.State, progress *rolloutProgress) {
+	inPhase := time.Duration(c.clock.Steady() - progress.phaseStartedAt)
+	part := state.Share(c.rolloutPlan(), trial.Facts{InPhase: inPhase, Finding: progress.finding})
 	fleet.Shares = append(fleet.Shares, feed.Share{Service: state.Subject, Number: state.Number, Part: part})
-	old, fresh := sides(fleet.Servers, state)
-	wanted := max(2, int(math.Ceil(part*float64(len(old))*busyPart)))
-	if part >= allPart {
-		wanted = len(fresh)
+	current, target := splitByVersion(fleet.Servers, state)
+	count := max(2, int(math.Ceil(part*float64(len(current))*serverCountFactor)))
+	if part >= allServersShare {
+		count = len(target)
 	}
-	for _, i := range spread(fleet.Servers, fresh)[:min(wanted, len(fresh))] {
+	for _, i := range alternateZones(fleet.Servers, target)[:min(count, len(target))] {
 		fleet.Servers[i].Grade = feed.OnTrial
 	}
 }
 
 const (
 	// busyPart makes the few servers on trial a little busier than the others.
-	busyPart = 0.9
+	serverCountFactor = 0.9
 	// allPart is from which share on all servers of the new version take part.
-	allPart = 0.3
+	allServersShare = 0.3
 )
 
 // sides are the places in the list of a service's ready servers: of the version
 // in force, and of the one on trial.
-func sides(servers []feed.Server, state trial.State) (old, fresh []int) {
+func splitByVersion(servers []feed.Server, state trial.State) (current, target []int) {
 	for i, server := range servers {
 		switch {
 		case server.Service != state.Subject || !server.IsReady:
 		case server.Revision == state.Target:
-			fresh = append(fresh, i)
+			target = append(target, i)
 		case server.Revision == state.InForce:
-			old = append(old, i)
+			current = append(current, i)
 		}
 	}
-	return old, fresh
+	return current, target
 }
 
-func capacity(servers []feed.Server, at []int) (sum int) {
-	for _, i := range at {
+func totalCapacity(servers []feed.Server, indexes []int) (sum int) {
+	for _, i := range indexes {
 		sum += servers[i].Capacity
 	}
 	return sum
 }
 
 // spread orders servers by their places, the cells by turns.
-func spread(servers []feed.Server, at []int) (out []int) {
-	cells := map[string][]int{}
-	for _, i := range at {
-		cells[servers[i].Cell] = append(cells[servers[i].Cell], i)
+func alternateZones(servers []feed.Server, indexes []int) (ordered []int) {
+	byZone := map[string][]int{}
+	for _, i := range indexes {
+		byZone[servers[i].Cell] = append(byZone[servers[i].Cell], i)
 	}
-	names := make([]string, 0, len(cells))
-	for cell, list := range cells {
-		names = append(names, cell)
+	zones := make([]string, 0, len(byZone))
+	for zone, list := range byZone {
+		zones = append(zones, zone)
 		sort.Slice(list, func(x, y int) bool {
 			return balancer.PlaceOf(servers[list[x]].ID) < balancer.PlaceOf(servers[list[y]].ID)
 		})
 	}
-	sort.Strings(names)
-	for len(out) < len(at) {
-		for _, cell := range names {
-			if list := cells[cell]; len(list) > 0 {
-				out, cells[cell] = append(out, list[0]), list[1:]
+	sort.Strings(zones)
+	for len(ordered) < len(indexes) {
+		for _, zone := range zones {
+			if list := byZone[zone]; len(list) > 0 {
+				ordered, byZone[zone] = append(ordered, list[0]), list[1:]
 			}
 		}
 	}
-	return out
+	return ordered
 }
--- a/internal/control/handlers.go
+++ b/internal/control/handlers.go
@@ -36,11 +36,11 @@
 		messages.KindLeave:        typedHandler(n.onLeave),
 		messages.KindView:         typedHandler(n.onView),
 		messages.KindJoin:         typedHandler(n.onJoin),
-		messages.KindTrial:        typedHandler(n.onTrial),
-		messages.KindTrials:       typedHandler(n.onTrials),
-		messages.KindOrder:        typedHandler(n.onOrder),
+		messages.KindTrial:        typedHandler(n.onRollout),
+		messages.KindTrials:       typedHandler(n.onRollouts),
+		messages.KindOrder:        typedHandler(n.onStartRollout),
 		messages.KindReport:       typedHandler(n.onReport),
-		messages.KindStage:        typedHandler(n.onStage),
+		messages.KindStage:        typedHandler(n.onStagedChange),
 		messages.KindEvidence:     typedHandler(n.onEvidence),
 		messages.KindRenew:        typedHandler(n.onRenew),
 		messages.KindRelease:      typedHandler(n.onRelease),
@@ -154,7 +154,7 @@
 		if t.view.Epoch < in.Epoch {
 			return nil
 		}
-		page.OK, page.IsTrusted, page.Term, page.Trials = true, t.trusted, t.term, slices.Collect(maps.Values(t.trials))
+		page.OK, page.IsTrusted, page.Term, page.Trials = true, t.trusted, t.term, slices.Collect(maps.Values(t.rollouts))
 		if t.view.Epoch == in.Epoch {
 			page.Acceptor = t.acceptor
 		}
--- a/internal/control/leader_lease_test.go
+++ b/internal/control/leader_lease_test.go
@@ -108,52 +108,52 @@
 			n.isLeader.Store(true)
 			n.coordinator.term = number
 		}
-		published := func() []feed.Reading { return []feed.Reading{n.coordinator.last.Reading(), n.fleet().Reading()} }
+		published := func() []feed.Reading { return []feed.Reading{n.coordinator.lastFleet.Reading(), n.fleet().Reading()} }
 
 		BeforeEach(func() {
 			Expect(claim(1, termOf("a", 1))).To(BeTrue())
 			acquireLease(1)
-			n.coordinator.listed = []feed.Server{{ID: "i-1", Service: "fees", IsReady: true}}
+			n.coordinator.listedServers = []feed.Server{{ID: "i-1", Service: "fees", IsReady: true}}
 		})
 
 		It("permits publishing and writing while it is valid", func() {
-			Expect(n.coordinator.isMaster()).To(BeTrue())
+			Expect(n.coordinator.ensureLeading()).To(BeTrue())
 			n.coordinator.publish()
 			Eventually(func() uint64 { return n.fleet().Term }).Should(BeEquivalentTo(1))
 		})
 
 		It("stops publishing and writing when it expires by the monotonic clock, without any message", func() {
 			clock.Now += testLeaseDuration
-			Expect(n.coordinator.isMaster()).To(BeFalse())
+			Expect(n.coordinator.ensureLeading()).To(BeFalse())
 			before := published()
 			n.coordinator.publish()
 			n.coordinator.updateServers([]feed.Server{{ID: "i-2", Service: "fees", IsReady: true}})
 			n.coordinator.sendFleet(feed.Fleet{Term: 1, Count: 9})
 			Consistently(func() []feed.Reading { return published() }, "100ms").Should(Equal(before))
-			Expect(n.coordinator.write(trial.State{Subject: "fees"})).NotTo(Succeed())
+			Expect(n.coordinator.commitState(trial.State{Subject: "fees"})).NotTo(Succeed())
 			Expect(n.coordinator.states).To(BeEmpty())
 			var stored int
-			n.store.read(func(t *tables) { stored = len(t.trials) })
+			n.store.read(func(t *tables) { stored = len(t.rollouts) })
 			Expect(stored).To(BeZero(), "a write was stored after the lease had expired")
 			ordered := make(chan messages.Ordered, 1)
-			n.decide(func(answer messages.Ordered) { ordered <- answer }, func(*coordinator) (apierror.Kind, string) { panic("decided without a valid lease") })
+			n.runCommand(func(answer messages.Ordered) { ordered <- answer }, func(*coordinator) (apierror.Kind, string) { panic("decided without a valid lease") })
 			go n.coordinator.run(GinkgoT().Context())
 			Eventually(ordered).Should(Receive(HaveField("Kind", apierror.Gone)))
 		})
 
 		It("continues under the same term with the same state once a majority renews it", func() {
 			clock.Now += testLeaseDuration
-			Expect(n.coordinator.isMaster()).To(BeFalse())
+			Expect(n.coordinator.ensureLeading()).To(BeFalse())
 			acquireLease(1)
-			Expect(n.coordinator.isMaster()).To(BeTrue())
-			Expect(n.coordinator.listed).To(HaveLen(1))
+			Expect(n.coordinator.ensureLeading()).To(BeTrue())
+			Expect(n.coordinator.listedServers).To(HaveLen(1))
 		})
 
 		It("ends when the node steps down, and a later round of the same term doesn't restore it", func() {
 			n.stepDown()
 			Eventually(func() bool { return n.holdsLease(1) }).Should(BeFalse())
 			Expect(n.lease.startRound(1, view, clock.Steady())).To(BeZero())
-			Expect(n.coordinator.isMaster()).To(BeFalse())
+			Expect(n.coordinator.ensureLeading()).To(BeFalse())
 		})
 
 		It("does not depend on the wall clock", func() {
--- a/internal/control/member_test.go
+++ b/internal/control/member_test.go
@@ -63,7 +63,7 @@
 	}
 	writeTrial := func(term uint64, epoch membership.Epoch) bool {
 		return done(func(answer func(messages.Done)) {
-			n.onTrial(messages.Trial{Epoch: epoch, State: trial.State{Subject: "fees", Number: 1, Term: term, Count: 1}}, answer)
+			n.onRollout(messages.Trial{Epoch: epoch, State: trial.State{Subject: "fees", Number: 1, Term: term, Count: 1}}, answer)
 		})
 	}
 
--- a/internal/control/mirrors.go
+++ b/internal/control/mirrors.go
@@ -13,89 +13,89 @@
 
 const (
 	// livesSpan is how long a node counts after its last report.
-	livesSpan = 2500 * time.Millisecond
+	mirrorReportMaxAge = 2500 * time.Millisecond
 	// lostMost is the part of the copies that may be lost before fewer
 	// conversations are copied, lowerShare what is left of the share then, and
 	// lostLeast how many must be lost at least.
-	lostMost   = 0.02
-	lowerShare = 0.7
-	lostLeast  = 4
+	maxLossRatio         = 0.02
+	shareReductionFactor = 0.7
+	minLostCopies        = 4
 	// shareRest is the least time between two lowerings.
-	shareRest = 2 * time.Second
+	shareReductionInterval = 2 * time.Second
 )
 
 // copying is what the holder knows of one mirror that is in force.
-type copying struct {
+type activeMirror struct {
 	grant loopline.Grant
 	// begun is the first reading of the era.
-	begun feed.Reading
+	eraStart feed.Reading
 	// copied and lost are counted since the share was lowered last, at loweredAt.
-	copied, lost uint64
-	loweredAt    time.Duration
+	copied, lost   uint64
+	shareReducedAt time.Duration
 }
 
 // mirrors are the grants of the mirrors in force. An era ends when a node comes,
 // goes or starts anew, as what it saw of a conversation is known to nobody then.
-func (c *coordinator) mirrors() (out []loopline.Grant) {
+func (c *coordinator) mirrorGrants() (grants []loopline.Grant) {
 	var mirrors []loopline.Mirror
 	var versions []config.Version
-	var sheet *config.Sheet
+	var compiled *config.Sheet
 	c.store.read(func(t *tables) {
 		if mirrors, versions = t.currentMirrors(); len(mirrors) > 0 {
-			sheet = t.compiledBook()
+			compiled = t.compiledBook()
 		}
 	})
 	if len(mirrors) == 0 {
-		clear(c.copying)
+		clear(c.activeMirrors)
 		return nil
 	}
-	lives := c.court.Lives(livesSpan, loopline.LifeOf)
-	known := map[string]bool{}
-	for i, m := range mirrors {
-		if !m.Until.After(c.clock.Wall()) || sheet.IsLive(m.Shadow) {
+	lives := c.detector.Lives(mirrorReportMaxAge, loopline.LifeOf)
+	inForce := map[string]bool{}
+	for i, mirror := range mirrors {
+		if !mirror.Until.After(c.clock.Wall()) || compiled.IsLive(mirror.Shadow) {
 			continue
 		}
-		known[m.Name] = true
-		out = append(out, c.grantOf(m, uint64(versions[i]), lives))
+		inForce[mirror.Name] = true
+		grants = append(grants, c.mirrorGrant(mirror, uint64(versions[i]), lives))
 	}
-	for name := range c.copying {
-		if !known[name] {
-			delete(c.copying, name)
+	for name := range c.activeMirrors {
+		if !inForce[name] {
+			delete(c.activeMirrors, name)
 		}
 	}
-	slices.SortFunc(out, func(a, z loopline.Grant) int { return cmp.Compare(a.Name, z.Name) })
-	return out
+	slices.SortFunc(grants, func(a, b loopline.Grant) int { return cmp.Compare(a.Name, b.Name) })
+	return grants
 }
 
-func (c *coordinator) grantOf(m loopline.Mirror, version, lives uint64) loopline.Grant {
-	held := c.copying[m.Name]
-	if held == nil || held.grant.Version != version {
-		held = &copying{grant: loopline.Grant{Name: m.Name, Version: version, Share: m.Share}}
-		c.copying[m.Name] = held
+func (c *coordinator) mirrorGrant(mirror loopline.Mirror, version, lives uint64) loopline.Grant {
+	active := c.activeMirrors[mirror.Name]
+	if active == nil || active.grant.Version != version {
+		active = &activeMirror{grant: loopline.Grant{Name: mirror.Name, Version: version, Share: mirror.Share}}
+		c.activeMirrors[mirror.Name] = active
 	}
-	if held.grant.Era == 0 || held.grant.Lives != lives {
+	if active.grant.Era == 0 || active.grant.Lives != lives {
 		// The reading that is being laid is the next one.
-		c.eras++
-		held.grant.Era, held.grant.Lives, held.grant.IsSettled = c.term<<32|c.eras, lives, false
-		held.begun = feed.Reading{Term: c.term, Count: c.last.Count + 1}
+		c.eraCount++
+		active.grant.Era, active.grant.Lives, active.grant.IsSettled = c.term<<32|c.eraCount, lives, false
+		active.eraStart = feed.Reading{Term: c.term, Count: c.lastFleet.Count + 1}
 	}
-	if touch := c.court.Touch("", held.begun); !held.grant.IsSettled && touch.Proxies > 0 && touch.Behind == 0 {
-		held.grant.IsSettled = true
+	if touch := c.detector.Touch("", active.eraStart); !active.grant.IsSettled && touch.Proxies > 0 && touch.Behind == 0 {
+		active.grant.IsSettled = true
 	}
 	now := time.Duration(c.clock.Steady())
-	if held.lost >= lostLeast && float64(held.lost) > lostMost*float64(held.copied+held.lost) && now-held.loweredAt >= shareRest {
-		held.grant.Share *= lowerShare
-		held.copied, held.lost, held.loweredAt = 0, 0, now
+	if active.lost >= minLostCopies && float64(active.lost) > maxLossRatio*float64(active.copied+active.lost) && now-active.shareReducedAt >= shareReductionInterval {
+		active.grant.Share *= shareReductionFactor
+		active.copied, active.lost, active.shareReducedAt = 0, 0, now
 	}
-	return held.grant
+	return active.grant
 }
 
 // hearCopies sums what the nodes told of their copies.
-func (c *coordinator) hearCopies(tallies []loopline.Tally) {
+func (c *coordinator) recordCopies(tallies []loopline.Tally) {
 	for _, tally := range tallies {
-		if held := c.copying[tally.Name]; held != nil {
-			held.copied += tally.Copied
-			held.lost += tally.Lost
+		if active := c.activeMirrors[tally.Name]; active != nil {
+			active.copied += tally.Copied
+			active.lost += tally.Lost
 		}
 	}
 }
@@ -106,7 +106,7 @@
 	Grants  []loopline.Grant  `json:"Grants"`
 }
 
-func (n *node) mirrorsPoint(context.Context, any) (any, error) {
+func (n *node) mirrorsEndpoint(context.Context, any) (any, error) {
 	page := MirrorPage{Mirrors: []loopline.Mirror{}, Grants: []loopline.Grant{}}
 	book, err := n.readConfig()
 	if err != nil {
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -59,9 +59,9 @@
 	takingOffer atomic.Bool
 	viewRound   atomic.Uint64
 	// trialStarts holds the start time of each trial.
-	trialStarts sync.Map
-	coordinator *coordinator
-	listWatch   *listTracker
+	rolloutStarts sync.Map
+	coordinator   *coordinator
+	listWatch     *listTracker
 	// memberReadings holds the fleet reading that each member is known to have.
 	memberReadings sync.Map
 	// sendingReadings marks the members to which a reading is being sent.
--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -13,57 +13,57 @@
 // decide lets the holder's loop decide on an order, and answers what stands
 // against it. An order that waited longer than its caller does has no effect: the
 // operator was told so, and may have sent another since.
-func (n *node) decide(answer func(messages.Ordered), decide func(c *coordinator) (apierror.Kind, string)) {
-	c, cameAt := n.coordinator, n.clock.Steady()
-	isTaken := c.loop.Offer(func() {
+func (n *node) runCommand(reply func(messages.Ordered), run func(c *coordinator) (apierror.Kind, string)) {
+	c, receivedAt := n.coordinator, n.clock.Steady()
+	enqueued := c.loop.Offer(func() {
 		kind, detail := apierror.Gone, "the duty is not here"
 		switch {
-		case time.Duration(c.clock.Steady()-cameAt) >= orderSpan:
+		case time.Duration(c.clock.Steady()-receivedAt) >= commandTimeout:
 			detail = "the order waited too long"
-		case c.isMaster():
-			kind, detail = decide(c)
+		case c.ensureLeading():
+			kind, detail = run(c)
 		}
-		answer(messages.Ordered{Kind: kind, Detail: detail})
+		reply(messages.Ordered{Kind: kind, Detail: detail})
 	})
-	if !isTaken {
-		answer(messages.Ordered{Kind: apierror.Gone})
+	if !enqueued {
+		reply(messages.Ordered{Kind: apierror.Gone})
 	}
 }
 
-func (n *node) onOrder(in messages.Order, answer func(messages.Ordered)) {
-	n.decide(answer, func(c *coordinator) (apierror.Kind, string) { return c.rollOut(in) })
+func (n *node) onStartRollout(in messages.Order, reply func(messages.Ordered)) {
+	n.runCommand(reply, func(c *coordinator) (apierror.Kind, string) { return c.startRollout(in) })
 }
 
 // rollOut takes an order for a service's version.
-func (c *coordinator) rollOut(in messages.Order) (kind apierror.Kind, detail string) {
-	state, isKnown := c.states[in.Service]
-	if !isKnown {
-		isService := false
+func (c *coordinator) startRollout(in messages.Order) (kind apierror.Kind, detail string) {
+	state, known := c.states[in.Service]
+	if !known {
+		serviceExists := false
 		c.store.read(func(t *tables) {
-			item, isThere := t.book()[config.ID{Class: config.ServiceItem, Name: in.Service}]
-			isService = isThere && !item.Dropped
+			item, found := t.book()[config.ID{Class: config.ServiceItem, Name: in.Service}]
+			serviceExists = found && !item.Dropped
 		})
-		if !isService {
+		if !serviceExists {
 			return apierror.UnknownSubject, in.Service
 		}
 		state.Subject = in.Service
 	}
 	switch {
-	case state.IsRepeat(in.Target, timetable.Span(in.Duration), c.sinceOrder(state), c.plan()):
-		c.noteRepeat(state)
+	case state.IsRepeat(in.Target, timetable.Span(in.Duration), c.sinceCommand(state), c.rolloutPlan()):
+		c.recordRepeat(state)
 		return apierror.None, ""
 	case state.Phase.IsActive():
 		return apierror.OtherOrder, "version " + state.Target + " is on trial"
 	}
-	next, isDone := state.Order(in.Target, timetable.Span(in.Duration))
-	if !isDone {
+	next, permitted := state.Order(in.Target, timetable.Span(in.Duration))
+	if !permitted {
 		return apierror.OtherOrder, ""
 	}
 	if in.Target == state.InForce {
 		next.Phase, next.Reason = trial.Complete, "the version is in force"
 	}
-	c.court.Forget(in.Service, next.Number)
-	if err := c.write(next); err != nil {
+	c.detector.Forget(in.Service, next.Number)
+	if err := c.commitState(next); err != nil {
 		return apierror.Gone, ""
 	}
 	c.log("warn", "trial", "subject", in.Service, "phase", next.Phase, "target", in.Target)
@@ -71,27 +71,27 @@
 	return apierror.None, ""
 }
 
-func (c *coordinator) plan() trial.Plan {
+func (c *coordinator) rolloutPlan() trial.Plan {
 	bounds := c.settings.Load().Platform.Bounds
 	return trial.Plan{CanaryShare: bounds.CanaryShare, Ack: bounds.Ack.Std()}
 }
 
 // repeat is when an order that was taken last came again.
-type repeat struct {
+type repeatedCommand struct {
 	number uint64
 	at     timetable.Steady
 }
 
 // sinceOrder is how long ago the order of a trial came last. An operator whose
 // acknowledgements are lost sends it on, also past the end of what it began.
-func (c *coordinator) sinceOrder(state trial.State) time.Duration {
-	last := c.beganAt(state)
-	if known := c.repeats[state.Subject]; known.number == state.Number {
-		last = max(last, known.at)
+func (c *coordinator) sinceCommand(state trial.State) time.Duration {
+	last := c.rolloutStartedAt(state)
+	if repeated := c.repeatedCommands[state.Subject]; repeated.number == state.Number {
+		last = max(last, repeated.at)
 	}
 	return time.Duration(c.clock.Steady() - last)
 }
 
-func (c *coordinator) noteRepeat(state trial.State) {
-	c.repeats[state.Subject] = repeat{state.Number, c.clock.Steady()}
+func (c *coordinator) recordRepeat(state trial.State) {
+	c.repeatedCommands[state.Subject] = repeatedCommand{state.Number, c.clock.Steady()}
 }
--- a/internal/control/orders_test.go
+++ b/internal/control/orders_test.go
@@ -14,67 +14,67 @@
 )
 
 // ordering is a holder that took an order long ago: the trial has ended.
-func ordering(state trial.State) (*coordinator, *timetable.Hand) {
-	hand := &timetable.Hand{Now: time.Hour}
-	b := &node{self: "self", clock: hand, log: func(string, string, ...any) {}}
+func newTestCoordinator(state trial.State) (*coordinator, *timetable.Hand) {
+	clock := &timetable.Hand{Now: time.Hour}
+	n := &node{self: "self", clock: clock, log: func(string, string, ...any) {}}
 	set := &settings.Settings{}
 	set.Platform.Bounds.Ack = timetable.Span(10 * time.Second)
-	b.settings.Store(set)
-	b.coordinator = newCoordinator(b)
-	b.coordinator.states[state.Subject] = state
-	b.trialStarts.Store(state.Subject, heardTrial{state.Number, hand.Steady()})
-	return b.coordinator, hand
+	n.settings.Store(set)
+	n.coordinator = newCoordinator(n)
+	n.coordinator.states[state.Subject] = state
+	n.rolloutStarts.Store(state.Subject, rolloutStart{state.Number, clock.Steady()})
+	return n.coordinator, clock
 }
 
-func TestOrderThatComesAgainAndAgainStartsNoSecondRollout(t *testing.T) {
+func TestRepeatedStartCommandStartsNoSecondRollout(t *testing.T) {
 	duration := timetable.Span(9 * time.Second)
-	c, hand := ordering(trial.State{Subject: "s", Number: 1, Target: "v2", Duration: duration, Phase: trial.Reverted})
+	c, clock := newTestCoordinator(trial.State{Subject: "s", Number: 1, Target: "v2", Duration: duration, Phase: trial.Reverted})
 	for range 5 {
-		hand.Now += 15 * time.Second
-		kind, detail := c.rollOut(messages.Order{Service: "s", Target: "v2", Duration: int64(duration)})
+		clock.Now += 15 * time.Second
+		kind, detail := c.startRollout(messages.Order{Service: "s", Target: "v2", Duration: int64(duration)})
 		if kind != apierror.None || c.states["s"].Number != 1 {
 			t.Fatalf("got %v %q, number %d", kind, detail, c.states["s"].Number)
 		}
 	}
-	hand.Now += 20 * time.Second
-	if state := c.states["s"]; state.IsRepeat("v2", duration, c.sinceOrder(state), c.plan()) {
+	clock.Now += 20 * time.Second
+	if state := c.states["s"]; state.IsRepeat("v2", duration, c.sinceCommand(state), c.rolloutPlan()) {
 		t.Fatal("an order that rested for twice the span of acknowledgements is a new one")
 	}
 }
 
-func TestStageAndHaltThatComeAgainAreTakenAgain(t *testing.T) {
+func TestRepeatedStagedStartAndHaltAreAccepted(t *testing.T) {
 	items := []config.Item{{ID: config.ID{Class: config.RouteItem, Name: "l"}, Version: 2}}
 	subject := trial.StagePrefix + "change"
-	c, hand := ordering(trial.State{Subject: subject, Number: 1, Items: items, Phase: trial.Reverted, Reason: haltedReason})
+	c, clock := newTestCoordinator(trial.State{Subject: subject, Number: 1, Items: items, Phase: trial.Reverted, Reason: haltedByOperator})
 	for range 3 {
-		hand.Now += 15 * time.Second
-		if kind, detail := c.stage(messages.StageOrder{Name: "change", Items: items}); kind != apierror.None {
+		clock.Now += 15 * time.Second
+		if kind, detail := c.startStagedChange(messages.StageOrder{Name: "change", Items: items}); kind != apierror.None {
 			t.Fatalf("stage: got %v %q", kind, detail)
 		}
-		if kind, detail := c.halt(messages.StageOrder{Name: "change", IsHalt: true}); kind != apierror.None {
+		if kind, detail := c.haltStagedChange(messages.StageOrder{Name: "change", IsHalt: true}); kind != apierror.None {
 			t.Fatalf("halt: got %v %q", kind, detail)
 		}
 	}
 }
 
-func TestOrderThatWaitedLongerThanItsCallerHasNoEffect(t *testing.T) {
-	for wait, isLate := range map[time.Duration]bool{orderSpan - time.Millisecond: false, orderSpan: true} {
-		c, hand := ordering(trial.State{Subject: "s"})
+func TestCommandThatWaitedLongerThanItsCallerHasNoEffect(t *testing.T) {
+	for wait, late := range map[time.Duration]bool{commandTimeout - time.Millisecond: false, commandTimeout: true} {
+		c, clock := newTestCoordinator(trial.State{Subject: "s"})
 		c.isLeader.Store(true)
-		answered := make(chan messages.Ordered, 1)
-		isDecided := false
-		c.decide(func(ordered messages.Ordered) { answered <- ordered }, func(*coordinator) (apierror.Kind, string) {
-			isDecided = true
+		results := make(chan messages.Ordered, 1)
+		executed := false
+		c.runCommand(func(result messages.Ordered) { results <- result }, func(*coordinator) (apierror.Kind, string) {
+			executed = true
 			return apierror.None, ""
 		})
-		hand.Now += wait
+		clock.Now += wait
 		ctx, stop := context.WithCancel(context.Background())
 		go c.loop.Run(ctx, runAll, 0, nil)
-		ordered := <-answered
+		result := <-results
 		stop()
-		isRefused := ordered.Detail == "the order waited too long"
-		if isRefused != isLate || isLate && (isDecided || ordered.Kind != apierror.Gone) {
-			t.Fatalf("after %v: got %+v, decided: %v", wait, ordered, isDecided)
+		refused := result.Detail == "the order waited too long"
+		if refused != late || late && (executed || result.Kind != apierror.Gone) {
+			t.Fatalf("after %v: got %+v, decided: %v", wait, result, executed)
 		}
 	}
 }
--- a/internal/control/record_test.go
+++ b/internal/control/record_test.go
@@ -21,10 +21,10 @@
 // FuzzRecord applies records decoded from arbitrary bytes, as a damaged disk may return.
 func FuzzRecord(f *testing.F) {
 	trusted := true
-	entry := idempotency.Entry{Intent: completed(1, 10)}
+	entry := idempotency.Entry{Intent: completedIntent(1, 10)}
 	for _, r := range []record{
 		{Entry: &entry}, {Trusted: &trusted}, {Term: &membership.Term{Number: 3, Holder: "a"}},
-		{View: &membership.View{Epoch: 2, Members: []string{"a"}}}, {Trial: &trial.State{Subject: "fees"}},
+		{View: &membership.View{Epoch: 2, Members: []string{"a"}}}, {Rollout: &trial.State{Subject: "fees"}},
 		{Items: []config.Item{{ID: config.ID{Class: config.RouteItem, Name: "fee"}, Version: 1, Host: "h"}}}, {},
 	} {
 		data, err := cbor.Marshal(r)
@@ -56,7 +56,7 @@
 		log, err := storage.Open(disk, func([]byte) error { return nil })
 		Expect(err).NotTo(HaveOccurred())
 		trusted := true
-		valid := idempotency.Entry{Intent: completed(1, 10)}
+		valid := idempotency.Entry{Intent: completedIntent(1, 10)}
 		var batch [][]byte
 		for _, r := range []record{{Trusted: &trusted}, {Entry: &valid}} {
 			data, err := cbor.Marshal(r)
--- a/internal/control/recovery.go
+++ b/internal/control/recovery.go
@@ -130,18 +130,18 @@
 
 // copyMember copies the state of a member and reports whether that member is trusted.
 func (n *node) copyMember(member string, epoch membership.Epoch) (trusted bool, err error) {
-	if _, err = n.copyIntents(member, epoch, copyAtOnce); err != nil {
+	if _, err = n.copyIntents(member, epoch, copyImmediately); err != nil {
 		return false, err
 	}
 	var page messages.Page
-	if err = n.connection(member).Ask(messages.KindDump, messages.Dump{Epoch: epoch}, &page, repairSpan); err != nil {
+	if err = n.connection(member).Ask(messages.KindDump, messages.Dump{Epoch: epoch}, &page, repairCallTimeout); err != nil {
 		return false, err
 	}
 	if !page.OK {
-		return false, errOtherEpoch
+		return false, errEarlierEpoch
 	}
-	if !n.store.persist(func(t *tables) []record { return t.union(page) }, keepLongest) {
-		return false, errNotKept
+	if !n.store.persist(func(t *tables) []record { return t.union(page) }, repairPersistTimeout) {
+		return false, errNotPersisted
 	}
 	return page.IsTrusted, nil
 }
@@ -158,6 +158,6 @@
 		joined := t.acceptor
 		records = append(records, record{Acceptor: &joined})
 	}
-	records = append(records, t.unionTrials(page)...)
+	records = append(records, t.mergeRollouts(page)...)
 	return records
 }
--- a/internal/control/repair.go
+++ b/internal/control/repair.go
@@ -13,136 +13,136 @@
 
 const (
 	// repairSpan is how long one call of a repair may take.
-	repairSpan = time.Second
+	repairCallTimeout = time.Second
 	// keepLongest is how long the disk may take to keep one piece.
-	keepLongest = 10 * time.Second
+	repairPersistTimeout = 10 * time.Second
 	// pieceBytes is about how much of a member's intents is on its way, decoded
 	// and written at a time, whatever the size of the table.
-	pieceBytes = 256 << 10
+	repairChunkBytes = 256 << 10
 	// compareRanges is how many ranges are compared intent by intent at a time.
-	compareRanges = 32
+	rangesPerComparison = 32
 	// maxWanted bounds the keys that one cursor names.
-	maxWanted = 4096
+	maxCursorKeys = 4096
 )
 
 const (
-	errOtherEpoch = errors.ConstError("the member is in an earlier epoch")
-	errNotKept    = errors.ConstError("the disk did not keep what was read")
+	errEarlierEpoch = errors.ConstError("the member is in an earlier epoch")
+	errNotPersisted = errors.ConstError("the disk did not keep what was read")
 )
 
 // copyMode says how urgently intents are copied.
 type copyMode struct {
 	// settle is how long a difference must last before it is copied: what is on
 	// its way arrives within it.
-	settle time.Duration
+	minDifferenceAge time.Duration
 	// rest lies between two pieces.
-	rest time.Duration
+	pause time.Duration
 	// scope is which intents are copied.
 	scope idempotency.Scope
 }
 
 // copyAtOnce is the mode of a member that does not vote until it has everything.
-var copyAtOnce = copyMode{}
+var copyImmediately = copyMode{}
 
 // copyIntents brings this member the intents that another holds and it lacks. It
 // compares digests of ranges, then the intents of the ranges that differ, and reads
 // the rest in pieces, each asked for once the last is on disk. It returns how many
 // intents were lacking.
-func (n *node) copyIntents(member string, epoch membership.Epoch, mode copyMode) (lacking int, err error) {
-	var told messages.DigestsTold
-	if err = n.connection(member).Ask(messages.KindDigests, messages.Digests{Epoch: epoch, Scope: mode.scope}, &told, repairSpan); err != nil {
+func (n *node) copyIntents(member string, epoch membership.Epoch, mode copyMode) (missing int, err error) {
+	var reply messages.DigestsTold
+	if err = n.connection(member).Ask(messages.KindDigests, messages.Digests{Epoch: epoch, Scope: mode.scope}, &reply, repairCallTimeout); err != nil {
 		return 0, err
 	}
-	if !told.OK {
-		return 0, errOtherEpoch
+	if !reply.OK {
+		return 0, errEarlierEpoch
 	}
 	var ranges []idempotency.Range
-	n.store.read(func(t *tables) { ranges = idempotency.DifferingRanges(t.voter.Digests(mode.scope), told.Ranges) })
-	for part := range slices.Chunk(ranges, compareRanges) {
-		wanted, err := n.lackingOf(member, epoch, part, mode)
+	n.store.read(func(t *tables) { ranges = idempotency.DifferingRanges(t.voter.Digests(mode.scope), reply.Ranges) })
+	for rangeGroup := range slices.Chunk(ranges, rangesPerComparison) {
+		keys, err := n.missingKeys(member, epoch, rangeGroup, mode)
 		if err != nil {
-			return lacking, err
+			return missing, err
 		}
-		lacking += len(wanted)
-		for only := range slices.Chunk(wanted, maxWanted) {
-			if err = n.copyEntries(member, epoch, idempotency.Cursor{Ranges: part, KeyHashes: only}, mode); err != nil {
-				return lacking, err
+		missing += len(keys)
+		for keyGroup := range slices.Chunk(keys, maxCursorKeys) {
+			if err = n.copyEntries(member, epoch, idempotency.Cursor{Ranges: rangeGroup, KeyHashes: keyGroup}, mode); err != nil {
+				return missing, err
 			}
 		}
 	}
-	return lacking, nil
+	return missing, nil
 }
 
 // lackingOf compares some ranges intent by intent.
-func (n *node) lackingOf(member string, epoch membership.Epoch, ranges []idempotency.Range, mode copyMode) (wanted []uint64, err error) {
-	var told messages.BriefsTold
-	if err = n.connection(member).Ask(messages.KindBriefs, messages.Briefs{Epoch: epoch, Ranges: ranges}, &told, repairSpan); err != nil {
+func (n *node) missingKeys(member string, epoch membership.Epoch, ranges []idempotency.Range, mode copyMode) (missing []uint64, err error) {
+	var reply messages.BriefsTold
+	if err = n.connection(member).Ask(messages.KindBriefs, messages.Briefs{Epoch: epoch, Ranges: ranges}, &reply, repairCallTimeout); err != nil {
 		return nil, err
 	}
-	if !told.OK {
-		return nil, errOtherEpoch
+	if !reply.OK {
+		return nil, errEarlierEpoch
 	}
-	if mode.settle > 0 {
-		n.clock.Sleep(mode.settle)
+	if mode.minDifferenceAge > 0 {
+		n.clock.Sleep(mode.minDifferenceAge)
 	}
-	n.store.read(func(t *tables) { wanted = t.voter.MissingKeys(ranges, told.Briefs, mode.scope) })
-	return wanted, nil
+	n.store.read(func(t *tables) { missing = t.voter.MissingKeys(ranges, reply.Briefs, mode.scope) })
+	return missing, nil
 }
 
 // copyEntries reads the entries of a cursor piece by piece and keeps each.
 func (n *node) copyEntries(member string, epoch membership.Epoch, cursor idempotency.Cursor, mode copyMode) error {
 	for len(cursor.Ranges) > 0 {
-		var told messages.EntriesTold
-		if err := n.connection(member).Ask(messages.KindEntries, messages.Entries{Epoch: epoch, Cursor: cursor}, &told, repairSpan); err != nil {
+		var reply messages.EntriesTold
+		if err := n.connection(member).Ask(messages.KindEntries, messages.Entries{Epoch: epoch, Cursor: cursor}, &reply, repairCallTimeout); err != nil {
 			return err
 		}
-		if !told.OK {
-			return errOtherEpoch
+		if !reply.OK {
+			return errEarlierEpoch
 		}
-		if !n.store.persist(func(t *tables) []record { return t.unionEntries(told.Entries) }, keepLongest) {
-			return errNotKept
+		if !n.store.persist(func(t *tables) []record { return t.mergeEntries(reply.Entries) }, repairPersistTimeout) {
+			return errNotPersisted
 		}
-		cursor = told.Rest
-		if mode.rest > 0 {
-			n.clock.Sleep(mode.rest)
+		cursor = reply.Rest
+		if mode.pause > 0 {
+			n.clock.Sleep(mode.pause)
 		}
 	}
 	return nil
 }
 
-func (t *tables) unionEntries(entries []idempotency.Entry) (out []record) {
+func (t *tables) mergeEntries(entries []idempotency.Entry) (records []record) {
 	for _, entry := range t.voter.Merge(entries) {
-		out = append(out, record{Entry: &entry})
+		records = append(records, record{Entry: &entry})
 	}
-	return out
+	return records
 }
 
-func (n *node) onDigests(in messages.Digests, answer func(messages.DigestsTold)) {
-	var out messages.DigestsTold
+func (n *node) onDigests(in messages.Digests, reply func(messages.DigestsTold)) {
+	var digests messages.DigestsTold
 	n.store.enqueue(func(t *tables) []record {
-		if out.OK = t.view.Epoch >= in.Epoch; out.OK {
-			out.Ranges = t.voter.Digests(in.Scope)
+		if digests.OK = t.view.Epoch >= in.Epoch; digests.OK {
+			digests.Ranges = t.voter.Digests(in.Scope)
 		}
 		return nil
-	}, func() { answer(out) })
+	}, func() { reply(digests) })
 }
 
-func (n *node) onBriefs(in messages.Briefs, answer func(messages.BriefsTold)) {
-	var out messages.BriefsTold
+func (n *node) onBriefs(in messages.Briefs, reply func(messages.BriefsTold)) {
+	var briefs messages.BriefsTold
 	n.store.enqueue(func(t *tables) []record {
-		if out.OK = t.view.Epoch >= in.Epoch; out.OK {
-			out.Briefs = t.voter.Summaries(in.Ranges)
+		if briefs.OK = t.view.Epoch >= in.Epoch; briefs.OK {
+			briefs.Briefs = t.voter.Summaries(in.Ranges)
 		}
 		return nil
-	}, func() { answer(out) })
+	}, func() { reply(briefs) })
 }
 
-func (n *node) onEntries(in messages.Entries, answer func(messages.EntriesTold)) {
-	var out messages.EntriesTold
+func (n *node) onEntries(in messages.Entries, reply func(messages.EntriesTold)) {
+	var entries messages.EntriesTold
 	n.store.enqueue(func(t *tables) []record {
-		if out.OK = t.view.Epoch >= in.Epoch; out.OK {
-			out.Entries, out.Rest = t.voter.Read(in.Cursor, pieceBytes)
+		if entries.OK = t.view.Epoch >= in.Epoch; entries.OK {
+			entries.Entries, entries.Rest = t.voter.Read(in.Cursor, repairChunkBytes)
 		}
 		return nil
-	}, func() { answer(out) })
+	}, func() { reply(entries) })
 }
--- a/internal/control/repair_bench_test.go
+++ b/internal/control/repair_bench_test.go
@@ -20,30 +20,30 @@
 // run in this process, so a member by itself has less to do.
 func BenchmarkRepair(b *testing.B) {
 	const operations, bytes = 37_000, 1500
-	sources, view := []*node{benchMember(b), benchMember(b)}, membership.View{Epoch: 1}
-	reader := benchMember(b)
-	for _, m := range append(sources, reader) {
+	sources, view := []*node{newBenchMember(b), newBenchMember(b)}, membership.View{Epoch: 1}
+	rebuilt := newBenchMember(b)
+	for _, m := range append(sources, rebuilt) {
 		view.Members = append(view.Members, m.self)
 	}
-	for _, m := range append(sources, reader) {
+	for _, m := range append(sources, rebuilt) {
 		m.adoptView(view)
 	}
 	for _, m := range sources {
 		m.trust()
-		fill(m, operations, bytes)
+		storeIntents(m, operations, bytes)
 	}
 	for b.Loop() {
 		b.StopTimer()
-		reader.store = benchKeeper(b)
-		reader.adoptView(view)
+		rebuilt.store = newBenchStore(b)
+		rebuilt.adoptView(view)
 		b.StartTimer()
-		if !reader.rebuild(view) {
+		if !rebuilt.rebuild(view) {
 			b.Fatal("the member was not rebuilt")
 		}
 	}
 }
 
-func benchMember(b *testing.B) *node {
+func newBenchMember(b *testing.B) *node {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
@@ -51,7 +51,7 @@
 	b.Cleanup(func() { _ = listener.Close() })
 	m := &node{
 		self: listener.Addr().String(), clock: timetable.Real(), hub: feed.NewHub(), log: func(string, string, ...any) {},
-		connections: map[string]*rpc.Line{}, store: benchKeeper(b),
+		connections: map[string]*rpc.Line{}, store: newBenchStore(b),
 	}
 	m.settings.Store(&settings.Settings{Tuning: settings.Defaults()})
 	m.configReplicator = newConfigReplicator(m)
@@ -60,25 +60,25 @@
 	return m
 }
 
-func benchKeeper(b *testing.B) *store {
+func newBenchStore(b *testing.B) *store {
 	disk, err := storage.Folder(b.TempDir())
 	if err != nil {
 		b.Fatal(err)
 	}
 	policy := idempotency.Policy{KeyWindow: time.Minute, Retention: time.Hour}
-	k, err := openStore(disk, policy, timetable.Real(), func(err error) { b.Error(err) })
+	s, err := openStore(disk, policy, timetable.Real(), func(err error) { b.Error(err) })
 	if err != nil {
 		b.Fatal(err)
 	}
-	go k.run(b.Context())
-	return k
+	go s.run(b.Context())
+	return s
 }
 
-func fill(m *node, operations, bytes int) {
-	for from := 0; from < operations; from += 500 {
+func storeIntents(m *node, count, bytes int) {
+	for first := 0; first < count; first += 500 {
 		m.store.persist(func(t *tables) (out []record) {
 			for number := range 500 {
-				if entry, err := t.voter.Record(completed(from+number, bytes)); err == nil {
+				if entry, err := t.voter.Record(completedIntent(first+number, bytes)); err == nil {
 					out = append(out, record{Entry: entry})
 				}
 			}
@@ -91,7 +91,7 @@
 func BenchmarkCheckpoint(b *testing.B) {
 	t := newTables(idempotency.Policy{})
 	for number := range 37_000 {
-		if _, err := t.voter.Record(completed(number, 1500)); err != nil {
+		if _, err := t.voter.Record(completedIntent(number, 1500)); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/control/repair_test.go
+++ b/internal/control/repair_test.go
@@ -42,7 +42,7 @@
 		members, view.Members = append(members, m), append(view.Members, m.self)
 	}
 	for _, m := range members {
-		m.wipe()
+		m.useEmptyDisk()
 		m.adoptView(view)
 		go rpc.Serve(m.listener, m.newHandlers(), time.Second)
 	}
@@ -50,7 +50,7 @@
 }
 
 // wipe gives the member an empty disk.
-func (m *member) wipe() {
+func (m *member) useEmptyDisk() {
 	disk, err := storage.Folder(GinkgoT().TempDir())
 	Expect(err).NotTo(HaveOccurred())
 	policy := idempotency.Policy{OpenLimit: 1 << 20, KeyWindow: time.Minute, Retention: time.Hour}
@@ -62,7 +62,7 @@
 }
 
 // completed is an operation whose reply has so many bytes.
-func completed(number, bytes int) idempotency.Intent {
+func completedIntent(number, bytes int) idempotency.Intent {
 	name := fmt.Sprint("operation-", number)
 	return idempotency.Intent{
 		Key: idempotency.Key{Tenant: "h.example", Key: name}, Attempt: idempotency.Attempt("attempt-" + name), Reservation: name, Route: "fee", Service: "fees",
@@ -71,11 +71,11 @@
 }
 
 // hold puts operations on the member's disk.
-func (m *member) hold(from, to, bytes int) {
+func (m *member) storeIntents(from, to, bytes int) {
 	for ; from < to; from += 500 {
 		Expect(m.store.persist(func(t *tables) (out []record) {
 			for number := from; number < min(from+500, to); number++ {
-				entry, err := t.voter.Record(completed(number, bytes))
+				entry, err := t.voter.Record(completedIntent(number, bytes))
 				Expect(err).NotTo(HaveOccurred())
 				out = append(out, record{Entry: entry})
 			}
@@ -84,7 +84,7 @@
 	}
 }
 
-func (m *member) held() (count int) {
+func (m *member) intentCount() (count int) {
 	m.store.read(func(t *tables) { count = len(t.voter.Entries()) })
 	return count
 }
@@ -95,11 +95,11 @@
 		members, view := newMembers(3)
 		for _, m := range members[1:] {
 			m.trust()
-			m.hold(0, operations, bytes)
+			m.storeIntents(0, operations, bytes)
 		}
-		Expect(operations * bytes).To(BeNumerically(">", 10*pieceBytes))
+		Expect(operations * bytes).To(BeNumerically(">", 10*repairChunkBytes))
 		Expect(members[0].rebuild(view)).To(BeTrue())
-		Expect(members[0].held()).To(Equal(operations))
+		Expect(members[0].intentCount()).To(Equal(operations))
 	})
 
 	It("copies only what it lacks, and whatever was reserved", func() {
@@ -107,19 +107,19 @@
 		reserved := idempotency.Intent{Key: idempotency.Key{Tenant: "h", Key: "open"}, Attempt: "a", Reservation: "a", Route: "fee"}
 		for _, m := range members[1:] {
 			m.trust()
-			m.hold(0, 50, 10)
+			m.storeIntents(0, 50, 10)
 			m.store.persist(func(t *tables) []record {
 				_, entry := t.voter.Reserve(reserved)
 				return []record{{Entry: entry}}
 			}, time.Second)
 		}
-		members[0].hold(10, 50, 10)
-		lacking, err := members[0].copyIntents(members[1].self, view.Epoch, copyAtOnce)
+		members[0].storeIntents(10, 50, 10)
+		missing, err := members[0].copyIntents(members[1].self, view.Epoch, copyImmediately)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(lacking).To(Equal(11))
-		lacking, err = members[0].copyIntents(members[2].self, view.Epoch, copyAtOnce)
+		Expect(missing).To(Equal(11))
+		missing, err = members[0].copyIntents(members[2].self, view.Epoch, copyImmediately)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(lacking).To(BeZero())
+		Expect(missing).To(BeZero())
 		members[0].store.read(func(t *tables) {
 			Expect(t.voter.Find(reserved.Key)).To(HaveField("State", idempotency.Reserved))
 			Expect(t.voter.Quota().Open("fee")).To(Equal(1))
@@ -132,31 +132,31 @@
 			m.trust()
 		}
 		// Only the last knows of the operation: the two that lost their disks knew too.
-		members[4].hold(0, 1, 10)
+		members[4].storeIntents(0, 1, 10)
 		Expect(members[4].listener.Close()).To(Succeed())
 		Expect(members[0].rebuild(view)).To(BeFalse())
-		Expect(members[0].held()).To(BeZero())
+		Expect(members[0].intentCount()).To(BeZero())
 		listener, err := net.Listen("tcp4", members[4].self)
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(func() { _ = listener.Close() })
 		go rpc.Serve(listener, members[4].newHandlers(), time.Second)
 		for _, m := range members[:2] {
 			Eventually(func() bool { return m.rebuild(view) }, 5*time.Second).Should(BeTrue())
-			Expect(m.held()).To(Equal(1))
+			Expect(m.intentCount()).To(Equal(1))
 		}
 	})
 
 	It("is refused by a source that is in an earlier view", func() {
 		members, view := newMembers(2)
-		_, err := members[0].copyIntents(members[1].self, view.Epoch+1, copyAtOnce)
-		Expect(err).To(MatchError(errOtherEpoch))
+		_, err := members[0].copyIntents(members[1].self, view.Epoch+1, copyImmediately)
+		Expect(err).To(MatchError(errEarlierEpoch))
 	})
 })
 
 var _ = Describe("the members that were read", func() {
 	view := membership.View{Epoch: 1, Members: []string{"a", "b", "c", "d", "e"}}
 
-	DescribeTable("suffice", func(trusted, untrusted int, isEnough bool) {
+	DescribeTable("suffice", func(trusted, untrusted int, sufficient bool) {
 		var r readProgress
 		for range trusted {
 			r.add(true)
@@ -164,7 +164,7 @@
 		for range untrusted {
 			r.add(false)
 		}
-		Expect(r.sufficient(view)).To(Equal(isEnough))
+		Expect(r.sufficient(view)).To(Equal(sufficient))
 	},
 		Entry("if the read set is trusted", 3, 0, true),
 		Entry("not with one trusted too few, whoever else was read", 2, 1, false),
@@ -179,10 +179,10 @@
 		for _, m := range members {
 			m.trust()
 		}
-		members[1].hold(0, 30, 10)
-		members[0].hold(0, 20, 10)
+		members[1].storeIntents(0, 30, 10)
+		members[0].storeIntents(0, 20, 10)
 		members[0].copyOutcomes(members[1].self, view.Epoch)
-		Expect(members[0].held()).To(Equal(30))
+		Expect(members[0].intentCount()).To(Equal(30))
 		Expect(members[0].lag.largest(view)).To(Equal(10))
 		members[0].copyOutcomes(members[1].self, view.Epoch)
 		Expect(members[0].lag.largest(view)).To(BeZero())
@@ -196,7 +196,7 @@
 		}, time.Second)
 		members[0].trust()
 		members[0].copyOutcomes(members[1].self, view.Epoch)
-		Expect(members[0].held()).To(BeZero())
+		Expect(members[0].intentCount()).To(BeZero())
 	})
 })
 
@@ -206,10 +206,10 @@
 		for _, m := range members {
 			m.trust()
 		}
-		members[0].hold(0, 20, 10)
+		members[0].storeIntents(0, 20, 10)
 		members[0].leave()
 		for _, m := range members[1:] {
-			Expect(m.held()).To(Equal(20))
+			Expect(m.intentCount()).To(Equal(20))
 		}
 	})
 
@@ -219,8 +219,8 @@
 		for _, m := range members[1:] {
 			Expect(m.listener.Close()).To(Succeed())
 		}
-		began := time.Now()
+		start := time.Now()
 		members[0].leave()
-		Expect(time.Since(began)).To(BeNumerically("<", leaveTimeout+500*time.Millisecond))
+		Expect(time.Since(start)).To(BeNumerically("<", leaveTimeout+500*time.Millisecond))
 	})
 })
--- a/internal/control/replicate.go
+++ b/internal/control/replicate.go
@@ -73,7 +73,7 @@
 // copyOutcomes copies the outcomes that another member holds and this one lacks. It
 // pauses between chunks, as this member is serving votes meanwhile.
 func (n *node) copyOutcomes(member string, epoch membership.Epoch) {
-	missing, err := n.copyIntents(member, epoch, copyMode{settle: compareDelay, rest: copyPause, scope: idempotency.CompletedIntents})
+	missing, err := n.copyIntents(member, epoch, copyMode{minDifferenceAge: compareDelay, pause: copyPause, scope: idempotency.CompletedIntents})
 	if err != nil {
 		n.log("debug", "cannot compare intents", "member", member, "error", err)
 		return
--- a/internal/control/rollouts.go
+++ b/internal/control/rollouts.go
@@ -14,33 +14,33 @@
 )
 
 // rollout is an operator's order for a service's version.
-type rollout struct {
+type rolloutRequest struct {
 	Service       string         `json:"Service"`
 	TargetVersion string         `json:"TargetVersion"`
 	Duration      timetable.Span `json:"Duration"`
 }
 
 const (
-	orderBytes  = 64 << 10
-	orderSpan   = 900 * time.Millisecond
-	termLongest = 24 * time.Hour
+	maxCommandBytes    = 64 << 10
+	commandTimeout     = 900 * time.Millisecond
+	maxRolloutDuration = 24 * time.Hour
 )
 
-func (r *rollout) check() error {
+func (r *rolloutRequest) check() error {
 	return validation.ValidateStruct(r,
 		validation.Field(&r.Service, validation.Required),
 		validation.Field(&r.TargetVersion, validation.Required, validation.Length(1, 256)),
-		validation.Field(&r.Duration, validation.Required, validation.Max(int64(termLongest))),
+		validation.Field(&r.Duration, validation.Required, validation.Max(int64(maxRolloutDuration))),
 	)
 }
 
 func decodeRollout(_ context.Context, r *http.Request) (any, error) {
-	var order rollout
-	err := readCommand(r, orderBytes, &order)
-	return order, err
+	var command rolloutRequest
+	err := readCommand(r, maxCommandBytes, &command)
+	return command, err
 }
 
-func decodeSubject(_ context.Context, r *http.Request) (any, error) {
+func decodeServiceName(_ context.Context, r *http.Request) (any, error) {
 	name := r.PathValue("service")
 	if strings.TrimSpace(name) == "" {
 		return nil, apierror.New(apierror.UnknownSubject, "")
@@ -48,9 +48,9 @@
 	return name, nil
 }
 
-func (n *node) startPoint(_ context.Context, request any) (any, error) {
-	order := request.(rollout)
-	in := messages.Order{Service: order.Service, Target: order.TargetVersion, Duration: int64(order.Duration)}
+func (n *node) startRolloutEndpoint(_ context.Context, request any) (any, error) {
+	command := request.(rolloutRequest)
+	in := messages.Order{Service: command.Service, Target: command.TargetVersion, Duration: int64(command.Duration)}
 	return struct{}{}, n.callLeader(messages.KindOrder, in)
 }
 
@@ -62,8 +62,8 @@
 	Reason        string `json:"Reason,omitempty"`
 }
 
-func (n *node) rolloutPoint(_ context.Context, request any) (any, error) {
-	state, err := n.readTrial(request.(string))
+func (n *node) readRolloutEndpoint(_ context.Context, request any) (any, error) {
+	state, err := n.readRollout(request.(string))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/control/sites.go
+++ b/internal/control/sites.go
@@ -14,56 +14,56 @@
 )
 
 // layPeriod is how often the room of the sites is laid where no news says so.
-const layPeriod = time.Second
+const allocationInterval = time.Second
 
 // onReport hears a proxy, and answers with its lots.
-func (n *node) onReport(in messages.Report, answer func(messages.Lots)) {
+func (n *node) onReport(in messages.Report, reply func(messages.Lots)) {
 	c := n.coordinator
 	c.loop.Offer(func() {
-		c.court.Hear(in.Evidence)
-		c.cells[in.Evidence.Node] = in.Cell
-		if c.isGauging() {
-			c.gauge.Hear(in.Evidence.Node, in.Loads)
+		c.detector.Hear(in.Evidence)
+		c.proxyZones[in.Evidence.Node] = in.Cell
+		if c.loadGaugeOn() {
+			c.loadGauge.Hear(in.Evidence.Node, in.Loads)
 		}
-		c.hearCopies(in.Mirrored)
-		if c.isMaster() && c.tree != nil {
-			answer(messages.Lots{Lots: c.office.Hear(in.Evidence.Node, c.tree.SiteOf("", in.Cell), in.Uses)})
+		c.recordCopies(in.Mirrored)
+		if c.ensureLeading() && c.siteTree != nil {
+			reply(messages.Lots{Lots: c.allocator.Hear(in.Evidence.Node, c.siteTree.SiteOf("", in.Cell), in.Uses)})
 		}
 	})
 }
 
 // layTree lays the tree and the room of its sites after a new reading.
-func (c *coordinator) layTree() {
-	tree, now, isSame := c.tree, c.clock.Steady(), false
+func (c *coordinator) updateAllocation() {
+	tree, now, unchanged := c.siteTree, c.clock.Steady(), false
 	c.store.read(func(t *tables) {
 		digest := t.bookDigest()
 		// What is warming gets ready with no news.
-		isSame = digest == c.treeOf && c.officeTerm == c.term && c.laid == c.last.Reading() && time.Duration(now-c.laidAt) < layPeriod
-		if digest != c.treeOf {
+		unchanged = digest == c.siteTreeDigest && c.allocatorTerm == c.term && c.allocatedReading == c.lastFleet.Reading() && time.Duration(now-c.allocatedAt) < allocationInterval
+		if digest != c.siteTreeDigest {
 			// What was kept was checked; if cells have gone since, the old
 			// tree goes on.
 			if built, err := t.book().Tree(c.settings.Load().Platform.Cells); err == nil {
 				tree = built
 			}
-			c.treeOf = digest
+			c.siteTreeDigest = digest
 		}
 	})
-	if tree == nil || isSame {
+	if tree == nil || unchanged {
 		return
 	}
-	c.tree, c.laid, c.laidAt = tree, c.last.Reading(), now
-	declared := map[branchline.Key]int{}
+	c.siteTree, c.allocatedReading, c.allocatedAt = tree, c.lastFleet.Reading(), now
+	capacities := map[branchline.Key]int{}
 	wall := c.clock.Wall()
-	for _, server := range c.last.Servers {
+	for _, server := range c.lastFleet.Servers {
 		if !server.IsReady || server.Grade != feed.Open || server.IsAside || server.WarmLeft(wall) > 0 {
 			continue
 		}
-		declared[branchline.Key{Service: server.Service, Site: tree.SiteOf(server.ID, server.Cell)}] += server.Capacity
+		capacities[branchline.Key{Service: server.Service, Site: tree.SiteOf(server.ID, server.Cell)}] += server.Capacity
 	}
-	if c.office == nil || c.officeTerm != c.term {
-		c.office, c.officeTerm = branchline.NewOffice(tree, c.clock), c.term
+	if c.allocator == nil || c.allocatorTerm != c.term {
+		c.allocator, c.allocatorTerm = branchline.NewOffice(tree, c.clock), c.term
 	}
-	c.office.Lay(tree, declared)
+	c.allocator.Lay(tree, capacities)
 }
 
 // SitePage is the tree and what stands of its sites.
@@ -72,19 +72,19 @@
 	Accounts []branchline.Account `json:"Accounts"`
 	// IsHolder tells whether this node gives out the room; only then are there
 	// accounts.
-	IsHolder bool   `json:"IsHolder"`
-	Holder   string `json:"Holder"`
+	IsLeader bool   `json:"IsHolder"`
+	Leader   string `json:"Holder"`
 }
 
-func (n *node) sitesPoint(context.Context, any) (any, error) {
-	c, page := n.coordinator, SitePage{Sites: []branchline.Site{}, Accounts: []branchline.Account{}, Holder: n.leader()}
+func (n *node) sitesEndpoint(context.Context, any) (any, error) {
+	c, page := n.coordinator, SitePage{Sites: []branchline.Site{}, Accounts: []branchline.Account{}, Leader: n.leader()}
 	runAndWait(c.loop, func() {
-		if page.IsHolder = c.isMaster() && c.office != nil && c.tree != nil; page.IsHolder {
-			page.Sites = c.tree.Sites()
-			page.Accounts = append(page.Accounts, c.office.Accounts()...)
+		if page.IsLeader = c.ensureLeading() && c.allocator != nil && c.siteTree != nil; page.IsLeader {
+			page.Sites = c.siteTree.Sites()
+			page.Accounts = append(page.Accounts, c.allocator.Accounts()...)
 		}
 	})
-	if page.IsHolder {
+	if page.IsLeader {
 		return page, nil
 	}
 	book, err := n.readConfig()
--- a/internal/control/staged.go
+++ b/internal/control/staged.go
@@ -16,40 +16,42 @@
 )
 
 // staged is an operator's order for a staged change.
-type staged struct {
+type stagedRequest struct {
 	Name     string          `json:"Name"`
 	First    string          `json:"First"`
 	Duration timetable.Span  `json:"Duration"`
 	Change   json.RawMessage `json:"Change"`
 }
 
-func (s *staged) check() error {
+func (s *stagedRequest) check() error {
 	return validation.ValidateStruct(s,
 		validation.Field(&s.Name, validation.Required, validation.Length(1, 128)),
-		validation.Field(&s.Duration, validation.Required, validation.Max(int64(termLongest))),
+		validation.Field(&s.Duration, validation.Required, validation.Max(int64(maxRolloutDuration))),
 		validation.Field(&s.Change, validation.Required),
 	)
 }
 
 func decodeStaged(_ context.Context, r *http.Request) (any, error) {
-	var order staged
-	if err := readCommand(r, maxRequestBytes, &order); err != nil {
+	var command stagedRequest
+	if err := readCommand(r, maxRequestBytes, &command); err != nil {
 		return nil, err
 	}
-	items, err := config.ParseModify(order.Change)
+	items, err := config.ParseModify(command.Change)
 	if err == nil && len(items) == 0 {
 		err = apierror.New(apierror.BadOrder, "the change has no items")
 	}
-	return messages.StageOrder{Name: order.Name, First: order.First, Duration: int64(order.Duration), Items: items}, err
+	return messages.StageOrder{Name: command.Name, First: command.First, Duration: int64(command.Duration), Items: items}, err
 }
 
-func decodeName(_ context.Context, r *http.Request) (any, error) { return r.PathValue("name"), nil }
+func decodeStagedName(_ context.Context, r *http.Request) (any, error) {
+	return r.PathValue("name"), nil
+}
 
-func (n *node) stagePoint(_ context.Context, request any) (any, error) {
+func (n *node) startStagedEndpoint(_ context.Context, request any) (any, error) {
 	return struct{}{}, n.callLeader(messages.KindStage, request)
 }
 
-func (n *node) haltPoint(_ context.Context, request any) (any, error) {
+func (n *node) haltStagedEndpoint(_ context.Context, request any) (any, error) {
 	return struct{}{}, n.callLeader(messages.KindStage, messages.StageOrder{Name: request.(string), IsHalt: true})
 }
 
@@ -64,9 +66,9 @@
 	Evidence []outlier.Evidence `json:"Evidence"`
 }
 
-func (n *node) stagedPoint(_ context.Context, request any) (any, error) {
+func (n *node) readStagedEndpoint(_ context.Context, request any) (any, error) {
 	subject := trial.StagePrefix + request.(string)
-	state, err := n.readTrial(subject)
+	state, err := n.readRollout(subject)
 	if err != nil {
 		return nil, err
 	}
@@ -77,17 +79,17 @@
 
 // evidence asks the holder of the duty what it knows of a trial.
 func (n *node) evidence(subject string) []outlier.Evidence {
-	told := messages.Evidence{}
-	_ = n.call(n.leader(), messages.KindEvidence, messages.Evidence{Subject: subject}, &told, callTimeout)
-	return append([]outlier.Evidence{}, told.Lanes...)
+	reply := messages.Evidence{}
+	_ = n.call(n.leader(), messages.KindEvidence, messages.Evidence{Subject: subject}, &reply, callTimeout)
+	return append([]outlier.Evidence{}, reply.Lanes...)
 }
 
-func (n *node) onEvidence(in messages.Evidence, answer func(messages.Evidence)) {
+func (n *node) onEvidence(in messages.Evidence, reply func(messages.Evidence)) {
 	c := n.coordinator
 	c.loop.Offer(func() {
-		if d := c.drives[in.Subject]; d != nil && c.isMaster() {
-			in.Lanes = d.finding.Evidence
+		if progress := c.progress[in.Subject]; progress != nil && c.ensureLeading() {
+			in.Lanes = progress.finding.Evidence
 		}
-		answer(in)
+		reply(in)
 	})
 }
--- a/internal/control/stages.go
+++ b/internal/control/stages.go
@@ -15,29 +15,29 @@
 
 const (
 	// silentSpan is after how long without a report a reached node is silent.
-	silentSpan = 2500 * time.Millisecond
+	nodeSilenceTimeout = 2500 * time.Millisecond
 	// heardSpan is how old its last report may be for a wave to go on.
-	heardSpan = time.Second
+	waveReportMaxAge = time.Second
 	// haltedReason is why a change that was halted ended.
-	haltedReason = "halted by the operator"
+	haltedByOperator = "halted by the operator"
 )
 
-func (n *node) onStage(in messages.StageOrder, answer func(messages.Ordered)) {
-	n.decide(answer, func(c *coordinator) (apierror.Kind, string) {
+func (n *node) onStagedChange(in messages.StageOrder, reply func(messages.Ordered)) {
+	n.runCommand(reply, func(c *coordinator) (apierror.Kind, string) {
 		if in.IsHalt {
-			return c.halt(in)
+			return c.haltStagedChange(in)
 		}
-		return c.stage(in)
+		return c.startStagedChange(in)
 	})
 }
 
 // stage takes an order for a staged change.
-func (c *coordinator) stage(in messages.StageOrder) (kind apierror.Kind, detail string) {
+func (c *coordinator) startStagedChange(in messages.StageOrder) (kind apierror.Kind, detail string) {
 	subject := trial.StagePrefix + in.Name
 	state := c.states[subject]
-	isSame := state.Number > 0 && sameItems(state.Items, in.Items)
-	if isSame && (state.Phase.IsActive() || c.sinceOrder(state) < 2*c.plan().Ack) {
-		c.noteRepeat(state)
+	unchanged := state.Number > 0 && sameItems(state.Items, in.Items)
+	if unchanged && (state.Phase.IsActive() || c.sinceCommand(state) < 2*c.rolloutPlan().Ack) {
+		c.recordRepeat(state)
 		return apierror.None, ""
 	}
 	for _, other := range c.states {
@@ -62,54 +62,54 @@
 	case len(newer) != len(in.Items):
 		return apierror.OtherOrder, "the manifest holds as new a version of an item"
 	}
-	waves := c.waves(in.First)
+	waves := c.planWaves(in.First)
 	if waves == nil {
 		return apierror.UnknownSubject, "node " + in.First + " is not known to be in touch"
 	}
 	state.Subject = subject
-	next, isDone := state.Order(in.Name, timetable.Span(in.Duration))
-	if !isDone {
+	next, permitted := state.Order(in.Name, timetable.Span(in.Duration))
+	if !permitted {
 		return apierror.OtherOrder, ""
 	}
 	next.Items, next.Waves = in.Items, waves
-	if c.write(next) != nil {
+	if c.commitState(next) != nil {
 		return apierror.Gone, ""
 	}
-	c.driveOf(next)
+	c.progressOf(next)
 	c.publish()
 	return apierror.None, ""
 }
 
-func (c *coordinator) halt(in messages.StageOrder) (kind apierror.Kind, detail string) {
-	state, isKnown := c.states[trial.StagePrefix+in.Name]
-	if !isKnown {
+func (c *coordinator) haltStagedChange(in messages.StageOrder) (kind apierror.Kind, detail string) {
+	state, known := c.states[trial.StagePrefix+in.Name]
+	if !known {
 		return apierror.UnknownSubject, in.Name
 	}
-	if !state.Phase.IsActive() && state.Reason == haltedReason {
+	if !state.Phase.IsActive() && state.Reason == haltedByOperator {
 		return apierror.None, ""
 	}
-	next, isDone := state.Step(trial.Halted, haltedReason, time.Duration(c.clock.Steady()-c.beganAt(state)))
-	if !isDone {
+	next, permitted := state.Step(trial.Halted, haltedByOperator, time.Duration(c.clock.Steady()-c.rolloutStartedAt(state)))
+	if !permitted {
 		return apierror.OtherOrder, "it has ended"
 	}
-	if c.write(next) != nil {
+	if c.commitState(next) != nil {
 		return apierror.Gone, ""
 	}
 	c.publish()
 	return apierror.None, ""
 }
 
-func sameItems(a, z []config.Item) bool {
-	return slices.EqualFunc(a, z, func(x, y config.Item) bool {
+func sameItems(a, b []config.Item) bool {
+	return slices.EqualFunc(a, b, func(x, y config.Item) bool {
 		return x.ID == y.ID && x.Version == y.Version && string(x.Body) == string(y.Body) && x.Host == y.Host && x.Dropped == y.Dropped
 	})
 }
 
 // waves lays the waves over the proxies in touch, beginning with the one named.
-func (c *coordinator) waves(first string) [][]string {
+func (c *coordinator) planWaves(first string) [][]string {
 	var nodes []string
-	for _, node := range slices.Sorted(maps.Keys(c.cells)) {
-		if c.court.IsFresh(node, silentSpan) {
+	for _, node := range slices.Sorted(maps.Keys(c.proxyZones)) {
+		if c.detector.IsFresh(node, nodeSilenceTimeout) {
 			nodes = append(nodes, node)
 		}
 	}
@@ -119,38 +119,38 @@
 	if !slices.Contains(nodes, first) {
 		return nil
 	}
-	return trial.Waves(first, nodes, func(node string) string { return c.cells[node] })
+	return trial.Waves(first, nodes, func(node string) string { return c.proxyZones[node] })
 }
 
 // driveStage takes one step of a staged change, where the facts come to one.
-func (c *coordinator) driveStage(state trial.State) {
-	d := c.driveOf(state)
+func (c *coordinator) advanceStagedChange(state trial.State) {
+	progress := c.progressOf(state)
 	now := c.clock.Steady()
 	facts := trial.StageFacts{
-		Elapsed: time.Duration(now - c.beganAt(state)), InWave: time.Duration(now - d.phaseAt),
-		Finding: c.court.Hearing(state.Subject, state.Number, state.Wave),
+		Elapsed: time.Duration(now - c.rolloutStartedAt(state)), InWave: time.Duration(now - progress.phaseStartedAt),
+		Finding: c.detector.Hearing(state.Subject, state.Number, state.Wave),
 	}
-	d.finding = facts.Finding
-	doubled := 0
+	progress.finding = facts.Finding
+	duplicates := 0
 	var newer []config.Item
-	isHeld := true
+	committed := true
 	c.store.read(func(t *tables) {
-		doubled, newer = t.voter.DuplicateExecutions(), t.book().Newer(state.Items)
+		duplicates, newer = t.voter.DuplicateExecutions(), t.book().Newer(state.Items)
 		for _, item := range state.Items {
-			held := t.book()[item.ID]
-			isHeld = isHeld && held.Version == item.Version && string(held.Body) == string(item.Body)
+			stored := t.book()[item.ID]
+			committed = committed && stored.Version == item.Version && string(stored.Body) == string(item.Body)
 		}
 	})
-	facts.IsDoubled = doubled > d.doubled
+	facts.IsDoubled = duplicates > progress.knownDuplicates
 	facts.IsSuperseded = len(newer) < len(state.Items)
 	for _, node := range state.Reached() {
-		facts.IsUnheard = facts.IsUnheard || !c.court.IsFresh(node, heardSpan)
-		if facts.InWave > silentSpan && !c.court.IsFresh(node, silentSpan) {
+		facts.IsUnheard = facts.IsUnheard || !c.detector.IsFresh(node, waveReportMaxAge)
+		if facts.InWave > nodeSilenceTimeout && !c.detector.IsFresh(node, nodeSilenceTimeout) {
 			facts.Silent = node
 		}
 	}
 	if state.Phase == trial.Shifting {
-		if facts.IsCommitted = isHeld; !isHeld {
+		if facts.IsCommitted = committed; !committed {
 			facts.IsCommitted = c.modify(state.Items) == nil
 		}
 	}
@@ -158,8 +158,8 @@
 	if event == trial.None {
 		return
 	}
-	next, isDone := state.Step(event, reason, facts.Elapsed)
-	if !isDone || c.write(next) != nil {
+	next, permitted := state.Step(event, reason, facts.Elapsed)
+	if !permitted || c.commitState(next) != nil {
 		return
 	}
 	c.log("warn", "staged change", "subject", state.Subject, "phase", next.Phase, "wave", next.Wave, "reason", reason)
@@ -167,21 +167,21 @@
 }
 
 // stageOf is how a staged change is told to the proxies: a grant like a share.
-func stageOf(state trial.State) feed.Stage {
+func stageGrant(state trial.State) feed.Stage {
 	return feed.Stage{Subject: state.Subject, Number: state.Number, Wave: state.Wave, Nodes: state.Reached(), Items: state.Items}
 }
 
-func (c *coordinator) stages() (out []feed.Stage) {
+func (c *coordinator) stageGrants() (grants []feed.Stage) {
 	for _, state := range c.states {
 		if state.IsStaged() && state.Phase.IsActive() {
-			out = append(out, stageOf(state))
+			grants = append(grants, stageGrant(state))
 		}
 	}
-	return out
+	return grants
 }
 
-func sameStages(a, z []feed.Stage) bool {
-	return slices.EqualFunc(a, z, func(x, y feed.Stage) bool {
+func sameStages(a, b []feed.Stage) bool {
+	return slices.EqualFunc(a, b, func(x, y feed.Stage) bool {
 		return x.Subject == y.Subject && x.Number == y.Number && x.Wave == y.Wave && len(x.Nodes) == len(y.Nodes)
 	})
 }
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -9,7 +9,7 @@
 )
 
 // TrialStatus is one trial as this node keeps it.
-type TrialStatus struct {
+type RolloutStatus struct {
 	Phase   string `json:"Phase"`
 	InForce string `json:"InForce,omitempty"`
 	Target  string `json:"Target,omitempty"`
@@ -24,7 +24,7 @@
 	Members   map[string]bool `json:"Members"`
 	IsTrusted bool            `json:"IsTrusted"`
 	Term      uint64          `json:"Term"`
-	Holder    string          `json:"Holder"`
+	Leader    string          `json:"Holder"`
 	Items     int             `json:"Items"`
 	// Index numbers the last change of the configuration that this node has;
 	// IsUndecided says that it accepted another whose decision it does not know.
@@ -38,11 +38,11 @@
 	// last, that this node lacked.
 	Lagging int `json:"Lagging"`
 	// Quota is the open and consumed reservations of each route.
-	Quota    map[string]idempotency.Usage `json:"Quota"`
-	OldestMs int64                        `json:"OldestOpenMs"`
-	Versions map[string]string            `json:"Versions"`
+	Quota        map[string]idempotency.Usage `json:"Quota"`
+	OldestOpenMs int64                        `json:"OldestOpenMs"`
+	Versions     map[string]string            `json:"Versions"`
 	// Trials are the rollouts and staged changes, each with its phase.
-	Trials map[string]TrialStatus `json:"Trials"`
+	Rollouts map[string]RolloutStatus `json:"Trials"`
 	// QuorumAgeMs is how long ago this node last reached a majority of its view, -1
 	// if it hasn't yet.
 	QuorumAgeMs int64 `json:"QuorumAgeMs"`
@@ -60,10 +60,10 @@
 	RemainingMs int64  `json:"RemainingMs"`
 }
 
-func (n *node) statusPoint(context.Context, any) (any, error) {
-	out := Status{Node: n.self, Followers: n.hub.Followers(), Members: map[string]bool{}, Versions: map[string]string{}, Trials: map[string]TrialStatus{}}
+func (n *node) statusEndpoint(context.Context, any) (any, error) {
+	out := Status{Node: n.self, Followers: n.hub.Followers(), Members: map[string]bool{}, Versions: map[string]string{}, Rollouts: map[string]RolloutStatus{}}
 	n.store.read(func(t *tables) {
-		out.Epoch, out.IsTrusted, out.Term, out.Holder = uint64(t.view.Epoch), t.trusted, t.term.Number, t.term.Holder
+		out.Epoch, out.IsTrusted, out.Term, out.Leader = uint64(t.view.Epoch), t.trusted, t.term.Number, t.term.Holder
 		out.Index, out.IsUndecided = uint64(t.registry.Index), t.registry.Acceptor.Change != nil
 		out.Items, out.Digest = len(t.book()), t.bookDigest()
 		for _, item := range t.book().Items() {
@@ -73,10 +73,10 @@
 		}
 		counts, oldest := t.voter.CountByState(n.clock.Wall())
 		out.Quota = t.voter.Quota().Usage()
-		out.Intents, out.OldestMs = counts, oldest.Milliseconds()
+		out.Intents, out.OldestOpenMs = counts, oldest.Milliseconds()
 		out.Lagging = n.lag.largest(t.view)
-		for subject, state := range t.trials {
-			out.Trials[subject] = TrialStatus{state.Phase.String(), state.InForce, state.Target, state.Wave, state.Reason}
+		for subject, state := range t.rollouts {
+			out.Rollouts[subject] = RolloutStatus{state.Phase.String(), state.InForce, state.Target, state.Wave, state.Reason}
 		}
 		for _, member := range t.view.Members {
 			out.Members[member] = member == n.self
@@ -94,16 +94,16 @@
 }
 
 // ageMs is an age as the status tells it.
-func ageMs(age time.Duration, isKnown bool) int64 {
-	if !isKnown {
+func ageMs(age time.Duration, known bool) int64 {
+	if !known {
 		return -1
 	}
 	return age.Milliseconds()
 }
 
 func (n *node) leaseStatus(status Status) LeaseStatus {
-	out := LeaseStatus{Holder: status.Holder, Term: status.Term}
-	if status.Holder == n.self {
+	out := LeaseStatus{Holder: status.Leader, Term: status.Term}
+	if status.Leader == n.self {
 		out.RemainingMs = n.lease.remaining(status.Term, n.clock.Steady()).Milliseconds()
 	}
 	return out
@@ -115,7 +115,7 @@
 	Servers []feed.Server `json:"Servers"`
 }
 
-func (n *node) fleetPoint(context.Context, any) (any, error) {
+func (n *node) fleetEndpoint(context.Context, any) (any, error) {
 	fleet := n.fleet()
 	return FleetPage{Term: fleet.Term, Servers: fleet.Servers}, nil
 }
--- a/internal/control/tables.go
+++ b/internal/control/tables.go
@@ -24,7 +24,7 @@
 	Term     *membership.Term     `cbor:"5,keyasint,omitempty"`
 	Trusted  *bool                `cbor:"6,keyasint,omitempty"`
 	Fleet    *feed.Fleet          `cbor:"7,keyasint,omitempty"`
-	Trial    *trial.State         `cbor:"8,keyasint,omitempty"`
+	Rollout  *trial.State         `cbor:"8,keyasint,omitempty"`
 	// Change is a decided change of the item set, Page is a part of a whole set, and
 	// Durable is the registry's acceptor. Items occurs only in logs of older builds.
 	Change  *registry.Change  `cbor:"9,keyasint,omitempty"`
@@ -49,7 +49,7 @@
 	fleet feed.Fleet
 	// fleetReceivedAt is when the fleet was received, 0 if it was read from the disk.
 	fleetReceivedAt timetable.Steady
-	trials          map[string]trial.State
+	rollouts        map[string]trial.State
 	trusted         bool
 	empty           bool
 	digest          string
@@ -63,7 +63,7 @@
 }
 
 func newTables(policy idempotency.Policy) *tables {
-	return &tables{voter: idempotency.NewVoter(policy), registry: registry.NewReplica(), trials: map[string]trial.State{}, empty: true}
+	return &tables{voter: idempotency.NewVoter(policy), registry: registry.NewReplica(), rollouts: map[string]trial.State{}, empty: true}
 }
 
 // apply updates the tables with one record, both when it is created and when the log
@@ -86,8 +86,8 @@
 		t.term = *r.Term
 	case r.Fleet != nil:
 		t.fleet = *r.Fleet
-	case r.Trial != nil:
-		t.trials[r.Trial.Subject] = *r.Trial
+	case r.Rollout != nil:
+		t.rollouts[r.Rollout.Subject] = *r.Rollout
 	case r.Trusted != nil:
 		t.trusted = *r.Trusted
 	case r.Change != nil:
@@ -177,8 +177,8 @@
 	}
 	durable := t.registry.Durable()
 	records = append(records, record{Durable: &durable})
-	for _, state := range t.trials {
-		records = append(records, record{Trial: &state})
+	for _, state := range t.rollouts {
+		records = append(records, record{Rollout: &state})
 	}
 	return records
 }
--- a/internal/control/takeover_test.go
+++ b/internal/control/takeover_test.go
@@ -61,19 +61,19 @@
 		Eventually(isReady).Should(BeTrue())
 		n.stepDown()
 		Eventually(func() bool { return n.holdsLease(1) }).Should(BeFalse())
-		n.coordinator.isMaster()
+		n.coordinator.ensureLeading()
 		grant("b", 2)
 		told := make(chan messages.Done, 1)
 		n.onFleet(feed.Fleet{Term: 2, Count: 9, Holder: "b", Servers: []feed.Server{{ID: drainingID, Service: "s"}, {ID: "i-2", Service: "s", IsReady: true}}},
 			func(done messages.Done) { told <- done })
 		Expect((<-told).OK).To(BeTrue())
 		becomeLeader(3)
-		Eventually(func() uint64 { n.coordinator.conduct(); return n.fleet().Term }).Should(BeEquivalentTo(3))
+		Eventually(func() uint64 { n.coordinator.coordinate(); return n.fleet().Term }).Should(BeEquivalentTo(3))
 		Expect(isReady()).To(BeFalse(), "published the server list of this node's earlier term")
 	})
 
 	It("doesn't halt a staged change for duplicate executions that were known before", func() {
-		first, second := completed(1, 10), completed(1, 10)
+		first, second := completedIntent(1, 10), completedIntent(1, 10)
 		second.Attempt = "another"
 		for _, intent := range []idempotency.Intent{first, second} {
 			stored := make(chan messages.Done, 1)
@@ -85,19 +85,19 @@
 			Items: []config.Item{{ID: config.ID{Class: config.RouteItem, Name: "fee"}, Version: 1, Host: "h"}}, Waves: [][]string{{"edge-1"}},
 		}
 		written := make(chan messages.Done, 1)
-		n.onTrial(messages.Trial{Epoch: 1, State: staged}, func(done messages.Done) { written <- done })
+		n.onRollout(messages.Trial{Epoch: 1, State: staged}, func(done messages.Done) { written <- done })
 		Expect((<-written).OK).To(BeTrue())
 		becomeLeader(2)
-		n.coordinator.conduct()
+		n.coordinator.coordinate()
 		Expect(n.coordinator.states[staged.Subject].Reason).To(BeEmpty())
 		Expect(n.coordinator.states[staged.Subject].Phase).To(Equal(trial.Trying))
 		// A duplicate that is found from now on halts it.
-		third := completed(1, 10)
+		third := completedIntent(1, 10)
 		third.Attempt = "a third"
 		stored := make(chan messages.Done, 1)
 		n.onRecord(messages.Record{Intent: third}, func(done messages.Done) { stored <- done })
 		<-stored
-		n.coordinator.conduct()
+		n.coordinator.coordinate()
 		Expect(n.coordinator.states[staged.Subject].Phase).To(Equal(trial.Reverted))
 	})
 })
--- a/internal/inspector/load.go
+++ b/internal/inspector/load.go
@@ -25,7 +25,7 @@
 //
 //	load, err := control.Load()
 func (c *Control) Load() (out Load, err error) {
-	if err = c.readAtHolder("/v1/load", &out.LoadPage, func() (bool, string) { return out.IsHolder, out.Holder }); err != nil {
+	if err = c.readAtHolder("/v1/load", &out.LoadPage, func() (bool, string) { return out.IsLeader, out.Leader }); err != nil {
 		return out, err
 	}
 	fleet, err := c.Fleet()
--- a/internal/inspector/sites.go
+++ b/internal/inspector/sites.go
@@ -18,7 +18,7 @@
 //
 //	page, err := control.Sites()
 func (c *Control) Sites() (page control.SitePage, err error) {
-	return page, c.readAtHolder("/v1/sites", &page, func() (bool, string) { return page.IsHolder, page.Holder })
+	return page, c.readAtHolder("/v1/sites", &page, func() (bool, string) { return page.IsLeader, page.Leader })
 }
 
 // readAtHolder reads a page, and reads it again at the holder of the duty where the
