--- a/internal/control/coordinator.go
+++ b/internal/control/coordinator.go
@@ -14,32 +14,34 @@
 	"ploverhitch/internal/trial"
 )
 
-// coordinator does what falls to the holder of the duty: it publishes the fleet,
-// hears the proxies' reports, and drives the trials. Its loop owns its tables.
+// coordinator performs the tasks of the leader: it publishes the fleet, receives the
+// proxies' reports, and advances the rollouts. Only its loop accesses its fields.
 type coordinator struct {
 	*node
 	loop     *timetable.Loop[func()]
 	detector *outlier.Court
-	// term is the one for which states were read; 0 while the duty is not here.
+	// term is the term under which states was read, 0 while this node is not the leader.
 	term     uint64
 	states   map[string]trial.State
 	progress map[string]*rolloutProgress
-	// written counts this term's writings; no two share a number.
+	// writeCount numbers the writes of this term; each has its own number.
 	writeCount    uint64
 	listedServers []feed.Server
 	lastFleet     feed.Fleet
-	lastCountAt   timetable.Steady
-	// published are the last readings, for telling what has changed since them.
+	// lastCountAt is when a fleet with a new count was last published.
+	lastCountAt timetable.Steady
+	// recentFleets holds the last published fleets, from which differences are computed.
 	recentFleets []feed.Fleet
-	// paces are the servers' as last told, and when; termAt is when the term
-	// began here.
+	// relativeLatencies holds the servers' relative latencies as last published, and
+	// latenciesReadAt when they were read; termStartedAt is when this node took over.
 	relativeLatencies map[string]int
 	latenciesReadAt   timetable.Steady
 	termStartedAt     timetable.Steady
-	// laidOutAt is when the fleet was laid out last.
+	// fleetBuiltAt is when the fleet was last built.
 	fleetBuiltAt timetable.Steady
-	// cells are where the proxies are; tree is the sites, of the book with the
-	// digest treeOf; office gives out their room under officeTerm.
+	// proxyZones maps proxies to their zones. siteTree is the tree of sites of the
+	// configuration with the digest siteTreeDigest; allocator allocates the capacity of
+	// the sites under allocatorTerm.
 	proxyZones       map[string]string
 	siteTree         *branchline.Tree
 	siteTreeDigest   string
@@ -47,40 +49,41 @@
 	allocatorTerm    uint64
 	allocatedReading feed.Reading
 	allocatedAt      timetable.Steady
-	// gauge measures the load and decides on cutoffs; copying are the mirrors in
-	// force, of which eras have begun.
+	// loadGauge measures the load and decides on the cutoffs. activeMirrors holds the
+	// mirrors in force; eraCount is the number of eras started for them.
 	loadGauge     *shedding.Gauge
 	activeMirrors map[string]*activeMirror
 	eraCount      uint64
-	// repeats are the orders that came again, by their subject.
+	// repeatedCommands holds the last repetition of a command, by its subject.
 	repeatedCommands map[string]repeatedCommand
 }
 
-// drive is what the holder alone knows of an active trial.
+// rolloutProgress is the state of an active rollout that only the leader keeps.
 type rolloutProgress struct {
 	number         uint64
 	phase          trial.Phase
 	wave           int
 	phaseStartedAt timetable.Steady
-	// full is the first reading in which the new version had everything.
+	// fullShareReading is the first fleet reading that gives the target all requests.
 	fullShareReading feed.Reading
 	finding          outlier.Finding
-	// doubled is how many keys with two runs were known here as the drive began: what
-	// this node counted in an earlier term says nothing of the trial.
+	// knownDuplicates is the number of keys with duplicate executions that this node
+	// knew of when it began to advance the rollout: those counted in an earlier term
+	// are no evidence about the rollout.
 	knownDuplicates int
 }
 
 const (
 	coordinationInterval = 100 * time.Millisecond
 	grantRenewalInterval = 300 * time.Millisecond
-	// publishPeriod is how often the fleet is laid out anew with nothing granted.
+	// publishInterval is how often the fleet is rebuilt while it holds no grants.
 	publishInterval = 300 * time.Millisecond
-	// pacePeriod is how often new paces are told: each telling costs every proxy
-	// a little, and they come from as many servers as there are.
+	// latencyPublishInterval is how often new relative latencies are published: each
+	// update costs every proxy some work, and any of the servers can cause one.
 	latencyPublishInterval = time.Second
-	// publishedKept is how many readings are kept for telling changes.
+	// maxRecentFleets is the number of published fleets kept for computing differences.
 	maxRecentFleets = 6
-	// proxiesSpan is how long a proxy counts after its last report.
+	// proxyReportMaxAge is how long a proxy is counted after its last report.
 	proxyReportMaxAge = 5 * time.Second
 )
 
@@ -96,7 +99,7 @@
 	c.loop.Run(ctx, runAll, coordinationInterval, c.coordinate)
 }
 
-// conduct is the alarm.
+// coordinate runs periodically in the coordinator's loop.
 func (c *coordinator) coordinate() {
 	c.detector.Tend()
 	if !c.ensureLeading() {
@@ -105,7 +108,7 @@
 	for _, state := range c.states {
 		switch {
 		case !c.holdsLease(c.term):
-			// Each step takes time in which the lease may end.
+			// Each step takes time, during which the lease may expire.
 			return
 		case !state.Phase.IsActive():
 		case state.IsStaged():
@@ -124,10 +127,10 @@
 	c.updateAllocation()
 }
 
-// isMaster tells whether this node holds the duty by a lease that is valid now, and
-// has read, under its term, what a majority keeps. What is known of the term stays
-// while the lease is interrupted: if it becomes valid again under the same term,
-// nobody else held the duty meanwhile.
+// ensureLeading reports whether this node is the leader with a valid lease and has read
+// the state of a majority under its term, which it does if necessary. The state of the
+// term is kept while the lease is interrupted: if the lease becomes valid again under the
+// same term, no other node was the leader meanwhile.
 func (c *coordinator) ensureLeading() bool {
 	term := c.ownTerm.Load()
 	if !c.isLeader.Load() || term == 0 {
@@ -144,8 +147,8 @@
 	if err != nil || highestTerm > term {
 		return false
 	}
-	// Every trial is written again under this term, so that whatever an older
-	// holder left on a few members can no longer come to light.
+	// All rollouts are written again under this term, so that a write that an earlier
+	// leader left on a minority of the members can no longer take effect.
 	for subject, state := range states {
 		c.writeCount = max(c.writeCount, state.Count)
 		state.Term = term
@@ -159,16 +162,17 @@
 	c.resetLoadGauge()
 	var fleet feed.Fleet
 	c.store.read(func(t *tables) { fleet = t.fleet })
-	// An earlier term's own reading is older than what the holders since then read.
+	// The fleet that this node read in an earlier term is older than those of the
+	// leaders since then.
 	c.lastFleet, c.listedServers = fleet, fleet.Servers
 	return c.holdsLease(term)
 }
 
-// write keeps the next state of a subject on a majority, and only then goes by
-// it.
+// commitState persists the next state of a subject on a majority of the members and only
+// then adopts it.
 func (c *coordinator) commitState(state trial.State) error {
 	if !c.holdsLease(c.term) {
-		return apierror.New(apierror.Gone, "the lease has ended")
+		return apierror.New(apierror.Gone, "the leader lease has expired")
 	}
 	c.writeCount++
 	state.Term, state.Count = c.term, c.writeCount
@@ -179,7 +183,7 @@
 	return nil
 }
 
-// drive takes one step of a trial, where the facts come to one.
+// advanceRollout moves a rollout to its next phase if the facts permit it.
 func (c *coordinator) advanceRollout(state trial.State) {
 	progress := c.progressOf(state)
 	facts := c.facts(state, progress)
@@ -195,11 +199,11 @@
 	if err := c.commitState(next); err != nil {
 		return
 	}
-	c.log("warn", "trial", "subject", state.Subject, "phase", next.Phase, "target", next.Target, "elapsed", facts.Elapsed, "reason", reason)
+	c.log("warn", "rollout changed phase", "subject", state.Subject, "phase", next.Phase, "target", next.Target, "elapsed", facts.Elapsed, "reason", reason)
 	c.progressOf(next)
 }
 
-// driveOf is what is known of the trial in its present phase and wave.
+// progressOf returns the progress of a rollout in its present phase and wave.
 func (c *coordinator) progressOf(state trial.State) *rolloutProgress {
 	previous := c.progress[state.Subject]
 	if previous != nil && previous.number == state.Number && previous.phase == state.Phase && previous.wave == state.Wave {
@@ -215,6 +219,7 @@
 	return next
 }
 
+// facts collects the facts that decide on the next phase of a rollout.
 func (c *coordinator) facts(state trial.State, progress *rolloutProgress) trial.Facts {
 	now := c.clock.Steady()
 	facts := trial.Facts{
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -57,7 +57,7 @@
 
 // publish builds the fleet from the current server list and sends it to every member that
 // has not confirmed it. While the fleet holds grants, a new count renews them each
-// renewPeriod.
+// grantRenewalInterval.
 func (c *coordinator) publish() {
 	if !c.holdsLease(c.term) {
 		return
@@ -99,7 +99,7 @@
 
 // proxyCount is the number of proxies that share the servers' connections: the larger of the
 // followers and the reporting proxies. Within a term the count never falls; at the start of
-// a term it is at least the last leader's count until proxiesSpan has passed.
+// a term it is at least the last leader's count until proxyReportMaxAge has passed.
 func (c *coordinator) proxyCount() int {
 	count := max(len(c.hub.Followers()), c.detector.Proxies(proxyReportMaxAge))
 	if c.lastFleet.Term == c.term || time.Duration(c.clock.Steady()-c.termStartedAt) < proxyReportMaxAge {
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -58,7 +58,7 @@
 	// takingOffer ensures that offers of several agents are handled one at a time.
 	takingOffer atomic.Bool
 	viewRound   atomic.Uint64
-	// trialStarts holds the start time of each trial.
+	// rolloutStarts holds the start time of each rollout.
 	rolloutStarts sync.Map
 	coordinator   *coordinator
 	listWatch     *listTracker
--- a/internal/control/repair.go
+++ b/internal/control/repair.go
@@ -12,42 +12,42 @@
 )
 
 const (
-	// repairSpan is how long one call of a repair may take.
+	// repairCallTimeout is the timeout of one call of a repair.
 	repairCallTimeout = time.Second
-	// keepLongest is how long the disk may take to keep one piece.
+	// repairPersistTimeout bounds how long the disk may take to persist one chunk.
 	repairPersistTimeout = 10 * time.Second
-	// pieceBytes is about how much of a member's intents is on its way, decoded
-	// and written at a time, whatever the size of the table.
+	// repairChunkBytes is the approximate size of the chunk of a member's intents that is
+	// transferred, decoded and written at a time, independent of the size of the table.
 	repairChunkBytes = 256 << 10
-	// compareRanges is how many ranges are compared intent by intent at a time.
+	// rangesPerComparison is how many ranges are compared intent by intent at a time.
 	rangesPerComparison = 32
-	// maxWanted bounds the keys that one cursor names.
+	// maxCursorKeys bounds the number of keys in one cursor.
 	maxCursorKeys = 4096
 )
 
 const (
 	errEarlierEpoch = errors.ConstError("the member is in an earlier epoch")
-	errNotPersisted = errors.ConstError("the disk did not keep what was read")
+	errNotPersisted = errors.ConstError("the disk did not persist the entries read in time")
 )
 
-// copyMode says how urgently intents are copied.
+// copyMode defines which intents are copied and how urgently.
 type copyMode struct {
-	// settle is how long a difference must last before it is copied: what is on
-	// its way arrives within it.
+	// minDifferenceAge is how long a difference must last before it is copied: records
+	// in transit arrive within this time.
 	minDifferenceAge time.Duration
-	// rest lies between two pieces.
+	// pause is the time between two chunks.
 	pause time.Duration
-	// scope is which intents are copied.
+	// scope selects the intents to copy.
 	scope idempotency.Scope
 }
 
-// copyAtOnce is the mode of a member that does not vote until it has everything.
+// copyImmediately is the mode of a member that does not vote until the copy is complete.
 var copyImmediately = copyMode{}
 
-// copyIntents brings this member the intents that another holds and it lacks. It
+// copyIntents copies the intents that another member holds and this one lacks. It
 // compares digests of ranges, then the intents of the ranges that differ, and reads
-// the rest in pieces, each asked for once the last is on disk. It returns how many
-// intents were lacking.
+// the missing ones in chunks, each requested once the previous one is on disk. It returns
+// how many intents were missing.
 func (n *node) copyIntents(member string, epoch membership.Epoch, mode copyMode) (missing int, err error) {
 	var reply messages.DigestsTold
 	if err = n.connection(member).Ask(messages.KindDigests, messages.Digests{Epoch: epoch, Scope: mode.scope}, &reply, repairCallTimeout); err != nil {
@@ -73,7 +73,8 @@
 	return missing, nil
 }
 
-// lackingOf compares some ranges intent by intent.
+// missingKeys compares some ranges intent by intent and returns the hashes of the keys
+// whose intents are missing here.
 func (n *node) missingKeys(member string, epoch membership.Epoch, ranges []idempotency.Range, mode copyMode) (missing []uint64, err error) {
 	var reply messages.BriefsTold
 	if err = n.connection(member).Ask(messages.KindBriefs, messages.Briefs{Epoch: epoch, Ranges: ranges}, &reply, repairCallTimeout); err != nil {
@@ -89,7 +90,7 @@
 	return missing, nil
 }
 
-// copyEntries reads the entries of a cursor piece by piece and keeps each.
+// copyEntries reads the entries of a cursor in chunks and persists each chunk.
 func (n *node) copyEntries(member string, epoch membership.Epoch, cursor idempotency.Cursor, mode copyMode) error {
 	for len(cursor.Ranges) > 0 {
 		var reply messages.EntriesTold
