--- a/internal/control/commands.go
+++ b/internal/control/commands.go
@@ -10,16 +10,16 @@
 	"ploverhitch/internal/trial"
 )
 
-// decide lets the holder's loop decide on an order, and answers what stands
-// against it. An order that waited longer than its caller does has no effect: the
-// operator was told so, and may have sent another since.
+// runCommand runs an operator's command in the coordinator's loop and replies with the
+// result. A command that waited longer than its caller does has no effect: the operator
+// was told that it failed and may have sent another since.
 func (n *node) runCommand(reply func(messages.Ordered), run func(c *coordinator) (apierror.Kind, string)) {
 	c, receivedAt := n.coordinator, n.clock.Steady()
 	enqueued := c.loop.Offer(func() {
-		kind, detail := apierror.Gone, "the duty is not here"
+		kind, detail := apierror.Gone, "this node is not the leader"
 		switch {
 		case time.Duration(c.clock.Steady()-receivedAt) >= commandTimeout:
-			detail = "the order waited too long"
+			detail = "the command waited too long"
 		case c.ensureLeading():
 			kind, detail = run(c)
 		}
@@ -34,7 +34,7 @@
 	n.runCommand(reply, func(c *coordinator) (apierror.Kind, string) { return c.startRollout(in) })
 }
 
-// rollOut takes an order for a service's version.
+// startRollout handles an operator's command to roll out a version of a service.
 func (c *coordinator) startRollout(in messages.Order) (kind apierror.Kind, detail string) {
 	state, known := c.states[in.Service]
 	if !known {
@@ -53,20 +53,20 @@
 		c.recordRepeat(state)
 		return apierror.None, ""
 	case state.Phase.IsActive():
-		return apierror.OtherOrder, "version " + state.Target + " is on trial"
+		return apierror.OtherOrder, "the rollout of version " + state.Target + " is in progress"
 	}
 	next, permitted := state.Order(in.Target, timetable.Span(in.Duration))
 	if !permitted {
 		return apierror.OtherOrder, ""
 	}
 	if in.Target == state.InForce {
-		next.Phase, next.Reason = trial.Complete, "the version is in force"
+		next.Phase, next.Reason = trial.Complete, "the version is already in force"
 	}
 	c.detector.Forget(in.Service, next.Number)
 	if err := c.commitState(next); err != nil {
 		return apierror.Gone, ""
 	}
-	c.log("warn", "trial", "subject", in.Service, "phase", next.Phase, "target", in.Target)
+	c.log("warn", "rollout started", "subject", in.Service, "phase", next.Phase, "target", in.Target)
 	c.publish()
 	return apierror.None, ""
 }
@@ -76,14 +76,14 @@
 	return trial.Plan{CanaryShare: bounds.CanaryShare, Ack: bounds.Ack.Std()}
 }
 
-// repeat is when an order that was taken last came again.
+// repeatedCommand is the time of the last repetition of an accepted command.
 type repeatedCommand struct {
 	number uint64
 	at     timetable.Steady
 }
 
-// sinceOrder is how long ago the order of a trial came last. An operator whose
-// acknowledgements are lost sends it on, also past the end of what it began.
+// sinceCommand returns the time since the command of a rollout was last received. An
+// operator whose acknowledgements are lost repeats it, even after the rollout has ended.
 func (c *coordinator) sinceCommand(state trial.State) time.Duration {
 	last := c.rolloutStartedAt(state)
 	if repeated := c.repeatedCommands[state.Subject]; repeated.number == state.Number {
--- a/internal/control/commands_test.go
+++ b/internal/control/commands_test.go
@@ -13,7 +13,7 @@
 	"ploverhitch/internal/trial"
 )
 
-// ordering is a holder that took an order long ago: the trial has ended.
+// newTestCoordinator returns the coordinator of a leader that stores the state of a rollout.
 func newTestCoordinator(state trial.State) (*coordinator, *timetable.Hand) {
 	clock := &timetable.Hand{Now: time.Hour}
 	n := &node{self: "self", clock: clock, log: func(string, string, ...any) {}}
@@ -38,7 +38,7 @@
 	}
 	clock.Now += 20 * time.Second
 	if state := c.states["s"]; state.IsRepeat("v2", duration, c.sinceCommand(state), c.rolloutPlan()) {
-		t.Fatal("an order that rested for twice the span of acknowledgements is a new one")
+		t.Fatal("a command received more than twice the acknowledgement time after the last one is a repetition")
 	}
 }
 
@@ -49,7 +49,7 @@
 	for range 3 {
 		clock.Now += 15 * time.Second
 		if kind, detail := c.startStagedChange(messages.StageOrder{Name: "change", Items: items}); kind != apierror.None {
-			t.Fatalf("stage: got %v %q", kind, detail)
+			t.Fatalf("start: got %v %q", kind, detail)
 		}
 		if kind, detail := c.haltStagedChange(messages.StageOrder{Name: "change", IsHalt: true}); kind != apierror.None {
 			t.Fatalf("halt: got %v %q", kind, detail)
@@ -72,9 +72,9 @@
 		go c.loop.Run(ctx, runAll, 0, nil)
 		result := <-results
 		stop()
-		refused := result.Detail == "the order waited too long"
+		refused := result.Detail == "the command waited too long"
 		if refused != late || late && (executed || result.Kind != apierror.Gone) {
-			t.Fatalf("after %v: got %+v, decided: %v", wait, result, executed)
+			t.Fatalf("after %v: got %+v, executed: %v", wait, result, executed)
 		}
 	}
 }
--- a/internal/control/coordinator.go
+++ b/internal/control/coordinator.go
@@ -162,8 +162,8 @@
 	c.resetLoadGauge()
 	var fleet feed.Fleet
 	c.store.read(func(t *tables) { fleet = t.fleet })
-	// The fleet that this node read in an earlier term is older than those of the
-	// leaders since then.
+	// A fleet that this node published in an earlier term is older than the stored one,
+	// which includes what the leaders since then published.
 	c.lastFleet, c.listedServers = fleet, fleet.Servers
 	return c.holdsLease(term)
 }
--- a/internal/control/rollout_replication.go
+++ b/internal/control/rollout_replication.go
@@ -7,14 +7,14 @@
 	"ploverhitch/internal/trial"
 )
 
-// heardTrial is when, on this node's steady clock, a trial must have begun.
+// rolloutStart is the latest possible start of a rollout on this node's monotonic clock.
 type rolloutStart struct {
 	number    uint64
 	startedAt timetable.Steady
 }
 
-// onTrial keeps a writing of a trial, unless a higher term has fenced it off or
-// a newer writing is held.
+// onRollout persists a state of a rollout, unless it was written under a term lower than
+// this member's or a newer state is stored.
 func (n *node) onRollout(in messages.Trial, reply func(messages.Done)) {
 	accepted := false
 	n.store.enqueue(func(t *tables) []record {
@@ -32,6 +32,8 @@
 	}, func() { reply(messages.Done{OK: accepted}) })
 }
 
+// recordRolloutStart records the start of a rollout that its elapsed time implies, if it is
+// earlier than the known one.
 func (n *node) recordRolloutStart(state trial.State) {
 	startedAt := n.clock.Steady() - timetable.Steady(state.Elapsed)
 	if value, known := n.rolloutStarts.Load(state.Subject); known {
@@ -42,7 +44,7 @@
 	n.rolloutStarts.Store(state.Subject, rolloutStart{state.Number, startedAt})
 }
 
-// beganAt is when a trial began, as well as this node can tell.
+// rolloutStartedAt returns the start time of a rollout as far as this node knows it.
 func (n *node) rolloutStartedAt(state trial.State) timetable.Steady {
 	if value, known := n.rolloutStarts.Load(state.Subject); known {
 		if start := value.(rolloutStart); start.number == state.Number {
@@ -73,8 +75,9 @@
 	return records
 }
 
-// gatherTrials reads what a majority holds: the newest writing of each trial,
-// and whether all of the majority held the same.
+// collectRollouts reads the rollouts from a majority of the members. It returns the newest
+// state of each, whether all members of the majority had the same states, and their
+// highest term.
 func (n *node) collectRollouts() (states map[string]trial.State, consistent bool, highestTerm uint64, err error) {
 	view, count := n.view(), 0
 	states, consistent = map[string]trial.State{}, true
@@ -100,7 +103,7 @@
 		return count >= view.Majority()
 	})
 	if count < view.Majority() || count == 0 {
-		return nil, false, 0, apierror.New(apierror.Gone, "reading the trials")
+		return nil, false, 0, apierror.New(apierror.Gone, "cannot read the rollouts from a majority of the members")
 	}
 	for _, copyCount := range copies {
 		consistent = consistent && copyCount == count
@@ -108,17 +111,17 @@
 	return states, consistent, highestTerm, nil
 }
 
-// writeTrial keeps a writing on a majority.
+// writeRollout persists a state of a rollout on a majority of the members.
 func (n *node) writeRollout(state trial.State) error {
 	view := n.view()
 	if !n.majorityDone(view, messages.KindTrial, messages.Trial{Epoch: view.Epoch, State: state}, persistTimeout) {
-		return apierror.New(apierror.Gone, "keeping the trial")
+		return apierror.New(apierror.Gone, "cannot persist the rollout on a majority of the members")
 	}
 	return nil
 }
 
-// readTrial is the trial as a majority holds it; what only some hold is first
-// brought to a majority, so that no later reading goes back.
+// readRollout reads a rollout from a majority of the members. A state that only some of
+// them have is first written to a majority, so that no later read returns an older one.
 func (n *node) readRollout(subject string) (state trial.State, err error) {
 	states, consistent, _, err := n.collectRollouts()
 	if err != nil {
--- a/internal/control/rollouts.go
+++ b/internal/control/rollouts.go
@@ -13,7 +13,7 @@
 	"ploverhitch/internal/timetable"
 )
 
-// rollout is an operator's order for a service's version.
+// rolloutRequest is an operator's request to roll out a version of a service.
 type rolloutRequest struct {
 	Service       string         `json:"Service"`
 	TargetVersion string         `json:"TargetVersion"`
@@ -54,7 +54,7 @@
 	return struct{}{}, n.callLeader(messages.KindOrder, in)
 }
 
-// RolloutState is how a rollout stands.
+// RolloutState is the state of a rollout in the operator API.
 type RolloutState struct {
 	State         string `json:"State"`
 	TargetVersion string `json:"TargetVersion"`
--- a/internal/control/staged.go
+++ b/internal/control/staged.go
@@ -15,7 +15,7 @@
 	"ploverhitch/internal/trial"
 )
 
-// staged is an operator's order for a staged change.
+// stagedRequest is an operator's request for a staged configuration change.
 type stagedRequest struct {
 	Name     string          `json:"Name"`
 	First    string          `json:"First"`
@@ -55,8 +55,8 @@
 	return struct{}{}, n.callLeader(messages.KindStage, messages.StageOrder{Name: request.(string), IsHalt: true})
 }
 
-// StagedState is how a staged change stands. Evidence is there where the holder
-// of the duty could be asked.
+// StagedState is the state of a staged change in the operator API. Evidence is empty if
+// the leader did not answer.
 type StagedState struct {
 	State    string             `json:"State"`
 	Phase    string             `json:"Phase"`
@@ -77,7 +77,7 @@
 	}, nil
 }
 
-// evidence asks the holder of the duty what it knows of a trial.
+// evidence asks the leader for its evidence about a staged change.
 func (n *node) evidence(subject string) []outlier.Evidence {
 	reply := messages.Evidence{}
 	_ = n.call(n.leader(), messages.KindEvidence, messages.Evidence{Subject: subject}, &reply, callTimeout)
--- a/internal/control/staged_coordinator.go
+++ b/internal/control/staged_coordinator.go
@@ -14,11 +14,13 @@
 )
 
 const (
-	// silentSpan is after how long without a report a reached node is silent.
+	// nodeSilenceTimeout is the time without a report after which a node that the staged
+	// change has reached counts as silent.
 	nodeSilenceTimeout = 2500 * time.Millisecond
-	// heardSpan is how old its last report may be for a wave to go on.
+	// waveReportMaxAge is how old the last report of such a node may be for the next wave
+	// to start.
 	waveReportMaxAge = time.Second
-	// haltedReason is why a change that was halted ended.
+	// haltedByOperator is the stored reason of a halted staged change.
 	haltedByOperator = "halted by the operator"
 )
 
@@ -31,7 +33,7 @@
 	})
 }
 
-// stage takes an order for a staged change.
+// startStagedChange handles an operator's command to start a staged change.
 func (c *coordinator) startStagedChange(in messages.StageOrder) (kind apierror.Kind, detail string) {
 	subject := trial.StagePrefix + in.Name
 	state := c.states[subject]
@@ -42,10 +44,10 @@
 	}
 	for _, other := range c.states {
 		if other.IsStaged() && other.Phase.IsActive() {
-			return apierror.OtherOrder, other.Subject + " is under way"
+			return apierror.OtherOrder, other.Subject + " is in progress"
 		}
 		if name := other.UsedUp(in.Items); name != "" {
-			return apierror.OtherOrder, "the version of " + name + " fell back before and is used up"
+			return apierror.OtherOrder, "the version of " + name + " was reverted before and is used up"
 		}
 	}
 	book, err := c.readConfig()
@@ -60,11 +62,11 @@
 	case err != nil:
 		return apierror.BadManifest, err.Error()
 	case len(newer) != len(in.Items):
-		return apierror.OtherOrder, "the manifest holds as new a version of an item"
+		return apierror.OtherOrder, "the configuration already contains this or a newer version of an item"
 	}
 	waves := c.planWaves(in.First)
 	if waves == nil {
-		return apierror.UnknownSubject, "node " + in.First + " is not known to be in touch"
+		return apierror.UnknownSubject, "node " + in.First + " is not known or does not report"
 	}
 	state.Subject = subject
 	next, permitted := state.Order(in.Name, timetable.Span(in.Duration))
@@ -80,6 +82,7 @@
 	return apierror.None, ""
 }
 
+// haltStagedChange handles an operator's command to halt a staged change.
 func (c *coordinator) haltStagedChange(in messages.StageOrder) (kind apierror.Kind, detail string) {
 	state, known := c.states[trial.StagePrefix+in.Name]
 	if !known {
@@ -90,7 +93,7 @@
 	}
 	next, permitted := state.Step(trial.Halted, haltedByOperator, time.Duration(c.clock.Steady()-c.rolloutStartedAt(state)))
 	if !permitted {
-		return apierror.OtherOrder, "it has ended"
+		return apierror.OtherOrder, "the staged change has ended"
 	}
 	if c.commitState(next) != nil {
 		return apierror.Gone, ""
@@ -105,7 +108,7 @@
 	})
 }
 
-// waves lays the waves over the proxies in touch, beginning with the one named.
+// planWaves distributes the reporting proxies over waves; first is in the first wave.
 func (c *coordinator) planWaves(first string) [][]string {
 	var nodes []string
 	for _, node := range slices.Sorted(maps.Keys(c.proxyZones)) {
@@ -122,7 +125,8 @@
 	return trial.Waves(first, nodes, func(node string) string { return c.proxyZones[node] })
 }
 
-// driveStage takes one step of a staged change, where the facts come to one.
+// advanceStagedChange moves a staged change to its next wave or phase if the facts permit
+// it.
 func (c *coordinator) advanceStagedChange(state trial.State) {
 	progress := c.progressOf(state)
 	now := c.clock.Steady()
@@ -162,11 +166,12 @@
 	if !permitted || c.commitState(next) != nil {
 		return
 	}
-	c.log("warn", "staged change", "subject", state.Subject, "phase", next.Phase, "wave", next.Wave, "reason", reason)
+	c.log("warn", "staged change advanced", "subject", state.Subject, "phase", next.Phase, "wave", next.Wave, "reason", reason)
 	c.publish()
 }
 
-// stageOf is how a staged change is told to the proxies: a grant like a share.
+// stageGrant returns the form in which a staged change is published to the proxies: a
+// grant, like a share.
 func stageGrant(state trial.State) feed.Stage {
 	return feed.Stage{Subject: state.Subject, Number: state.Number, Wave: state.Wave, Nodes: state.Reached(), Items: state.Items}
 }
