--- a/internal/control/commands.go
+++ b/internal/control/commands.go
@@ -60,7 +60,7 @@
 		return apierror.OtherOrder, ""
 	}
 	if in.Target == state.InForce {
-		next.Phase, next.Reason = trial.Complete, "the version is already in force"
+		next.Phase, next.Reason = trial.Complete, "the version is in force"
 	}
 	c.detector.Forget(in.Service, next.Number)
 	if err := c.commitState(next); err != nil {
--- a/internal/control/commands_test.go
+++ b/internal/control/commands_test.go
@@ -38,7 +38,7 @@
 	}
 	clock.Now += 20 * time.Second
 	if state := c.states["s"]; state.IsRepeat("v2", duration, c.sinceCommand(state), c.rolloutPlan()) {
-		t.Fatal("a command received more than twice the acknowledgement time after the last one is a repetition")
+		t.Fatal("a command received twice the acknowledgement time after the last one counts as a repetition")
 	}
 }
 
--- a/internal/control/grades.go
+++ b/internal/control/grades.go
@@ -10,7 +10,8 @@
 	"ploverhitch/internal/trial"
 )
 
-// grade says of each server whether it may get requests, and which it shares.
+// assignGrades sets the grade of each server, which determines the requests that it may
+// get, and adds the shares of the active rollouts to the fleet.
 func (c *coordinator) assignGrades(fleet *feed.Fleet) {
 	groups := map[string][]string{}
 	for i, server := range fleet.Servers {
@@ -50,8 +51,8 @@
 	sort.Slice(fleet.Shares, func(i, j int) bool { return fleet.Shares[i].Service < fleet.Shares[j].Service })
 }
 
-// share grants a version on trial its part of the requests, at just so many of
-// its servers that each is about as busy as one of the version in force.
+// grantShare grants the target version of a rollout its share of the requests, on as many
+// servers as make each of them about as busy as one that runs the version in force.
 func (c *coordinator) grantShare(fleet *feed.Fleet, state trial.State, progress *rolloutProgress) {
 	inPhase := time.Duration(c.clock.Steady() - progress.phaseStartedAt)
 	part := state.Share(c.rolloutPlan(), trial.Facts{InPhase: inPhase, Finding: progress.finding})
@@ -67,14 +68,16 @@
 }
 
 const (
-	// busyPart makes the few servers on trial a little busier than the others.
+	// serverCountFactor makes the few servers of the target version slightly busier than
+	// the others.
 	serverCountFactor = 0.9
-	// allPart is from which share on all servers of the new version take part.
+	// allServersShare is the share from which on all servers of the target version take
+	// part.
 	allServersShare = 0.3
 )
 
-// sides are the places in the list of a service's ready servers: of the version
-// in force, and of the one on trial.
+// splitByVersion returns the indexes of a service's ready servers that run the version in
+// force, and of those that run the target version.
 func splitByVersion(servers []feed.Server, state trial.State) (current, target []int) {
 	for i, server := range servers {
 		switch {
@@ -95,7 +98,8 @@
 	return sum
 }
 
-// spread orders servers by their places, the cells by turns.
+// alternateZones orders servers by their positions on the hash ring, taking one of each
+// zone in turn.
 func alternateZones(servers []feed.Server, indexes []int) (ordered []int) {
 	byZone := map[string][]int{}
 	for _, i := range indexes {
--- a/internal/control/load.go
+++ b/internal/control/load.go
@@ -12,13 +12,14 @@
 	"ploverhitch/internal/timetable"
 )
 
+// loadGaugeOn reports whether the settings enable load measurement.
 func (n *node) loadGaugeOn() bool { return n.settings.Load().Tuning.Loadgauge == settings.GaugeOn }
 
-// heldSpan is how fresh the last holder's cutoffs must be to be gone on from.
+// cutoffsMaxAge is how old the last leader's cutoffs may be for a new leader to adopt them.
 const cutoffsMaxAge = 5 * time.Second
 
-// takeGauge begins to measure under this node's term, from the cutoffs that the
-// last holder told a moment ago.
+// resetLoadGauge starts the load measurement of a new term with the cutoffs that the last
+// leader published, if they are recent.
 func (c *coordinator) resetLoadGauge() {
 	c.loadGauge = shedding.NewGauge(c.clock, rand.Uint64)
 	c.store.read(func(t *tables) {
@@ -28,12 +29,12 @@
 	})
 }
 
-// measure decides on the cutoffs, and tells whether they have changed.
+// updateCutoffs decides on the cutoffs and reports whether they have changed.
 func (c *coordinator) updateCutoffs() bool {
 	return c.loadGaugeOn() && c.loadGauge.Decide(c.overloadedShare)
 }
 
-// strained is the part of a service's ready servers that are overloaded.
+// overloadedShare returns the share of a service's ready servers that are overloaded.
 func (c *coordinator) overloadedShare(service string) float64 {
 	var group []string
 	for _, server := range c.listedServers {
@@ -51,9 +52,9 @@
 	return c.loadGauge.Cutoffs()
 }
 
-// sheds tells whether this member refuses its vote for a new intent, as the
-// service is overloaded. An intent that exists is never asked about: its replay,
-// its resuming and its record go on.
+// sheds reports whether this member refuses its vote for a new intent because the service
+// is overloaded. Existing intents are never shed, so that they can still be replayed,
+// resumed and recorded.
 func (t *tables) sheds(intent idempotency.Intent, now timetable.Steady) bool {
 	if len(t.fleet.Cutoffs) == 0 || !t.fleetFresh(now, feed.GrantSpan) || t.voter.Find(intent.Key) != nil {
 		return false
@@ -66,8 +67,8 @@
 	return false
 }
 
-// LoadPage is the order of tiers, the cutoffs in force, and, at the holder of the
-// duty, the load that they were decided on.
+// LoadPage contains the order of the tiers, the cutoffs in force and, at the leader, the
+// load measurements on which they are based.
 type LoadPage struct {
 	Mode     string             `json:"Mode"`
 	Order    []shedding.Rung    `json:"Order"`
--- a/internal/control/mirrors.go
+++ b/internal/control/mirrors.go
@@ -12,30 +12,30 @@
 )
 
 const (
-	// livesSpan is how long a node counts after its last report.
+	// mirrorReportMaxAge is how long a node is counted after its last report.
 	mirrorReportMaxAge = 2500 * time.Millisecond
-	// lostMost is the part of the copies that may be lost before fewer
-	// conversations are copied, lowerShare what is left of the share then, and
-	// lostLeast how many must be lost at least.
+	// If more than maxLossRatio of the copies, and at least minLostCopies, are lost, the
+	// share of the copied conversations is multiplied by shareReductionFactor.
 	maxLossRatio         = 0.02
 	shareReductionFactor = 0.7
 	minLostCopies        = 4
-	// shareRest is the least time between two lowerings.
+	// shareReductionInterval is the minimum time between two reductions.
 	shareReductionInterval = 2 * time.Second
 )
 
-// copying is what the holder knows of one mirror that is in force.
+// activeMirror is the leader's state of one mirror in force.
 type activeMirror struct {
 	grant loopline.Grant
-	// begun is the first reading of the era.
+	// eraStart is the first reading of the era.
 	eraStart feed.Reading
-	// copied and lost are counted since the share was lowered last, at loweredAt.
+	// copied and lost are counted since the last reduction of the share, at
+	// shareReducedAt.
 	copied, lost   uint64
 	shareReducedAt time.Duration
 }
 
-// mirrors are the grants of the mirrors in force. An era ends when a node comes,
-// goes or starts anew, as what it saw of a conversation is known to nobody then.
+// mirrorGrants returns the grants of the mirrors in force. An era ends when a node joins,
+// leaves or restarts, as no other node knows what that node saw of a conversation.
 func (c *coordinator) mirrorGrants() (grants []loopline.Grant) {
 	var mirrors []loopline.Mirror
 	var versions []config.Version
@@ -74,7 +74,7 @@
 		c.activeMirrors[mirror.Name] = active
 	}
 	if active.grant.Era == 0 || active.grant.Lives != lives {
-		// The reading that is being laid is the next one.
+		// The fleet that is being built gets the next count.
 		c.eraCount++
 		active.grant.Era, active.grant.Lives, active.grant.IsSettled = c.term<<32|c.eraCount, lives, false
 		active.eraStart = feed.Reading{Term: c.term, Count: c.lastFleet.Count + 1}
@@ -90,7 +90,7 @@
 	return active.grant
 }
 
-// hearCopies sums what the nodes told of their copies.
+// recordCopies adds the copy counts that a node reported.
 func (c *coordinator) recordCopies(tallies []loopline.Tally) {
 	for _, tally := range tallies {
 		if active := c.activeMirrors[tally.Name]; active != nil {
@@ -100,7 +100,7 @@
 	}
 }
 
-// MirrorPage is the mirrors' grants in force, as the holder of the duty gives them.
+// MirrorPage lists the configured mirrors and the grants in force that the leader issued.
 type MirrorPage struct {
 	Mirrors []loopline.Mirror `json:"Mirrors"`
 	Grants  []loopline.Grant  `json:"Grants"`
--- a/internal/control/repair_bench_test.go
+++ b/internal/control/repair_bench_test.go
@@ -15,9 +15,9 @@
 	"ploverhitch/internal/timetable"
 )
 
-// BenchmarkRepair repairs a member of three from a full key window: 37,000
-// operations, as 616 a second make in 60 s, with replies of 1,500 bytes. All three
-// run in this process, so a member by itself has less to do.
+// BenchmarkRepair rebuilds one of three members from a full key window: 37,000
+// operations, which is 616 per second for 60 s, with response bodies of 1,500 bytes. All
+// three members run in this process, so a member with a machine of its own has less to do.
 func BenchmarkRepair(b *testing.B) {
 	const operations, bytes = 37_000, 1500
 	sources, view := []*node{newBenchMember(b), newBenchMember(b)}, membership.View{Epoch: 1}
@@ -87,7 +87,7 @@
 	}
 }
 
-// BenchmarkCheckpoint lays out the checkpoint of a full key window.
+// BenchmarkCheckpoint creates the records of a checkpoint of a full key window.
 func BenchmarkCheckpoint(b *testing.B) {
 	t := newTables(idempotency.Policy{})
 	for number := range 37_000 {
--- a/internal/control/repair_test.go
+++ b/internal/control/repair_test.go
@@ -19,13 +19,14 @@
 	"ploverhitch/internal/timetable"
 )
 
-// member is one core member of a test, with a real disk and a real listener.
+// member is a control plane member with a disk folder and a listener on the loopback
+// interface.
 type member struct {
 	*node
 	listener net.Listener
 }
 
-// newMembers starts members that are in one view; none is trusted yet.
+// newMembers starts members of one view, none of which is trusted yet.
 func newMembers(count int) (members []*member, view membership.View) {
 	view.Epoch = 1
 	for range count {
@@ -49,7 +50,7 @@
 	return members, view
 }
 
-// wipe gives the member an empty disk.
+// useEmptyDisk gives the member an empty disk.
 func (m *member) useEmptyDisk() {
 	disk, err := storage.Folder(GinkgoT().TempDir())
 	Expect(err).NotTo(HaveOccurred())
@@ -61,7 +62,7 @@
 	go m.store.run(ctx)
 }
 
-// completed is an operation whose reply has so many bytes.
+// completedIntent returns a completed intent whose response body has the given size.
 func completedIntent(number, bytes int) idempotency.Intent {
 	name := fmt.Sprint("operation-", number)
 	return idempotency.Intent{
@@ -70,7 +71,7 @@
 	}
 }
 
-// hold puts operations on the member's disk.
+// storeIntents stores completed intents on the member's disk.
 func (m *member) storeIntents(from, to, bytes int) {
 	for ; from < to; from += 500 {
 		Expect(m.store.persist(func(t *tables) (out []record) {
@@ -90,7 +91,7 @@
 }
 
 var _ = Describe("a member that lost its disk", func() {
-	It("reads all that the others hold, in pieces", func() {
+	It("reads all intents that the others hold, in chunks", func() {
 		const operations, bytes = 3000, 1500
 		members, view := newMembers(3)
 		for _, m := range members[1:] {
@@ -102,7 +103,7 @@
 		Expect(members[0].intentCount()).To(Equal(operations))
 	})
 
-	It("copies only what it lacks, and whatever was reserved", func() {
+	It("copies only the intents that it lacks, reserved ones included", func() {
 		members, view := newMembers(3)
 		reserved := idempotency.Intent{Key: idempotency.Key{Tenant: "h", Key: "open"}, Attempt: "a", Reservation: "a", Route: "fee"}
 		for _, m := range members[1:] {
@@ -126,12 +127,12 @@
 		})
 	})
 
-	It("is not trusted on the word of another that lost its disk too", func() {
+	It("does not become trusted by reading another member that lost its disk too", func() {
 		members, view := newMembers(5)
 		for _, m := range members[2:] {
 			m.trust()
 		}
-		// Only the last knows of the operation: the two that lost their disks knew too.
+		// Only the last member still has the operation; it was also on the two lost disks.
 		members[4].storeIntents(0, 1, 10)
 		Expect(members[4].listener.Close()).To(Succeed())
 		Expect(members[0].rebuild(view)).To(BeFalse())
@@ -146,17 +147,17 @@
 		}
 	})
 
-	It("is refused by a source that is in an earlier view", func() {
+	It("is refused by a member that is in an earlier view", func() {
 		members, view := newMembers(2)
 		_, err := members[0].copyIntents(members[1].self, view.Epoch+1, copyImmediately)
 		Expect(err).To(MatchError(errEarlierEpoch))
 	})
 })
 
-var _ = Describe("the members that were read", func() {
+var _ = Describe("the number of members read in a rebuild", func() {
 	view := membership.View{Epoch: 1, Members: []string{"a", "b", "c", "d", "e"}}
 
-	DescribeTable("suffice", func(trusted, untrusted int, sufficient bool) {
+	DescribeTable("suffices", func(trusted, untrusted int, sufficient bool) {
 		var r readProgress
 		for range trusted {
 			r.add(true)
@@ -166,15 +167,15 @@
 		}
 		Expect(r.sufficient(view)).To(Equal(sufficient))
 	},
-		Entry("if the read set is trusted", 3, 0, true),
-		Entry("not with one trusted too few, whoever else was read", 2, 1, false),
-		Entry("if nobody is left who could teach more", 2, 2, true),
-		Entry("not if nobody was read", 0, 0, false),
+		Entry("if the members of a read set are trusted", 3, 0, true),
+		Entry("not with one trusted member too few, even if untrusted members were read", 2, 1, false),
+		Entry("if all other members were read and none is left to read from", 2, 2, true),
+		Entry("not if no member was read", 0, 0, false),
 	)
 })
 
-var _ = Describe("a member that votes", func() {
-	It("copies the outcomes that it was not told, and counts them", func() {
+var _ = Describe("a trusted member", func() {
+	It("copies the outcomes that it did not receive, and counts them", func() {
 		members, view := newMembers(3)
 		for _, m := range members {
 			m.trust()
@@ -188,7 +189,7 @@
 		Expect(members[0].lag.largest(view)).To(BeZero())
 	})
 
-	It("does not copy a vote, which may have been given back everywhere else", func() {
+	It("does not copy a reservation, which may have been released at all other members", func() {
 		members, view := newMembers(3)
 		members[1].store.persist(func(t *tables) []record {
 			_, entry := t.voter.Reserve(idempotency.Intent{Key: idempotency.Key{Tenant: "h", Key: "k"}, Attempt: "a", Reservation: "a"})
@@ -200,8 +201,8 @@
 	})
 })
 
-var _ = Describe("a member that is told to end", func() {
-	It("is not the only holder of an outcome when it is gone", func() {
+var _ = Describe("a member that shuts down", func() {
+	It("leaves no outcome that only its own disk holds", func() {
 		members, _ := newMembers(3)
 		for _, m := range members {
 			m.trust()
@@ -213,7 +214,7 @@
 		}
 	})
 
-	It("waits no longer than its span for members that do not answer", func() {
+	It("waits no longer than its timeout for members that do not answer", func() {
 		members, _ := newMembers(3)
 		members[0].trust()
 		for _, m := range members[1:] {
--- a/internal/control/sites.go
+++ b/internal/control/sites.go
@@ -13,10 +13,11 @@
 	"ploverhitch/internal/messages"
 )
 
-// layPeriod is how often the room of the sites is laid where no news says so.
+// allocationInterval is how often the capacity of the sites is allocated anew without a
+// change of the fleet or the configuration.
 const allocationInterval = time.Second
 
-// onReport hears a proxy, and answers with its lots.
+// onReport handles a proxy's report and replies with the slots that are allocated to it.
 func (n *node) onReport(in messages.Report, reply func(messages.Lots)) {
 	c := n.coordinator
 	c.loop.Offer(func() {
@@ -32,16 +33,17 @@
 	})
 }
 
-// layTree lays the tree and the room of its sites after a new reading.
+// updateAllocation updates the tree of sites and allocates the sites' capacity if the
+// configuration, the term or the fleet has changed, and once per allocationInterval.
 func (c *coordinator) updateAllocation() {
 	tree, now, unchanged := c.siteTree, c.clock.Steady(), false
 	c.store.read(func(t *tables) {
 		digest := t.bookDigest()
-		// What is warming gets ready with no news.
+		// Servers finish their warm-up without an update, hence the interval.
 		unchanged = digest == c.siteTreeDigest && c.allocatorTerm == c.term && c.allocatedReading == c.lastFleet.Reading() && time.Duration(now-c.allocatedAt) < allocationInterval
 		if digest != c.siteTreeDigest {
-			// What was kept was checked; if cells have gone since, the old
-			// tree goes on.
+			// Stored items have been validated. If zones have been removed from the
+			// settings since, the previous tree remains in use.
 			if built, err := t.book().Tree(c.settings.Load().Platform.Cells); err == nil {
 				tree = built
 			}
@@ -66,12 +68,11 @@
 	c.allocator.Lay(tree, capacities)
 }
 
-// SitePage is the tree and what stands of its sites.
+// SitePage contains the tree of sites and the allocation of their capacity.
 type SitePage struct {
 	Sites    []branchline.Site    `json:"Sites"`
 	Accounts []branchline.Account `json:"Accounts"`
-	// IsHolder tells whether this node gives out the room; only then are there
-	// accounts.
+	// IsLeader is whether this node allocates the capacity; only then are there accounts.
 	IsLeader bool   `json:"IsHolder"`
 	Leader   string `json:"Holder"`
 }
@@ -99,7 +100,7 @@
 	return page, nil
 }
 
-// checkSites refuses a book whose sites make no tree.
+// checkSites returns an error if the sites of the configuration form no tree.
 func (n *node) checkSites(book config.Book) error {
 	_, err := book.Tree(n.settings.Load().Platform.Cells)
 	if err != nil {
--- a/internal/control/staged_coordinator.go
+++ b/internal/control/staged_coordinator.go
@@ -37,8 +37,8 @@
 func (c *coordinator) startStagedChange(in messages.StageOrder) (kind apierror.Kind, detail string) {
 	subject := trial.StagePrefix + in.Name
 	state := c.states[subject]
-	unchanged := state.Number > 0 && sameItems(state.Items, in.Items)
-	if unchanged && (state.Phase.IsActive() || c.sinceCommand(state) < 2*c.rolloutPlan().Ack) {
+	sameChange := state.Number > 0 && sameItems(state.Items, in.Items)
+	if sameChange && (state.Phase.IsActive() || c.sinceCommand(state) < 2*c.rolloutPlan().Ack) {
 		c.recordRepeat(state)
 		return apierror.None, ""
 	}
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -8,7 +8,7 @@
 	"ploverhitch/internal/idempotency"
 )
 
-// TrialStatus is one trial as this node keeps it.
+// RolloutStatus is the state of a rollout or staged change that this node stores.
 type RolloutStatus struct {
 	Phase   string `json:"Phase"`
 	InForce string `json:"InForce,omitempty"`
@@ -17,7 +17,7 @@
 	Reason  string `json:"Reason,omitempty"`
 }
 
-// Status is what an operator sees of one node.
+// Status is the state of one control node in the operator API.
 type Status struct {
 	Node      string          `json:"Node"`
 	Epoch     uint64          `json:"Epoch"`
@@ -26,34 +26,35 @@
 	Term      uint64          `json:"Term"`
 	Leader    string          `json:"Holder"`
 	Items     int             `json:"Items"`
-	// Index numbers the last change of the configuration that this node has;
-	// IsUndecided says that it accepted another whose decision it does not know.
+	// Index is the index of the last configuration change that this node has applied.
+	// IsUndecided is true if it accepted a further change without knowing whether that
+	// was decided.
 	Index       uint64         `json:"Index"`
 	IsUndecided bool           `json:"IsUndecided"`
 	Digest      string         `json:"Digest"`
 	Servers     int            `json:"Servers"`
 	Followers   []string       `json:"Followers"`
 	Intents     map[string]int `json:"Intents"`
-	// Lagging is how many intents another member held, when it was compared with
-	// last, that this node lacked.
+	// Lagging is the largest number of intents that this node lacked in its last
+	// comparison with another member.
 	Lagging int `json:"Lagging"`
-	// Quota is the open and consumed reservations of each route.
+	// Quota holds the open and consumed reservations of each route.
 	Quota        map[string]idempotency.Usage `json:"Quota"`
 	OldestOpenMs int64                        `json:"OldestOpenMs"`
 	Versions     map[string]string            `json:"Versions"`
-	// Trials are the rollouts and staged changes, each with its phase.
+	// Rollouts holds the rollouts and staged changes by subject.
 	Rollouts map[string]RolloutStatus `json:"Trials"`
-	// QuorumAgeMs is how long ago this node last reached a majority of its view, -1
-	// if it hasn't yet.
+	// QuorumAgeMs is the time since this node last reached a majority of its view, -1 if
+	// it has not reached one yet.
 	QuorumAgeMs int64 `json:"QuorumAgeMs"`
-	// ListAgeMs is how long ago the newest whole reading of the platform's list that
-	// this node knows of began, -1 if it knows of none.
+	// ListAgeMs is the time since the start of the last complete read of the platform's
+	// server list that this node knows of, -1 if it knows of none.
 	ListAgeMs int64       `json:"ListAgeMs"`
 	Lease     LeaseStatus `json:"Lease"`
 }
 
-// LeaseStatus is the lease of the duty as this node knows it. RemainingMs is 0 but
-// at the holder.
+// LeaseStatus is the leader lease as this node knows it. RemainingMs is 0 at all nodes
+// except the holder.
 type LeaseStatus struct {
 	Holder      string `json:"Holder"`
 	Term        uint64 `json:"Term"`
@@ -93,7 +94,7 @@
 	return out, nil
 }
 
-// ageMs is an age as the status tells it.
+// ageMs converts an age to milliseconds, and an unknown one to -1.
 func ageMs(age time.Duration, known bool) int64 {
 	if !known {
 		return -1
@@ -109,7 +110,7 @@
 	return out
 }
 
-// FleetPage is the servers as the holder of the duty last read them.
+// FleetPage lists the servers of the fleet that the leader last published.
 type FleetPage struct {
 	Term    uint64        `json:"Term"`
 	Servers []feed.Server `json:"Servers"`
