--- a/internal/control/commands.go
+++ b/internal/control/commands.go
@@ -40,7 +40,7 @@
 	if !known {
 		serviceExists := false
 		c.store.read(func(t *tables) {
-			item, found := t.book()[config.ID{Class: config.ServiceItem, Name: in.Service}]
+			item, found := t.configuration()[config.ID{Class: config.ServiceItem, Name: in.Service}]
 			serviceExists = found && !item.Dropped
 		})
 		if !serviceExists {
--- a/internal/control/config_replicator.go
+++ b/internal/control/config_replicator.go
@@ -125,11 +125,11 @@
 		if len(proposals) == 0 {
 			return
 		}
-		decided, heard := r.runRound(proposals)
+		decided, majorityResponded := r.runRound(proposals)
 		if decided {
 			return
 		}
-		if heard {
+		if majorityResponded {
 			majorityAt = r.node.clock.Steady()
 		}
 		r.node.clock.Sleep(rand.N(backoffStep * time.Duration(min(attempt, 8))))
@@ -141,7 +141,7 @@
 
 // runRound runs one round for the proposals and reports whether they were decided, and
 // whether a majority answered at all.
-func (r *configReplicator) runRound(proposals []*proposal) (decided, heard bool) {
+func (r *configReplicator) runRound(proposals []*proposal) (decided, majorityResponded bool) {
 	n := r.node
 	round, view, canVote := registry.Round{}, membership.View{}, false
 	n.store.read(func(t *tables) {
@@ -167,12 +167,12 @@
 	if outcome.Ahead >= round.Index {
 		r.catchUpFrom(outcome.AheadOf)
 	}
-	heard = outcome.Heard >= round.Majority
+	majorityResponded = outcome.Heard >= round.Majority
 	if outcome.Decided == nil && !outcome.IsQuiet || !draft.drafted {
-		return false, heard
+		return false, majorityResponded
 	}
 	draft.reply(outcome)
-	return true, heard
+	return true, majorityResponded
 }
 
 // broadcast sends a decided change to every member, after applying it to this one.
@@ -216,7 +216,7 @@
 		}
 		rank = slices.Index(t.view.Members, n.self)
 		accepted, undecided = t.registry.Acceptor.Accepted, t.registry.Acceptor.Change != nil
-		legacy = t.registry.Index == 0 && len(t.book()) > 0
+		legacy = t.registry.Index == 0 && len(t.configuration()) > 0
 	})
 	now := n.clock.Steady()
 	if !undecided && !legacy {
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -90,11 +90,11 @@
 }
 
 func (n *node) readEndpoint(context.Context, any) (any, error) {
-	book, err := n.readConfig()
+	configuration, err := n.readConfig()
 	if err != nil {
 		return nil, err
 	}
-	body, err := book.Render()
+	body, err := configuration.Render()
 	return json.RawMessage(body), err
 }
 
--- a/internal/control/leader_lease.go
+++ b/internal/control/leader_lease.go
@@ -147,7 +147,7 @@
 
 // onClaim grants the leader lease under a term higher than every term seen, unless a
 // promise to another leader is still valid.
-func (n *node) onClaim(in messages.Claim, answer func(messages.Done)) {
+func (n *node) onClaim(in messages.Claim, reply func(messages.Done)) {
 	granted := false
 	n.store.enqueue(func(t *tables) []record {
 		if !n.canVote(t, in.Epoch) || !t.grantor.Claim(t.term, in.Term, n.clock.Steady()) {
@@ -155,27 +155,27 @@
 		}
 		granted, t.term = true, in.Term
 		return []record{{Term: &in.Term}}
-	}, func() { answer(messages.Done{OK: granted}) })
+	}, func() { reply(messages.Done{OK: granted}) })
 }
 
 // onRenew extends the promise to the leader of the present term.
-func (n *node) onRenew(in messages.Renew, answer func(messages.Done)) {
+func (n *node) onRenew(in messages.Renew, reply func(messages.Done)) {
 	renewed := false
 	n.store.enqueue(func(t *tables) []record {
 		renewed = n.canVote(t, in.Epoch) && t.grantor.Renew(t.term, in.Term, n.clock.Steady())
 		return nil
-	}, func() { answer(messages.Done{OK: renewed}) })
+	}, func() { reply(messages.Done{OK: renewed}) })
 }
 
 // onRelease ends the promise to a leader that has stepped down, and treats that member as
 // ineligible until its next heartbeat, so that the next in the order claims leadership at
 // once.
-func (n *node) onRelease(in messages.Release, answer func(messages.Done)) {
+func (n *node) onRelease(in messages.Release, reply func(messages.Done)) {
 	n.store.enqueue(func(t *tables) []record {
 		t.grantor.Release(t.term, in.Term)
 		return nil
 	}, func() {
-		answer(messages.Done{OK: true})
+		reply(messages.Done{OK: true})
 		n.memberLoop.Offer(func() {
 			n.livenessWatch.Hear(membership.Beat{From: in.Term.Holder})
 			n.heartbeat()
--- a/internal/control/leave.go
+++ b/internal/control/leave.go
@@ -45,9 +45,9 @@
 }
 
 // onLeave copies the outcomes that this node lacks from a member that shuts down.
-func (n *node) onLeave(in messages.Leave, answer func(messages.Done)) {
+func (n *node) onLeave(in messages.Leave, reply func(messages.Done)) {
 	go func() {
 		_, err := n.copyIntents(in.Address, in.Epoch, copyMode{scope: idempotency.CompletedIntents})
-		answer(messages.Done{OK: err == nil})
+		reply(messages.Done{OK: err == nil})
 	}()
 }
--- a/internal/control/legacy_test.go
+++ b/internal/control/legacy_test.go
@@ -43,9 +43,9 @@
 		Expect(logged).To(Receive(ContainSubstring("shares host and prefix with another and is dropped")))
 		n.store.read(func(t *tables) {
 			Expect(t.registry.Index).To(BeEquivalentTo(1))
-			Expect(t.book().Check()).To(Succeed())
-			Expect(t.book()[route("left", 1).ID].Dropped).To(BeTrue())
-			Expect(string(t.book()[route("right", 2).ID].Body)).To(ContainSubstring(`"RouteType":"safe"`))
+			Expect(t.configuration().Check()).To(Succeed())
+			Expect(t.configuration()[route("left", 1).ID].Dropped).To(BeTrue())
+			Expect(string(t.configuration()[route("right", 2).ID].Body)).To(ContainSubstring(`"RouteType":"safe"`))
 		})
 		// A second proposal makes no further change.
 		index, err = n.configReplicator.submit(nil)
--- a/internal/control/load.go
+++ b/internal/control/load.go
@@ -60,7 +60,7 @@
 		return false
 	}
 	for _, cutoff := range t.fleet.Cutoffs {
-		if cutoff.Service == intent.Service && cutoff.Sheds(t.compiledBook().Order.TierOf(intent.Route), intent.Key.Tenant, intent.Key.Key) {
+		if cutoff.Service == intent.Service && cutoff.Sheds(t.compiledConfiguration().Order.TierOf(intent.Route), intent.Key.Tenant, intent.Key.Key) {
 			return true
 		}
 	}
@@ -87,7 +87,7 @@
 		}
 	})
 	n.store.read(func(t *tables) {
-		page.Order = append(page.Order, t.compiledBook().Order.Rungs()...)
+		page.Order = append(page.Order, t.compiledConfiguration().Order.Rungs()...)
 		if t.fleetFresh(n.clock.Steady(), feed.GrantSpan) {
 			page.Cutoffs = append(page.Cutoffs, t.fleet.Cutoffs...)
 		}
--- a/internal/control/member_test.go
+++ b/internal/control/member_test.go
@@ -61,7 +61,7 @@
 	sendFleet := func(fleet feed.Fleet) bool {
 		return done(func(answer func(messages.Done)) { n.onFleet(fleet, answer) })
 	}
-	writeTrial := func(term uint64, epoch membership.Epoch) bool {
+	writeRollout := func(term uint64, epoch membership.Epoch) bool {
 		return done(func(answer func(messages.Done)) {
 			n.onRollout(messages.Trial{Epoch: epoch, State: trial.State{Subject: "fees", Number: 1, Term: term, Count: 1}}, answer)
 		})
@@ -77,7 +77,7 @@
 		Expect(reserve(3, "l")).To(Equal(idempotency.Refused))
 	})
 
-	It("refuses lease claims that don't exceed its term, and fleets and trials of an earlier leader", func() {
+	It("refuses lease claims that don't exceed its term, and fleets and rollouts of an earlier leader", func() {
 		Expect(claim(7)).To(BeFalse(), "the member is not trusted yet")
 		n.trust()
 		Expect(claim(7)).To(BeFalse(), "the member is new in the view and doesn't know which promises of the leader lease still run")
@@ -91,9 +91,9 @@
 		// A delta to a reading that the member doesn't have can't be applied.
 		Expect(sendFleet(feed.Fleet{Term: 7, Count: 5, Holder: "later", Since: &feed.Reading{Term: 7, Count: 4}})).To(BeFalse())
 		Expect(n.fleet().Holder).To(Equal("new"))
-		Expect(writeTrial(6, 3)).To(BeFalse())
-		Expect(writeTrial(7, 2)).To(BeFalse())
-		Expect(writeTrial(7, 3)).To(BeTrue())
+		Expect(writeRollout(6, 3)).To(BeFalse())
+		Expect(writeRollout(7, 2)).To(BeFalse())
+		Expect(writeRollout(7, 3)).To(BeTrue())
 	})
 
 	It("sheds new intents above the cutoff, but not existing ones, and none once the cutoff has expired", func() {
--- a/internal/control/mirrors.go
+++ b/internal/control/mirrors.go
@@ -42,7 +42,7 @@
 	var compiled *config.Sheet
 	c.store.read(func(t *tables) {
 		if mirrors, versions = t.currentMirrors(); len(mirrors) > 0 {
-			compiled = t.compiledBook()
+			compiled = t.compiledConfiguration()
 		}
 	})
 	if len(mirrors) == 0 {
@@ -108,11 +108,11 @@
 
 func (n *node) mirrorsEndpoint(context.Context, any) (any, error) {
 	page := MirrorPage{Mirrors: []loopline.Mirror{}, Grants: []loopline.Grant{}}
-	book, err := n.readConfig()
+	configuration, err := n.readConfig()
 	if err != nil {
 		return nil, err
 	}
-	mirrors, _ := book.Mirrors()
+	mirrors, _ := configuration.Mirrors()
 	page.Mirrors = append(page.Mirrors, mirrors...)
 	n.store.read(func(t *tables) {
 		if t.fleetFresh(n.clock.Steady(), feed.GrantSpan) {
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -170,7 +170,7 @@
 func (n *node) publishState() {
 	n.store.read(func(t *tables) {
 		view, fleet := t.view, t.fleet
-		n.hub.Publish(feed.News{Items: t.book().Items(), View: &view, Fleet: &fleet})
+		n.hub.Publish(feed.News{Items: t.configuration().Items(), View: &view, Fleet: &fleet})
 	})
 }
 
--- a/internal/control/read_config.go
+++ b/internal/control/read_config.go
@@ -18,10 +18,10 @@
 
 // readConfig is a linearizable read of the configuration: the result has every change that
 // was acknowledged before the call, as confirmed by a majority of the view.
-func (n *node) readConfig() (book config.Book, err error) {
+func (n *node) readConfig() (configuration config.Book, err error) {
 	for range readAttempts {
-		if book, err = n.readConfigOnce(); err == nil {
-			return book, nil
+		if configuration, err = n.readConfigOnce(); err == nil {
+			return configuration, nil
 		}
 	}
 	return nil, err
@@ -61,19 +61,19 @@
 		}
 		highest.Index = max(highest.Index, index)
 	}
-	return n.bookAt(highest.Index, source)
+	return n.readConfigAt(highest.Index, source)
 }
 
-// bookAt returns a copy of the configuration once this node has reached the index. It
+// readConfigAt returns a copy of the configuration once this node has reached the index. It
 // fetches missing changes from the given member first, then from the others: the first may
 // lack a change that was decided during the read.
-func (n *node) bookAt(index registry.Index, member string) (book config.Book, err error) {
+func (n *node) readConfigAt(index registry.Index, member string) (configuration config.Book, err error) {
 	sources := append([]string{member}, n.view().Members...)
 	for _, source := range sources {
 		held := registry.Index(0)
-		n.store.read(func(t *tables) { held, book = t.registry.Index, t.book().Clone() })
+		n.store.read(func(t *tables) { held, configuration = t.registry.Index, t.configuration().Clone() })
 		if held >= index {
-			return book, nil
+			return configuration, nil
 		}
 		if source != n.self {
 			err = n.catchUp(source)
--- a/internal/control/repair_bench_test.go
+++ b/internal/control/repair_bench_test.go
@@ -76,13 +76,13 @@
 
 func storeIntents(m *node, count, bytes int) {
 	for first := 0; first < count; first += 500 {
-		m.store.persist(func(t *tables) (out []record) {
+		m.store.persist(func(t *tables) (records []record) {
 			for number := range 500 {
 				if entry, err := t.voter.Record(completedIntent(first+number, bytes)); err == nil {
-					out = append(out, record{Entry: entry})
+					records = append(records, record{Entry: entry})
 				}
 			}
-			return out
+			return records
 		}, 10*time.Second)
 	}
 }
--- a/internal/control/repair_test.go
+++ b/internal/control/repair_test.go
@@ -74,13 +74,13 @@
 // storeIntents stores completed intents on the member's disk.
 func (m *member) storeIntents(from, to, bytes int) {
 	for ; from < to; from += 500 {
-		Expect(m.store.persist(func(t *tables) (out []record) {
+		Expect(m.store.persist(func(t *tables) (records []record) {
 			for number := from; number < min(from+500, to); number++ {
 				entry, err := t.voter.Record(completedIntent(number, bytes))
 				Expect(err).NotTo(HaveOccurred())
-				out = append(out, record{Entry: entry})
+				records = append(records, record{Entry: entry})
 			}
-			return out
+			return records
 		}, 10*time.Second)).To(BeTrue())
 	}
 }
--- a/internal/control/round_draft.go
+++ b/internal/control/round_draft.go
@@ -72,15 +72,15 @@
 
 // checkProposal validates the configuration that a proposal would produce, and the
 // proposal's own items.
-func (n *node) checkProposal(book config.Book, newer, unseen []config.Item) error {
-	if err := book.Check(); err != nil {
+func (n *node) checkProposal(configuration config.Book, newer, unseen []config.Item) error {
+	if err := configuration.Check(); err != nil {
 		return err
 	}
-	if err := book.CheckRoutes(unseen); err != nil {
+	if err := configuration.CheckRoutes(unseen); err != nil {
 		return err
 	}
-	if err := n.checkSites(book); err != nil {
+	if err := n.checkSites(configuration); err != nil {
 		return err
 	}
-	return book.CheckOwn(newer, n.clock.Wall())
+	return configuration.CheckOwn(newer, n.clock.Wall())
 }
--- a/internal/control/round_transport.go
+++ b/internal/control/round_transport.go
@@ -121,11 +121,11 @@
 	}
 	go func() {
 		defer n.takingOffer.Store(false)
-		book, err := n.readConfig()
+		configuration, err := n.readConfig()
 		if err != nil {
 			return
 		}
-		missing := book.Newer(in.Items)
+		missing := configuration.Newer(in.Items)
 		if len(missing) > 0 {
 			err = n.modify(missing)
 			n.log("warn", "proposed items that only an agent held", "items", len(missing), "error", err)
--- a/internal/control/sites.go
+++ b/internal/control/sites.go
@@ -38,13 +38,13 @@
 func (c *coordinator) updateAllocation() {
 	tree, now, unchanged := c.siteTree, c.clock.Steady(), false
 	c.store.read(func(t *tables) {
-		digest := t.bookDigest()
+		digest := t.configurationDigest()
 		// Servers finish their warm-up without an update, hence the interval.
 		unchanged = digest == c.siteTreeDigest && c.allocatorTerm == c.term && c.allocatedReading == c.lastFleet.Reading() && time.Duration(now-c.allocatedAt) < allocationInterval
 		if digest != c.siteTreeDigest {
 			// Stored items have been validated. If zones have been removed from the
 			// settings since, the previous tree remains in use.
-			if built, err := t.book().Tree(c.settings.Load().Platform.Cells); err == nil {
+			if built, err := t.configuration().Tree(c.settings.Load().Platform.Cells); err == nil {
 				tree = built
 			}
 			c.siteTreeDigest = digest
@@ -88,11 +88,11 @@
 	if page.IsLeader {
 		return page, nil
 	}
-	book, err := n.readConfig()
+	configuration, err := n.readConfig()
 	if err != nil {
 		return nil, err
 	}
-	tree, err := book.Tree(n.settings.Load().Platform.Cells)
+	tree, err := configuration.Tree(n.settings.Load().Platform.Cells)
 	if err != nil {
 		return nil, apierror.New(apierror.Gone, err.Error())
 	}
@@ -101,8 +101,8 @@
 }
 
 // checkSites returns an error if the sites of the configuration form no tree.
-func (n *node) checkSites(book config.Book) error {
-	_, err := book.Tree(n.settings.Load().Platform.Cells)
+func (n *node) checkSites(configuration config.Book) error {
+	_, err := configuration.Tree(n.settings.Load().Platform.Cells)
 	if err != nil {
 		return apierror.New(apierror.BadManifest, errors.Cause(err).Error())
 	}
--- a/internal/control/staged_coordinator.go
+++ b/internal/control/staged_coordinator.go
@@ -50,13 +50,13 @@
 			return apierror.OtherOrder, "the version of " + name + " was reverted before and is used up"
 		}
 	}
-	book, err := c.readConfig()
+	configuration, err := c.readConfig()
 	if err != nil {
 		return apierror.Gone, ""
 	}
-	newer, whole, err := book.Accept(in.Items)
+	newer, changed, err := configuration.Accept(in.Items)
 	if err == nil {
-		err = c.checkSites(whole)
+		err = c.checkSites(changed)
 	}
 	switch {
 	case err != nil:
@@ -139,9 +139,9 @@
 	var newer []config.Item
 	committed := true
 	c.store.read(func(t *tables) {
-		duplicates, newer = t.voter.DuplicateExecutions(), t.book().Newer(state.Items)
+		duplicates, newer = t.voter.DuplicateExecutions(), t.configuration().Newer(state.Items)
 		for _, item := range state.Items {
-			stored := t.book()[item.ID]
+			stored := t.configuration()[item.ID]
 			committed = committed && stored.Version == item.Version && string(stored.Body) == string(item.Body)
 		}
 	})
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -66,8 +66,8 @@
 	n.store.read(func(t *tables) {
 		out.Epoch, out.IsTrusted, out.Term, out.Leader = uint64(t.view.Epoch), t.trusted, t.term.Number, t.term.Holder
 		out.Index, out.IsUndecided = uint64(t.registry.Index), t.registry.Acceptor.Change != nil
-		out.Items, out.Digest = len(t.book()), t.bookDigest()
-		for _, item := range t.book().Items() {
+		out.Items, out.Digest = len(t.configuration()), t.configurationDigest()
+		for _, item := range t.configuration().Items() {
 			if text, err := item.Version.MarshalText(); err == nil {
 				out.Versions[item.ID.Name] = string(text)
 			}
--- a/internal/control/tables.go
+++ b/internal/control/tables.go
@@ -53,8 +53,9 @@
 	trusted         bool
 	empty           bool
 	digest          string
-	// compiled is the compiled form of the book with the digest compiledDigest. mirrors
-	// and versions are the mirroring rules of the book with the digest mirrorsDigest.
+	// compiled is the compiled form of the configuration with the digest compiledDigest.
+	// mirrors and versions are the mirroring rules of the configuration with the digest
+	// mirrorsDigest.
 	compiled       *config.Sheet
 	compiledDigest string
 	mirrors        []loopline.Mirror
@@ -113,8 +114,8 @@
 	t.assembly = registry.Assembly{}
 }
 
-// book returns the item set; callers must neither modify nor retain it.
-func (t *tables) book() config.Book { return t.registry.Items }
+// configuration returns the item set; callers must neither modify nor retain it.
+func (t *tables) configuration() config.Book { return t.registry.Items }
 
 // fleetFresh reports whether the fleet was received within maxAge; a fleet that was
 // read from the disk is not fresh.
@@ -122,28 +123,28 @@
 	return t.fleetReceivedAt > 0 && time.Duration(now-t.fleetReceivedAt) <= maxAge
 }
 
-// compiledBook returns the book compiled for lookups. It is compiled again only after
-// an item has changed.
-func (t *tables) compiledBook() *config.Sheet {
-	if digest := t.bookDigest(); t.compiled == nil || t.compiledDigest != digest {
-		t.compiled, t.compiledDigest = t.book().Compile(), digest
+// compiledConfiguration returns the configuration compiled for lookups. It is compiled
+// again only after an item has changed.
+func (t *tables) compiledConfiguration() *config.Sheet {
+	if digest := t.configurationDigest(); t.compiled == nil || t.compiledDigest != digest {
+		t.compiled, t.compiledDigest = t.configuration().Compile(), digest
 	}
 	return t.compiled
 }
 
-// currentMirrors returns the mirroring rules. The book is searched again only after an
-// item has changed.
+// currentMirrors returns the mirroring rules. The configuration is searched again only
+// after an item has changed.
 func (t *tables) currentMirrors() ([]loopline.Mirror, []config.Version) {
-	if digest := t.bookDigest(); t.mirrorsDigest != digest {
-		t.mirrors, t.versions = t.book().Mirrors()
+	if digest := t.configurationDigest(); t.mirrorsDigest != digest {
+		t.mirrors, t.versions = t.configuration().Mirrors()
 		t.mirrorsDigest = digest
 	}
 	return t.mirrors, t.versions
 }
 
-func (t *tables) bookDigest() string {
+func (t *tables) configurationDigest() string {
 	if t.digest == "" {
-		t.digest = t.book().Digest()
+		t.digest = t.configuration().Digest()
 	}
 	return t.digest
 }
--- a/internal/control/takeover_test.go
+++ b/internal/control/takeover_test.go
@@ -63,10 +63,10 @@
 		Eventually(func() bool { return n.holdsLease(1) }).Should(BeFalse())
 		n.coordinator.ensureLeading()
 		grant("b", 2)
-		told := make(chan messages.Done, 1)
+		replies := make(chan messages.Done, 1)
 		n.onFleet(feed.Fleet{Term: 2, Count: 9, Holder: "b", Servers: []feed.Server{{ID: drainingID, Service: "s"}, {ID: "i-2", Service: "s", IsReady: true}}},
-			func(done messages.Done) { told <- done })
-		Expect((<-told).OK).To(BeTrue())
+			func(done messages.Done) { replies <- done })
+		Expect((<-replies).OK).To(BeTrue())
 		becomeLeader(3)
 		Eventually(func() uint64 { n.coordinator.coordinate(); return n.fleet().Term }).Should(BeEquivalentTo(3))
 		Expect(isReady()).To(BeFalse(), "published the server list of this node's earlier term")
