--- a/internal/control/grades.go
+++ b/internal/control/grades.go
@@ -55,11 +55,11 @@
 // servers as make each of them about as busy as one that runs the version in force.
 func (c *coordinator) grantShare(fleet *feed.Fleet, state trial.State, progress *rolloutProgress) {
 	inPhase := time.Duration(c.clock.Steady() - progress.phaseStartedAt)
-	part := state.Share(c.rolloutPlan(), trial.Facts{InPhase: inPhase, Finding: progress.finding})
-	fleet.Shares = append(fleet.Shares, feed.Share{Service: state.Subject, Number: state.Number, Part: part})
+	share := state.Share(c.rolloutPlan(), trial.Facts{InPhase: inPhase, Finding: progress.finding})
+	fleet.Shares = append(fleet.Shares, feed.Share{Service: state.Subject, Number: state.Number, Part: share})
 	current, target := splitByVersion(fleet.Servers, state)
-	count := max(2, int(math.Ceil(part*float64(len(current))*serverCountFactor)))
-	if part >= allServersShare {
+	count := max(2, int(math.Ceil(share*float64(len(current))*serverCountFactor)))
+	if share >= allServersShare {
 		count = len(target)
 	}
 	for _, i := range alternateZones(fleet.Servers, target)[:min(count, len(target))] {
--- a/internal/control/rollout_replication.go
+++ b/internal/control/rollout_replication.go
@@ -55,14 +55,14 @@
 }
 
 func (n *node) onRollouts(in messages.Trials, reply func(messages.TrialsTold)) {
-	var out messages.TrialsTold
+	var rollouts messages.TrialsTold
 	n.store.enqueue(func(t *tables) []record {
-		out.OK, out.Fence = t.trusted && in.Epoch == t.view.Epoch && t.view.Has(n.self), t.term.Number
+		rollouts.OK, rollouts.Fence = t.trusted && in.Epoch == t.view.Epoch && t.view.Has(n.self), t.term.Number
 		for _, state := range t.rollouts {
-			out.States = append(out.States, state)
+			rollouts.States = append(rollouts.States, state)
 		}
 		return nil
-	}, func() { reply(out) })
+	}, func() { reply(rollouts) })
 }
 
 func (t *tables) mergeRollouts(page messages.Page) (records []record) {
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -62,36 +62,36 @@
 }
 
 func (n *node) statusEndpoint(context.Context, any) (any, error) {
-	out := Status{Node: n.self, Followers: n.hub.Followers(), Members: map[string]bool{}, Versions: map[string]string{}, Rollouts: map[string]RolloutStatus{}}
+	status := Status{Node: n.self, Followers: n.hub.Followers(), Members: map[string]bool{}, Versions: map[string]string{}, Rollouts: map[string]RolloutStatus{}}
 	n.store.read(func(t *tables) {
-		out.Epoch, out.IsTrusted, out.Term, out.Leader = uint64(t.view.Epoch), t.trusted, t.term.Number, t.term.Holder
-		out.Index, out.IsUndecided = uint64(t.registry.Index), t.registry.Acceptor.Change != nil
-		out.Items, out.Digest = len(t.configuration()), t.configurationDigest()
+		status.Epoch, status.IsTrusted, status.Term, status.Leader = uint64(t.view.Epoch), t.trusted, t.term.Number, t.term.Holder
+		status.Index, status.IsUndecided = uint64(t.registry.Index), t.registry.Acceptor.Change != nil
+		status.Items, status.Digest = len(t.configuration()), t.configurationDigest()
 		for _, item := range t.configuration().Items() {
 			if text, err := item.Version.MarshalText(); err == nil {
-				out.Versions[item.ID.Name] = string(text)
+				status.Versions[item.ID.Name] = string(text)
 			}
 		}
 		counts, oldest := t.voter.CountByState(n.clock.Wall())
-		out.Quota = t.voter.Quota().Usage()
-		out.Intents, out.OldestOpenMs = counts, oldest.Milliseconds()
-		out.Lagging = n.lag.largest(t.view)
+		status.Quota = t.voter.Quota().Usage()
+		status.Intents, status.OldestOpenMs = counts, oldest.Milliseconds()
+		status.Lagging = n.lag.largest(t.view)
 		for subject, state := range t.rollouts {
-			out.Rollouts[subject] = RolloutStatus{state.Phase.String(), state.InForce, state.Target, state.Wave, state.Reason}
+			status.Rollouts[subject] = RolloutStatus{state.Phase.String(), state.InForce, state.Target, state.Wave, state.Reason}
 		}
 		for _, member := range t.view.Members {
-			out.Members[member] = member == n.self
+			status.Members[member] = member == n.self
 		}
 	})
 	n.runInMemberLoop(func() {
-		for member := range out.Members {
-			out.Members[member] = out.Members[member] || n.livenessWatch.IsLive(member)
+		for member := range status.Members {
+			status.Members[member] = status.Members[member] || n.livenessWatch.IsLive(member)
 		}
 	})
-	out.Servers = len(n.fleet().Servers)
-	out.QuorumAgeMs, out.Lease = ageMs(n.contact.age(n.clock.Steady())), n.leaseStatus(out)
-	out.ListAgeMs = ageMs(n.listWatch.age(n.clock.Steady()))
-	return out, nil
+	status.Servers = len(n.fleet().Servers)
+	status.QuorumAgeMs, status.Lease = ageMs(n.contact.age(n.clock.Steady())), n.leaseStatus(status)
+	status.ListAgeMs = ageMs(n.listWatch.age(n.clock.Steady()))
+	return status, nil
 }
 
 // ageMs converts an age to milliseconds, and an unknown one to -1.
@@ -103,11 +103,11 @@
 }
 
 func (n *node) leaseStatus(status Status) LeaseStatus {
-	out := LeaseStatus{Holder: status.Leader, Term: status.Term}
+	lease := LeaseStatus{Holder: status.Leader, Term: status.Term}
 	if status.Leader == n.self {
-		out.RemainingMs = n.lease.remaining(status.Term, n.clock.Steady()).Milliseconds()
+		lease.RemainingMs = n.lease.remaining(status.Term, n.clock.Steady()).Milliseconds()
 	}
-	return out
+	return lease
 }
 
 // FleetPage lists the servers of the fleet that the leader last published.
