--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -31,19 +31,19 @@
 		"POST /v1/config/modify":          {n.modifyEndpoint, decodeItems(config.ParseModify)},
 		"GET /v1/config/read":             {n.readEndpoint, kithttp.NopRequestDecoder},
 		"GET /v1/config/accepted/{name}":  {n.acceptedEndpoint, decodeItemName},
-		"POST /v1/rollouts/start":         {n.startPoint, decodeRollout},
-		"GET /v1/rollouts/{service}/read": {n.rolloutPoint, decodeSubject},
+		"POST /v1/rollouts/start":         {n.startRolloutEndpoint, decodeRollout},
+		"GET /v1/rollouts/{service}/read": {n.readRolloutEndpoint, decodeServiceName},
 		"POST /v1/sites/modify":           {n.modifyEndpoint, decodeItems(config.Parser(config.SiteItem))},
-		"GET /v1/sites":                   {n.requireQuorumContact(n.sitesPoint), kithttp.NopRequestDecoder},
+		"GET /v1/sites":                   {n.requireQuorumContact(n.sitesEndpoint), kithttp.NopRequestDecoder},
 		"POST /v1/plans/modify":           {n.modifyEndpoint, decodeItems(config.Parser(config.PlanItem))},
-		"GET /v1/load":                    {n.requireQuorumContact(n.loadPoint), kithttp.NopRequestDecoder},
+		"GET /v1/load":                    {n.requireQuorumContact(n.loadEndpoint), kithttp.NopRequestDecoder},
 		"POST /v1/mirrors/modify":         {n.modifyEndpoint, decodeItems(config.Parser(config.MirrorItem))},
-		"GET /v1/mirrors":                 {n.requireQuorumContact(n.mirrorsPoint), kithttp.NopRequestDecoder},
-		"POST /v1/staged/start":           {n.stagePoint, decodeStaged},
-		"GET /v1/staged/{name}/read":      {n.stagedPoint, decodeName},
-		"POST /v1/staged/{name}/halt":     {n.haltPoint, decodeName},
-		"GET /v1/status":                  {n.statusPoint, kithttp.NopRequestDecoder},
-		"GET /v1/fleet":                   {n.requireQuorumContact(n.fleetPoint), kithttp.NopRequestDecoder},
+		"GET /v1/mirrors":                 {n.requireQuorumContact(n.mirrorsEndpoint), kithttp.NopRequestDecoder},
+		"POST /v1/staged/start":           {n.startStagedEndpoint, decodeStaged},
+		"GET /v1/staged/{name}/read":      {n.readStagedEndpoint, decodeStagedName},
+		"POST /v1/staged/{name}/halt":     {n.haltStagedEndpoint, decodeStagedName},
+		"GET /v1/status":                  {n.statusEndpoint, kithttp.NopRequestDecoder},
+		"GET /v1/fleet":                   {n.requireQuorumContact(n.fleetEndpoint), kithttp.NopRequestDecoder},
 	}
 }
 
@@ -90,11 +90,11 @@
 }
 
 func (n *node) readEndpoint(context.Context, any) (any, error) {
-	book, err := n.readConfig()
+	configuration, err := n.readConfig()
 	if err != nil {
 		return nil, err
 	}
-	body, err := book.Render()
+	body, err := configuration.Render()
 	return json.RawMessage(body), err
 }
 
--- a/internal/control/coordinator.go
+++ b/internal/control/coordinator.go
@@ -14,121 +14,124 @@
 	"ploverhitch/internal/trial"
 )
 
-// coordinator does what falls to the holder of the duty: it publishes the fleet,
-// hears the proxies' reports, and drives the trials. Its loop owns its tables.
+// coordinator performs the tasks of the leader: it publishes the fleet, receives the
+// proxies' reports, and advances the rollouts. Only its loop accesses its fields.
 type coordinator struct {
 	*node
-	loop  *timetable.Loop[func()]
-	court *outlier.Court
-	// term is the one for which states were read; 0 while the duty is not here.
-	term   uint64
-	states map[string]trial.State
-	drives map[string]*drive
-	// written counts this term's writings; no two share a number.
-	written uint64
-	listed  []feed.Server
-	last    feed.Fleet
-	toldAt  timetable.Steady
-	// published are the last readings, for telling what has changed since them.
-	published []feed.Fleet
-	// paces are the servers' as last told, and when; termAt is when the term
-	// began here.
-	paces   map[string]int
-	pacedAt timetable.Steady
-	termAt  timetable.Steady
-	// laidOutAt is when the fleet was laid out last.
-	laidOutAt timetable.Steady
-	// cells are where the proxies are; tree is the sites, of the book with the
-	// digest treeOf; office gives out their room under officeTerm.
-	cells      map[string]string
-	tree       *branchline.Tree
-	treeOf     string
-	office     *branchline.Office
-	officeTerm uint64
-	laid       feed.Reading
-	laidAt     timetable.Steady
-	// gauge measures the load and decides on cutoffs; copying are the mirrors in
-	// force, of which eras have begun.
-	gauge   *shedding.Gauge
-	copying map[string]*copying
-	eras    uint64
-	// repeats are the orders that came again, by their subject.
-	repeats map[string]repeat
+	loop     *timetable.Loop[func()]
+	detector *outlier.Court
+	// term is the term under which states was read, 0 while this node is not the leader.
+	term     uint64
+	states   map[string]trial.State
+	progress map[string]*rolloutProgress
+	// writeCount numbers the writes of this term; each has its own number.
+	writeCount    uint64
+	listedServers []feed.Server
+	lastFleet     feed.Fleet
+	// lastCountAt is when a fleet with a new count was last published.
+	lastCountAt timetable.Steady
+	// recentFleets holds the last published fleets, from which differences are computed.
+	recentFleets []feed.Fleet
+	// relativeLatencies holds the servers' relative latencies as last published, and
+	// latenciesReadAt when they were read; termStartedAt is when this node took over.
+	relativeLatencies map[string]int
+	latenciesReadAt   timetable.Steady
+	termStartedAt     timetable.Steady
+	// fleetBuiltAt is when the fleet was last built.
+	fleetBuiltAt timetable.Steady
+	// proxyZones maps proxies to their zones. siteTree is the tree of sites of the
+	// configuration with the digest siteTreeDigest; allocator allocates the capacity of
+	// the sites under allocatorTerm.
+	proxyZones       map[string]string
+	siteTree         *branchline.Tree
+	siteTreeDigest   string
+	allocator        *branchline.Office
+	allocatorTerm    uint64
+	allocatedReading feed.Reading
+	allocatedAt      timetable.Steady
+	// loadGauge measures the load and decides on the cutoffs. activeMirrors holds the
+	// mirrors in force; eraCount is the number of eras started for them.
+	loadGauge     *shedding.Gauge
+	activeMirrors map[string]*activeMirror
+	eraCount      uint64
+	// repeatedCommands holds the last repetition of a command, by its subject.
+	repeatedCommands map[string]repeatedCommand
 }
 
-// drive is what the holder alone knows of an active trial.
-type drive struct {
-	number  uint64
-	phase   trial.Phase
-	wave    int
-	phaseAt timetable.Steady
-	// full is the first reading in which the new version had everything.
-	full    feed.Reading
-	finding outlier.Finding
-	// doubled is how many keys with two runs were known here as the drive began: what
-	// this node counted in an earlier term says nothing of the trial.
-	doubled int
+// rolloutProgress is the state of an active rollout that only the leader keeps.
+type rolloutProgress struct {
+	number         uint64
+	phase          trial.Phase
+	wave           int
+	phaseStartedAt timetable.Steady
+	// fullShareReading is the first fleet reading that gives the target all requests.
+	fullShareReading feed.Reading
+	finding          outlier.Finding
+	// knownDuplicates is the number of keys with duplicate executions that this node
+	// knew of when it began to advance the rollout: those counted in an earlier term
+	// are no evidence about the rollout.
+	knownDuplicates int
 }
 
 const (
-	conductPeriod = 100 * time.Millisecond
-	renewPeriod   = 300 * time.Millisecond
-	// publishPeriod is how often the fleet is laid out anew with nothing granted.
-	publishPeriod = 300 * time.Millisecond
-	// pacePeriod is how often new paces are told: each telling costs every proxy
-	// a little, and they come from as many servers as there are.
-	pacePeriod = time.Second
-	// publishedKept is how many readings are kept for telling changes.
-	publishedKept = 6
-	// proxiesSpan is how long a proxy counts after its last report.
-	proxiesSpan = 5 * time.Second
+	coordinationInterval = 100 * time.Millisecond
+	grantRenewalInterval = 300 * time.Millisecond
+	// publishInterval is how often the fleet is rebuilt while it holds no grants.
+	publishInterval = 300 * time.Millisecond
+	// latencyPublishInterval is how often new relative latencies are published: each
+	// update costs every proxy some work, and any of the servers can cause one.
+	latencyPublishInterval = time.Second
+	// maxRecentFleets is the number of published fleets kept for computing differences.
+	maxRecentFleets = 6
+	// proxyReportMaxAge is how long a proxy is counted after its last report.
+	proxyReportMaxAge = 5 * time.Second
 )
 
 func newCoordinator(n *node) *coordinator {
 	return &coordinator{
-		node: n, loop: timetable.NewLoop[func()](1024), court: outlier.NewCourt(n.clock),
-		states: map[string]trial.State{}, drives: map[string]*drive{}, cells: map[string]string{},
-		copying: map[string]*copying{}, gauge: shedding.NewGauge(n.clock, rand.Uint64), repeats: map[string]repeat{},
+		node: n, loop: timetable.NewLoop[func()](1024), detector: outlier.NewCourt(n.clock),
+		states: map[string]trial.State{}, progress: map[string]*rolloutProgress{}, proxyZones: map[string]string{},
+		activeMirrors: map[string]*activeMirror{}, loadGauge: shedding.NewGauge(n.clock, rand.Uint64), repeatedCommands: map[string]repeatedCommand{},
 	}
 }
 
 func (c *coordinator) run(ctx context.Context) {
-	c.loop.Run(ctx, runAll, conductPeriod, c.conduct)
+	c.loop.Run(ctx, runAll, coordinationInterval, c.coordinate)
 }
 
-// conduct is the alarm.
-func (c *coordinator) conduct() {
-	c.court.Tend()
-	if !c.isMaster() {
+// coordinate runs periodically in the coordinator's loop.
+func (c *coordinator) coordinate() {
+	c.detector.Tend()
+	if !c.ensureLeading() {
 		return
 	}
 	for _, state := range c.states {
 		switch {
 		case !c.holdsLease(c.term):
-			// Each step takes time in which the lease may end.
+			// Each step takes time, during which the lease may expire.
 			return
 		case !state.Phase.IsActive():
 		case state.IsStaged():
-			c.driveStage(state)
+			c.advanceStagedChange(state)
 		default:
-			c.drive(state)
+			c.advanceRollout(state)
 		}
 	}
-	isChanged, now := c.measure(), c.clock.Steady()
+	cutoffsChanged, now := c.updateCutoffs(), c.clock.Steady()
 	switch {
-	case isChanged, c.last.HoldsGrants(), time.Duration(now-c.laidOutAt) >= publishPeriod:
+	case cutoffsChanged, c.lastFleet.HoldsGrants(), time.Duration(now-c.fleetBuiltAt) >= publishInterval:
 		c.publish()
-	case c.last.Term == c.term:
-		c.sendFleet(c.last)
+	case c.lastFleet.Term == c.term:
+		c.sendFleet(c.lastFleet)
 	}
-	c.layTree()
+	c.updateAllocation()
 }
 
-// isMaster tells whether this node holds the duty by a lease that is valid now, and
-// has read, under its term, what a majority keeps. What is known of the term stays
-// while the lease is interrupted: if it becomes valid again under the same term,
-// nobody else held the duty meanwhile.
-func (c *coordinator) isMaster() bool {
+// ensureLeading reports whether this node is the leader with a valid lease and has read
+// the state of a majority under its term, which it does if necessary. The state of the
+// term is kept while the lease is interrupted: if the lease becomes valid again under the
+// same term, no other node was the leader meanwhile.
+func (c *coordinator) ensureLeading() bool {
 	term := c.ownTerm.Load()
 	if !c.isLeader.Load() || term == 0 {
 		c.term = 0
@@ -140,91 +143,93 @@
 	if c.term == term {
 		return true
 	}
-	states, _, fence, err := c.gatherTrials()
-	if err != nil || fence > term {
+	states, _, highestTerm, err := c.collectRollouts()
+	if err != nil || highestTerm > term {
 		return false
 	}
-	// Every trial is written again under this term, so that whatever an older
-	// holder left on a few members can no longer come to light.
+	// All rollouts are written again under this term, so that a write that an earlier
+	// leader left on a minority of the members can no longer take effect.
 	for subject, state := range states {
-		c.written = max(c.written, state.Count)
+		c.writeCount = max(c.writeCount, state.Count)
 		state.Term = term
 		states[subject] = state
-		if c.writeTrial(state) != nil {
+		if c.writeRollout(state) != nil {
 			return false
 		}
 	}
-	c.term, c.states, c.drives, c.termAt = term, states, map[string]*drive{}, c.clock.Steady()
-	clear(c.copying)
-	c.takeGauge()
-	var held feed.Fleet
-	c.store.read(func(t *tables) { held = t.fleet })
-	// An earlier term's own reading is older than what the holders since then read.
-	c.last, c.listed = held, held.Servers
+	c.term, c.states, c.progress, c.termStartedAt = term, states, map[string]*rolloutProgress{}, c.clock.Steady()
+	clear(c.activeMirrors)
+	c.resetLoadGauge()
+	var fleet feed.Fleet
+	c.store.read(func(t *tables) { fleet = t.fleet })
+	// A fleet that this node published in an earlier term is older than the stored one,
+	// which includes what the leaders since then published.
+	c.lastFleet, c.listedServers = fleet, fleet.Servers
 	return c.holdsLease(term)
 }
 
-// write keeps the next state of a subject on a majority, and only then goes by
-// it.
-func (c *coordinator) write(state trial.State) error {
+// commitState persists the next state of a subject on a majority of the members and only
+// then adopts it.
+func (c *coordinator) commitState(state trial.State) error {
 	if !c.holdsLease(c.term) {
-		return apierror.New(apierror.Gone, "the lease has ended")
+		return apierror.New(apierror.Gone, "the leader lease has expired")
 	}
-	c.written++
-	state.Term, state.Count = c.term, c.written
-	if err := c.writeTrial(state); err != nil {
+	c.writeCount++
+	state.Term, state.Count = c.term, c.writeCount
+	if err := c.writeRollout(state); err != nil {
 		return err
 	}
 	c.states[state.Subject] = state
 	return nil
 }
 
-// drive takes one step of a trial, where the facts come to one.
-func (c *coordinator) drive(state trial.State) {
-	d := c.driveOf(state)
-	facts := c.facts(state, d)
-	d.finding = facts.Finding
+// advanceRollout moves a rollout to its next phase if the facts permit it.
+func (c *coordinator) advanceRollout(state trial.State) {
+	progress := c.progressOf(state)
+	facts := c.facts(state, progress)
+	progress.finding = facts.Finding
 	event, reason := state.Next(facts)
 	if event == trial.None {
 		return
 	}
-	next, isDone := state.Step(event, reason, facts.Elapsed)
-	if !isDone {
+	next, permitted := state.Step(event, reason, facts.Elapsed)
+	if !permitted {
 		return
 	}
-	if err := c.write(next); err != nil {
+	if err := c.commitState(next); err != nil {
 		return
 	}
-	c.log("warn", "trial", "subject", state.Subject, "phase", next.Phase, "target", next.Target, "elapsed", facts.Elapsed, "reason", reason)
-	c.driveOf(next)
+	c.log("warn", "rollout changed phase", "subject", state.Subject, "phase", next.Phase, "target", next.Target, "elapsed", facts.Elapsed, "reason", reason)
+	c.progressOf(next)
 }
 
-// driveOf is what is known of the trial in its present phase and wave.
-func (c *coordinator) driveOf(state trial.State) *drive {
-	d := c.drives[state.Subject]
-	if d != nil && d.number == state.Number && d.phase == state.Phase && d.wave == state.Wave {
-		return d
-	}
-	next := &drive{number: state.Number, phase: state.Phase, wave: state.Wave, phaseAt: c.clock.Steady()}
-	if d != nil && d.number == state.Number {
-		next.full, next.finding, next.doubled = d.full, d.finding, d.doubled
+// progressOf returns the progress of a rollout in its present phase and wave.
+func (c *coordinator) progressOf(state trial.State) *rolloutProgress {
+	previous := c.progress[state.Subject]
+	if previous != nil && previous.number == state.Number && previous.phase == state.Phase && previous.wave == state.Wave {
+		return previous
+	}
+	next := &rolloutProgress{number: state.Number, phase: state.Phase, wave: state.Wave, phaseStartedAt: c.clock.Steady()}
+	if previous != nil && previous.number == state.Number {
+		next.fullShareReading, next.finding, next.knownDuplicates = previous.fullShareReading, previous.finding, previous.knownDuplicates
 	} else {
-		c.store.read(func(t *tables) { next.doubled = t.voter.DuplicateExecutions() })
+		c.store.read(func(t *tables) { next.knownDuplicates = t.voter.DuplicateExecutions() })
 	}
-	c.drives[state.Subject] = next
+	c.progress[state.Subject] = next
 	return next
 }
 
-func (c *coordinator) facts(state trial.State, d *drive) trial.Facts {
+// facts collects the facts that decide on the next phase of a rollout.
+func (c *coordinator) facts(state trial.State, progress *rolloutProgress) trial.Facts {
 	now := c.clock.Steady()
 	facts := trial.Facts{
-		Elapsed: time.Duration(now - c.beganAt(state)), InPhase: time.Duration(now - d.phaseAt),
-		Finding: c.court.Hearing(state.Subject, state.Number, 0),
+		Elapsed: time.Duration(now - c.rolloutStartedAt(state)), InPhase: time.Duration(now - progress.phaseStartedAt),
+		Finding: c.detector.Hearing(state.Subject, state.Number, 0),
 	}
-	old, fresh := sides(c.listed, state)
-	facts.Ready, facts.Old = capacity(c.listed, fresh), capacity(c.listed, old)
-	facts.Touch = c.court.Touch(state.Subject, d.full)
-	if d.full.Term == 0 {
+	current, target := splitByVersion(c.listedServers, state)
+	facts.Ready, facts.Old = totalCapacity(c.listedServers, target), totalCapacity(c.listedServers, current)
+	facts.Touch = c.detector.Touch(state.Subject, progress.fullShareReading)
+	if progress.fullShareReading.Term == 0 {
 		facts.Touch.Behind = max(1, facts.Touch.Behind)
 	}
 	return facts
--- /dev/null
+++ b/internal/control/load.go
@@ -0,0 +1,96 @@
+package control
+
+import (
+	"context"
+	"math/rand/v2"
+	"time"
+
+	"ploverhitch/internal/feed"
+	"ploverhitch/internal/idempotency"
+	"ploverhitch/internal/settings"
+	"ploverhitch/internal/shedding"
+	"ploverhitch/internal/timetable"
+)
+
+// loadGaugeOn reports whether the settings enable load measurement.
+func (n *node) loadGaugeOn() bool { return n.settings.Load().Tuning.Loadgauge == settings.GaugeOn }
+
+// cutoffsMaxAge is how old the last leader's cutoffs may be for a new leader to adopt them.
+const cutoffsMaxAge = 5 * time.Second
+
+// resetLoadGauge starts the load measurement of a new term with the cutoffs that the last
+// leader published, if they are recent.
+func (c *coordinator) resetLoadGauge() {
+	c.loadGauge = shedding.NewGauge(c.clock, rand.Uint64)
+	c.store.read(func(t *tables) {
+		if t.fleetFresh(c.clock.Steady(), cutoffsMaxAge) {
+			c.loadGauge.Hold(t.fleet.Cutoffs)
+		}
+	})
+}
+
+// updateCutoffs decides on the cutoffs and reports whether they have changed.
+func (c *coordinator) updateCutoffs() bool {
+	return c.loadGaugeOn() && c.loadGauge.Decide(c.overloadedShare)
+}
+
+// overloadedShare returns the share of a service's ready servers that are overloaded.
+func (c *coordinator) overloadedShare(service string) float64 {
+	var group []string
+	for _, server := range c.listedServers {
+		if server.Service == service && server.IsReady {
+			group = append(group, server.ID)
+		}
+	}
+	return c.detector.Strained(group)
+}
+
+func (c *coordinator) cutoffs() []shedding.Cutoff {
+	if !c.loadGaugeOn() {
+		return nil
+	}
+	return c.loadGauge.Cutoffs()
+}
+
+// sheds reports whether this member refuses its vote for a new intent because the service
+// is overloaded. Existing intents are never shed, so that they can still be replayed,
+// resumed and recorded.
+func (t *tables) sheds(intent idempotency.Intent, now timetable.Steady) bool {
+	if len(t.fleet.Cutoffs) == 0 || !t.fleetFresh(now, feed.GrantSpan) || t.voter.Find(intent.Key) != nil {
+		return false
+	}
+	for _, cutoff := range t.fleet.Cutoffs {
+		if cutoff.Service == intent.Service && cutoff.Sheds(t.compiledConfiguration().Order.TierOf(intent.Route), intent.Key.Tenant, intent.Key.Key) {
+			return true
+		}
+	}
+	return false
+}
+
+// LoadPage contains the order of the tiers, the cutoffs in force and, at the leader, the
+// load measurements on which they are based.
+type LoadPage struct {
+	Mode     string             `json:"Mode"`
+	Order    []shedding.Rung    `json:"Order"`
+	Cutoffs  []shedding.Cutoff  `json:"Cutoffs"`
+	Accounts []shedding.Account `json:"Accounts"`
+	IsLeader bool               `json:"IsHolder"`
+	Leader   string             `json:"Holder"`
+}
+
+func (n *node) loadEndpoint(context.Context, any) (any, error) {
+	c := n.coordinator
+	page := LoadPage{Mode: n.settings.Load().Tuning.Loadgauge, Order: []shedding.Rung{}, Cutoffs: []shedding.Cutoff{}, Accounts: []shedding.Account{}, Leader: n.leader()}
+	runAndWait(c.loop, func() {
+		if page.IsLeader = c.ensureLeading(); page.IsLeader {
+			page.Accounts = append(page.Accounts, c.loadGauge.Accounts()...)
+		}
+	})
+	n.store.read(func(t *tables) {
+		page.Order = append(page.Order, t.compiledConfiguration().Order.Rungs()...)
+		if t.fleetFresh(n.clock.Steady(), feed.GrantSpan) {
+			page.Cutoffs = append(page.Cutoffs, t.fleet.Cutoffs...)
+		}
+	})
+	return page, nil
+}
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -58,10 +58,10 @@
 	// takingOffer ensures that offers of several agents are handled one at a time.
 	takingOffer atomic.Bool
 	viewRound   atomic.Uint64
-	// trialStarts holds the start time of each trial.
-	trialStarts sync.Map
-	coordinator *coordinator
-	listWatch   *listTracker
+	// rolloutStarts holds the start time of each rollout.
+	rolloutStarts sync.Map
+	coordinator   *coordinator
+	listWatch     *listTracker
 	// memberReadings holds the fleet reading that each member is known to have.
 	memberReadings sync.Map
 	// sendingReadings marks the members to which a reading is being sent.
@@ -170,7 +170,7 @@
 func (n *node) publishState() {
 	n.store.read(func(t *tables) {
 		view, fleet := t.view, t.fleet
-		n.hub.Publish(feed.News{Items: t.book().Items(), View: &view, Fleet: &fleet})
+		n.hub.Publish(feed.News{Items: t.configuration().Items(), View: &view, Fleet: &fleet})
 	})
 }
 
--- /dev/null
+++ b/internal/control/rollout_replication.go
@@ -0,0 +1,138 @@
+package control
+
+import (
+	"ploverhitch/internal/apierror"
+	"ploverhitch/internal/messages"
+	"ploverhitch/internal/timetable"
+	"ploverhitch/internal/trial"
+)
+
+// rolloutStart is the latest possible start of a rollout on this node's monotonic clock.
+type rolloutStart struct {
+	number    uint64
+	startedAt timetable.Steady
+}
+
+// onRollout persists a state of a rollout, unless it was written under a term lower than
+// this member's or a newer state is stored.
+func (n *node) onRollout(in messages.Trial, reply func(messages.Done)) {
+	accepted := false
+	n.store.enqueue(func(t *tables) []record {
+		state := in.State
+		if !t.trusted || in.Epoch != t.view.Epoch || !t.view.Has(n.self) || state.Term < t.term.Number {
+			return nil
+		}
+		stored := t.rollouts[state.Subject]
+		if accepted = !stored.Outranks(state); !accepted || !state.Outranks(stored) {
+			return nil
+		}
+		n.recordRolloutStart(state)
+		t.rollouts[state.Subject] = state
+		return []record{{Rollout: &state}}
+	}, func() { reply(messages.Done{OK: accepted}) })
+}
+
+// recordRolloutStart records the start of a rollout that its elapsed time implies, if it is
+// earlier than the known one.
+func (n *node) recordRolloutStart(state trial.State) {
+	startedAt := n.clock.Steady() - timetable.Steady(state.Elapsed)
+	if value, known := n.rolloutStarts.Load(state.Subject); known {
+		if start := value.(rolloutStart); start.number == state.Number {
+			startedAt = min(startedAt, start.startedAt)
+		}
+	}
+	n.rolloutStarts.Store(state.Subject, rolloutStart{state.Number, startedAt})
+}
+
+// rolloutStartedAt returns the start time of a rollout as far as this node knows it.
+func (n *node) rolloutStartedAt(state trial.State) timetable.Steady {
+	if value, known := n.rolloutStarts.Load(state.Subject); known {
+		if start := value.(rolloutStart); start.number == state.Number {
+			return start.startedAt
+		}
+	}
+	return n.clock.Steady() - timetable.Steady(state.Elapsed)
+}
+
+func (n *node) onRollouts(in messages.Trials, reply func(messages.TrialsTold)) {
+	var rollouts messages.TrialsTold
+	n.store.enqueue(func(t *tables) []record {
+		rollouts.OK, rollouts.Fence = t.trusted && in.Epoch == t.view.Epoch && t.view.Has(n.self), t.term.Number
+		for _, state := range t.rollouts {
+			rollouts.States = append(rollouts.States, state)
+		}
+		return nil
+	}, func() { reply(rollouts) })
+}
+
+func (t *tables) mergeRollouts(page messages.Page) (records []record) {
+	for _, state := range page.Trials {
+		if state.Outranks(t.rollouts[state.Subject]) {
+			t.rollouts[state.Subject] = state
+			records = append(records, record{Rollout: &state})
+		}
+	}
+	return records
+}
+
+// collectRollouts reads the rollouts from a majority of the members. It returns the newest
+// state of each, whether all members of the majority had the same states, and their
+// highest term.
+func (n *node) collectRollouts() (states map[string]trial.State, consistent bool, highestTerm uint64, err error) {
+	view, count := n.view(), 0
+	states, consistent = map[string]trial.State{}, true
+	copies := map[string]int{}
+	callAll(n, view.Members, messages.KindTrials, messages.Trials{Epoch: view.Epoch}, callTimeout, func(_ string, reply messages.TrialsTold) bool {
+		if !reply.OK {
+			return false
+		}
+		count++
+		highestTerm = max(highestTerm, reply.Fence)
+		for _, state := range reply.States {
+			newest, known := states[state.Subject]
+			switch {
+			case !known || state.Outranks(newest):
+				consistent = consistent && !known
+				states[state.Subject], copies[state.Subject] = state, 1
+			case newest.Outranks(state):
+				consistent = false
+			default:
+				copies[state.Subject]++
+			}
+		}
+		return count >= view.Majority()
+	})
+	if count < view.Majority() || count == 0 {
+		return nil, false, 0, apierror.New(apierror.Gone, "cannot read the rollouts from a majority of the members")
+	}
+	for _, copyCount := range copies {
+		consistent = consistent && copyCount == count
+	}
+	return states, consistent, highestTerm, nil
+}
+
+// writeRollout persists a state of a rollout on a majority of the members.
+func (n *node) writeRollout(state trial.State) error {
+	view := n.view()
+	if !n.majorityDone(view, messages.KindTrial, messages.Trial{Epoch: view.Epoch, State: state}, persistTimeout) {
+		return apierror.New(apierror.Gone, "cannot persist the rollout on a majority of the members")
+	}
+	return nil
+}
+
+// readRollout reads a rollout from a majority of the members. A state that only some of
+// them have is first written to a majority, so that no later read returns an older one.
+func (n *node) readRollout(subject string) (state trial.State, err error) {
+	states, consistent, _, err := n.collectRollouts()
+	if err != nil {
+		return state, err
+	}
+	state = states[subject]
+	if state.Number == 0 {
+		return state, apierror.New(apierror.UnknownSubject, subject)
+	}
+	if !consistent {
+		err = n.writeRollout(state)
+	}
+	return state, err
+}
--- a/internal/control/sites.go
+++ b/internal/control/sites.go
@@ -13,85 +13,86 @@
 	"ploverhitch/internal/messages"
 )
 
-// layPeriod is how often the room of the sites is laid where no news says so.
-const layPeriod = time.Second
+// allocationInterval is how often the capacity of the sites is allocated anew without a
+// change of the fleet or the configuration.
+const allocationInterval = time.Second
 
-// onReport hears a proxy, and answers with its lots.
-func (n *node) onReport(in messages.Report, answer func(messages.Lots)) {
+// onReport handles a proxy's report and replies with the slots that are allocated to it.
+func (n *node) onReport(in messages.Report, reply func(messages.Lots)) {
 	c := n.coordinator
 	c.loop.Offer(func() {
-		c.court.Hear(in.Evidence)
-		c.cells[in.Evidence.Node] = in.Cell
-		if c.isGauging() {
-			c.gauge.Hear(in.Evidence.Node, in.Loads)
+		c.detector.Hear(in.Evidence)
+		c.proxyZones[in.Evidence.Node] = in.Cell
+		if c.loadGaugeOn() {
+			c.loadGauge.Hear(in.Evidence.Node, in.Loads)
 		}
-		c.hearCopies(in.Mirrored)
-		if c.isMaster() && c.tree != nil {
-			answer(messages.Lots{Lots: c.office.Hear(in.Evidence.Node, c.tree.SiteOf("", in.Cell), in.Uses)})
+		c.recordCopies(in.Mirrored)
+		if c.ensureLeading() && c.siteTree != nil {
+			reply(messages.Lots{Lots: c.allocator.Hear(in.Evidence.Node, c.siteTree.SiteOf("", in.Cell), in.Uses)})
 		}
 	})
 }
 
-// layTree lays the tree and the room of its sites after a new reading.
-func (c *coordinator) layTree() {
-	tree, now, isSame := c.tree, c.clock.Steady(), false
+// updateAllocation updates the tree of sites and allocates the sites' capacity if the
+// configuration, the term or the fleet has changed, and once per allocationInterval.
+func (c *coordinator) updateAllocation() {
+	tree, now, unchanged := c.siteTree, c.clock.Steady(), false
 	c.store.read(func(t *tables) {
-		digest := t.bookDigest()
-		// What is warming gets ready with no news.
-		isSame = digest == c.treeOf && c.officeTerm == c.term && c.laid == c.last.Reading() && time.Duration(now-c.laidAt) < layPeriod
-		if digest != c.treeOf {
-			// What was kept was checked; if cells have gone since, the old
-			// tree goes on.
-			if built, err := t.book().Tree(c.settings.Load().Platform.Cells); err == nil {
+		digest := t.configurationDigest()
+		// Servers finish their warm-up without an update, hence the interval.
+		unchanged = digest == c.siteTreeDigest && c.allocatorTerm == c.term && c.allocatedReading == c.lastFleet.Reading() && time.Duration(now-c.allocatedAt) < allocationInterval
+		if digest != c.siteTreeDigest {
+			// Stored items have been validated. If zones have been removed from the
+			// settings since, the previous tree remains in use.
+			if built, err := t.configuration().Tree(c.settings.Load().Platform.Cells); err == nil {
 				tree = built
 			}
-			c.treeOf = digest
+			c.siteTreeDigest = digest
 		}
 	})
-	if tree == nil || isSame {
+	if tree == nil || unchanged {
 		return
 	}
-	c.tree, c.laid, c.laidAt = tree, c.last.Reading(), now
-	declared := map[branchline.Key]int{}
+	c.siteTree, c.allocatedReading, c.allocatedAt = tree, c.lastFleet.Reading(), now
+	capacities := map[branchline.Key]int{}
 	wall := c.clock.Wall()
-	for _, server := range c.last.Servers {
+	for _, server := range c.lastFleet.Servers {
 		if !server.IsReady || server.Grade != feed.Open || server.IsAside || server.WarmLeft(wall) > 0 {
 			continue
 		}
-		declared[branchline.Key{Service: server.Service, Site: tree.SiteOf(server.ID, server.Cell)}] += server.Capacity
+		capacities[branchline.Key{Service: server.Service, Site: tree.SiteOf(server.ID, server.Cell)}] += server.Capacity
 	}
-	if c.office == nil || c.officeTerm != c.term {
-		c.office, c.officeTerm = branchline.NewOffice(tree, c.clock), c.term
+	if c.allocator == nil || c.allocatorTerm != c.term {
+		c.allocator, c.allocatorTerm = branchline.NewOffice(tree, c.clock), c.term
 	}
-	c.office.Lay(tree, declared)
+	c.allocator.Lay(tree, capacities)
 }
 
-// SitePage is the tree and what stands of its sites.
+// SitePage contains the tree of sites and the allocation of their capacity.
 type SitePage struct {
 	Sites    []branchline.Site    `json:"Sites"`
 	Accounts []branchline.Account `json:"Accounts"`
-	// IsHolder tells whether this node gives out the room; only then are there
-	// accounts.
-	IsHolder bool   `json:"IsHolder"`
-	Holder   string `json:"Holder"`
+	// IsLeader is whether this node allocates the capacity; only then are there accounts.
+	IsLeader bool   `json:"IsHolder"`
+	Leader   string `json:"Holder"`
 }
 
-func (n *node) sitesPoint(context.Context, any) (any, error) {
-	c, page := n.coordinator, SitePage{Sites: []branchline.Site{}, Accounts: []branchline.Account{}, Holder: n.leader()}
+func (n *node) sitesEndpoint(context.Context, any) (any, error) {
+	c, page := n.coordinator, SitePage{Sites: []branchline.Site{}, Accounts: []branchline.Account{}, Leader: n.leader()}
 	runAndWait(c.loop, func() {
-		if page.IsHolder = c.isMaster() && c.office != nil && c.tree != nil; page.IsHolder {
-			page.Sites = c.tree.Sites()
-			page.Accounts = append(page.Accounts, c.office.Accounts()...)
+		if page.IsLeader = c.ensureLeading() && c.allocator != nil && c.siteTree != nil; page.IsLeader {
+			page.Sites = c.siteTree.Sites()
+			page.Accounts = append(page.Accounts, c.allocator.Accounts()...)
 		}
 	})
-	if page.IsHolder {
+	if page.IsLeader {
 		return page, nil
 	}
-	book, err := n.readConfig()
+	configuration, err := n.readConfig()
 	if err != nil {
 		return nil, err
 	}
-	tree, err := book.Tree(n.settings.Load().Platform.Cells)
+	tree, err := configuration.Tree(n.settings.Load().Platform.Cells)
 	if err != nil {
 		return nil, apierror.New(apierror.Gone, err.Error())
 	}
@@ -99,9 +100,9 @@
 	return page, nil
 }
 
-// checkSites refuses a book whose sites make no tree.
-func (n *node) checkSites(book config.Book) error {
-	_, err := book.Tree(n.settings.Load().Platform.Cells)
+// checkSites returns an error if the sites of the configuration form no tree.
+func (n *node) checkSites(configuration config.Book) error {
+	_, err := configuration.Tree(n.settings.Load().Platform.Cells)
 	if err != nil {
 		return apierror.New(apierror.BadManifest, errors.Cause(err).Error())
 	}
--- a/internal/control/staged.go
+++ b/internal/control/staged.go
@@ -15,46 +15,48 @@
 	"ploverhitch/internal/trial"
 )
 
-// staged is an operator's order for a staged change.
-type staged struct {
+// stagedRequest is an operator's request for a staged configuration change.
+type stagedRequest struct {
 	Name     string          `json:"Name"`
 	First    string          `json:"First"`
 	Duration timetable.Span  `json:"Duration"`
 	Change   json.RawMessage `json:"Change"`
 }
 
-func (s *staged) check() error {
+func (s *stagedRequest) check() error {
 	return validation.ValidateStruct(s,
 		validation.Field(&s.Name, validation.Required, validation.Length(1, 128)),
-		validation.Field(&s.Duration, validation.Required, validation.Max(int64(termLongest))),
+		validation.Field(&s.Duration, validation.Required, validation.Max(int64(maxRolloutDuration))),
 		validation.Field(&s.Change, validation.Required),
 	)
 }
 
 func decodeStaged(_ context.Context, r *http.Request) (any, error) {
-	var order staged
-	if err := readCommand(r, maxRequestBytes, &order); err != nil {
+	var command stagedRequest
+	if err := readCommand(r, maxRequestBytes, &command); err != nil {
 		return nil, err
 	}
-	items, err := config.ParseModify(order.Change)
+	items, err := config.ParseModify(command.Change)
 	if err == nil && len(items) == 0 {
 		err = apierror.New(apierror.BadOrder, "the change has no items")
 	}
-	return messages.StageOrder{Name: order.Name, First: order.First, Duration: int64(order.Duration), Items: items}, err
+	return messages.StageOrder{Name: command.Name, First: command.First, Duration: int64(command.Duration), Items: items}, err
 }
 
-func decodeName(_ context.Context, r *http.Request) (any, error) { return r.PathValue("name"), nil }
+func decodeStagedName(_ context.Context, r *http.Request) (any, error) {
+	return r.PathValue("name"), nil
+}
 
-func (n *node) stagePoint(_ context.Context, request any) (any, error) {
+func (n *node) startStagedEndpoint(_ context.Context, request any) (any, error) {
 	return struct{}{}, n.callLeader(messages.KindStage, request)
 }
 
-func (n *node) haltPoint(_ context.Context, request any) (any, error) {
+func (n *node) haltStagedEndpoint(_ context.Context, request any) (any, error) {
 	return struct{}{}, n.callLeader(messages.KindStage, messages.StageOrder{Name: request.(string), IsHalt: true})
 }
 
-// StagedState is how a staged change stands. Evidence is there where the holder
-// of the duty could be asked.
+// StagedState is the state of a staged change in the operator API. Evidence is empty if
+// the leader did not answer.
 type StagedState struct {
 	State    string             `json:"State"`
 	Phase    string             `json:"Phase"`
@@ -64,9 +66,9 @@
 	Evidence []outlier.Evidence `json:"Evidence"`
 }
 
-func (n *node) stagedPoint(_ context.Context, request any) (any, error) {
+func (n *node) readStagedEndpoint(_ context.Context, request any) (any, error) {
 	subject := trial.StagePrefix + request.(string)
-	state, err := n.readTrial(subject)
+	state, err := n.readRollout(subject)
 	if err != nil {
 		return nil, err
 	}
@@ -75,19 +77,19 @@
 	}, nil
 }
 
-// evidence asks the holder of the duty what it knows of a trial.
+// evidence asks the leader for its evidence about a staged change.
 func (n *node) evidence(subject string) []outlier.Evidence {
-	told := messages.Evidence{}
-	_ = n.call(n.leader(), messages.KindEvidence, messages.Evidence{Subject: subject}, &told, callTimeout)
-	return append([]outlier.Evidence{}, told.Lanes...)
+	reply := messages.Evidence{}
+	_ = n.call(n.leader(), messages.KindEvidence, messages.Evidence{Subject: subject}, &reply, callTimeout)
+	return append([]outlier.Evidence{}, reply.Lanes...)
 }
 
-func (n *node) onEvidence(in messages.Evidence, answer func(messages.Evidence)) {
+func (n *node) onEvidence(in messages.Evidence, reply func(messages.Evidence)) {
 	c := n.coordinator
 	c.loop.Offer(func() {
-		if d := c.drives[in.Subject]; d != nil && c.isMaster() {
-			in.Lanes = d.finding.Evidence
+		if progress := c.progress[in.Subject]; progress != nil && c.ensureLeading() {
+			in.Lanes = progress.finding.Evidence
 		}
-		answer(in)
+		reply(in)
 	})
 }
--- a/internal/control/tables.go
+++ b/internal/control/tables.go
@@ -24,7 +24,7 @@
 	Term     *membership.Term     `cbor:"5,keyasint,omitempty"`
 	Trusted  *bool                `cbor:"6,keyasint,omitempty"`
 	Fleet    *feed.Fleet          `cbor:"7,keyasint,omitempty"`
-	Trial    *trial.State         `cbor:"8,keyasint,omitempty"`
+	Rollout  *trial.State         `cbor:"8,keyasint,omitempty"`
 	// Change is a decided change of the item set, Page is a part of a whole set, and
 	// Durable is the registry's acceptor. Items occurs only in logs of older builds.
 	Change  *registry.Change  `cbor:"9,keyasint,omitempty"`
@@ -49,12 +49,13 @@
 	fleet feed.Fleet
 	// fleetReceivedAt is when the fleet was received, 0 if it was read from the disk.
 	fleetReceivedAt timetable.Steady
-	trials          map[string]trial.State
+	rollouts        map[string]trial.State
 	trusted         bool
 	empty           bool
 	digest          string
-	// compiled is the compiled form of the book with the digest compiledDigest. mirrors
-	// and versions are the mirroring rules of the book with the digest mirrorsDigest.
+	// compiled is the compiled form of the configuration with the digest compiledDigest.
+	// mirrors and versions are the mirroring rules of the configuration with the digest
+	// mirrorsDigest.
 	compiled       *config.Sheet
 	compiledDigest string
 	mirrors        []loopline.Mirror
@@ -63,7 +64,7 @@
 }
 
 func newTables(policy idempotency.Policy) *tables {
-	return &tables{voter: idempotency.NewVoter(policy), registry: registry.NewReplica(), trials: map[string]trial.State{}, empty: true}
+	return &tables{voter: idempotency.NewVoter(policy), registry: registry.NewReplica(), rollouts: map[string]trial.State{}, empty: true}
 }
 
 // apply updates the tables with one record, both when it is created and when the log
@@ -86,8 +87,8 @@
 		t.term = *r.Term
 	case r.Fleet != nil:
 		t.fleet = *r.Fleet
-	case r.Trial != nil:
-		t.trials[r.Trial.Subject] = *r.Trial
+	case r.Rollout != nil:
+		t.rollouts[r.Rollout.Subject] = *r.Rollout
 	case r.Trusted != nil:
 		t.trusted = *r.Trusted
 	case r.Change != nil:
@@ -113,8 +114,8 @@
 	t.assembly = registry.Assembly{}
 }
 
-// book returns the item set; callers must neither modify nor retain it.
-func (t *tables) book() config.Book { return t.registry.Items }
+// configuration returns the item set; callers must neither modify nor retain it.
+func (t *tables) configuration() config.Book { return t.registry.Items }
 
 // fleetFresh reports whether the fleet was received within maxAge; a fleet that was
 // read from the disk is not fresh.
@@ -122,28 +123,28 @@
 	return t.fleetReceivedAt > 0 && time.Duration(now-t.fleetReceivedAt) <= maxAge
 }
 
-// compiledBook returns the book compiled for lookups. It is compiled again only after
-// an item has changed.
-func (t *tables) compiledBook() *config.Sheet {
-	if digest := t.bookDigest(); t.compiled == nil || t.compiledDigest != digest {
-		t.compiled, t.compiledDigest = t.book().Compile(), digest
+// compiledConfiguration returns the configuration compiled for lookups. It is compiled
+// again only after an item has changed.
+func (t *tables) compiledConfiguration() *config.Sheet {
+	if digest := t.configurationDigest(); t.compiled == nil || t.compiledDigest != digest {
+		t.compiled, t.compiledDigest = t.configuration().Compile(), digest
 	}
 	return t.compiled
 }
 
-// currentMirrors returns the mirroring rules. The book is searched again only after an
-// item has changed.
+// currentMirrors returns the mirroring rules. The configuration is searched again only
+// after an item has changed.
 func (t *tables) currentMirrors() ([]loopline.Mirror, []config.Version) {
-	if digest := t.bookDigest(); t.mirrorsDigest != digest {
-		t.mirrors, t.versions = t.book().Mirrors()
+	if digest := t.configurationDigest(); t.mirrorsDigest != digest {
+		t.mirrors, t.versions = t.configuration().Mirrors()
 		t.mirrorsDigest = digest
 	}
 	return t.mirrors, t.versions
 }
 
-func (t *tables) bookDigest() string {
+func (t *tables) configurationDigest() string {
 	if t.digest == "" {
-		t.digest = t.book().Digest()
+		t.digest = t.configuration().Digest()
 	}
 	return t.digest
 }
@@ -177,8 +178,8 @@
 	}
 	durable := t.registry.Durable()
 	records = append(records, record{Durable: &durable})
-	for _, state := range t.trials {
-		records = append(records, record{Trial: &state})
+	for _, state := range t.rollouts {
+		records = append(records, record{Rollout: &state})
 	}
 	return records
 }
