--- a/internal/config/own.go
+++ b/internal/config/own.go
@@ -5,9 +5,9 @@
 	"time"
 
 	"ploverhitch/internal/apierror"
-	"ploverhitch/internal/branchline"
 	"ploverhitch/internal/loopline"
 	"ploverhitch/internal/shedding"
+	"ploverhitch/internal/sites"
 )
 
 // ownItems are the kinds of items of the project's own, apart from the protocol's
@@ -16,7 +16,7 @@
 	word  string
 	check func(body json.RawMessage) error
 }{
-	SiteItem: {"site", func(body json.RawMessage) error { return json.Unmarshal(body, &branchline.Site{}) }},
+	SiteItem: {"site", func(body json.RawMessage) error { return json.Unmarshal(body, &sites.Site{}) }},
 	PlanItem: {"plan", func(body json.RawMessage) error { return json.Unmarshal(body, &shedding.Plan{}) }},
 	MirrorItem: {"mirror", func(body json.RawMessage) error {
 		var mirror loopline.Mirror
@@ -82,9 +82,9 @@
 // Example:
 //
 //	tree, err := book.Tree(map[string]string{"tvm-a": "tvm"})
-func (b Book) Tree(cells map[string]string) (*branchline.Tree, error) {
-	sites, _ := own[branchline.Site](b, SiteItem)
-	return branchline.Build(cells, sites)
+func (b Book) Tree(cells map[string]string) (*sites.Tree, error) {
+	declared, _ := own[sites.Site](b, SiteItem)
+	return sites.Build(cells, declared)
 }
 
 // Plan is the operator's plan tiers, or the empty plan.
--- a/internal/control/coordinator.go
+++ b/internal/control/coordinator.go
@@ -6,10 +6,10 @@
 	"time"
 
 	"ploverhitch/internal/apierror"
-	"ploverhitch/internal/branchline"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/outlier"
 	"ploverhitch/internal/shedding"
+	"ploverhitch/internal/sites"
 	"ploverhitch/internal/timetable"
 	"ploverhitch/internal/trial"
 )
@@ -41,9 +41,9 @@
 	// cells are where the proxies are; tree is the sites, of the book with the
 	// digest treeOf; office gives out their room under officeTerm.
 	cells      map[string]string
-	tree       *branchline.Tree
+	tree       *sites.Tree
 	treeOf     string
-	office     *branchline.Office
+	office     *sites.Office
 	officeTerm uint64
 	laid       feed.Reading
 	laidAt     timetable.Steady
--- a/internal/control/sites.go
+++ b/internal/control/sites.go
@@ -7,10 +7,10 @@
 	"github.com/juju/errors"
 
 	"ploverhitch/internal/apierror"
-	"ploverhitch/internal/branchline"
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/messages"
+	"ploverhitch/internal/sites"
 )
 
 // layPeriod is how often the room of the sites is laid where no news says so.
@@ -52,24 +52,24 @@
 		return
 	}
 	c.tree, c.laid, c.laidAt = tree, c.last.Reading(), now
-	declared := map[branchline.Key]int{}
+	declared := map[sites.Key]int{}
 	wall := c.clock.Wall()
 	for _, server := range c.last.Servers {
 		if !server.IsReady || server.Grade != feed.Open || server.IsAside || server.WarmLeft(wall) > 0 {
 			continue
 		}
-		declared[branchline.Key{Service: server.Service, Site: tree.SiteOf(server.ID, server.Cell)}] += server.Capacity
+		declared[sites.Key{Service: server.Service, Site: tree.SiteOf(server.ID, server.Cell)}] += server.Capacity
 	}
 	if c.office == nil || c.officeTerm != c.term {
-		c.office, c.officeTerm = branchline.NewOffice(tree, c.clock), c.term
+		c.office, c.officeTerm = sites.NewOffice(tree, c.clock), c.term
 	}
 	c.office.Lay(tree, declared)
 }
 
 // SitePage is the tree and what stands of its sites.
 type SitePage struct {
-	Sites    []branchline.Site    `json:"Sites"`
-	Accounts []branchline.Account `json:"Accounts"`
+	Sites    []sites.Site    `json:"Sites"`
+	Accounts []sites.Account `json:"Accounts"`
 	// IsHolder tells whether this node gives out the room; only then are there
 	// accounts.
 	IsHolder bool   `json:"IsHolder"`
@@ -77,7 +77,7 @@
 }
 
 func (n *node) sitesPoint(context.Context, any) (any, error) {
-	c, page := n.coordinator, SitePage{Sites: []branchline.Site{}, Accounts: []branchline.Account{}, Holder: n.leader()}
+	c, page := n.coordinator, SitePage{Sites: []sites.Site{}, Accounts: []sites.Account{}, Holder: n.leader()}
 	runAndWait(c.loop, func() {
 		if page.IsHolder = c.isMaster() && c.office != nil && c.tree != nil; page.IsHolder {
 			page.Sites = c.tree.Sites()
--- a/internal/inspector/inspector_test.go
+++ b/internal/inspector/inspector_test.go
@@ -11,12 +11,12 @@
 	. "github.com/onsi/gomega"
 
 	"ploverhitch/internal/balancer"
-	"ploverhitch/internal/branchline"
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/control"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/inspector"
 	"ploverhitch/internal/messages"
+	"ploverhitch/internal/sites"
 )
 
 func TestInspector(t *testing.T) {
@@ -129,15 +129,15 @@
 
 var _ = Describe("the forecast for a lost site", func() {
 	It("names where its callers would go, nearest first, and what would not fit", func() {
-		page := control.SitePage{Sites: []branchline.Site{{Name: "whole"}, {Name: "east", Parent: "whole"}, {Name: "a", Parent: "east"}, {Name: "b", Parent: "east"}, {Name: "c", Parent: "whole"}}}
+		page := control.SitePage{Sites: []sites.Site{{Name: "whole"}, {Name: "east", Parent: "whole"}, {Name: "a", Parent: "east"}, {Name: "b", Parent: "east"}, {Name: "c", Parent: "whole"}}}
 		for site, own := range map[string]int{"a": 40, "b": 20, "c": 10} {
-			page.Accounts = append(page.Accounts, branchline.Account{Site: site, Service: "fees", Capacity: 40, Own: own})
+			page.Accounts = append(page.Accounts, sites.Account{Site: site, Service: "fees", Capacity: 40, Own: own})
 		}
 		passages, err := inspector.Without(page, "a")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(passages).To(Equal([]inspector.Passage{
-			{Service: "fees", To: "b", Load: branchline.Room(40, 20)}, {Service: "fees", To: "c", Load: branchline.Room(40, 10)},
-			{Service: "fees", Load: 40 - branchline.Room(40, 20) - branchline.Room(40, 10), IsLeft: true},
+			{Service: "fees", To: "b", Load: sites.Room(40, 20)}, {Service: "fees", To: "c", Load: sites.Room(40, 10)},
+			{Service: "fees", Load: 40 - sites.Room(40, 20) - sites.Room(40, 10), IsLeft: true},
 		}))
 		_, err = inspector.Without(page, "nowhere")
 		Expect(err).To(MatchError(ContainSubstring("nowhere")))
--- a/internal/inspector/sites.go
+++ b/internal/inspector/sites.go
@@ -8,8 +8,8 @@
 
 	"github.com/juju/errors"
 
-	"ploverhitch/internal/branchline"
 	"ploverhitch/internal/control"
+	"ploverhitch/internal/sites"
 )
 
 // Sites asks the holder of the duty for the tree and what stands of its sites.
@@ -58,12 +58,12 @@
 	if err != nil {
 		return nil, err
 	}
-	if !slices.ContainsFunc(page.Sites, func(s branchline.Site) bool { return s.Name == site }) {
+	if !slices.ContainsFunc(page.Sites, func(s sites.Site) bool { return s.Name == site }) {
 		return nil, errors.NotFoundf("site %s", site)
 	}
-	room, load := map[branchline.Key]int{}, map[string]int{}
+	room, load := map[sites.Key]int{}, map[string]int{}
 	for _, a := range page.Accounts {
-		room[branchline.Key{Service: a.Service, Site: a.Site}] = branchline.Room(a.Capacity, a.Own) - a.Passed + a.From[site]
+		room[sites.Key{Service: a.Service, Site: a.Site}] = sites.Room(a.Capacity, a.Own) - a.Passed + a.From[site]
 		load[a.Service] += a.From[site]
 		if a.Site == site {
 			load[a.Service] += a.Own
@@ -72,7 +72,7 @@
 	for _, service := range slices.Sorted(maps.Keys(load)) {
 		left := load[service]
 		for _, to := range tree.Way(site) {
-			if part := min(left, room[branchline.Key{Service: service, Site: to}]); part > 0 {
+			if part := min(left, room[sites.Key{Service: service, Site: to}]); part > 0 {
 				out, left = append(out, Passage{Service: service, To: to, Load: part}), left-part
 			}
 		}
@@ -84,14 +84,14 @@
 }
 
 // rebuild lays the tree of a page anew.
-func rebuild(sites []branchline.Site) (*branchline.Tree, error) {
-	var named []branchline.Site
-	for _, site := range sites {
-		if site.Name != branchline.Whole {
+func rebuild(all []sites.Site) (*sites.Tree, error) {
+	var named []sites.Site
+	for _, site := range all {
+		if site.Name != sites.Whole {
 			named = append(named, site)
 		}
 	}
-	return branchline.Build(nil, named)
+	return sites.Build(nil, named)
 }
 
 func (c *Commands) sites(control *Control) (int, error) {
--- a/internal/objects/own.go
+++ b/internal/objects/own.go
@@ -6,10 +6,10 @@
 	"github.com/juju/errors"
 	"sigs.k8s.io/yaml"
 
-	"ploverhitch/internal/branchline"
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/loopline"
 	"ploverhitch/internal/shedding"
+	"ploverhitch/internal/sites"
 )
 
 const (
@@ -64,7 +64,7 @@
 // The project's own kinds as the control interface takes them.
 type (
 	siteCall struct {
-		branchline.Site
+		sites.Site
 		Revision config.Version `json:"Revision"`
 	}
 	planCall struct {
@@ -82,7 +82,7 @@
 	if err := yaml.UnmarshalStrict(document, &o); err != nil {
 		return errors.Trace(err)
 	}
-	site := branchline.Site{Name: o.Metadata.Name, Parent: o.Spec.Parent, Cells: o.Spec.Cells, Servers: o.Spec.Servers, Capacity: o.Spec.Capacity}
+	site := sites.Site{Name: o.Metadata.Name, Parent: o.Spec.Parent, Cells: o.Spec.Cells, Servers: o.Spec.Servers, Capacity: o.Spec.Capacity}
 	c.own[sitesPath] = append(c.own[sitesPath], siteCall{site, config.Version(o.Metadata.Generation)})
 	return nil
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -17,7 +17,6 @@
 	"ploverhitch/internal/agent"
 	"ploverhitch/internal/balancer"
 	"ploverhitch/internal/bandwidth"
-	"ploverhitch/internal/branchline"
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/loopline"
@@ -26,6 +25,7 @@
 	"ploverhitch/internal/rpc"
 	"ploverhitch/internal/settings"
 	"ploverhitch/internal/shedding"
+	"ploverhitch/internal/sites"
 	"ploverhitch/internal/timetable"
 )
 
@@ -38,7 +38,7 @@
 	manifest *config.Sheet
 	balancer *balancer.Yard
 	// localSite is this node's site.
-	sites          *branchline.Tree
+	sites          *sites.Tree
 	localSite      string
 	servers        []feed.Server
 	view           membership.View
@@ -91,7 +91,7 @@
 	// trialAllowances holds by service how many requests a version on trial may get.
 	trialAllowances sync.Map
 	// siteCapacity holds what this node may use of other sites' capacity.
-	siteCapacity *branchline.Purse
+	siteCapacity *sites.Purse
 	// shedder decides which requests are shed under overload, trafficMirror sends copies
 	// of requests to mirrors.
 	shedder       *loadShedder
@@ -154,7 +154,7 @@
 func newProxy(cfg *settings.Settings, clock timetable.Clock, log LogFunc) *proxy {
 	p := &proxy{
 		clock: clock, log: log, updateLoop: timetable.NewLoop[feed.News](256), replica: feed.NewBoard(),
-		connections: map[string]*rpc.Line{}, retryBudgets: map[string]*balancer.Budget{}, incarnation: newIncarnation(), outcomes: outlier.NewBox(), siteCapacity: branchline.NewPurse(clock),
+		connections: map[string]*rpc.Line{}, retryBudgets: map[string]*balancer.Budget{}, incarnation: newIncarnation(), outcomes: outlier.NewBox(), siteCapacity: sites.NewPurse(clock),
 		shedder: newLoadShedder(clock), trafficMirror: newMirrorSender(),
 	}
 	p.settings.Store(cfg)
--- a/internal/branchline/office.go
+++ b/internal/sites/office.go
@@ -1,4 +1,4 @@
-package branchline
+package sites
 
 import (
 	"cmp"
@@ -73,7 +73,7 @@
 //
 // Example:
 //
-//	office := branchline.NewOffice(tree, clock)
+//	office := sites.NewOffice(tree, clock)
 func NewOffice(tree *Tree, clock timetable.Clock) *Office {
 	return &Office{
 		clock: clock, tree: tree, opens: clock.Steady() + timetable.Steady(GrantSpan+spanMargin),
@@ -85,7 +85,7 @@
 //
 // Example:
 //
-//	office.Lay(tree, map[branchline.Key]int{{"fees", "tvm-b"}: 84})
+//	office.Lay(tree, map[sites.Key]int{{"fees", "tvm-b"}: 84})
 func (o *Office) Lay(tree *Tree, declared map[Key]int) {
 	o.tree, o.capacity = tree, map[Key]int{}
 	for key, slots := range declared {
@@ -177,7 +177,7 @@
 //
 // Example:
 //
-//	room := branchline.Room(40, 16)
+//	room := sites.Room(40, 16)
 func Room(capacity, own int) int { return max(0, room(capacity, own)) }
 
 // Account is what stands of one site and service, for operators to read.
--- a/internal/branchline/purse.go
+++ b/internal/sites/purse.go
@@ -1,4 +1,4 @@
-package branchline
+package sites
 
 import (
 	"math"
@@ -25,7 +25,7 @@
 //
 // Example:
 //
-//	purse := branchline.NewPurse(clock)
+//	purse := sites.NewPurse(clock)
 func NewPurse(clock timetable.Clock) *Purse {
 	return &Purse{clock: clock, lots: map[Key]int{}, uses: map[Key]int{}, turned: map[string]time.Duration{}, since: clock.Steady()}
 }
--- a/internal/branchline/rush_test.go
+++ b/internal/sites/rush_test.go
@@ -1,11 +1,11 @@
-package branchline_test
+package sites_test
 
 import (
 	"fmt"
 	"math/rand/v2"
 	"time"
 
-	"ploverhitch/internal/branchline"
+	"ploverhitch/internal/sites"
 	"ploverhitch/internal/timetable"
 )
 
@@ -14,8 +14,8 @@
 type rush struct {
 	hand     *timetable.Hand
 	random   *rand.Rand
-	tree     *branchline.Tree
-	office   *branchline.Office
+	tree     *sites.Tree
+	office   *sites.Office
 	isOn     bool
 	capacity map[string]int
 	load     map[string]int
@@ -30,7 +30,7 @@
 
 type edge struct {
 	name, site string
-	purse      *branchline.Purse
+	purse      *sites.Purse
 	perTick    float64
 }
 
@@ -52,14 +52,14 @@
 
 func newRush(seed uint64, isOn bool) *rush {
 	r := &rush{hand: &timetable.Hand{Now: time.Hour}, random: rand.New(rand.NewPCG(seed, 7)), isOn: isOn}
-	r.tree, _ = branchline.Build(cells, nil)
+	r.tree, _ = sites.Build(cells, nil)
 	r.capacity = map[string]int{"a": 40, "b": 40, "c": 60}
 	r.load, r.worst, r.served, r.turned = map[string]int{}, map[string]int{}, map[bool]int{}, map[bool]int{}
 	r.open()
 	const count = 8
 	for _, site := range []string{"a", "b", "c"} {
 		for i := range count {
-			e := &edge{name: fmt.Sprint(site, i), site: site, purse: branchline.NewPurse(r.hand)}
+			e := &edge{name: fmt.Sprint(site, i), site: site, purse: sites.NewPurse(r.hand)}
 			e.perTick = 0.4 * float64(r.capacity[site]) * float64(tick) / float64(work) / float64(count)
 			r.nodes = append(r.nodes, e)
 		}
@@ -68,14 +68,14 @@
 }
 
 func (r *rush) open() {
-	r.office = branchline.NewOffice(r.tree, r.hand)
+	r.office = sites.NewOffice(r.tree, r.hand)
 	r.lay()
 }
 
 func (r *rush) lay() {
-	declared := map[branchline.Key]int{}
+	declared := map[sites.Key]int{}
 	for site, slots := range r.capacity {
-		declared[branchline.Key{Service: "s", Site: site}] = slots
+		declared[sites.Key{Service: "s", Site: site}] = slots
 	}
 	r.office.Lay(r.tree, declared)
 }
--- a/internal/branchline/branchline_test.go
+++ b/internal/sites/sites_test.go
@@ -1,4 +1,4 @@
-package branchline_test
+package sites_test
 
 import (
 	"testing"
@@ -7,27 +7,27 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ploverhitch/internal/branchline"
+	"ploverhitch/internal/sites"
 )
 
-func TestBranchline(t *testing.T) {
+func TestSites(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "branchline")
+	RunSpecs(t, "sites")
 }
 
 var cells = map[string]string{"a": "east", "b": "east", "c": "west"}
 
 var _ = Describe("the tree", func() {
 	It("is laid from the platform's cells, and passes up: siblings before strangers", func() {
-		tree, err := branchline.Build(cells, nil)
+		tree, err := sites.Build(cells, nil)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(tree.Way("a")).To(Equal([]string{"east", "b", "whole", "west", "c"}))
 		Expect(tree.SiteOf("i-1", "c")).To(Equal("c"))
-		Expect(tree.SiteOf("i-1", "nowhere")).To(Equal(branchline.Whole))
+		Expect(tree.SiteOf("i-1", "nowhere")).To(Equal(sites.Whole))
 	})
 
 	It("takes finer sites from the operator", func() {
-		tree, err := branchline.Build(cells, []branchline.Site{
+		tree, err := sites.Build(cells, []sites.Site{
 			{Name: "hall", Parent: "a", Servers: []string{"i-1"}, Capacity: map[string]int{"exams": 3}},
 		})
 		Expect(err).NotTo(HaveOccurred())
@@ -37,15 +37,15 @@
 		Expect(tree.Limit("hall", "other", 8)).To(Equal(8))
 	})
 
-	DescribeTable("refuses by name what does not fit", func(what string, sites ...branchline.Site) {
-		_, err := branchline.Build(cells, sites)
+	DescribeTable("refuses by name what does not fit", func(what string, declared ...sites.Site) {
+		_, err := sites.Build(cells, declared)
 		Expect(err).To(MatchError(ContainSubstring(what)))
 	},
-		Entry("a cycle", "site x", branchline.Site{Name: "x", Parent: "y"}, branchline.Site{Name: "y", Parent: "x"}),
-		Entry("an unknown parent", "unknown parent none", branchline.Site{Name: "x", Parent: "none"}),
-		Entry("two parents", "x, which is there twice", branchline.Site{Name: "x", Parent: "a"}, branchline.Site{Name: "x", Parent: "b"}),
-		Entry("a server in two sites", "server i-1", branchline.Site{Name: "x", Servers: []string{"i-1"}}, branchline.Site{Name: "y", Servers: []string{"i-1"}}),
-		Entry("a negative capacity", "capacity -1", branchline.Site{Name: "x", Capacity: map[string]int{"s": -1}}),
+		Entry("a cycle", "site x", sites.Site{Name: "x", Parent: "y"}, sites.Site{Name: "y", Parent: "x"}),
+		Entry("an unknown parent", "unknown parent none", sites.Site{Name: "x", Parent: "none"}),
+		Entry("two parents", "x, which is there twice", sites.Site{Name: "x", Parent: "a"}, sites.Site{Name: "x", Parent: "b"}),
+		Entry("a server in two sites", "server i-1", sites.Site{Name: "x", Servers: []string{"i-1"}}, sites.Site{Name: "y", Servers: []string{"i-1"}}),
+		Entry("a negative capacity", "capacity -1", sites.Site{Name: "x", Capacity: map[string]int{"s": -1}}),
 	)
 })
 
--- a/internal/branchline/tree.go
+++ b/internal/sites/tree.go
@@ -1,6 +1,6 @@
-// Package branchline knows the hierarchy of sites and passes callers up it when
+// Package sites knows the hierarchy of sites and passes callers up it when
 // a site drops out: never more to another site than that one has room for.
-package branchline
+package sites
 
 import (
 	"maps"
@@ -37,7 +37,7 @@
 //
 // Example:
 //
-//	tree, err := branchline.Build(map[string]string{"tvm-a": "tvm"}, sites)
+//	tree, err := sites.Build(map[string]string{"tvm-a": "tvm"}, sites)
 func Build(cells map[string]string, sites []Site) (*Tree, error) {
 	t := &Tree{sites: map[string]Site{Whole: {Name: Whole}}, children: map[string][]string{}, ofCell: map[string]string{}, ofServer: map[string]string{}}
 	for _, cell := range slices.Sorted(maps.Keys(cells)) {
