--- a/cmd/measure/measures.go
+++ b/cmd/measure/measures.go
@@ -71,15 +71,15 @@
 			next.Servers[at].ID += "x"
 		}
 	}
-	home := balancer.Home{Node: "edge-1", Cell: "cell-1", Set: 24}
-	bytes, laid := held(func() *balancer.Yard { return balancer.NewYard(home).Lay(old) })
-	return result{bytes, repeated(func() { laid.Lay(next) })}
+	home := balancer.Locality{Node: "edge-1", Zone: "cell-1", SubsetSize: 24}
+	bytes, laid := held(func() *balancer.ServerSet { return balancer.NewServerSet(home).WithFleet(old) })
+	return result{bytes, repeated(func() { laid.WithFleet(next) })}
 }
 
 func hear(size int) result {
 	old, next := fleetOf(size, 1, 8), fleetOf(size, 2, 9)
-	laid := balancer.NewYard(balancer.Home{Node: "edge-1", Cell: "cell-1", Set: 24}).Lay(old)
-	return result{0, repeated(func() { laid.Hear(next) })}
+	laid := balancer.NewServerSet(balancer.Locality{Node: "edge-1", Zone: "cell-1", SubsetSize: 24}).WithFleet(old)
+	return result{0, repeated(func() { laid.UpdateHealth(next) })}
 }
 
 func bookOf(size int) config.Book {
@@ -158,15 +158,15 @@
 }
 
 func reportOf(proxy int, number uint64) outlier.Report {
-	report := outlier.Report{Node: fmt.Sprint("edge-", proxy), Life: "a", Number: number}
+	report := outlier.Report{Node: fmt.Sprint("edge-", proxy), Incarnation: "a", Sequence: number}
 	for server := range 12 {
-		report.Servers = append(report.Servers, outlier.ServerRow{ID: fmt.Sprintf("i-%010x", (proxy*7+server)%2000), Tally: outlier.Tally{3}, Paces: 3, Paced: 3, Tried: 3})
+		report.Servers = append(report.Servers, outlier.ServerCounts{ID: fmt.Sprintf("i-%010x", (proxy*7+server)%2000), Counts: outlier.Counts{3}, LatencyRatioSum: 3, LatencySamples: 3, Attempts: 3})
 	}
 	return report
 }
 
 func reports(size int) result {
-	court, number := outlier.NewCourt(timetable.Real()), uint64(0)
+	court, number := outlier.NewAggregator(timetable.Real()), uint64(0)
 	bytes := 0
 	for proxy := range size {
 		bytes += written(reportOf(proxy, 1))
@@ -174,9 +174,9 @@
 	return result{bytes, repeated(func() {
 		number++
 		for proxy := range size {
-			court.Hear(reportOf(proxy, number))
+			court.AddReport(reportOf(proxy, number))
 		}
-		court.Tend()
+		court.UpdateWindow()
 	})}
 }
 
--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -21,16 +21,16 @@
 var _ = Describe("the budget", func() {
 	It("leaves all nodes together under the common slack, however many they are", func() {
 		for _, proxies := range []int{1, 12, 71, 285, 4000} {
-			Expect(float64(proxies) * balancer.Floor(610, proxies)).To(BeNumerically("<=", 305.001))
+			Expect(float64(proxies) * balancer.SlackPerProxy(610, proxies)).To(BeNumerically("<=", 305.001))
 		}
-		Expect(balancer.Floor(64, 0)).To(BeNumerically("~", 1.6))
+		Expect(balancer.SlackPerProxy(64, 0)).To(BeNumerically("~", 1.6))
 	})
 
 	It("never lets the tries of any window pass its share of what was asked", func() {
 		const ratio, floor, window = 0.2, 2.0, 10 * time.Second
 		random := rand.New(rand.NewPCG(6, 6))
 		hand := &timetable.Hand{}
-		budget := balancer.NewBudget(ratio, window, func() float64 { return floor }, hand)
+		budget := balancer.NewRetryBudget(ratio, window, func() float64 { return floor }, hand)
 		var asked, spent []time.Duration
 		within := func(times []time.Duration, from time.Duration) (count float64) {
 			for _, at := range times {
@@ -47,9 +47,9 @@
 				hand.Sleep(time.Duration(random.IntN(8000)) * time.Millisecond)
 			}
 			if random.IntN(3) > 0 {
-				budget.Ask()
+				budget.RecordRequest()
 				asked = append(asked, hand.Now)
-			} else if budget.Spend() {
+			} else if budget.TakeRetry() {
 				granted++
 				spent = append(spent, hand.Now)
 			}
@@ -69,13 +69,13 @@
 
 func fleet(servers ...feed.Server) feed.Fleet { return feed.Fleet{Servers: servers} }
 
-var here = balancer.NewYard(balancer.Home{Node: "n", Cell: "c1"})
+var here = balancer.NewServerSet(balancer.Locality{Node: "n", Zone: "c1"})
 
 func server(id, cell string) feed.Server {
 	return feed.Server{ID: id, Service: "s", Address: "127.0.0.1:1", Cell: cell, Capacity: 2, IsReady: true}
 }
 
-func chosen(yard *balancer.Yard, wish balancer.Wish, hand *timetable.Hand) map[string]int {
+func chosen(yard *balancer.ServerSet, wish balancer.Criteria, hand *timetable.Hand) map[string]int {
 	counts := map[string]int{}
 	for range 200 {
 		if siding := yard.Choose(wish, hand); siding != nil {
@@ -88,10 +88,10 @@
 var _ = Describe("the choice of a server", func() {
 	It("heeds draining, failures, full servers, strangers and cells", func() {
 		hand := &timetable.Hand{}
-		wish := balancer.Wish{Service: "s", Crossing: 5 * time.Millisecond}
+		wish := balancer.Criteria{Service: "s", ZoneCost: 5 * time.Millisecond}
 		draining := server("d", "c1")
 		draining.IsReady = false
-		yard := here.Lay(fleet(server("a", "c1"), server("b", "c2"), draining))
+		yard := here.WithFleet(fleet(server("a", "c1"), server("b", "c2"), draining))
 		Expect(chosen(yard, wish, hand)).To(Equal(map[string]int{"a": 200}))
 		near := yard.Choose(wish, hand)
 		near.Begin()
@@ -102,7 +102,7 @@
 		near.Begin()
 		near.End(balancer.Misdirected, 0, 0, hand.Steady())
 		Expect(chosen(yard, wish, hand)).To(Equal(map[string]int{"b": 200}))
-		wish.Passed = []*balancer.Siding{yard.Choose(wish, hand)}
+		wish.Tried = []*balancer.Endpoint{yard.Choose(wish, hand)}
 		Expect(yard.Choose(wish, hand)).To(BeNil())
 	})
 
@@ -110,8 +110,8 @@
 		hand := &timetable.Hand{}
 		warming := server("w", "c1")
 		warming.WarmMs = hand.Wall().Add(time.Second).UnixMilli()
-		yard := here.Lay(fleet(server("a", "c1"), warming))
-		wish := balancer.Wish{Service: "s"}
+		yard := here.WithFleet(fleet(server("a", "c1"), warming))
+		wish := balancer.Criteria{Service: "s"}
 		Expect(chosen(yard, wish, hand)).To(Equal(map[string]int{"a": 200}))
 		busy := yard.Choose(wish, hand)
 		for range 4 {
@@ -122,13 +122,13 @@
 
 	It("holds no more at a server than its part of the server's connections", func() {
 		hand := &timetable.Hand{}
-		yard := here.Lay(fleet(server("a", "c1")))
-		wish := balancer.Wish{Service: "s", Limit: 2}
+		yard := here.WithFleet(fleet(server("a", "c1")))
+		wish := balancer.Criteria{Service: "s", MaxInFlight: 2}
 		first := yard.Choose(wish, hand)
 		first.Begin()
 		yard.Choose(wish, hand).Begin()
 		Expect(yard.Choose(wish, hand)).To(BeNil())
-		wish.IsPlaced = true
+		wish.HasPosition = true
 		Expect(yard.Choose(wish, hand)).To(BeNil())
 		first.End(balancer.Served, time.Millisecond, 0, hand.Steady())
 		Expect(yard.Choose(wish, hand)).NotTo(BeNil())
@@ -136,29 +136,29 @@
 
 	It("knows a fallen site by what is left of it, and by what fails, not by what is busy", func() {
 		hand := &timetable.Hand{}
-		yard := here.Lay(fleet(server("a", "c1"), server("b", "c1"), server("z", "c2")))
-		wish := balancer.Wish{Service: "s"}
-		Expect(yard.IsFallen("s")).To(BeFalse())
+		yard := here.WithFleet(fleet(server("a", "c1"), server("b", "c1"), server("z", "c2")))
+		wish := balancer.Criteria{Service: "s"}
+		Expect(yard.LocalZoneDegraded("s")).To(BeFalse())
 		first := yard.Choose(wish, hand)
 		first.Begin()
-		first.End(balancer.Full, 0, 0, hand.Steady())
-		Expect(yard.IsFallen("s")).To(BeFalse())
+		first.End(balancer.Overloaded, 0, 0, hand.Steady())
+		Expect(yard.LocalZoneDegraded("s")).To(BeFalse())
 		first.Begin()
 		first.End(balancer.Failed, 0, 0, hand.Steady())
-		Expect(yard.IsFallen("s")).To(BeTrue())
+		Expect(yard.LocalZoneDegraded("s")).To(BeTrue())
 		first.Begin()
 		first.End(balancer.Served, time.Millisecond, 0, hand.Steady())
-		Expect(yard.IsFallen("s")).To(BeFalse())
-		Expect(yard.Lay(fleet(server("z", "c2"))).IsFallen("s")).To(BeTrue())
-		Expect(here.Lay(fleet(server("z", "c2"))).IsFallen("s")).To(BeFalse())
+		Expect(yard.LocalZoneDegraded("s")).To(BeFalse())
+		Expect(yard.WithFleet(fleet(server("z", "c2"))).LocalZoneDegraded("s")).To(BeTrue())
+		Expect(here.WithFleet(fleet(server("z", "c2"))).LocalZoneDegraded("s")).To(BeFalse())
 	})
 
 	It("keeps what it learnt of a server when the list says something new", func() {
 		hand := &timetable.Hand{}
-		yard := here.Lay(fleet(server("a", "c1")))
-		yard.Choose(balancer.Wish{Service: "s"}, hand).End(balancer.Misdirected, 0, 0, 0)
+		yard := here.WithFleet(fleet(server("a", "c1")))
+		yard.Choose(balancer.Criteria{Service: "s"}, hand).End(balancer.Misdirected, 0, 0, 0)
 		changed := server("a", "c1")
 		changed.Capacity = 9
-		Expect(yard.Lay(fleet(changed)).Choose(balancer.Wish{Service: "s"}, hand)).To(BeNil())
+		Expect(yard.WithFleet(fleet(changed)).Choose(balancer.Criteria{Service: "s"}, hand)).To(BeNil())
 	})
 })
--- a/internal/balancer/canary_allowance.go
+++ b/internal/balancer/canary_allowance.go
@@ -5,7 +5,7 @@
 // Allowance bounds what one node sends a version on trial to a share of its own
 // inquiries for the service, counted from when the trial began here. Each node
 // keeping to its share, the sum over all nodes keeps to it too.
-type Allowance struct {
+type CanaryAllowance struct {
 	lock   sync.Mutex
 	number uint64
 	left   float64
@@ -26,7 +26,7 @@
 // Example:
 //
 //	isTrial := allowance.Take(share.Number, share.Part, lane)
-func (a *Allowance) Take(number uint64, part float64, lane string) bool {
+func (a *CanaryAllowance) Take(number uint64, part float64, lane string) bool {
 	a.lock.Lock()
 	defer a.lock.Unlock()
 	if a.number != number {
--- a/internal/balancer/choose.go
+++ b/internal/balancer/choose.go
@@ -9,23 +9,23 @@
 )
 
 // Wish is what a choice has to heed.
-type Wish struct {
+type Criteria struct {
 	Service string
 	// Crossing is what it costs, as delay, to leave the cell.
-	Crossing time.Duration
+	ZoneCost time.Duration
 	// Usual is how long the lane's replies usually take.
-	Usual time.Duration
+	UsualLatency time.Duration
 	// Passed are the servers that had the inquiry already.
-	Passed []*Siding
+	Tried []*Endpoint
 	// Limit is how many inquiries of this node one server may hold, if not 0.
-	Limit int
+	MaxInFlight int
 	// Place is the operation's place on the ring, if IsPlaced.
-	Place    Place
-	IsPlaced bool
+	Position    RingPosition
+	HasPosition bool
 	// Allows, if set, tells whether a server may be taken at all.
-	Allows func(*Siding) bool
+	Allowed func(*Endpoint) bool
 	// IsTrial asks for the version on trial.
-	IsTrial bool
+	Canary bool
 }
 
 const (
@@ -44,20 +44,20 @@
 
 // choice is one choice on its way.
 type choice struct {
-	wish        Wish
+	wish        Criteria
 	cell        string
 	now         timetable.Steady
 	wall        time.Time
-	best, first *Siding
+	best, first *Endpoint
 	least       float64
 	firstCost   float64
 	near, far   int
 }
 
 // look weighs one server; it is counted if it could well be taken.
-func (c *choice) look(siding *Siding) {
-	isFull := c.wish.Limit > 0 && siding.atWork.Load() >= int64(c.wish.Limit)
-	if isFull || siding.isGone.Load() || siding.IsLeaving() || wasPassed(c.wish.Passed, siding) || c.wish.Allows != nil && !c.wish.Allows(siding) {
+func (c *choice) look(siding *Endpoint) {
+	isFull := c.wish.MaxInFlight > 0 && siding.atWork.Load() >= int64(c.wish.MaxInFlight)
+	if isFull || siding.isGone.Load() || siding.Leaving() || wasPassed(c.wish.Tried, siding) || c.wish.Allowed != nil && !c.wish.Allowed(siding) {
 		return
 	}
 	cost := siding.cost(c.now, c.wall, c.cell, c.wish)
@@ -84,15 +84,15 @@
 // Example:
 //
 //	siding := yard.Choose(balancer.Wish{Service: "paadam"}, clock)
-func (y *Yard) Choose(wish Wish, clock timetable.Clock) *Siding {
-	c := &choice{wish: wish, cell: y.home.Cell, now: clock.Steady(), wall: clock.Wall(), least: math.Inf(1)}
+func (y *ServerSet) Choose(wish Criteria, clock timetable.Clock) *Endpoint {
+	c := &choice{wish: wish, cell: y.home.Zone, now: clock.Steady(), wall: clock.Wall(), least: math.Inf(1)}
 	stand := y.stand(wish.Service)
-	if wish.IsTrial {
+	if wish.Canary {
 		stand = y.stand(trialName(wish.Service))
 	}
-	if wish.IsPlaced {
+	if wish.HasPosition {
 		left := walkLimit
-		stand.ring.walk(wish.Place, func(siding *Siding) bool {
+		stand.ring.walk(wish.Position, func(siding *Endpoint) bool {
 			c.look(siding)
 			left--
 			isEnough := c.near+c.far >= nearSamples+farSamples && c.near > 0
@@ -103,22 +103,22 @@
 		}
 		return c.orAny(stand)
 	}
-	draw(stand.near, func(siding *Siding) bool { c.look(siding); return c.near < nearSamples })
-	draw(stand.far, func(siding *Siding) bool { c.look(siding); return c.far < farSamples })
+	draw(stand.near, func(siding *Endpoint) bool { c.look(siding); return c.near < nearSamples })
+	draw(stand.far, func(siding *Endpoint) bool { c.look(siding); return c.far < farSamples })
 	return c.orAny(stand)
 }
 
 // orAny is the best that was found; where none of those that the node keeps to could
 // well be taken, any other server of the service is looked at too.
-func (c *choice) orAny(stand *stand) *Siding {
+func (c *choice) orAny(stand *stand) *Endpoint {
 	if c.near+c.far == 0 {
-		draw(stand.list, func(siding *Siding) bool { c.look(siding); return c.near+c.far == 0 })
+		draw(stand.list, func(siding *Endpoint) bool { c.look(siding); return c.near+c.far == 0 })
 	}
 	return c.best
 }
 
 // draw visits the list in an order by lot, until visit says no.
-func draw(list []*Siding, visit func(*Siding) bool) {
+func draw(list []*Endpoint, visit func(*Endpoint) bool) {
 	if len(list) == 0 {
 		return
 	}
@@ -144,7 +144,7 @@
 	}
 }
 
-func wasPassed(passed []*Siding, siding *Siding) bool {
+func wasPassed(passed []*Endpoint, siding *Endpoint) bool {
 	for _, one := range passed {
 		if one.ID == siding.ID {
 			return true
--- a/internal/balancer/endpoint.go
+++ b/internal/balancer/endpoint.go
@@ -12,14 +12,14 @@
 
 // Siding is one server as this node knows it from its own inquiries. Its
 // figures are atomics: the path of an inquiry takes no lock here.
-type Siding struct {
+type Endpoint struct {
 	feed.Server
-	*learnt
+	*endpointState
 }
 
 // learnt is what the node learnt of a server, whatever the list says of it.
-type learnt struct {
-	Rack *upstream.Pool
+type endpointState struct {
+	Pool *upstream.Pool
 
 	atWork atomic.Int64
 	// pace is how long its replies take here beside the lane's usual, smoothed,
@@ -54,21 +54,21 @@
 	trickle = 40
 )
 
-func newSiding(server feed.Server) *Siding {
-	s := &Siding{Server: server, learnt: &learnt{Rack: &upstream.Pool{Address: server.Address, Instance: server.ID}}}
+func newSiding(server feed.Server) *Endpoint {
+	s := &Endpoint{Server: server, endpointState: &endpointState{Pool: &upstream.Pool{Address: server.Address, Instance: server.ID}}}
 	s.hear(server)
 	return s
 }
 
 // hear takes what the news say of the server that is no part of its identity.
-func (s *Siding) hear(server feed.Server) {
+func (s *Endpoint) hear(server feed.Server) {
 	s.told.Store(int64(server.Pace))
 	s.isAside.Store(server.IsAside)
 }
 
 // isSame tells whether the list says the same of the server but for what hear
 // takes.
-func (s *Siding) isSame(server feed.Server) bool {
+func (s *Endpoint) isSame(server feed.Server) bool {
 	server.Pace, server.IsAside = s.Pace, s.IsAside
 	return s.Server == server
 }
@@ -78,14 +78,14 @@
 // Example:
 //
 //	if siding.IsLeaving() { chooseAnother() }
-func (s *Siding) IsLeaving() bool { return s.isLeaving.Load() }
+func (s *Endpoint) Leaving() bool { return s.isLeaving.Load() }
 
 // Begin notes that an inquiry is on its way to the server.
 //
 // Example:
 //
 //	siding.Begin()
-func (s *Siding) Begin() { s.atWork.Add(1) }
+func (s *Endpoint) Begin() { s.atWork.Add(1) }
 
 // Outcome is what a delivery showed of the server.
 type Outcome uint8
@@ -93,11 +93,11 @@
 // The outcomes of a delivery.
 const (
 	Served Outcome = iota
-	Full
+	Overloaded
 	Misdirected
 	Failed
 	// Unasked: the time to send had passed; it says nothing of the server.
-	Unasked
+	NotSent
 )
 
 // End notes how the inquiry ended, how long it took, and how long the lane's
@@ -106,7 +106,7 @@
 // Example:
 //
 //	siding.End(balancer.Served, took, usual, clock.Steady())
-func (s *Siding) End(outcome Outcome, took, usual time.Duration, now timetable.Steady) {
+func (s *Endpoint) End(outcome Outcome, took, usual time.Duration, now timetable.Steady) {
 	s.atWork.Add(-1)
 	switch outcome {
 	case Served:
@@ -116,7 +116,7 @@
 			weight := max(paceWeight, 1/float64(count))
 			s.pace.Store(int64(float64(s.pace.Load()) + weight*(now-float64(s.pace.Load()))))
 		}
-	case Full:
+	case Overloaded:
 		s.shy.Store(int64(now) + int64(shyFull))
 	case Misdirected:
 		s.isGone.Store(true)
@@ -129,7 +129,7 @@
 
 // beside is how long the server's replies take beside the usual: what all the
 // proxies saw, and what this one saw itself.
-func (s *Siding) beside() float64 {
+func (s *Endpoint) beside() float64 {
 	own := float64(min(s.paced.Load(), ownMost))
 	shared := 1.0
 	if told := s.told.Load(); told > 0 {
@@ -139,14 +139,14 @@
 }
 
 // cost is the expected delay of one more inquiry, in nanoseconds.
-func (s *Siding) cost(now timetable.Steady, wall time.Time, cell string, wish Wish) float64 {
-	pace := s.beside() * float64(max(wish.Usual, paceLeast))
+func (s *Endpoint) cost(now timetable.Steady, wall time.Time, cell string, wish Criteria) float64 {
+	pace := s.beside() * float64(max(wish.UsualLatency, paceLeast))
 	cost := pace * (1 + float64(s.atWork.Load())/float64(max(1, s.Capacity)))
 	if s.WarmLeft(wall) > 0 {
 		cost += pace * warmingCost
 	}
 	if s.Cell != cell {
-		cost += float64(wish.Crossing)
+		cost += float64(wish.ZoneCost)
 	}
 	isAside := s.isAside.Load()
 	if int64(now) < s.shy.Load() || isAside && rand.IntN(trickle) > 0 {
@@ -156,6 +156,6 @@
 }
 
 // with is the siding under the list's new words for the same server.
-func (s *Siding) with(server feed.Server) *Siding {
-	return &Siding{Server: server, learnt: s.learnt}
+func (s *Endpoint) with(server feed.Server) *Endpoint {
+	return &Endpoint{Server: server, endpointState: s.endpointState}
 }
--- a/internal/balancer/health_update_test.go
+++ b/internal/balancer/health_update_test.go
@@ -19,24 +19,24 @@
 		for id := range 40 {
 			fleet.Servers = append(fleet.Servers, feed.Server{ID: fmt.Sprintf("i-%02d", id), Service: "s", Cell: "a", Capacity: 2, IsReady: true, Pace: 8})
 		}
-		yard := balancer.NewYard(balancer.Home{Node: "n", Cell: "a"}).Lay(fleet)
-		homes := map[string]*balancer.Siding{}
+		yard := balancer.NewServerSet(balancer.Locality{Node: "n", Zone: "a"}).WithFleet(fleet)
+		homes := map[string]*balancer.Endpoint{}
 		for id := range 20 {
-			homes[fmt.Sprint(id)] = yard.Home("s", balancer.PlaceOf(fmt.Sprint(id)))
+			homes[fmt.Sprint(id)] = yard.HomeServer("s", balancer.RingPositionOf(fmt.Sprint(id)))
 		}
 		next := feed.Fleet{Term: 1, Count: 2, Servers: slices.Clone(fleet.Servers)}
 		for i := range next.Servers {
 			next.Servers[i].Pace = 40
 		}
 		next.Servers[7].Pace, next.Servers[9].IsAside = 1, true
-		laid := yard.Lay(next)
+		laid := yard.WithFleet(next)
 		for id, home := range homes {
-			Expect(laid.Home("s", balancer.PlaceOf(id))).To(BeIdenticalTo(home))
+			Expect(laid.HomeServer("s", balancer.RingPositionOf(id))).To(BeIdenticalTo(home))
 		}
-		yard.Hear(next)
+		yard.UpdateHealth(next)
 		slow, quick := 0, 0
 		for range 400 {
-			switch yard.Choose(balancer.Wish{Service: "s", Usual: 100 * time.Millisecond}, &timetable.Hand{}).ID {
+			switch yard.Choose(balancer.Criteria{Service: "s", UsualLatency: 100 * time.Millisecond}, &timetable.Hand{}).ID {
 			case "i-07":
 				quick++
 			case "i-09":
--- a/internal/balancer/retry_budget.go
+++ b/internal/balancer/retry_budget.go
@@ -12,7 +12,7 @@
 // Budget bounds one node's further tries at one service to a share of its own
 // inquiries for it over a sliding window. Each node keeping to its share, the
 // sum keeps to it too, with no talk between nodes.
-type Budget struct {
+type RetryBudget struct {
 	ratio  float64
 	floor  func() float64
 	step   timetable.Steady
@@ -46,7 +46,7 @@
 // Example:
 //
 //	floor := balancer.Floor(bounds.RetrySlack, fleet.Proxies)
-func Floor(slack, proxies int) float64 {
+func SlackPerProxy(slack, proxies int) float64 {
 	return slackPart * float64(slack) / float64(max(proxiesLeast, proxies))
 }
 
@@ -55,12 +55,12 @@
 // Example:
 //
 //	budget := balancer.NewBudget(0.2, 10*time.Second, func() float64 { return balancer.Floor(64, 12) }, clock)
-func NewBudget(ratio float64, window time.Duration, floor func() float64, clock timetable.Clock) *Budget {
-	return &Budget{ratio: ratio, floor: floor, step: timetable.Steady(window) / (budgetSteps - 1), steady: clock.Steady}
+func NewRetryBudget(ratio float64, window time.Duration, floor func() float64, clock timetable.Clock) *RetryBudget {
+	return &RetryBudget{ratio: ratio, floor: floor, step: timetable.Steady(window) / (budgetSteps - 1), steady: clock.Steady}
 }
 
 // turn moves to the present step, emptying those that were passed.
-func (b *Budget) turn() int {
+func (b *RetryBudget) turn() int {
 	now := int64(b.steady() / max(b.step, 1))
 	if now-b.at >= budgetSteps {
 		b.asked, b.spent = [budgetSteps]float64{}, [budgetSteps]float64{}
@@ -78,7 +78,7 @@
 // Example:
 //
 //	budget.Ask()
-func (b *Budget) Ask() {
+func (b *RetryBudget) RecordRequest() {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	b.asked[b.turn()]++
@@ -89,7 +89,7 @@
 // Example:
 //
 //	if budget.Spend() { tryAgain() }
-func (b *Budget) Spend() bool {
+func (b *RetryBudget) TakeRetry() bool {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	at := b.turn()
--- a/internal/balancer/retry_budget_test.go
+++ b/internal/balancer/retry_budget_test.go
@@ -34,7 +34,7 @@
 		for seed := uint64(1); seed <= 20; seed++ {
 			random := rand.New(rand.NewPCG(seed, 5))
 			hand := &timetable.Hand{}
-			budget := balancer.NewBudget(ratio, window, func() float64 { return 0 }, hand)
+			budget := balancer.NewRetryBudget(ratio, window, func() float64 { return 0 }, hand)
 			requests, tries := make(arrivals, (length+longest).Milliseconds()+1), make(arrivals, (length+longest).Milliseconds()+1)
 			bursts := [][2]time.Duration{}
 			for at := time.Duration(0); at < length; at += time.Duration(2+random.IntN(9)) * time.Second {
@@ -48,9 +48,9 @@
 					}
 				}
 				for range random.IntN(load + 1) {
-					budget.Ask()
+					budget.RecordRequest()
 					requests[hand.Now.Milliseconds()]++
-					if random.IntN(3) == 0 && budget.Spend() {
+					if random.IntN(3) == 0 && budget.TakeRetry() {
 						tries[(hand.Now+time.Duration(random.Int64N(int64(longest)))).Milliseconds()]++
 					}
 				}
--- a/internal/balancer/ring.go
+++ b/internal/balancer/ring.go
@@ -8,7 +8,7 @@
 )
 
 // Place is a place on a service's ring.
-type Place uint64
+type RingPosition uint64
 
 // PlaceOf is the place of an operation's name: a key within its tenant, or a
 // download's path.
@@ -16,7 +16,7 @@
 // Example:
 //
 //	wish.Place = balancer.PlaceOf(tenant, key)
-func PlaceOf(parts ...string) Place {
+func RingPositionOf(parts ...string) RingPosition {
 	sum := fnv.New64a()
 	for _, part := range parts {
 		_, _ = sum.Write([]byte(part))
@@ -26,18 +26,18 @@
 }
 
 // mix spreads near hashes over the whole ring.
-func mix(h uint64) Place {
+func mix(h uint64) RingPosition {
 	h ^= h >> 33
 	h *= 0xff51afd7ed558ccd
 	h ^= h >> 33
 	h *= 0xc4ceb9fe1a85ec53
-	return Place(h ^ h>>33)
+	return RingPosition(h ^ h>>33)
 }
 
 // stop is one of the places at which a server stands on the ring.
 type stop struct {
-	at     Place
-	siding *Siding
+	at     RingPosition
+	siding *Endpoint
 }
 
 // ring is the ready servers of one service, each at several places by its
@@ -46,11 +46,11 @@
 
 const stopsPerServer = 48
 
-func newRing(list []*Siding) ring {
+func newRing(list []*Endpoint) ring {
 	r := make(ring, 0, len(list)*stopsPerServer)
 	for _, siding := range list {
 		for n := range stopsPerServer {
-			r = append(r, stop{PlaceOf(siding.ID, strconv.Itoa(n)), siding})
+			r = append(r, stop{RingPositionOf(siding.ID, strconv.Itoa(n)), siding})
 		}
 	}
 	sort.Slice(r, func(i, j int) bool { return r[i].before(r[j]) })
@@ -62,9 +62,9 @@
 }
 
 // walk visits distinct servers from the place on, until visit says no.
-func (r ring) walk(from Place, visit func(*Siding) bool) {
+func (r ring) walk(from RingPosition, visit func(*Endpoint) bool) {
 	start := sort.Search(len(r), func(i int) bool { return r[i].at >= from })
-	var seen []*Siding
+	var seen []*Endpoint
 next:
 	for i := range r {
 		siding := r[(start+i)%len(r)].siding
@@ -87,8 +87,8 @@
 // Example:
 //
 //	siding := yard.Home("fees", balancer.PlaceOf(tenant, key))
-func (y *Yard) Home(service string, place Place) (home *Siding) {
-	y.stand(service).ring.walk(place, func(siding *Siding) bool {
+func (y *ServerSet) HomeServer(service string, place RingPosition) (home *Endpoint) {
+	y.stand(service).ring.walk(place, func(siding *Endpoint) bool {
 		home = siding
 		return false
 	})
@@ -100,7 +100,7 @@
 // Example:
 //
 //	isThere := slices.Contains(yard.Names("fees"), "i-7f3a91c2")
-func (y *Yard) Names(service string) (out []string) {
+func (y *ServerSet) InstanceIDs(service string) (out []string) {
 	for _, siding := range y.stand(service).list {
 		out = append(out, siding.ID)
 	}
@@ -124,11 +124,11 @@
 //
 //	trial := yard.Trial(change)
 //	isMoving := trial(place) != yard.Home(change.Service, place).ID
-func (y *Yard) Trial(change Change) (homeAfter func(Place) string) {
-	var list []*Siding
+func (y *ServerSet) HomeAfter(change Change) (homeAfter func(RingPosition) string) {
+	var list []*Endpoint
 	coming := map[string]bool{}
 	for _, text := range change.Add {
-		added := &Siding{learnt: &learnt{}}
+		added := &Endpoint{endpointState: &endpointState{}}
 		added.ID, added.Cell, _ = strings.Cut(text, "@")
 		list, coming[added.ID] = append(list, added), true
 	}
@@ -138,8 +138,8 @@
 		}
 	}
 	trial := noStand.change(list, y.home).ring
-	return func(place Place) (id string) {
-		trial.walk(place, func(siding *Siding) bool {
+	return func(place RingPosition) (id string) {
+		trial.walk(place, func(siding *Endpoint) bool {
 			id = siding.ID
 			return false
 		})
--- a/internal/balancer/server_set.go
+++ b/internal/balancer/server_set.go
@@ -3,18 +3,18 @@
 import "ploverhitch/internal/feed"
 
 // Home is the place of the node itself.
-type Home struct {
-	Node, Cell string
+type Locality struct {
+	Node, Zone string
 	// Set is how many servers of a service the node keeps to, if not 0.
-	Set int
+	SubsetSize int
 }
 
 // Yard is the servers of every service as one node sees them; it never changes
 // once made.
-type Yard struct {
-	home   Home
+type ServerSet struct {
+	home   Locality
 	stands map[string]*stand
-	byID   map[string]*Siding
+	byID   map[string]*Endpoint
 }
 
 // NewYard makes an empty yard.
@@ -22,8 +22,8 @@
 // Example:
 //
 //	yard := balancer.NewYard(balancer.Home{Node: "edge-1", Cell: "a", Set: 24})
-func NewYard(home Home) *Yard {
-	return &Yard{home: home, stands: map[string]*stand{}, byID: map[string]*Siding{}}
+func NewServerSet(home Locality) *ServerSet {
+	return &ServerSet{home: home, stands: map[string]*stand{}, byID: map[string]*Endpoint{}}
 }
 
 // Lay makes the yard of a fleet, keeping the sidings of servers that stay, and
@@ -32,9 +32,9 @@
 // Example:
 //
 //	yard = yard.Lay(fleet)
-func (y *Yard) Lay(fleet feed.Fleet) *Yard {
-	next := NewYard(y.home)
-	lists := map[string][]*Siding{}
+func (y *ServerSet) WithFleet(fleet feed.Fleet) *ServerSet {
+	next := NewServerSet(y.home)
+	lists := map[string][]*Endpoint{}
 	for _, server := range fleet.Servers {
 		siding := y.byID[server.ID]
 		switch {
@@ -58,7 +58,7 @@
 	}
 	for id, siding := range y.byID {
 		if next.byID[id] == nil {
-			siding.Rack.Close()
+			siding.Pool.Close()
 		}
 	}
 	return next
@@ -70,7 +70,7 @@
 // Example:
 //
 //	if feed.IsKeptAs(fleet.Servers, servers) { yard.Hear(fleet) }
-func (y *Yard) Hear(fleet feed.Fleet) {
+func (y *ServerSet) UpdateHealth(fleet feed.Fleet) {
 	for _, server := range fleet.Servers {
 		if siding := y.byID[server.ID]; siding != nil {
 			siding.hear(server)
@@ -84,7 +84,7 @@
 // Example:
 //
 //	yard.Leave(news.Leaving)
-func (y *Yard) Leave(ids []string) {
+func (y *ServerSet) MarkLeaving(ids []string) {
 	for _, id := range ids {
 		if siding := y.byID[id]; siding != nil {
 			siding.isLeaving.Store(true)
@@ -97,7 +97,7 @@
 // Example:
 //
 //	if siding, isThere := yard.Find(id); isThere { look(siding) }
-func (y *Yard) Find(id string) (siding *Siding, isThere bool) {
+func (y *ServerSet) Find(id string) (siding *Endpoint, isThere bool) {
 	siding, isThere = y.byID[id]
 	return siding, isThere
 }
@@ -110,7 +110,7 @@
 // Example:
 //
 //	isLeft := yard.AtWork(service) == 0
-func (y *Yard) AtWork(service string) (count int) {
+func (y *ServerSet) InFlight(service string) (count int) {
 	for _, siding := range y.stand(service).list {
 		count += int(siding.atWork.Load())
 	}
@@ -122,11 +122,11 @@
 // Example:
 //
 //	if yard.Ready(service) == 0 { refuse() }
-func (y *Yard) Ready(service string) int { return len(y.stand(service).list) }
+func (y *ServerSet) ReadyCount(service string) int { return len(y.stand(service).list) }
 
 var noStand = &stand{}
 
-func (y *Yard) stand(service string) *stand {
+func (y *ServerSet) stand(service string) *stand {
 	if known := y.stands[service]; known != nil {
 		return known
 	}
@@ -138,4 +138,4 @@
 // Example:
 //
 //	isKnown := yard.Size() > 0
-func (y *Yard) Size() int { return len(y.byID) }
+func (y *ServerSet) Size() int { return len(y.byID) }
--- a/internal/balancer/service_endpoints.go
+++ b/internal/balancer/service_endpoints.go
@@ -7,13 +7,13 @@
 
 // stand is the ready servers of one service.
 type stand struct {
-	list []*Siding
+	list []*Endpoint
 	// ring is of those that the node keeps to: near and far.
 	ring ring
 	// near and far are the servers of the own cell and of the others to which
 	// the node keeps where no ring decides: few enough that its connections to
 	// them are used again, and others than those of the next node.
-	near, far []*Siding
+	near, far []*Endpoint
 	// most is the most capacity that near ever had.
 	most int
 }
@@ -22,7 +22,7 @@
 const nearPart = 2.0 / 3
 
 // change is the stand with another list; what did not change stays.
-func (s *stand) change(list []*Siding, home Home) *stand {
+func (s *stand) change(list []*Endpoint, home Locality) *stand {
 	if s == nil {
 		s = noStand
 	}
@@ -30,16 +30,16 @@
 		return s
 	}
 	next := &stand{list: list}
-	rank := map[string]Place{}
+	rank := map[string]RingPosition{}
 	for _, siding := range list {
-		rank[siding.ID] = PlaceOf(home.Node, siding.ID)
-		if siding.Cell == home.Cell {
+		rank[siding.ID] = RingPositionOf(home.Node, siding.ID)
+		if siding.Cell == home.Zone {
 			next.near = append(next.near, siding)
 		} else {
 			next.far = append(next.far, siding)
 		}
 	}
-	if home.Set > 0 && len(list) > home.Set {
+	if home.SubsetSize > 0 && len(list) > home.SubsetSize {
 		next.keep(home, rank)
 	}
 	next.ring = s.ring.change(s.kept(), next.kept())
@@ -48,9 +48,9 @@
 }
 
 // kept are the servers that the node keeps to.
-func (s *stand) kept() []*Siding { return slices.Concat(s.near, s.far) }
+func (s *stand) kept() []*Endpoint { return slices.Concat(s.near, s.far) }
 
-func capacity(list []*Siding) (sum int) {
+func capacity(list []*Endpoint) (sum int) {
 	for _, siding := range list {
 		sum += siding.Capacity
 	}
@@ -58,12 +58,12 @@
 }
 
 // keep leaves the servers that the node keeps to.
-func (s *stand) keep(home Home, rank map[string]Place) {
-	for _, part := range [][]*Siding{s.near, s.far} {
+func (s *stand) keep(home Locality, rank map[string]RingPosition) {
+	for _, part := range [][]*Endpoint{s.near, s.far} {
 		sort.Slice(part, func(i, j int) bool { return rank[part[i].ID] < rank[part[j].ID] })
 	}
-	near := min(len(s.near), max(int(float64(home.Set)*nearPart), home.Set-len(s.far)))
-	s.near, s.far = s.near[:near], s.far[:min(len(s.far), home.Set-near)]
+	near := min(len(s.near), max(int(float64(home.SubsetSize)*nearPart), home.SubsetSize-len(s.far)))
+	s.near, s.far = s.near[:near], s.far[:min(len(s.far), home.SubsetSize-near)]
 }
 
 // fallenPart is the part of its capacity with which a site counts as fallen.
@@ -75,7 +75,9 @@
 // Example:
 //
 //	if !siding.IsSound() { passOn() }
-func (s *Siding) IsSound() bool { return s.fails.Load() == 0 && !s.isAside.Load() && !s.isGone.Load() }
+func (s *Endpoint) Healthy() bool {
+	return s.fails.Load() == 0 && !s.isAside.Load() && !s.isGone.Load()
+}
 
 // IsFallen tells whether the node's own cell has lost most of a service: few of
 // its servers are left that are ready and did not fail when last asked.
@@ -83,10 +85,10 @@
 // Example:
 //
 //	if yard.IsFallen(service) { passUp() }
-func (y *Yard) IsFallen(service string) bool {
+func (y *ServerSet) LocalZoneDegraded(service string) bool {
 	s, left := y.stand(service), 0
 	for _, siding := range s.near {
-		if siding.IsSound() {
+		if siding.Healthy() {
 			left += siding.Capacity
 		}
 	}
@@ -94,12 +96,12 @@
 }
 
 // change is the ring of another list, made from this one's.
-func (r ring) change(old, list []*Siding) ring {
-	isOld, now := map[string]bool{}, map[string]*Siding{}
+func (r ring) change(old, list []*Endpoint) ring {
+	isOld, now := map[string]bool{}, map[string]*Endpoint{}
 	for _, siding := range old {
 		isOld[siding.ID] = true
 	}
-	var added []*Siding
+	var added []*Endpoint
 	for _, siding := range list {
 		if now[siding.ID] = siding; !isOld[siding.ID] {
 			added = append(added, siding)
--- a/internal/control/coordinator.go
+++ b/internal/control/coordinator.go
@@ -19,7 +19,7 @@
 type coordinator struct {
 	*node
 	loop  *timetable.Loop[func()]
-	court *outlier.Court
+	court *outlier.Aggregator
 	// term is the one for which states were read; 0 while the duty is not here.
 	term   uint64
 	states map[string]trial.State
@@ -43,7 +43,7 @@
 	cells      map[string]string
 	tree       *sites.Tree
 	treeOf     string
-	office     *sites.Office
+	office     *sites.Allocator
 	officeTerm uint64
 	laid       feed.Reading
 	laidAt     timetable.Steady
@@ -64,7 +64,7 @@
 	phaseAt timetable.Steady
 	// full is the first reading in which the new version had everything.
 	full    feed.Reading
-	finding outlier.Finding
+	finding outlier.Evaluation
 	// doubled is how many keys with two runs were known here as the drive began: what
 	// this node counted in an earlier term says nothing of the trial.
 	doubled int
@@ -86,7 +86,7 @@
 
 func newCoordinator(n *node) *coordinator {
 	return &coordinator{
-		node: n, loop: timetable.NewLoop[func()](1024), court: outlier.NewCourt(n.clock),
+		node: n, loop: timetable.NewLoop[func()](1024), court: outlier.NewAggregator(n.clock),
 		states: map[string]trial.State{}, drives: map[string]*drive{}, cells: map[string]string{},
 		copying: map[string]*copying{}, gauge: shedding.NewGauge(n.clock, rand.Uint64), repeats: map[string]repeat{},
 	}
@@ -98,7 +98,7 @@
 
 // conduct is the alarm.
 func (c *coordinator) conduct() {
-	c.court.Tend()
+	c.court.UpdateWindow()
 	if !c.isMaster() {
 		return
 	}
@@ -219,13 +219,13 @@
 	now := c.clock.Steady()
 	facts := trial.Facts{
 		Elapsed: time.Duration(now - c.beganAt(state)), InPhase: time.Duration(now - d.phaseAt),
-		Finding: c.court.Hearing(state.Subject, state.Number, 0),
+		Finding: c.court.Evaluate(state.Subject, state.Number, 0),
 	}
 	old, fresh := sides(c.listed, state)
 	facts.Ready, facts.Old = capacity(c.listed, fresh), capacity(c.listed, old)
-	facts.Touch = c.court.Touch(state.Subject, d.full)
+	facts.Touch = c.court.Usage(state.Subject, d.full)
 	if d.full.Term == 0 {
-		facts.Touch.Behind = max(1, facts.Touch.Behind)
+		facts.Touch.Outdated = max(1, facts.Touch.Outdated)
 	}
 	return facts
 }
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -18,7 +18,7 @@
 	for _, server := range c.listed {
 		known[server.ID] = true
 	}
-	c.court.Keep(func(id string) bool { return known[id] })
+	c.court.RetainServers(func(id string) bool { return known[id] })
 	c.initializeVersions()
 	c.publish()
 }
@@ -101,7 +101,7 @@
 // followers and the reporting proxies. Within a term the count never falls; at the start of
 // a term it is at least the last leader's count until proxiesSpan has passed.
 func (c *coordinator) proxyCount() int {
-	count := max(len(c.hub.Followers()), c.court.Proxies(proxiesSpan))
+	count := max(len(c.hub.Followers()), c.court.ProxyCount(proxiesSpan))
 	if c.last.Term == c.term || time.Duration(c.clock.Steady()-c.termAt) < proxiesSpan {
 		count = max(count, c.last.Proxies)
 	}
--- a/internal/control/gauge.go
+++ b/internal/control/gauge.go
@@ -41,7 +41,7 @@
 			group = append(group, server.ID)
 		}
 	}
-	return c.court.Strained(group)
+	return c.court.OverloadedShare(group)
 }
 
 func (c *coordinator) cutoffs() []shedding.Cutoff {
--- a/internal/control/grading.go
+++ b/internal/control/grading.go
@@ -28,14 +28,14 @@
 	}
 	aside := map[string]bool{}
 	for _, group := range groups {
-		for id := range c.court.Aside(group) {
+		for id := range c.court.Ejected(group) {
 			aside[id] = true
 		}
 	}
 	if now := c.clock.Steady(); c.paces == nil || time.Duration(now-c.pacedAt) >= pacePeriod {
 		c.paces, c.pacedAt = make(map[string]int, len(fleet.Servers)), now
 		for _, server := range fleet.Servers {
-			c.paces[server.ID] = c.court.Pace(server.ID)
+			c.paces[server.ID] = c.court.LatencyRatio(server.ID)
 		}
 	}
 	for i := range fleet.Servers {
@@ -105,7 +105,7 @@
 	for cell, list := range cells {
 		names = append(names, cell)
 		sort.Slice(list, func(x, y int) bool {
-			return balancer.PlaceOf(servers[list[x]].ID) < balancer.PlaceOf(servers[list[y]].ID)
+			return balancer.RingPositionOf(servers[list[x]].ID) < balancer.RingPositionOf(servers[list[y]].ID)
 		})
 	}
 	sort.Strings(names)
--- a/internal/control/mirrors.go
+++ b/internal/control/mirrors.go
@@ -49,7 +49,7 @@
 		clear(c.copying)
 		return nil
 	}
-	lives := c.court.Lives(livesSpan, loopline.LifeOf)
+	lives := c.court.CombineIncarnations(livesSpan, loopline.LifeOf)
 	known := map[string]bool{}
 	for i, m := range mirrors {
 		if !m.Until.After(c.clock.Wall()) || sheet.IsLive(m.Shadow) {
@@ -79,7 +79,7 @@
 		held.grant.Era, held.grant.Lives, held.grant.IsSettled = c.term<<32|c.eras, lives, false
 		held.begun = feed.Reading{Term: c.term, Count: c.last.Count + 1}
 	}
-	if touch := c.court.Touch("", held.begun); !held.grant.IsSettled && touch.Proxies > 0 && touch.Behind == 0 {
+	if touch := c.court.Usage("", held.begun); !held.grant.IsSettled && touch.Proxies > 0 && touch.Outdated == 0 {
 		held.grant.IsSettled = true
 	}
 	now := time.Duration(c.clock.Steady())
--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -62,7 +62,7 @@
 	if in.Target == state.InForce {
 		next.Phase, next.Reason = trial.Complete, "the version is in force"
 	}
-	c.court.Forget(in.Service, next.Number)
+	c.court.ForgetBefore(in.Service, next.Number)
 	if err := c.write(next); err != nil {
 		return apierror.Gone, ""
 	}
--- a/internal/control/sites.go
+++ b/internal/control/sites.go
@@ -20,14 +20,14 @@
 func (n *node) onReport(in messages.Report, answer func(messages.Lots)) {
 	c := n.coordinator
 	c.loop.Offer(func() {
-		c.court.Hear(in.Evidence)
+		c.court.AddReport(in.Evidence)
 		c.cells[in.Evidence.Node] = in.Cell
 		if c.isGauging() {
 			c.gauge.Hear(in.Evidence.Node, in.Loads)
 		}
 		c.hearCopies(in.Mirrored)
 		if c.isMaster() && c.tree != nil {
-			answer(messages.Lots{Lots: c.office.Hear(in.Evidence.Node, c.tree.SiteOf("", in.Cell), in.Uses)})
+			answer(messages.Lots{Lots: c.office.HandleReport(in.Evidence.Node, c.tree.SiteOf("", in.Cell), in.Uses)})
 		}
 	})
 }
@@ -61,15 +61,15 @@
 		declared[sites.Key{Service: server.Service, Site: tree.SiteOf(server.ID, server.Cell)}] += server.Capacity
 	}
 	if c.office == nil || c.officeTerm != c.term {
-		c.office, c.officeTerm = sites.NewOffice(tree, c.clock), c.term
+		c.office, c.officeTerm = sites.NewAllocator(tree, c.clock), c.term
 	}
-	c.office.Lay(tree, declared)
+	c.office.Update(tree, declared)
 }
 
 // SitePage is the tree and what stands of its sites.
 type SitePage struct {
-	Sites    []sites.Site    `json:"Sites"`
-	Accounts []sites.Account `json:"Accounts"`
+	Sites    []sites.Site   `json:"Sites"`
+	Accounts []sites.Status `json:"Accounts"`
 	// IsHolder tells whether this node gives out the room; only then are there
 	// accounts.
 	IsHolder bool   `json:"IsHolder"`
@@ -77,11 +77,11 @@
 }
 
 func (n *node) sitesPoint(context.Context, any) (any, error) {
-	c, page := n.coordinator, SitePage{Sites: []sites.Site{}, Accounts: []sites.Account{}, Holder: n.leader()}
+	c, page := n.coordinator, SitePage{Sites: []sites.Site{}, Accounts: []sites.Status{}, Holder: n.leader()}
 	runAndWait(c.loop, func() {
 		if page.IsHolder = c.isMaster() && c.office != nil && c.tree != nil; page.IsHolder {
 			page.Sites = c.tree.Sites()
-			page.Accounts = append(page.Accounts, c.office.Accounts()...)
+			page.Accounts = append(page.Accounts, c.office.Statuses()...)
 		}
 	})
 	if page.IsHolder {
--- a/internal/control/stages.go
+++ b/internal/control/stages.go
@@ -109,7 +109,7 @@
 func (c *coordinator) waves(first string) [][]string {
 	var nodes []string
 	for _, node := range slices.Sorted(maps.Keys(c.cells)) {
-		if c.court.IsFresh(node, silentSpan) {
+		if c.court.ReportedWithin(node, silentSpan) {
 			nodes = append(nodes, node)
 		}
 	}
@@ -128,7 +128,7 @@
 	now := c.clock.Steady()
 	facts := trial.StageFacts{
 		Elapsed: time.Duration(now - c.beganAt(state)), InWave: time.Duration(now - d.phaseAt),
-		Finding: c.court.Hearing(state.Subject, state.Number, state.Wave),
+		Finding: c.court.Evaluate(state.Subject, state.Number, state.Wave),
 	}
 	d.finding = facts.Finding
 	doubled := 0
@@ -144,8 +144,8 @@
 	facts.IsDoubled = doubled > d.doubled
 	facts.IsSuperseded = len(newer) < len(state.Items)
 	for _, node := range state.Reached() {
-		facts.IsUnheard = facts.IsUnheard || !c.court.IsFresh(node, heardSpan)
-		if facts.InWave > silentSpan && !c.court.IsFresh(node, silentSpan) {
+		facts.IsUnheard = facts.IsUnheard || !c.court.ReportedWithin(node, heardSpan)
+		if facts.InWave > silentSpan && !c.court.ReportedWithin(node, silentSpan) {
 			facts.Silent = node
 		}
 	}
--- a/internal/inspector/inspector_test.go
+++ b/internal/inspector/inspector_test.go
@@ -106,14 +106,14 @@
 					before.Servers, after.Servers = append(before.Servers, server), append(after.Servers, server)
 				}
 			}
-			old := balancer.NewYard(balancer.Home{}).Lay(before)
-			trial := old.Trial(change)
-			listed := fmt.Sprint(old.Names("s"))
-			next := old.Lay(after)
+			old := balancer.NewServerSet(balancer.Locality{}).WithFleet(before)
+			trial := old.HomeAfter(change)
+			listed := fmt.Sprint(old.InstanceIDs("s"))
+			next := old.WithFleet(after)
 			moved := 0
 			for i := range 300 {
-				place := balancer.PlaceOf("h", fmt.Sprint("key", i))
-				from, forecast, to := old.Home("s", place).ID, trial(place), next.Home("s", place).ID
+				place := balancer.RingPositionOf("h", fmt.Sprint("key", i))
+				from, forecast, to := old.HomeServer("s", place).ID, trial(place), next.HomeServer("s", place).ID
 				Expect(forecast).To(Equal(to))
 				if from != to {
 					moved++
@@ -122,7 +122,7 @@
 				}
 			}
 			Expect(moved).To(BeNumerically(">", 0))
-			Expect(fmt.Sprint(old.Names("s"))).To(Equal(listed))
+			Expect(fmt.Sprint(old.InstanceIDs("s"))).To(Equal(listed))
 		}
 	})
 })
@@ -131,13 +131,13 @@
 	It("names where its callers would go, nearest first, and what would not fit", func() {
 		page := control.SitePage{Sites: []sites.Site{{Name: "whole"}, {Name: "east", Parent: "whole"}, {Name: "a", Parent: "east"}, {Name: "b", Parent: "east"}, {Name: "c", Parent: "whole"}}}
 		for site, own := range map[string]int{"a": 40, "b": 20, "c": 10} {
-			page.Accounts = append(page.Accounts, sites.Account{Site: site, Service: "fees", Capacity: 40, Own: own})
+			page.Accounts = append(page.Accounts, sites.Status{Site: site, Service: "fees", Capacity: 40, Own: own})
 		}
 		passages, err := inspector.Without(page, "a")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(passages).To(Equal([]inspector.Passage{
-			{Service: "fees", To: "b", Load: sites.Room(40, 20)}, {Service: "fees", To: "c", Load: sites.Room(40, 10)},
-			{Service: "fees", Load: 40 - sites.Room(40, 20) - sites.Room(40, 10), IsLeft: true},
+			{Service: "fees", To: "b", Load: sites.SpareCapacity(40, 20)}, {Service: "fees", To: "c", Load: sites.SpareCapacity(40, 10)},
+			{Service: "fees", Load: 40 - sites.SpareCapacity(40, 20) - sites.SpareCapacity(40, 10), IsLeft: true},
 		}))
 		_, err = inspector.Without(page, "nowhere")
 		Expect(err).To(MatchError(ContainSubstring("nowhere")))
--- a/internal/inspector/sites.go
+++ b/internal/inspector/sites.go
@@ -63,15 +63,15 @@
 	}
 	room, load := map[sites.Key]int{}, map[string]int{}
 	for _, a := range page.Accounts {
-		room[sites.Key{Service: a.Service, Site: a.Site}] = sites.Room(a.Capacity, a.Own) - a.Passed + a.From[site]
-		load[a.Service] += a.From[site]
+		room[sites.Key{Service: a.Service, Site: a.Site}] = sites.SpareCapacity(a.Capacity, a.Own) - a.Remote + a.RemoteBySite[site]
+		load[a.Service] += a.RemoteBySite[site]
 		if a.Site == site {
 			load[a.Service] += a.Own
 		}
 	}
 	for _, service := range slices.Sorted(maps.Keys(load)) {
 		left := load[service]
-		for _, to := range tree.Way(site) {
+		for _, to := range tree.FailoverOrder(site) {
 			if part := min(left, room[sites.Key{Service: service, Site: to}]); part > 0 {
 				out, left = append(out, Passage{Service: service, To: to, Load: part}), left-part
 			}
@@ -87,7 +87,7 @@
 func rebuild(all []sites.Site) (*sites.Tree, error) {
 	var named []sites.Site
 	for _, site := range all {
-		if site.Name != sites.Whole {
+		if site.Name != sites.Root {
 			named = append(named, site)
 		}
 	}
@@ -118,10 +118,10 @@
 	rows := [][]string{{"SITE", "PARENT", "SERVICE", "CAPACITY", "OWN", "PASSED", "GRANTED", "FROM"}}
 	for _, a := range page.Accounts {
 		from := ""
-		for _, site := range slices.Sorted(maps.Keys(a.From)) {
-			from += fmt.Sprintf("%s:%d ", site, a.From[site])
+		for _, site := range slices.Sorted(maps.Keys(a.RemoteBySite)) {
+			from += fmt.Sprintf("%s:%d ", site, a.RemoteBySite[site])
 		}
-		rows = append(rows, []string{a.Site, a.Parent, a.Service, strconv.Itoa(a.Capacity), strconv.Itoa(a.Own), strconv.Itoa(a.Passed), strconv.Itoa(a.Granted), from})
+		rows = append(rows, []string{a.Site, a.Parent, a.Service, strconv.Itoa(a.Capacity), strconv.Itoa(a.Own), strconv.Itoa(a.Remote), strconv.Itoa(a.Leased), from})
 	}
 	c.print(page, rows)
 	return Clean, nil
--- a/internal/messages/operator.go
+++ b/internal/messages/operator.go
@@ -16,15 +16,15 @@
 // attempt and target. At names the servers that it runs on now: there it ends,
 // whatever the change.
 type Move struct {
-	Lane    string         `cbor:"1,keyasint" json:"Route"`
-	Tenant  string         `cbor:"2,keyasint" json:"Tenant"`
-	Key     string         `cbor:"3,keyasint,omitempty" json:"Key,omitempty"`
-	Attempt string         `cbor:"4,keyasint,omitempty" json:"Attempt,omitempty"`
-	Target  string         `cbor:"5,keyasint,omitempty" json:"Target,omitempty"`
-	From    string         `cbor:"6,keyasint" json:"From"`
-	To      string         `cbor:"7,keyasint" json:"To"`
-	At      []string       `cbor:"8,keyasint,omitempty" json:"At,omitempty"`
-	Place   balancer.Place `cbor:"9,keyasint" json:"Place"`
+	Lane    string                `cbor:"1,keyasint" json:"Route"`
+	Tenant  string                `cbor:"2,keyasint" json:"Tenant"`
+	Key     string                `cbor:"3,keyasint,omitempty" json:"Key,omitempty"`
+	Attempt string                `cbor:"4,keyasint,omitempty" json:"Attempt,omitempty"`
+	Target  string                `cbor:"5,keyasint,omitempty" json:"Target,omitempty"`
+	From    string                `cbor:"6,keyasint" json:"From"`
+	To      string                `cbor:"7,keyasint" json:"To"`
+	At      []string              `cbor:"8,keyasint,omitempty" json:"At,omitempty"`
+	Place   balancer.RingPosition `cbor:"9,keyasint" json:"Place"`
 }
 
 // IsMoving tells whether the change gives the operation another home.
@@ -36,8 +36,8 @@
 
 // Homes asks a proxy where its live ring places operations.
 type Homes struct {
-	Service string           `cbor:"1,keyasint"`
-	Places  []balancer.Place `cbor:"2,keyasint"`
+	Service string                  `cbor:"1,keyasint"`
+	Places  []balancer.RingPosition `cbor:"2,keyasint"`
 }
 
 // HomesNow is the reply: the instances, in the order asked, and all instances on
--- a/internal/messages/report.go
+++ b/internal/messages/report.go
@@ -12,7 +12,7 @@
 type Report struct {
 	Evidence outlier.Report `cbor:"1,keyasint"`
 	Cell     string         `cbor:"2,keyasint,omitempty"`
-	Uses     []sites.Use    `cbor:"3,keyasint,omitempty"`
+	Uses     []sites.Usage  `cbor:"3,keyasint,omitempty"`
 	// Loads are what the proxy counted of its load, Mirrored what of its copies,
 	// since the last report that arrived.
 	Loads    []shedding.Load  `cbor:"4,keyasint,omitempty"`
@@ -21,5 +21,5 @@
 
 // Lots is the reply: how much of other sites' room the proxy may use.
 type Lots struct {
-	Lots []sites.Lot `cbor:"1,keyasint,omitempty"`
+	Lots []sites.Lease `cbor:"1,keyasint,omitempty"`
 }
--- a/internal/objects/own.go
+++ b/internal/objects/own.go
@@ -82,7 +82,7 @@
 	if err := yaml.UnmarshalStrict(document, &o); err != nil {
 		return errors.Trace(err)
 	}
-	site := sites.Site{Name: o.Metadata.Name, Parent: o.Spec.Parent, Cells: o.Spec.Cells, Servers: o.Spec.Servers, Capacity: o.Spec.Capacity}
+	site := sites.Site{Name: o.Metadata.Name, Parent: o.Spec.Parent, Zones: o.Spec.Cells, Servers: o.Spec.Servers, Capacity: o.Spec.Capacity}
 	c.own[sitesPath] = append(c.own[sitesPath], siteCall{site, config.Version(o.Metadata.Generation)})
 	return nil
 }
--- a/internal/outlier/aggregator.go
+++ b/internal/outlier/aggregator.go
@@ -17,18 +17,18 @@
 // moment is the sum of all rows at some time.
 type moment struct {
 	at   timetable.Steady
-	rows map[Mark]Tally
+	rows map[Label]Counts
 }
 
 // Court sums reports. It has one owner.
-type Court struct {
+type Aggregator struct {
 	clock     timetable.Clock
 	witnesses map[string]*witness
 	// ended are the rows of lives that are over.
-	ended   map[Mark]Tally
+	ended   map[Label]Counts
 	moments []moment
 	// bench is where the servers' evidence is kept.
-	bench *Bench
+	bench *ServerHealth
 }
 
 const (
@@ -46,8 +46,8 @@
 // Example:
 //
 //	court := outlier.NewCourt(clock)
-func NewCourt(clock timetable.Clock) *Court {
-	return &Court{clock: clock, witnesses: map[string]*witness{}, ended: map[Mark]Tally{}, bench: newBench()}
+func NewAggregator(clock timetable.Clock) *Aggregator {
+	return &Aggregator{clock: clock, witnesses: map[string]*witness{}, ended: map[Label]Counts{}, bench: newBench()}
 }
 
 // Hear takes a report; one that was taken already has no effect.
@@ -55,18 +55,18 @@
 // Example:
 //
 //	court.Hear(report)
-func (c *Court) Hear(report Report) {
+func (c *Aggregator) AddReport(report Report) {
 	now := c.clock.Steady()
 	held := c.witnesses[report.Node]
 	switch {
 	case held == nil:
 		held = &witness{}
 		c.witnesses[report.Node] = held
-	case held.report.Life == report.Life && held.report.Number >= report.Number:
+	case held.report.Incarnation == report.Incarnation && held.report.Sequence >= report.Sequence:
 		return
-	case held.report.Life != report.Life:
+	case held.report.Incarnation != report.Incarnation:
 		for _, row := range held.report.Rows {
-			c.ended[row.Mark] = c.ended[row.Mark].Plus(row.Tally)
+			c.ended[row.Label] = c.ended[row.Label].Add(row.Counts)
 		}
 	}
 	held.report, held.at = report, now
@@ -78,7 +78,7 @@
 // Example:
 //
 //	court.Tend()
-func (c *Court) Tend() {
+func (c *Aggregator) UpdateWindow() {
 	now := c.clock.Steady()
 	for node, held := range c.witnesses {
 		if now-held.at > timetable.Steady(forgetSpan) {
@@ -95,14 +95,14 @@
 	c.moments = append(c.moments[old:], moment{now, c.sums()})
 }
 
-func (c *Court) sums() map[Mark]Tally {
-	sums := make(map[Mark]Tally, len(c.ended))
+func (c *Aggregator) sums() map[Label]Counts {
+	sums := make(map[Label]Counts, len(c.ended))
 	for at, tally := range c.ended {
 		sums[at] = tally
 	}
 	for _, held := range c.witnesses {
 		for _, row := range held.report.Rows {
-			sums[row.Mark] = sums[row.Mark].Plus(row.Tally)
+			sums[row.Label] = sums[row.Label].Add(row.Counts)
 		}
 	}
 	return sums
@@ -113,8 +113,8 @@
 // Example:
 //
 //	court.Forget(service, number)
-func (c *Court) Forget(subject string, number uint64) {
-	maps.DeleteFunc(c.ended, func(at Mark, _ Tally) bool { return at.Subject == subject && at.Number < number })
+func (c *Aggregator) ForgetBefore(subject string, number uint64) {
+	maps.DeleteFunc(c.ended, func(at Label, _ Counts) bool { return at.Subject == subject && at.Number < number })
 }
 
 // IsFresh tells whether the proxy reported within the span.
@@ -122,7 +122,7 @@
 // Example:
 //
 //	if !court.IsFresh(node, 2*time.Second) { halt() }
-func (c *Court) IsFresh(node string, span time.Duration) bool {
+func (c *Aggregator) ReportedWithin(node string, span time.Duration) bool {
 	held := c.witnesses[node]
 	return held != nil && time.Duration(c.clock.Steady()-held.at) <= span
 }
@@ -132,9 +132,9 @@
 // Example:
 //
 //	share := limit / court.Proxies(5*time.Second)
-func (c *Court) Proxies(span time.Duration) (count int) {
+func (c *Aggregator) ProxyCount(span time.Duration) (count int) {
 	for node := range c.witnesses {
-		if c.IsFresh(node, span) {
+		if c.ReportedWithin(node, span) {
 			count++
 		}
 	}
@@ -147,22 +147,22 @@
 // Example:
 //
 //	lives := court.Lives(2500*time.Millisecond, loopline.LifeOf)
-func (c *Court) Lives(span time.Duration, figure func(node, life string) uint64) (sum uint64) {
+func (c *Aggregator) CombineIncarnations(span time.Duration, figure func(node, life string) uint64) (sum uint64) {
 	for node, held := range c.witnesses {
-		if c.IsFresh(node, span) {
-			sum ^= figure(node, held.report.Life)
+		if c.ReportedWithin(node, span) {
+			sum ^= figure(node, held.report.Incarnation)
 		}
 	}
 	return sum
 }
 
 // Touch is what the proxies in touch say of one subject.
-type Touch struct {
+type Usage struct {
 	// Proxies is how many there are; Behind, how many work by a reading of the
 	// fleet that is older than the one asked for.
-	Proxies, Behind int
+	Proxies, Outdated int
 	// AtWork is how many inquiries are under way at the version in force.
-	AtWork int
+	InFlight int
 }
 
 // IsLeft tells whether no proxy in touch has anything under way at the version
@@ -171,14 +171,14 @@
 // Example:
 //
 //	if touch.IsLeft() { stopOldServers() }
-func (t Touch) IsLeft() bool { return t.Proxies > 0 && t.Behind == 0 && t.AtWork == 0 }
+func (t Usage) Drained() bool { return t.Proxies > 0 && t.Outdated == 0 && t.InFlight == 0 }
 
 // Touch looks at the proxies that reported a short while ago.
 //
 // Example:
 //
 //	isLeft := court.Touch(service, reading).AtWork == 0
-func (c *Court) Touch(subject string, reading feed.Reading) (out Touch) {
+func (c *Aggregator) Usage(subject string, reading feed.Reading) (out Usage) {
 	now := c.clock.Steady()
 	for _, held := range c.witnesses {
 		if now-held.at > timetable.Steady(freshSpan) {
@@ -186,11 +186,11 @@
 		}
 		out.Proxies++
 		if reading.Outranks(feed.Reading{Term: held.report.Term, Count: held.report.Count}) {
-			out.Behind++
+			out.Outdated++
 		}
-		for _, work := range held.report.Works {
+		for _, work := range held.report.InFlight {
 			if work.Subject == subject {
-				out.AtWork += work.AtWork
+				out.InFlight += work.Requests
 			}
 		}
 	}
--- a/internal/outlier/compare.go
+++ b/internal/outlier/compare.go
@@ -7,9 +7,9 @@
 
 // The verdicts. Open means that there is too little to tell.
 const (
-	Open Verdict = iota
-	Fit
-	Unfit
+	Inconclusive Verdict = iota
+	Pass
+	Fail
 )
 
 // String names the verdict.
@@ -37,7 +37,7 @@
 	// A single server that goes dark breaks many replies at first.
 	{Broken, 3, 0.40, 8, 0.01, floor / 2},
 	// One keyed operation without an end is enough to wait for more.
-	{Missing, 3, 0.04, 3, 0.2, 0.002},
+	{Unresolved, 3, 0.04, 3, 0.2, 0.002},
 }
 
 const (
@@ -60,32 +60,32 @@
 // Example:
 //
 //	isBad := outlier.Judge(onTrial, inForce) == outlier.Unfit
-func Judge(onTrial, inForce Tally) Verdict {
-	seen := onTrial.Sum()
+func Compare(onTrial, inForce Counts) Verdict {
+	seen := onTrial.Total()
 	switch {
-	case onTrial[Doubled] > 0:
-		return Unfit
+	case onTrial[Duplicated] > 0:
+		return Fail
 	case seen < leastSeen:
-		return Open
+		return Inconclusive
 	}
-	verdict := Fit
+	verdict := Pass
 	for _, m := range measures {
 		usual := share(inForce, m.outcome)
 		count := onTrial[m.outcome]
 		if isMore := float64(count) > float64(seen)*(usual*suspectFactor+suspectMargin); isMore && tail(seen, count, max(usual, m.rare)) < m.suspicion {
 			// Not enough to condemn, and too much to call it fit.
-			verdict = Open
+			verdict = Inconclusive
 		}
 		isMuch := float64(count) > float64(seen)*(usual*m.factor+m.margin)
 		if count >= m.least && isMuch && tail(seen, count, max(usual*1.5, floor)) < doubt {
-			return Unfit
+			return Fail
 		}
 	}
 	return verdict
 }
 
-func share(t Tally, outcome Outcome) float64 {
-	sum := t.Sum()
+func share(t Counts, outcome Outcome) float64 {
+	sum := t.Total()
 	if sum == 0 {
 		return 0
 	}
--- a/internal/outlier/evaluation.go
+++ b/internal/outlier/evaluation.go
@@ -9,18 +9,18 @@
 
 // Evidence is one lane's counts on both sides, for operators to read.
 type Evidence struct {
-	Lane    string `json:"Route"`
-	OnTrial Tally  `json:"OnTrial"`
-	InForce Tally  `json:"InForce"`
+	Route   string `json:"Route"`
+	OnTrial Counts `json:"OnTrial"`
+	InForce Counts `json:"InForce"`
 	Verdict string `json:"Verdict"`
 }
 
 // Finding is what the court comes to for one trial.
-type Finding struct {
+type Evaluation struct {
 	Verdict Verdict
 	Reason  string
 	// IsSuspect: it is not unfit, but looks worse in a way that may be chance.
-	IsSuspect bool
+	Suspect bool
 	// Rate is how many of its deliveries were seen a second, lately.
 	Rate     float64
 	Evidence []Evidence
@@ -42,34 +42,34 @@
 // Example:
 //
 //	finding := court.Hearing(service, number, 0)
-func (c *Court) Hearing(subject string, number uint64, wave int) (out Finding) {
+func (c *Aggregator) Evaluate(subject string, number uint64, wave int) (out Evaluation) {
 	all := split(c.sums(), subject, number, wave)
-	lately := map[string][2]Tally{}
+	lately := map[string][2]Counts{}
 	if len(c.moments) > 0 {
 		before := split(c.moments[0].rows, subject, number, wave)
 		for lane, sides := range all {
 			old := before[lane]
-			lately[lane] = [2]Tally{sides[0].Less(old[0]), sides[1].Less(old[1])}
+			lately[lane] = [2]Counts{sides[0].Subtract(old[0]), sides[1].Subtract(old[1])}
 		}
 		if span := time.Duration(c.clock.Steady() - c.moments[0].at); span > 0 {
 			sum := total(lately)
-			out.Rate = float64(sum[0].Sum()+sum[1].Sum()) / span.Seconds()
+			out.Rate = float64(sum[0].Total()+sum[1].Total()) / span.Seconds()
 		}
 	}
 	sum := total(all)
-	out.Verdict = Fit
-	condemn := func(where string, sides [2]Tally, usual Tally) Verdict {
-		verdict := Judge(sides[1], usual)
-		if verdict == Unfit && out.Verdict != Unfit {
-			out.Verdict = Unfit
+	out.Verdict = Pass
+	condemn := func(where string, sides [2]Counts, usual Counts) Verdict {
+		verdict := Compare(sides[1], usual)
+		if verdict == Fail && out.Verdict != Fail {
+			out.Verdict = Fail
 			out.Reason = fmt.Sprintf("%s: on trial %v, in force %v (good, failed, slow, broken, missing, doubled)", where, sides[1], usual)
 		}
 		return verdict
 	}
 	verdictOfAll := condemn("all lanes", sum, sum[0])
 	suspect := func(where string, verdict Verdict, seen uint32) {
-		if verdict == Open && seen >= fitLane && out.Verdict == Fit {
-			out.IsSuspect, out.Reason = true, where+" look worse on trial, which may be chance"
+		if verdict == Inconclusive && seen >= fitLane && out.Verdict == Pass {
+			out.Suspect, out.Reason = true, where+" look worse on trial, which may be chance"
 		}
 	}
 	recent := total(lately)
@@ -77,45 +77,45 @@
 	for _, lane := range slices.Sorted(maps.Keys(all)) {
 		sides := all[lane]
 		usual := sides[0]
-		if usual.Sum() < fitSum {
-			usual = usual.Plus(sum[0])
+		if usual.Total() < fitSum {
+			usual = usual.Add(sum[0])
 		}
 		verdict := condemn("lane "+lane, sides, usual)
 		condemn("lane "+lane+" lately", lately[lane], usual)
-		suspect("replies of lane "+lane, verdict, sides[1].Sum())
-		isRare := float64(sides[0].Sum()) < rareLane*float64(sum[0].Sum())
-		if out.Verdict == Fit && !isRare && sides[1].Sum() < fitLane {
-			out.Verdict, out.Reason = Open, "too little is seen of lane "+lane
+		suspect("replies of lane "+lane, verdict, sides[1].Total())
+		isRare := float64(sides[0].Total()) < rareLane*float64(sum[0].Total())
+		if out.Verdict == Pass && !isRare && sides[1].Total() < fitLane {
+			out.Verdict, out.Reason = Inconclusive, "too little is seen of lane "+lane
 		}
 		out.Evidence = append(out.Evidence, Evidence{lane, sides[1], sides[0], verdict.String()})
 	}
-	suspect("replies of all lanes", verdictOfAll, sum[1].Sum())
-	if out.Verdict == Fit && sum[1].Sum() < fitSum {
-		out.Verdict, out.Reason = Open, "too little is seen"
+	suspect("replies of all lanes", verdictOfAll, sum[1].Total())
+	if out.Verdict == Pass && sum[1].Total() < fitSum {
+		out.Verdict, out.Reason = Inconclusive, "too little is seen"
 	}
 	return out
 }
 
 // split lays a trial's rows out by lane: in force, then on trial.
-func split(rows map[Mark]Tally, subject string, number uint64, wave int) map[string][2]Tally {
-	out := map[string][2]Tally{}
+func split(rows map[Label]Counts, subject string, number uint64, wave int) map[string][2]Counts {
+	out := map[string][2]Counts{}
 	for at, tally := range rows {
-		if at.Subject != subject || at.Number != number || at.IsTrial && at.Wave != wave {
+		if at.Subject != subject || at.Number != number || at.OnTrial && at.Wave != wave {
 			continue
 		}
-		sides, side := out[at.Lane], 0
-		if at.IsTrial {
+		sides, side := out[at.Route], 0
+		if at.OnTrial {
 			side = 1
 		}
-		sides[side] = sides[side].Plus(tally)
-		out[at.Lane] = sides
+		sides[side] = sides[side].Add(tally)
+		out[at.Route] = sides
 	}
 	return out
 }
 
-func total(lanes map[string][2]Tally) (sum [2]Tally) {
+func total(lanes map[string][2]Counts) (sum [2]Counts) {
 	for _, sides := range lanes {
-		sum[0], sum[1] = sum[0].Plus(sides[0]), sum[1].Plus(sides[1])
+		sum[0], sum[1] = sum[0].Add(sides[0]), sum[1].Add(sides[1])
 	}
 	return sum
 }
--- a/internal/outlier/recorder.go
+++ b/internal/outlier/recorder.go
@@ -14,7 +14,7 @@
 
 // The outcomes of a delivery that say something of the server's version.
 const (
-	Good Outcome = iota
+	Success Outcome = iota
 	// Failed: the server itself answered that it failed.
 	Failed
 	// Slow: the reply took several times what the lane's replies usually take.
@@ -22,21 +22,21 @@
 	// Broken: the connection broke off before the reply was whole.
 	Broken
 	// Missing: a keyed operation was given up on without an end.
-	Missing
+	Unresolved
 	// Doubled: a keyed operation would have run without its record.
-	Doubled
+	Duplicated
 	outcomes
 )
 
 // Tally counts outcomes; Sum of its counts is how many deliveries there were.
-type Tally [outcomes]uint32
+type Counts [outcomes]uint32
 
 // Sum is how many deliveries the tally counts.
 //
 // Example:
 //
 //	isEnough := tally.Sum() >= 40
-func (t Tally) Sum() (sum uint32) {
+func (t Counts) Total() (sum uint32) {
 	for _, count := range t {
 		sum += count
 	}
@@ -48,7 +48,7 @@
 // Example:
 //
 //	all = all.Plus(tally)
-func (t Tally) Plus(other Tally) Tally {
+func (t Counts) Add(other Counts) Counts {
 	for i := range t {
 		t[i] += other[i]
 	}
@@ -60,7 +60,7 @@
 // Example:
 //
 //	lately := now.Less(before)
-func (t Tally) Less(older Tally) Tally {
+func (t Counts) Subtract(older Counts) Counts {
 	for i := range t {
 		t[i] -= min(t[i], older[i])
 	}
@@ -69,56 +69,56 @@
 
 // Mark says what an outcome is counted for: the trial, by its subject and
 // number, the lane, and the side of the trial.
-type Mark struct {
+type Label struct {
 	// Subject is a service whose version is on trial, or a staged change.
 	Subject string `cbor:"1,keyasint"`
 	Number  uint64 `cbor:"2,keyasint"`
-	Lane    string `cbor:"3,keyasint"`
+	Route   string `cbor:"3,keyasint"`
 	// IsTrial tells the side that is on trial from the one in force.
-	IsTrial bool `cbor:"4,keyasint,omitempty"`
+	OnTrial bool `cbor:"4,keyasint,omitempty"`
 	// Wave is the wave of a staged change, on the side that is on trial.
 	Wave int `cbor:"5,keyasint,omitempty"`
 }
 
 // Row is the tally of one mark.
-type Row struct {
-	Mark  Mark  `cbor:"1,keyasint"`
-	Tally Tally `cbor:"2,keyasint"`
+type LabelCounts struct {
+	Label  Label  `cbor:"1,keyasint"`
+	Counts Counts `cbor:"2,keyasint"`
 }
 
 // Work is how many inquiries are under way at the side in force.
-type Work struct {
-	Subject string `cbor:"1,keyasint"`
-	AtWork  int    `cbor:"2,keyasint"`
+type InFlight struct {
+	Subject  string `cbor:"1,keyasint"`
+	Requests int    `cbor:"2,keyasint"`
 }
 
 // ServerRow is what one server did since the last report.
-type ServerRow struct {
-	ID    string `cbor:"1,keyasint"`
-	Tally Tally  `cbor:"2,keyasint"`
+type ServerCounts struct {
+	ID     string `cbor:"1,keyasint"`
+	Counts Counts `cbor:"2,keyasint"`
 	// Paces is the sum of how long its replies took beside the lane's usual,
 	// over as many as Paced.
-	Paces float32 `cbor:"3,keyasint,omitempty"`
-	Paced uint32  `cbor:"4,keyasint,omitempty"`
+	LatencyRatioSum float32 `cbor:"3,keyasint,omitempty"`
+	LatencySamples  uint32  `cbor:"4,keyasint,omitempty"`
 	// Tried is how many tries came to an end there, Strained how many of them the
 	// server turned away or was late with.
-	Tried    uint32 `cbor:"5,keyasint,omitempty"`
-	Strained uint32 `cbor:"6,keyasint,omitempty"`
+	Attempts   uint32 `cbor:"5,keyasint,omitempty"`
+	Overloaded uint32 `cbor:"6,keyasint,omitempty"`
 }
 
 // Report is one proxy's counts. Rows are whole since the trial began, so a
 // later report takes the place of an earlier one, and one that is lost or comes
 // twice does no harm; the servers' rows are changes and count once by number.
 type Report struct {
-	Node   string `cbor:"1,keyasint"`
-	Life   string `cbor:"2,keyasint"`
-	Number uint64 `cbor:"3,keyasint"`
+	Node        string `cbor:"1,keyasint"`
+	Incarnation string `cbor:"2,keyasint"`
+	Sequence    uint64 `cbor:"3,keyasint"`
 	// Term and Count are the reading of the fleet that the proxy works by.
-	Term    uint64      `cbor:"4,keyasint"`
-	Count   uint64      `cbor:"5,keyasint"`
-	Rows    []Row       `cbor:"6,keyasint,omitempty"`
-	Servers []ServerRow `cbor:"7,keyasint,omitempty"`
-	Works   []Work      `cbor:"8,keyasint,omitempty"`
+	Term     uint64         `cbor:"4,keyasint"`
+	Count    uint64         `cbor:"5,keyasint"`
+	Rows     []LabelCounts  `cbor:"6,keyasint,omitempty"`
+	Servers  []ServerCounts `cbor:"7,keyasint,omitempty"`
+	InFlight []InFlight     `cbor:"8,keyasint,omitempty"`
 }
 
 const (
@@ -128,10 +128,10 @@
 )
 
 // Box counts outcomes at one proxy.
-type Box struct {
+type Recorder struct {
 	lock    sync.Mutex
-	rows    map[Mark]Tally
-	servers map[string]ServerRow
+	rows    map[Label]Counts
+	servers map[string]ServerCounts
 	number  uint64
 }
 
@@ -140,8 +140,8 @@
 // Example:
 //
 //	box := outlier.NewBox()
-func NewBox() *Box {
-	return &Box{rows: map[Mark]Tally{}, servers: map[string]ServerRow{}}
+func NewRecorder() *Recorder {
+	return &Recorder{rows: map[Label]Counts{}, servers: map[string]ServerCounts{}}
 }
 
 // Note counts one outcome for a trial. An earlier trial of the subject is over
@@ -150,12 +150,12 @@
 // Example:
 //
 //	box.Note(outlier.Mark{Subject: service, Number: 3, Lane: lane}, outlier.Good)
-func (b *Box) Note(mark Mark, outcome Outcome) {
+func (b *Recorder) Record(mark Label, outcome Outcome) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	row, isKnown := b.rows[mark]
 	if !isKnown {
-		maps.DeleteFunc(b.rows, func(at Mark, _ Tally) bool { return at.Subject == mark.Subject && at.Number < mark.Number })
+		maps.DeleteFunc(b.rows, func(at Label, _ Counts) bool { return at.Subject == mark.Subject && at.Number < mark.Number })
 	}
 	row[outcome]++
 	b.rows[mark] = row
@@ -167,7 +167,7 @@
 // Example:
 //
 //	box.NoteServer("i-7f3a91c2", outlier.Good, 1.2)
-func (b *Box) NoteServer(server string, outcome Outcome, pace float64) {
+func (b *Recorder) RecordServer(server string, outcome Outcome, pace float64) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	row, isKnown := b.servers[server]
@@ -175,9 +175,9 @@
 		return
 	}
 	row.ID = server
-	if row.Tally[outcome]++; pace > 0 && (outcome == Good || outcome == Slow) {
-		row.Paces += float32(min(pace, paceMost))
-		row.Paced++
+	if row.Counts[outcome]++; pace > 0 && (outcome == Success || outcome == Slow) {
+		row.LatencyRatioSum += float32(min(pace, paceMost))
+		row.LatencySamples++
 	}
 	b.servers[server] = row
 }
@@ -187,7 +187,7 @@
 // Example:
 //
 //	box.NoteStrain("i-7f3a91c2", isTurnedAway)
-func (b *Box) NoteStrain(server string, isStrained bool) {
+func (b *Recorder) RecordLoad(server string, isStrained bool) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	row, isKnown := b.servers[server]
@@ -195,8 +195,8 @@
 		return
 	}
 	row.ID = server
-	if row.Tried++; isStrained {
-		row.Strained++
+	if row.Attempts++; isStrained {
+		row.Overloaded++
 	}
 	b.servers[server] = row
 }
@@ -206,13 +206,13 @@
 // Example:
 //
 //	line.Send(messages.KindReport, box.Report(node, life), nil)
-func (b *Box) Report(node, life string) Report {
+func (b *Recorder) Report(node, life string) Report {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	b.number++
-	report := Report{Node: node, Life: life, Number: b.number}
+	report := Report{Node: node, Incarnation: life, Sequence: b.number}
 	for at, tally := range b.rows {
-		report.Rows = append(report.Rows, Row{at, tally})
+		report.Rows = append(report.Rows, LabelCounts{at, tally})
 	}
 	for _, id := range slices.Sorted(maps.Keys(b.servers)) {
 		report.Servers = append(report.Servers, b.servers[id])
--- a/internal/outlier/server_health.go
+++ b/internal/outlier/server_health.go
@@ -26,9 +26,9 @@
 }
 
 // Bench keeps the evidence of single servers.
-type Bench struct{ stands map[string]*stand }
+type ServerHealth struct{ stands map[string]*stand }
 
-func newBench() *Bench { return &Bench{stands: map[string]*stand{}} }
+func newBench() *ServerHealth { return &ServerHealth{stands: map[string]*stand{}} }
 
 const (
 	// fade is how long it takes for a count to weigh half as much.
@@ -43,7 +43,7 @@
 	benchOdds = 4
 )
 
-func (b *Bench) hear(rows []ServerRow, now timetable.Steady) {
+func (b *ServerHealth) hear(rows []ServerCounts, now timetable.Steady) {
 	for _, row := range rows {
 		s := b.stands[row.ID]
 		if s == nil {
@@ -52,10 +52,10 @@
 		}
 		weight := math.Exp2(-float64(now-s.at) / float64(fade))
 		s.seen, s.bad, s.at = s.seen*weight, s.bad*weight, now
-		s.paces, s.paced = s.paces*weight+float64(row.Paces), s.paced*weight+float64(row.Paced)
-		s.tried, s.strained = s.tried*weight+float64(row.Tried), s.strained*weight+float64(row.Strained)
-		s.seen += float64(row.Tally.Sum())
-		s.bad += float64(row.Tally[Failed] + row.Tally[Broken])
+		s.paces, s.paced = s.paces*weight+float64(row.LatencyRatioSum), s.paced*weight+float64(row.LatencySamples)
+		s.tried, s.strained = s.tried*weight+float64(row.Attempts), s.strained*weight+float64(row.Overloaded)
+		s.seen += float64(row.Counts.Total())
+		s.bad += float64(row.Counts[Failed] + row.Counts[Broken])
 	}
 }
 
@@ -66,7 +66,7 @@
 // Example:
 //
 //	aside := court.Aside(ids)
-func (c *Court) Aside(group []string) map[string]bool {
+func (c *Aggregator) Ejected(group []string) map[string]bool {
 	now := c.clock.Steady()
 	seen, bad := 0.0, 0.0
 	for _, id := range group {
@@ -115,7 +115,7 @@
 // Example:
 //
 //	server.Pace = court.Pace(server.ID) // 8 is usual, 16 twice as long
-func (c *Court) Pace(id string) int {
+func (c *Aggregator) LatencyRatio(id string) int {
 	s, now := c.bench.stands[id], c.clock.Steady()
 	if s == nil {
 		return 0
@@ -143,7 +143,7 @@
 // Example:
 //
 //	isWide := court.Strained(ids) >= 0.5
-func (c *Court) Strained(group []string) float64 {
+func (c *Aggregator) OverloadedShare(group []string) float64 {
 	tried, strained, now := 0, 0, c.clock.Steady()
 	for _, id := range group {
 		s := c.bench.stands[id]
@@ -162,7 +162,7 @@
 // Example:
 //
 //	court.Keep(func(id string) bool { return isListed[id] })
-func (c *Court) Keep(isListed func(id string) bool) {
+func (c *Aggregator) RetainServers(isListed func(id string) bool) {
 	for id := range c.bench.stands {
 		if !isListed(id) {
 			delete(c.bench.stands, id)
--- a/internal/proxy/canary.go
+++ b/internal/proxy/canary.go
@@ -58,9 +58,9 @@
 	}
 }
 
-func (p *proxy) canaryAllowance(service string) *balancer.Allowance {
-	allowance, _ := p.trialAllowances.LoadOrStore(service, &balancer.Allowance{})
-	return allowance.(*balancer.Allowance)
+func (p *proxy) canaryAllowance(service string) *balancer.CanaryAllowance {
+	allowance, _ := p.trialAllowances.LoadOrStore(service, &balancer.CanaryAllowance{})
+	return allowance.(*balancer.CanaryAllowance)
 }
 
 // mayUseCanary reports whether the next attempt may go to the canary version. The
@@ -76,8 +76,8 @@
 
 // recordOutcome counts the outcome of an attempt for its server and for the canary
 // that it belongs to.
-func (d *forwarder) recordOutcome(server *balancer.Siding, mark outlier.Mark, response *upstream.Response, err error, latency, usualLatency time.Duration) {
-	outcome := outlier.Good
+func (d *forwarder) recordOutcome(server *balancer.Endpoint, mark outlier.Label, response *upstream.Response, err error, latency, usualLatency time.Duration) {
+	outcome := outlier.Success
 	warming := server.WarmLeft(d.clock.Wall()) > 0
 	slow := usualLatency > 0 && latency > max(slowFactor*usualLatency, slowMin)
 	var netErr net.Error
@@ -99,17 +99,17 @@
 	if usualLatency > 0 && !warming {
 		relativeLatency = float64(latency) / float64(usualLatency)
 	}
-	d.outcomes.NoteServer(server.ID, outcome, relativeLatency)
+	d.outcomes.RecordServer(server.ID, outcome, relativeLatency)
 	if mark.Number > 0 && (outcome != outlier.Slow || !warming) {
-		d.outcomes.Note(mark, outcome)
+		d.outcomes.Record(mark, outcome)
 	}
 }
 
 // canaryMark identifies the canary that was active when an attempt was sent. The
 // outcome of the attempt counts for it.
-func (d *forwarder) canaryMark(server *balancer.Siding) (mark outlier.Mark) {
+func (d *forwarder) canaryMark(server *balancer.Endpoint) (mark outlier.Label) {
 	if share, granted := d.snapshot.Load().canaryShare(d.request.service, d.clock.Steady()); granted {
-		mark = outlier.Mark{Subject: d.request.service, Number: share.Number, Lane: d.request.route.Name, IsTrial: server.Grade == feed.OnTrial}
+		mark = outlier.Label{Subject: d.request.service, Number: share.Number, Route: d.request.route.Name, OnTrial: server.Grade == feed.OnTrial}
 	}
 	return mark
 }
@@ -130,11 +130,11 @@
 		evidence := p.outcomes.Report(conf.Platform.NodeName, p.incarnation)
 		evidence.Term, evidence.Count = s.fleetVersion.Term, s.fleetVersion.Count
 		for _, share := range s.trialShares {
-			evidence.Works = append(evidence.Works, outlier.Work{Subject: share.Service, AtWork: s.balancer.AtWork(share.Service)})
+			evidence.InFlight = append(evidence.InFlight, outlier.InFlight{Subject: share.Service, Requests: s.balancer.InFlight(share.Service)})
 		}
 		report := messages.Report{Evidence: evidence, Cell: conf.Platform.Cell}
 		if conf.Tuning.Branchline != settings.BranchOff {
-			report.Uses = p.siteCapacity.Uses()
+			report.Uses = p.siteCapacity.Usages()
 		}
 		report.Loads, report.Mirrored = p.takeLoads(), p.trafficMirror.tallies()
 		line := p.connection(s.holder)
@@ -142,7 +142,7 @@
 			var answer messages.Lots
 			if line.Ask(messages.KindReport, report, &answer, reportTimeout) == nil {
 				p.noteReportAnswer()
-				p.siteCapacity.Take(answer.Lots, sentAt)
+				p.siteCapacity.Apply(answer.Lots, sentAt)
 			}
 		}()
 	})
--- a/internal/proxy/cancellation_test.go
+++ b/internal/proxy/cancellation_test.go
@@ -31,12 +31,12 @@
 	conf.Platform.Bounds.RetrySlack = 100
 	conf.Platform.Bounds.RetryWindow = timetable.Span(10 * time.Second)
 	p := newProxy(conf, timetable.Real(), func(string, string, ...any) {})
-	serverSet := balancer.NewYard(balancer.Home{Node: "n", Set: 8})
+	serverSet := balancer.NewServerSet(balancer.Locality{Node: "n", SubsetSize: 8})
 	fleet := feed.Fleet{Term: 1, Count: 1, Proxies: 1}
 	for _, server := range servers {
 		fleet.Servers = append(fleet.Servers, feed.Server{ID: server.ID, Service: "s", Address: server.Address(), Capacity: 4, IsReady: true, Revision: "v1"})
 	}
-	p.snapshot.Store(&snapshot{manifest: p.snapshot.Load().manifest, balancer: serverSet.Lay(fleet), proxyCount: 1})
+	p.snapshot.Store(&snapshot{manifest: p.snapshot.Load().manifest, balancer: serverSet.WithFleet(fleet), proxyCount: 1})
 	return p, &clientRequest{
 		Request: &upstream.Request{Method: "POST", Target: "/a", Host: "h", Header: http.Header{upstream.HeaderAttempt: {"t"}}, Attempt: "t"},
 		route:   &config.Route{RouteSpec: config.RouteSpec{Name: "r", RouteType: routeType, MaxAttempts: 3}}, snapshot: p.snapshot.Load(), service: "s",
@@ -79,8 +79,8 @@
 		Expect(errors.Is(err, errClientGone)).To(BeTrue())
 		listed, found := p.snapshot.Load().balancer.Find("i-1")
 		Expect(found).To(BeTrue())
-		Eventually(func() int { return p.snapshot.Load().balancer.AtWork("s") }).Should(BeZero())
-		Expect(listed.IsSound()).To(BeTrue())
+		Eventually(func() int { return p.snapshot.Load().balancer.InFlight("s") }).Should(BeZero())
+		Expect(listed.Healthy()).To(BeTrue())
 		outcome, counted := stagedOutcome(req, nil, err, 0)
 		Expect(counted).To(BeFalse(), "%v", outcome)
 		Expect(mayHaveExecuted(err)).To(BeTrue())
--- a/internal/proxy/eligibility.go
+++ b/internal/proxy/eligibility.go
@@ -13,12 +13,12 @@
 // acceptsRequests reports whether the server may still get requests by the newest
 // snapshot: it is listed under the same address, is ready, runs a version that is not
 // shut, and is not known to be leaving.
-func (p *proxy) acceptsRequests(server *balancer.Siding) bool {
+func (p *proxy) acceptsRequests(server *balancer.Endpoint) bool {
 	current, listed := p.snapshot.Load().balancer.Find(server.ID)
 	if !listed || current.Address != server.Address {
 		return false
 	}
-	return current.IsReady && current.Grade != feed.Shut && !current.IsLeaving()
+	return current.IsReady && current.Grade != feed.Shut && !current.Leaving()
 }
 
 // replaceAttempt starts an attempt in place of one whose server left before anything was
@@ -33,15 +33,15 @@
 func (d *forwarder) serverOutcome(response *upstream.Response, err error) balancer.Outcome {
 	switch {
 	case d.abortedByClient(err), errors.Is(err, upstream.ErrNotServing):
-		return balancer.Unasked
+		return balancer.NotSent
 	case errors.Is(err, upstream.ErrNotSent) && errors.Is(err, errors.Timeout):
-		return balancer.Unasked
+		return balancer.NotSent
 	case err != nil:
 		return balancer.Failed
 	case response.Status == http.StatusMisdirectedRequest:
 		return balancer.Misdirected
 	case response.IsNotExecuted():
-		return balancer.Full
+		return balancer.Overloaded
 	default:
 		return balancer.Served
 	}
--- a/internal/proxy/eligibility_test.go
+++ b/internal/proxy/eligibility_test.go
@@ -32,7 +32,7 @@
 		updated.applyFleet(feed.Fleet{Term: 1, Count: updated.fleetVersion.Count + 1, Servers: list}, p.clock.Steady())
 		p.snapshot.Store(&updated)
 	}
-	findServer := func(id string) *balancer.Siding {
+	findServer := func(id string) *balancer.Endpoint {
 		server, found := p.snapshot.Load().balancer.Find(id)
 		Expect(found).To(BeTrue())
 		return server
@@ -85,7 +85,7 @@
 			moved.Address = listedServer("x-2").Address
 			updateServers(moved, listedServer("x-2"))
 		},
-		"is reported to be leaving": func() { p.snapshot.Load().balancer.Leave([]string{"x-1"}) },
+		"is reported to be leaving": func() { p.snapshot.Load().balancer.MarkLeaving([]string{"x-1"}) },
 	}
 	for condition, removeServer := range departures {
 		for _, routeType := range []config.RouteKind{config.Safe, config.Unsafe, config.Idempotent} {
@@ -103,7 +103,7 @@
 				Expect(servers["x-1"].Runs()).To(BeEmpty())
 				Expect(servers["x-2"].Runs()).To(HaveLen(1))
 				Expect([]int{fwd.sentCount, fwd.unsentCount}).To(Equal([]int{1, 0}))
-				Expect(server.IsSound()).To(BeTrue(), "leaving does not count as a failure")
+				Expect(server.Healthy()).To(BeTrue(), "leaving does not count as a failure")
 			})
 		}
 	}
--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -44,13 +44,13 @@
 	return func(ctx context.Context, request any) (any, error) {
 		req := request.(*clientRequest)
 		req.service = req.route.Pick(rand.Float64())
-		p.retryBudget(req.service).Ask()
+		p.retryBudget(req.service).RecordRequest()
 		req.setRingPosition()
 		if err := p.checkOverload(req); err != nil {
 			return nil, err
 		}
 		p.admitToCanary(req)
-		if req.snapshot.balancer.Ready(req.service) == 0 {
+		if req.snapshot.balancer.ReadyCount(req.service) == 0 {
 			return nil, apierror.New(apierror.NoServer, req.service)
 		}
 		return next(ctx, request)
@@ -59,7 +59,7 @@
 
 // attemptResult is the result of one attempt at one server.
 type attemptResult struct {
-	server   *balancer.Siding
+	server   *balancer.Endpoint
 	response *upstream.Response
 	err      error
 }
@@ -70,7 +70,7 @@
 	request     *clientRequest
 	stats       *responseStats
 	results     chan attemptResult
-	tried       []*balancer.Siding
+	tried       []*balancer.Endpoint
 	inFlight    int
 	sentCount   int
 	unsentCount int
@@ -188,7 +188,7 @@
 	if server == nil {
 		return false
 	}
-	if !d.retryBudget(d.request.service).Spend() {
+	if !d.retryBudget(d.request.service).TakeRetry() {
 		d.releaseSlot(server)
 		return false
 	}
@@ -205,7 +205,7 @@
 	return server != nil
 }
 
-func (d *forwarder) send(server *balancer.Siding) {
+func (d *forwarder) send(server *balancer.Endpoint) {
 	d.tried = append(d.tried, server)
 	d.inFlight++
 	d.sentCount++
@@ -215,7 +215,7 @@
 }
 
 // runAttempt runs one attempt to its end, even if the client no longer waits.
-func (d *forwarder) runAttempt(server *balancer.Siding, mark outlier.Mark) {
+func (d *forwarder) runAttempt(server *balancer.Endpoint, mark outlier.Label) {
 	lateWait, bufferLimit := repeatableLateWait, int64(d.settings.Load().Tuning.BufferBytes)
 	if !d.request.route.IsRepeatable() {
 		lateWait, bufferLimit = unrepeatableLateWait, max(bufferLimit, d.request.snapshot.manifest.Limits.MaxBodyBytes)
@@ -229,7 +229,7 @@
 		streamAfter = bandwidth.BulkLeast
 	}
 	start := d.clock.Steady()
-	response, err := server.Rack.Deliver(upstream.Delivery{
+	response, err := server.Pool.Deliver(upstream.Delivery{
 		Request: d.request.Request, ClientContext: d.abortContext(), Deadline: d.request.deadline, ResponseDeadline: d.request.deadline.Add(lateWait), ConnectTimeout: serverConnectTimeout, BufferLimit: bufferLimit, StreamThreshold: streamAfter, Inbound: d.inbound, Outbound: d.outbound,
 		Serving: func() bool { return d.acceptsRequests(server) }, MaySend: d.request.maySend,
 	})
--- a/internal/proxy/leaving_server_test.go
+++ b/internal/proxy/leaving_server_test.go
@@ -24,7 +24,7 @@
 	chosenServers := func() map[string]bool {
 		servers := map[string]bool{}
 		for range 100 {
-			servers[p.snapshot.Load().balancer.Choose(balancer.Wish{Service: "s"}, clock).ID] = true
+			servers[p.snapshot.Load().balancer.Choose(balancer.Criteria{Service: "s"}, clock).ID] = true
 		}
 		return servers
 	}
--- a/internal/proxy/mirror.go
+++ b/internal/proxy/mirror.go
@@ -33,7 +33,7 @@
 	route    *config.Route
 	hash     uint64
 	era      uint64
-	position balancer.Place
+	position balancer.RingPosition
 	timeout  time.Duration
 	// The response to the original: its status, its length, the digest of its body
 	// if bodyComplete, and its latency.
@@ -92,7 +92,7 @@
 
 // poolOf returns the connection pool of a shadow server. It is separate from the
 // pools of the request path.
-func (m *mirrorSender) poolOf(server *balancer.Siding) *upstream.Pool {
+func (m *mirrorSender) poolOf(server *balancer.Endpoint) *upstream.Pool {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	name := poolName(server.Server)
@@ -136,7 +136,7 @@
 		return
 	}
 	job := mirrorJob{
-		mirror: m, record: record, route: req.route, hash: hash, era: era, position: balancer.Place(hash), timeout: time.Until(req.deadline) + time.Since(req.arrivedAt),
+		mirror: m, record: record, route: req.route, hash: hash, era: era, position: balancer.RingPosition(hash), timeout: time.Until(req.deadline) + time.Since(req.arrivedAt),
 		status: response.Status, length: response.Length, liveLatency: req.duration,
 	}
 	if job.bodyComplete = response.Remainder == nil; job.bodyComplete {
--- a/internal/proxy/mirror_send.go
+++ b/internal/proxy/mirror_send.go
@@ -26,7 +26,7 @@
 // sendMirrored sends a mirrored request to a server of the shadow and compares the
 // response with the original one.
 func (p *proxy) sendMirrored(job mirrorJob) {
-	server := p.snapshot.Load().balancer.Home(job.mirror.Shadow, job.position)
+	server := p.snapshot.Load().balancer.HomeServer(job.mirror.Shadow, job.position)
 	if server == nil {
 		job.record.Miss(job.hash, job.era, "the shadow has no server")
 		return
@@ -65,10 +65,10 @@
 // maySendMirrored is the last check before the first byte is sent: the server must
 // still be listed under the same address, ready, and belong to a shadow that no route
 // delivers to, and the grant of the mirror must be valid.
-func (p *proxy) maySendMirrored(m *config.Mirror, server *balancer.Siding) bool {
+func (p *proxy) maySendMirrored(m *config.Mirror, server *balancer.Endpoint) bool {
 	s := p.snapshot.Load()
 	current, listed := s.balancer.Find(server.ID)
-	if !listed || current.Address != server.Address || current.Service != m.Shadow || !current.IsReady || current.IsLeaving() {
+	if !listed || current.Address != server.Address || current.Service != m.Shadow || !current.IsReady || current.Leaving() {
 		return false
 	}
 	_, granted := s.mirrorGrant(m)
--- a/internal/proxy/mirror_test.go
+++ b/internal/proxy/mirror_test.go
@@ -27,7 +27,7 @@
 		one, two := feed.Server{ID: "x-1", Address: "a:1"}, feed.Server{ID: "x-2", Address: "a:2"}
 		pools := map[string]any{}
 		for _, server := range []feed.Server{one, two} {
-			pools[server.ID] = sender.poolOf(&balancer.Siding{Server: server})
+			pools[server.ID] = sender.poolOf(&balancer.Endpoint{Server: server})
 		}
 		sender.closeUnlisted([]feed.Server{two, one})
 		Expect(sender.pools).To(HaveLen(2))
@@ -35,8 +35,8 @@
 		moved.Address = "a:9"
 		sender.closeUnlisted([]feed.Server{moved, two})
 		Expect(sender.pools).To(HaveLen(1))
-		Expect(sender.poolOf(&balancer.Siding{Server: two})).To(BeIdenticalTo(pools["x-2"]))
-		Expect(sender.poolOf(&balancer.Siding{Server: one})).NotTo(BeIdenticalTo(pools["x-1"]))
+		Expect(sender.poolOf(&balancer.Endpoint{Server: two})).To(BeIdenticalTo(pools["x-2"]))
+		Expect(sender.poolOf(&balancer.Endpoint{Server: one})).NotTo(BeIdenticalTo(pools["x-1"]))
 	})
 })
 
@@ -50,7 +50,7 @@
 		items.Merge([]config.Item{{ID: config.ID{Class: config.RouteItem, Name: "fee"}, Version: 1, Host: "h", Body: body}})
 		fleet := feed.Fleet{Term: 1, Count: 1, Servers: []feed.Server{{ID: "x-1", Service: service, Address: address, Capacity: 2, IsReady: isReady}}}
 		return &snapshot{
-			manifest: items.Compile(), balancer: balancer.NewYard(balancer.Home{Node: "n"}).Lay(fleet), fleetReceivedAt: timetable.Steady(time.Hour),
+			manifest: items.Compile(), balancer: balancer.NewServerSet(balancer.Locality{Node: "n"}).WithFleet(fleet), fleetReceivedAt: timetable.Steady(time.Hour),
 			mirrorGrants: []loopline.Grant{{Name: "build", Version: version, Share: 1}},
 		}
 	}
@@ -59,7 +59,7 @@
 		clock := &timetable.Hand{Now: time.Hour}
 		p := newProxy(&settings.Settings{}, clock, func(string, string, ...any) {})
 		mirror := &config.Mirror{Mirror: loopline.Mirror{Name: "build", Shadow: "next"}, Version: 3}
-		server := &balancer.Siding{Server: feed.Server{ID: "x-1", Service: "next", Address: "a:1", IsReady: true}}
+		server := &balancer.Endpoint{Server: feed.Server{ID: "x-1", Service: "next", Address: "a:1", IsReady: true}}
 		maySend := func(s *snapshot) bool { p.snapshot.Store(s); return p.maySendMirrored(mirror, server) }
 		Expect(maySend(stateWith("a:1", "next", true, 3, "fees"))).To(BeTrue())
 		Expect(maySend(stateWith("a:9", "next", true, 3, "fees"))).To(BeFalse(), "x-1 has another address")
--- a/internal/proxy/operator.go
+++ b/internal/proxy/operator.go
@@ -43,12 +43,12 @@
 // changes nothing.
 func (p *proxy) plannedMoves(change balancer.Change) messages.Moves {
 	current := p.snapshot.Load().balancer
-	homeAfter := current.Trial(change)
+	homeAfter := current.HomeAfter(change)
 	out := messages.Moves{Node: p.settings.Load().Platform.NodeName}
 	p.runningOperations.Range(func(_, value any) bool {
 		operation := value.(*runningOperation)
 		req := operation.request
-		home := current.Home(req.service, req.ringPosition)
+		home := current.HomeServer(req.service, req.ringPosition)
 		if req.service != change.Service || home == nil {
 			return true
 		}
@@ -75,12 +75,12 @@
 	servers := p.snapshot.Load().balancer
 	for _, position := range query.Places {
 		id := ""
-		if home := servers.Home(query.Service, position); home != nil {
+		if home := servers.HomeServer(query.Service, position); home != nil {
 			id = home.ID
 		}
 		out.Homes = append(out.Homes, id)
 	}
-	out.Ring = servers.Names(query.Service)
+	out.Ring = servers.InstanceIDs(query.Service)
 	return out
 }
 
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -36,7 +36,7 @@
 // replaced as a whole.
 type snapshot struct {
 	manifest *config.Sheet
-	balancer *balancer.Yard
+	balancer *balancer.ServerSet
 	// localSite is this node's site.
 	sites          *sites.Tree
 	localSite      string
@@ -76,7 +76,7 @@
 
 	mu           sync.Mutex
 	connections  map[string]*rpc.Line
-	retryBudgets map[string]*balancer.Budget
+	retryBudgets map[string]*balancer.RetryBudget
 	routeStats   sync.Map
 	// runningOperations holds the running ring-placed operations by their request.
 	runningOperations sync.Map
@@ -87,11 +87,11 @@
 	inbound, outbound *bandwidth.Track
 	downloads         *bandwidth.Passing
 	// outcomes counts attempt outcomes for the reports to the control plane.
-	outcomes *outlier.Box
+	outcomes *outlier.Recorder
 	// trialAllowances holds by service how many requests a version on trial may get.
 	trialAllowances sync.Map
 	// siteCapacity holds what this node may use of other sites' capacity.
-	siteCapacity *sites.Purse
+	siteCapacity *sites.NodeLeases
 	// shedder decides which requests are shed under overload, trafficMirror sends copies
 	// of requests to mirrors.
 	shedder       *loadShedder
@@ -154,15 +154,15 @@
 func newProxy(cfg *settings.Settings, clock timetable.Clock, log LogFunc) *proxy {
 	p := &proxy{
 		clock: clock, log: log, updateLoop: timetable.NewLoop[feed.News](256), replica: feed.NewBoard(),
-		connections: map[string]*rpc.Line{}, retryBudgets: map[string]*balancer.Budget{}, incarnation: newIncarnation(), outcomes: outlier.NewBox(), siteCapacity: sites.NewPurse(clock),
+		connections: map[string]*rpc.Line{}, retryBudgets: map[string]*balancer.RetryBudget{}, incarnation: newIncarnation(), outcomes: outlier.NewRecorder(), siteCapacity: sites.NewNodeLeases(clock),
 		shedder: newLoadShedder(clock), trafficMirror: newMirrorSender(),
 	}
 	p.settings.Store(cfg)
-	locality := balancer.Home{Node: cfg.Platform.NodeName, Cell: cfg.Platform.Cell, Set: cfg.Tuning.WorkingSet}
+	locality := balancer.Locality{Node: cfg.Platform.NodeName, Zone: cfg.Platform.Cell, SubsetSize: cfg.Tuning.WorkingSet}
 	p.inbound = bandwidth.NewTrack(cfg.Platform.Limits.LinkMbps, clock)
 	p.outbound = bandwidth.NewTrack(cfg.Platform.Limits.LinkMbps, clock)
 	p.downloads = bandwidth.NewPassing(p.outbound)
-	p.snapshot.Store(&snapshot{manifest: config.Book{}.Compile(), balancer: balancer.NewYard(locality)})
+	p.snapshot.Store(&snapshot{manifest: config.Book{}.Compile(), balancer: balancer.NewServerSet(locality)})
 	p.serve = endpoint.Chain(p.admissionMiddleware, p.limitingDownloads, p.idempotencyMiddleware)(p.forward)
 	return p
 }
@@ -189,7 +189,7 @@
 		}
 		leavingIDs = append(leavingIDs, merged.Leaving...)
 	}
-	next.balancer.Leave(leavingIDs)
+	next.balancer.MarkLeaving(leavingIDs)
 	if !changed {
 		return
 	}
@@ -236,14 +236,14 @@
 }
 
 // retryBudget returns the service's retry budget, created on first use.
-func (p *proxy) retryBudget(service string) *balancer.Budget {
+func (p *proxy) retryBudget(service string) *balancer.RetryBudget {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	budget := p.retryBudgets[service]
 	if budget == nil {
 		bounds := p.settings.Load().Platform.Bounds
-		floor := func() float64 { return balancer.Floor(bounds.RetrySlack, p.snapshot.Load().proxyCount) }
-		budget = balancer.NewBudget(bounds.RetryBudgetRatio, bounds.RetryWindow.Std(), floor, p.clock)
+		floor := func() float64 { return balancer.SlackPerProxy(bounds.RetrySlack, p.snapshot.Load().proxyCount) }
+		budget = balancer.NewRetryBudget(bounds.RetryBudgetRatio, bounds.RetryWindow.Std(), floor, p.clock)
 		p.retryBudgets[service] = budget
 	}
 	return budget
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -32,7 +32,7 @@
 	// maySend, if set, is checked immediately before the first byte is sent.
 	maySend func() bool
 	// ringPosition places a keyed operation or a download on the service's hash ring.
-	ringPosition    balancer.Place
+	ringPosition    balancer.RingPosition
 	hasRingPosition bool
 	// trialEligible is set if the request may go to the version on trial.
 	trialEligible bool
@@ -52,9 +52,9 @@
 func (i *clientRequest) setRingPosition() {
 	switch i.route.RouteType {
 	case config.Idempotent:
-		i.ringPosition, i.hasRingPosition = balancer.PlaceOf(i.route.Host, i.Header.Get(upstream.HeaderOperationKey)), true
+		i.ringPosition, i.hasRingPosition = balancer.RingPositionOf(i.route.Host, i.Header.Get(upstream.HeaderOperationKey)), true
 	case config.Download:
-		i.ringPosition, i.hasRingPosition = balancer.PlaceOf(i.route.Host, i.Target), true
+		i.ringPosition, i.hasRingPosition = balancer.RingPositionOf(i.route.Host, i.Target), true
 	}
 }
 
--- a/internal/proxy/selection.go
+++ b/internal/proxy/selection.go
@@ -20,16 +20,16 @@
 
 // chooseServer chooses the server of the next attempt, or nil. It prefers the canary
 // version if the request may go there.
-func (d *forwarder) chooseServer() *balancer.Siding {
+func (d *forwarder) chooseServer() *balancer.Endpoint {
 	s := d.snapshot.Load()
-	criteria := balancer.Wish{
-		Service: d.request.service, Passed: d.tried, Crossing: d.stats.zoneCost(d.settings.Load().Tuning.CrossingPerKB.Std()),
-		Place: d.request.ringPosition, IsPlaced: d.request.hasRingPosition, Limit: d.connectionLimit(), IsTrial: d.mayUseCanary(s), Usual: d.stats.mean(),
+	criteria := balancer.Criteria{
+		Service: d.request.service, Tried: d.tried, ZoneCost: d.stats.zoneCost(d.settings.Load().Tuning.CrossingPerKB.Std()),
+		Position: d.request.ringPosition, HasPosition: d.request.hasRingPosition, MaxInFlight: d.connectionLimit(), Canary: d.mayUseCanary(s), UsualLatency: d.stats.mean(),
 	}
-	if server := d.chooseMatching(s, criteria); server != nil || !criteria.IsTrial {
+	if server := d.chooseMatching(s, criteria); server != nil || !criteria.Canary {
 		return server
 	}
-	criteria.IsTrial = false
+	criteria.Canary = false
 	return d.chooseMatching(s, criteria)
 }
 
@@ -54,37 +54,37 @@
 
 // chooseMatching chooses a server at the local site, or at another site with free
 // slots, and takes a slot there. It returns nil if no server meets the criteria.
-func (d *forwarder) chooseMatching(s *snapshot, criteria balancer.Wish) *balancer.Siding {
+func (d *forwarder) chooseMatching(s *snapshot, criteria balancer.Criteria) *balancer.Endpoint {
 	mode := d.settings.Load().Tuning.Branchline
 	if mode == settings.BranchOff || s.sites == nil {
 		return s.balancer.Choose(criteria, d.clock)
 	}
 	service, share := d.request.service, s.slotShare(d.request)
-	if mode == settings.BranchFallen && !s.balancer.IsFallen(service) {
+	if mode == settings.BranchFallen && !s.balancer.LocalZoneDegraded(service) {
 		// While the local site is healthy, its servers limit the load by rejecting
 		// requests themselves.
 		server := s.balancer.Choose(criteria, d.clock)
 		if server != nil {
-			d.siteReservations.Store(server, d.siteCapacity.Note(service, s.sites.SiteOf(server.ID, server.Cell)))
+			d.siteReservations.Store(server, d.siteCapacity.AcquireUnleased(service, s.sites.SiteOf(server.ID, server.Cell)))
 		}
 		return server
 	}
-	criteria.Allows = func(server *balancer.Siding) bool {
+	criteria.Allowed = func(server *balancer.Endpoint) bool {
 		site := s.sites.SiteOf(server.ID, server.Cell)
 		if site == s.localSite {
 			// A server that failed its last request is not worth waiting for:
 			// without free slots elsewhere the request is rejected at once.
-			return server.IsSound() || rand.IntN(probeInterval) == 0
+			return server.Healthy() || rand.IntN(probeInterval) == 0
 		}
-		return d.siteCapacity.HasRoom(service, site, share)
+		return d.siteCapacity.HasSlot(service, site, share)
 	}
-	for range len(s.balancer.Names(service)) + 1 {
+	for range len(s.balancer.InstanceIDs(service)) + 1 {
 		server := s.balancer.Choose(criteria, d.clock)
 		if server == nil {
-			d.siteCapacity.Turn(service, max(d.stats.mean(), time.Millisecond))
+			d.siteCapacity.RecordRejection(service, max(d.stats.mean(), time.Millisecond))
 			return nil
 		}
-		if release, ok := d.siteCapacity.Enter(service, s.sites.SiteOf(server.ID, server.Cell), s.localSite, share); ok {
+		if release, ok := d.siteCapacity.Acquire(service, s.sites.SiteOf(server.ID, server.Cell), s.localSite, share); ok {
 			d.siteReservations.Store(server, release)
 			return server
 		}
@@ -93,7 +93,7 @@
 }
 
 // releaseSlot releases the slot that an attempt holds at the site of its server.
-func (d *forwarder) releaseSlot(server *balancer.Siding) {
+func (d *forwarder) releaseSlot(server *balancer.Endpoint) {
 	if release, ok := d.siteReservations.LoadAndDelete(server); ok {
 		release.(func())()
 	}
@@ -102,5 +102,5 @@
 // needsSlots reports whether requests lack slots at other sites. Reports are then
 // sent in every period.
 func (p *proxy) needsSlots() bool {
-	return p.settings.Load().Tuning.Branchline != settings.BranchOff && p.siteCapacity.IsShort()
+	return p.settings.Load().Tuning.Branchline != settings.BranchOff && p.siteCapacity.HasRejections()
 }
--- a/internal/proxy/shed.go
+++ b/internal/proxy/shed.go
@@ -113,7 +113,7 @@
 const lateFactor = 2
 
 // countLoad counts what the end of an attempt shows about the load of its service.
-func (d *forwarder) countLoad(server *balancer.Siding, response *upstream.Response, err error, latency time.Duration) {
+func (d *forwarder) countLoad(server *balancer.Endpoint, response *upstream.Response, err error, latency time.Duration) {
 	if !d.sheddingEnabled() || err != nil || response.Status == http.StatusMisdirectedRequest {
 		return
 	}
@@ -128,7 +128,7 @@
 		outcome = shedding.Late
 	}
 	d.shedder.counter.Try(d.request.service, route.Tier, server.ID, outcome)
-	d.outcomes.NoteStrain(server.ID, outcome != shedding.InTime)
+	d.outcomes.RecordLoad(server.ID, outcome != shedding.InTime)
 }
 
 // updateGauge feeds the counts since the last call to the local gauge and reports
--- a/internal/proxy/snapshot.go
+++ b/internal/proxy/snapshot.go
@@ -12,9 +12,9 @@
 	switch {
 	case slices.Equal(s.servers, fleet.Servers):
 	case feed.IsKeptAs(s.servers, fleet.Servers):
-		s.balancer.Hear(fleet)
+		s.balancer.UpdateHealth(fleet)
 	default:
-		s.balancer = s.balancer.Lay(fleet)
+		s.balancer = s.balancer.WithFleet(fleet)
 	}
 	s.servers = fleet.Servers
 	s.proxyCount, s.trialShares, s.holder = fleet.Proxies, fleet.Shares, fleet.Holder
--- a/internal/proxy/staged.go
+++ b/internal/proxy/staged.go
@@ -44,7 +44,7 @@
 // stagedMark identifies the staged change that affects a request. The outcome of the
 // request counts for it.
 type stagedMark struct {
-	mark outlier.Mark
+	mark outlier.Label
 	// targetLatency is the latency above which a response counts as slow.
 	targetLatency time.Duration
 	// dropsRecord: with the change, a request with an idempotency key would run
@@ -68,7 +68,7 @@
 		if marked == nil {
 			marked = next
 		}
-		req.stagedChange = &stagedMark{mark: outlier.Mark{Subject: change.Subject, Number: change.Number, Lane: marked.Name, IsTrial: change.applies}}
+		req.stagedChange = &stagedMark{mark: outlier.Label{Subject: change.Subject, Number: change.Number, Route: marked.Name, OnTrial: change.applies}}
 		if req.stagedChange.targetLatency = marked.TargetLatency.Std(); req.stagedChange.targetLatency == 0 {
 			req.stagedChange.targetLatency = marked.Timeout.Std()
 		}
@@ -101,10 +101,10 @@
 		outcome, counts = outlier.Broken, true
 	}
 	if req.stagedChange.dropsRecord {
-		outcome, counts = outlier.Doubled, true
+		outcome, counts = outlier.Duplicated, true
 	}
 	if counts {
-		p.outcomes.Note(req.stagedChange.mark, outcome)
+		p.outcomes.Record(req.stagedChange.mark, outcome)
 	}
 }
 
@@ -124,7 +124,7 @@
 		if keyed && (known.Kind == apierror.Broken || known.Kind == apierror.Late) {
 			// The request may have run, and its outcome is unknown: it counts as
 			// missing.
-			outcome = outlier.Missing
+			outcome = outlier.Unresolved
 		}
 		return outcome, counted
 	case errors.Is(err, errClientGone):
@@ -136,5 +136,5 @@
 	case latency > req.stagedChange.targetLatency:
 		return outlier.Slow, true
 	}
-	return outlier.Good, true
+	return outlier.Success, true
 }
--- a/internal/sites/allocator.go
+++ b/internal/sites/allocator.go
@@ -11,17 +11,17 @@
 )
 
 // Use is what one node has under way at one site's servers of a service.
-type Use struct {
+type Usage struct {
 	Service string `cbor:"1,keyasint"`
 	// Site is where the servers are; empty where there was none with room.
-	Site   string `cbor:"2,keyasint,omitempty"`
-	AtWork int    `cbor:"3,keyasint,omitempty"`
+	Site     string `cbor:"2,keyasint,omitempty"`
+	InFlight int    `cbor:"3,keyasint,omitempty"`
 	// Wanted is how many more places it could use, if Site is empty.
 	Wanted int `cbor:"4,keyasint,omitempty"`
 }
 
 // Lot is how much of another site's room a node may use; a grant with a due.
-type Lot struct {
+type Lease struct {
 	Service string `cbor:"1,keyasint" json:"Service"`
 	Site    string `cbor:"2,keyasint" json:"Site"`
 	Slots   int    `cbor:"3,keyasint" json:"Slots"`
@@ -32,7 +32,7 @@
 
 // GrantSpan is how long a lot may be used, counted by the node from when it sent
 // its report.
-const GrantSpan = 1500 * time.Millisecond
+const LeaseDuration = 1500 * time.Millisecond
 
 const (
 	// spanMargin is by how much longer the office counts a lot as given.
@@ -60,7 +60,7 @@
 // Office gives out the room of the sites. It belongs to the holder of the duty
 // and has one owner. The sum of all lots that may still be used, and of what a
 // site's own callers have under way there, never exceeds the site's room.
-type Office struct {
+type Allocator struct {
 	clock    timetable.Clock
 	tree     *Tree
 	opens    timetable.Steady
@@ -74,9 +74,9 @@
 // Example:
 //
 //	office := sites.NewOffice(tree, clock)
-func NewOffice(tree *Tree, clock timetable.Clock) *Office {
-	return &Office{
-		clock: clock, tree: tree, opens: clock.Steady() + timetable.Steady(GrantSpan+spanMargin),
+func NewAllocator(tree *Tree, clock timetable.Clock) *Allocator {
+	return &Allocator{
+		clock: clock, tree: tree, opens: clock.Steady() + timetable.Steady(LeaseDuration+spanMargin),
 		capacity: map[Key]int{}, tenants: map[string]*tenant{},
 	}
 }
@@ -86,10 +86,10 @@
 // Example:
 //
 //	office.Lay(tree, map[sites.Key]int{{"fees", "tvm-b"}: 84})
-func (o *Office) Lay(tree *Tree, declared map[Key]int) {
+func (o *Allocator) Update(tree *Tree, declared map[Key]int) {
 	o.tree, o.capacity = tree, map[Key]int{}
 	for key, slots := range declared {
-		o.capacity[key] = tree.Limit(key.Site, key.Service, slots)
+		o.capacity[key] = tree.EffectiveCapacity(key.Site, key.Service, slots)
 	}
 }
 
@@ -98,7 +98,7 @@
 // Example:
 //
 //	lots := office.Hear("edge-1", "tvm-a", report.Uses)
-func (o *Office) Hear(node, site string, uses []Use) (lots []Lot) {
+func (o *Allocator) HandleReport(node, site string, uses []Usage) (lots []Lease) {
 	now := o.clock.Steady()
 	t := o.tenants[node]
 	if t == nil {
@@ -112,9 +112,9 @@
 			wanted[use.Service] += use.Wanted
 			continue
 		}
-		t.uses[Key{use.Service, use.Site}] += use.AtWork
+		t.uses[Key{use.Service, use.Site}] += use.InFlight
 		if use.Site != site {
-			wanted[use.Service] += use.AtWork
+			wanted[use.Service] += use.InFlight
 		}
 	}
 	for service, count := range wanted {
@@ -123,12 +123,12 @@
 	if now < o.opens {
 		return nil
 	}
-	t.lots, t.due = map[Key]int{}, now+timetable.Steady(GrantSpan+spanMargin)
+	t.lots, t.due = map[Key]int{}, now+timetable.Steady(LeaseDuration+spanMargin)
 	services := map[string]bool{}
 	for key := range o.capacity {
 		services[key.Service] = true
 	}
-	way := o.tree.Way(site)
+	way := o.tree.FailoverOrder(site)
 	for _, service := range slices.Sorted(maps.Keys(services)) {
 		for _, other := range way {
 			key := Key{service, other}
@@ -140,7 +140,7 @@
 			}
 			if slots > 0 {
 				t.lots[key] = slots
-				lots = append(lots, Lot{service, other, slots})
+				lots = append(lots, Lease{service, other, slots})
 				wanted[service] -= slots
 			}
 		}
@@ -149,7 +149,7 @@
 }
 
 // free is the room that is left at a site for a node, besides all others.
-func (o *Office) free(key Key, node string) int {
+func (o *Allocator) free(key Key, node string) int {
 	now, own, taken := o.clock.Steady(), 0, 0
 	for name, t := range o.tenants {
 		switch {
@@ -178,21 +178,21 @@
 // Example:
 //
 //	room := sites.Room(40, 16)
-func Room(capacity, own int) int { return max(0, room(capacity, own)) }
+func SpareCapacity(capacity, own int) int { return max(0, room(capacity, own)) }
 
 // Account is what stands of one site and service, for operators to read.
-type Account struct {
+type Status struct {
 	Site     string `json:"Site"`
 	Parent   string `json:"Parent"`
 	Service  string `json:"Service"`
 	Capacity int    `json:"Capacity"`
 	// Own and Passed are under way there: from the site itself, and from
 	// others; Granted is what others may use.
-	Own     int `json:"Own"`
-	Passed  int `json:"Passed"`
-	Granted int `json:"Granted"`
+	Own    int `json:"Own"`
+	Remote int `json:"Passed"`
+	Leased int `json:"Granted"`
 	// From names the sites whose callers are passed here, with how many.
-	From map[string]int `json:"From,omitempty"`
+	RemoteBySite map[string]int `json:"From,omitempty"`
 }
 
 // Accounts lists what stands, by site and service.
@@ -200,25 +200,25 @@
 // Example:
 //
 //	for _, account := range office.Accounts() { print(account.Site, account.Own) }
-func (o *Office) Accounts() (out []Account) {
+func (o *Allocator) Statuses() (out []Status) {
 	now := o.clock.Steady()
 	for key, capacity := range o.capacity {
-		a := Account{Site: key.Site, Parent: o.tree.sites[key.Site].Parent, Service: key.Service, Capacity: capacity, From: map[string]int{}}
+		a := Status{Site: key.Site, Parent: o.tree.sites[key.Site].Parent, Service: key.Service, Capacity: capacity, RemoteBySite: map[string]int{}}
 		for _, t := range o.tenants {
 			if t.site == key.Site {
 				a.Own += t.uses[key]
 				continue
 			}
-			if a.Passed += t.uses[key]; t.uses[key] > 0 {
-				a.From[t.site] += t.uses[key]
+			if a.Remote += t.uses[key]; t.uses[key] > 0 {
+				a.RemoteBySite[t.site] += t.uses[key]
 			}
 			if now < t.due {
-				a.Granted += t.lots[key]
+				a.Leased += t.lots[key]
 			}
 		}
 		out = append(out, a)
 	}
-	slices.SortFunc(out, func(a, z Account) int {
+	slices.SortFunc(out, func(a, z Status) int {
 		return cmp.Or(cmp.Compare(a.Site, z.Site), cmp.Compare(a.Service, z.Service))
 	})
 	return out
--- a/internal/sites/node_leases.go
+++ b/internal/sites/node_leases.go
@@ -9,7 +9,7 @@
 )
 
 // Purse is a node's own side: the lots it was given, and what it has under way.
-type Purse struct {
+type NodeLeases struct {
 	clock timetable.Clock
 	lock  sync.Mutex
 	lots  map[Key]int
@@ -26,8 +26,8 @@
 // Example:
 //
 //	purse := sites.NewPurse(clock)
-func NewPurse(clock timetable.Clock) *Purse {
-	return &Purse{clock: clock, lots: map[Key]int{}, uses: map[Key]int{}, turned: map[string]time.Duration{}, since: clock.Steady()}
+func NewNodeLeases(clock timetable.Clock) *NodeLeases {
+	return &NodeLeases{clock: clock, lots: map[Key]int{}, uses: map[Key]int{}, turned: map[string]time.Duration{}, since: clock.Steady()}
 }
 
 // Take takes the lots that answer a report sent at some time.
@@ -35,10 +35,10 @@
 // Example:
 //
 //	purse.Take(lots, sentAt)
-func (p *Purse) Take(lots []Lot, sentAt timetable.Steady) {
+func (p *NodeLeases) Apply(lots []Lease, sentAt timetable.Steady) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	due := sentAt + timetable.Steady(GrantSpan)
+	due := sentAt + timetable.Steady(LeaseDuration)
 	if due < p.due {
 		return
 	}
@@ -55,13 +55,13 @@
 // Example:
 //
 //	isOpen := purse.HasRoom("fees", "tvm-b", 1)
-func (p *Purse) HasRoom(service, site string, part float64) bool {
+func (p *NodeLeases) HasSlot(service, site string, part float64) bool {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	return p.hasRoom(Key{service, site}, part)
 }
 
-func (p *Purse) hasRoom(key Key, part float64) bool {
+func (p *NodeLeases) hasRoom(key Key, part float64) bool {
 	return p.clock.Steady() < p.due && p.uses[key] < int(part*float64(p.lots[key])+1e-9)
 }
 
@@ -71,7 +71,7 @@
 // Example:
 //
 //	leave, isIn := purse.Enter("fees", "tvm-b", "tvm-a", 1)
-func (p *Purse) Enter(service, site, own string, part float64) (leave func(), isIn bool) {
+func (p *NodeLeases) Acquire(service, site, own string, part float64) (leave func(), isIn bool) {
 	return p.enter(Key{service, site}, site == own, part)
 }
 
@@ -80,12 +80,12 @@
 // Example:
 //
 //	leave := purse.Note("fees", "tvm-b")
-func (p *Purse) Note(service, site string) (leave func()) {
+func (p *NodeLeases) AcquireUnleased(service, site string) (leave func()) {
 	leave, _ = p.enter(Key{service, site}, true, 1)
 	return leave
 }
 
-func (p *Purse) enter(key Key, isFree bool, part float64) (leave func(), isIn bool) {
+func (p *NodeLeases) enter(key Key, isFree bool, part float64) (leave func(), isIn bool) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	if !isFree && !p.hasRoom(key, part) {
@@ -106,7 +106,7 @@
 // Example:
 //
 //	purse.Turn("fees", 200*time.Millisecond)
-func (p *Purse) Turn(service string, usual time.Duration) {
+func (p *NodeLeases) RecordRejection(service string, usual time.Duration) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	p.turned[service] += usual
@@ -118,16 +118,16 @@
 // Example:
 //
 //	report.Uses = purse.Uses()
-func (p *Purse) Uses() (out []Use) {
+func (p *NodeLeases) Usages() (out []Usage) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	for key, count := range p.uses {
-		out = append(out, Use{Service: key.Service, Site: key.Site, AtWork: count})
+		out = append(out, Usage{Service: key.Service, Site: key.Site, InFlight: count})
 	}
 	now := p.clock.Steady()
 	span := max(time.Duration(now-p.since), time.Millisecond)
 	for service, sum := range p.turned {
-		out = append(out, Use{Service: service, Wanted: int(math.Ceil(float64(sum) / float64(span)))})
+		out = append(out, Usage{Service: service, Wanted: int(math.Ceil(float64(sum) / float64(span)))})
 	}
 	clear(p.turned)
 	p.since = now
@@ -139,7 +139,7 @@
 // Example:
 //
 //	if purse.IsShort() { reportSoon() }
-func (p *Purse) IsShort() bool {
+func (p *NodeLeases) HasRejections() bool {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	return len(p.turned) > 0
--- a/internal/sites/simulation_test.go
+++ b/internal/sites/simulation_test.go
@@ -15,7 +15,7 @@
 	hand     *timetable.Hand
 	random   *rand.Rand
 	tree     *sites.Tree
-	office   *sites.Office
+	office   *sites.Allocator
 	isOn     bool
 	capacity map[string]int
 	load     map[string]int
@@ -30,7 +30,7 @@
 
 type edge struct {
 	name, site string
-	purse      *sites.Purse
+	purse      *sites.NodeLeases
 	perTick    float64
 }
 
@@ -59,7 +59,7 @@
 	const count = 8
 	for _, site := range []string{"a", "b", "c"} {
 		for i := range count {
-			e := &edge{name: fmt.Sprint(site, i), site: site, purse: sites.NewPurse(r.hand)}
+			e := &edge{name: fmt.Sprint(site, i), site: site, purse: sites.NewNodeLeases(r.hand)}
 			e.perTick = 0.4 * float64(r.capacity[site]) * float64(tick) / float64(work) / float64(count)
 			r.nodes = append(r.nodes, e)
 		}
@@ -68,7 +68,7 @@
 }
 
 func (r *rush) open() {
-	r.office = sites.NewOffice(r.tree, r.hand)
+	r.office = sites.NewAllocator(r.tree, r.hand)
 	r.lay()
 }
 
@@ -77,7 +77,7 @@
 	for site, slots := range r.capacity {
 		declared[sites.Key{Service: "s", Site: site}] = slots
 	}
-	r.office.Lay(r.tree, declared)
+	r.office.Update(r.tree, declared)
 }
 
 func (r *rush) place(e *edge, isUrgent bool) {
@@ -85,13 +85,13 @@
 	if isUrgent {
 		part = 1
 	}
-	for _, site := range append([]string{e.site}, r.tree.Way(e.site)...) {
+	for _, site := range append([]string{e.site}, r.tree.FailoverOrder(e.site)...) {
 		if r.capacity[site] == 0 || site == e.site && r.load[site] >= r.capacity[site] {
 			continue
 		}
 		leave, isIn := func() {}, true
 		if r.isOn {
-			leave, isIn = e.purse.Enter("s", site, e.site, part)
+			leave, isIn = e.purse.Acquire("s", site, e.site, part)
 		}
 		if isIn {
 			r.load[site]++
@@ -101,7 +101,7 @@
 			return
 		}
 	}
-	e.purse.Turn("s", work)
+	e.purse.RecordRejection("s", work)
 	r.turned[isUrgent]++
 }
 
@@ -133,15 +133,15 @@
 				}
 			}
 			if r.random.IntN(25) == 0 && !r.officeIsGone {
-				sentAt, uses, office := r.hand.Steady(), e.purse.Uses(), r.office
+				sentAt, uses, office := r.hand.Steady(), e.purse.Usages(), r.office
 				if r.random.IntN(10) == 0 {
 					continue // lost on the way
 				}
 				delay := func() time.Duration { return time.Duration(r.random.Int64N(int64(150 * time.Millisecond))) }
 				r.mail = append(r.mail, letter{r.hand.Now + delay(), func() {
-					lots := office.Hear(e.name, e.site, uses)
+					lots := office.HandleReport(e.name, e.site, uses)
 					if r.random.IntN(10) > 0 {
-						r.mail = append(r.mail, letter{r.hand.Now + delay(), func() { e.purse.Take(lots, sentAt) }})
+						r.mail = append(r.mail, letter{r.hand.Now + delay(), func() { e.purse.Apply(lots, sentAt) }})
 					}
 				}})
 			}
--- a/internal/sites/sites_test.go
+++ b/internal/sites/sites_test.go
@@ -21,9 +21,9 @@
 	It("is laid from the platform's cells, and passes up: siblings before strangers", func() {
 		tree, err := sites.Build(cells, nil)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(tree.Way("a")).To(Equal([]string{"east", "b", "whole", "west", "c"}))
+		Expect(tree.FailoverOrder("a")).To(Equal([]string{"east", "b", "whole", "west", "c"}))
 		Expect(tree.SiteOf("i-1", "c")).To(Equal("c"))
-		Expect(tree.SiteOf("i-1", "nowhere")).To(Equal(sites.Whole))
+		Expect(tree.SiteOf("i-1", "nowhere")).To(Equal(sites.Root))
 	})
 
 	It("takes finer sites from the operator", func() {
@@ -32,9 +32,9 @@
 		})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(tree.SiteOf("i-1", "a")).To(Equal("hall"))
-		Expect(tree.Way("hall")[:3]).To(Equal([]string{"a", "east", "b"}))
-		Expect(tree.Limit("hall", "exams", 8)).To(Equal(3))
-		Expect(tree.Limit("hall", "other", 8)).To(Equal(8))
+		Expect(tree.FailoverOrder("hall")[:3]).To(Equal([]string{"a", "east", "b"}))
+		Expect(tree.EffectiveCapacity("hall", "exams", 8)).To(Equal(3))
+		Expect(tree.EffectiveCapacity("hall", "other", 8)).To(Equal(8))
 	})
 
 	DescribeTable("refuses by name what does not fit", func(what string, declared ...sites.Site) {
@@ -117,9 +117,9 @@
 		r.lay()
 		r.run(3 * time.Second)
 		Expect(over(r)).To(BeNumerically("<=", 0))
-		for _, account := range r.office.Accounts() {
+		for _, account := range r.office.Statuses() {
 			if account.Site == "b" || account.Site == "c" {
-				Expect(account.From).NotTo(HaveKey("a"))
+				Expect(account.RemoteBySite).NotTo(HaveKey("a"))
 			}
 		}
 	})
--- a/internal/sites/tree.go
+++ b/internal/sites/tree.go
@@ -10,14 +10,14 @@
 )
 
 // Whole is the site at the top.
-const Whole = "whole"
+const Root = "whole"
 
 // Site is one place in the hierarchy, as an operator may name it.
 type Site struct {
 	Name   string `json:"Name"`
 	Parent string `json:"Parent"`
 	// Cells and Servers are what belongs to the site itself.
-	Cells   []string `json:"Zones,omitempty"`
+	Zones   []string `json:"Zones,omitempty"`
 	Servers []string `json:"Servers,omitempty"`
 	// Capacity is, by service, what the site may be loaded with, where that is
 	// less than its servers declare.
@@ -39,13 +39,13 @@
 //
 //	tree, err := sites.Build(map[string]string{"tvm-a": "tvm"}, sites)
 func Build(cells map[string]string, sites []Site) (*Tree, error) {
-	t := &Tree{sites: map[string]Site{Whole: {Name: Whole}}, children: map[string][]string{}, ofCell: map[string]string{}, ofServer: map[string]string{}}
+	t := &Tree{sites: map[string]Site{Root: {Name: Root}}, children: map[string][]string{}, ofCell: map[string]string{}, ofServer: map[string]string{}}
 	for _, cell := range slices.Sorted(maps.Keys(cells)) {
 		region := cells[cell]
 		if region == "" || region == cell {
-			region = Whole
+			region = Root
 		} else if _, isKnown := t.sites[region]; !isKnown {
-			t.sites[region] = Site{Name: region, Parent: Whole}
+			t.sites[region] = Site{Name: region, Parent: Root}
 		}
 		t.sites[cell] = Site{Name: cell, Parent: region}
 		t.ofCell[cell] = cell
@@ -53,14 +53,14 @@
 	said := map[string]bool{}
 	for _, site := range sites {
 		switch {
-		case site.Name == "" || site.Name == Whole:
+		case site.Name == "" || site.Name == Root:
 			return nil, errors.NotValidf("site name %q", site.Name)
 		case said[site.Name]:
 			return nil, errors.NotValidf("site %s, which is there twice,", site.Name)
 		}
 		said[site.Name] = true
 		if site.Parent == "" {
-			site.Parent = Whole
+			site.Parent = Root
 		}
 		for service, capacity := range site.Capacity {
 			if capacity < 0 {
@@ -85,7 +85,7 @@
 			}
 			t.ofServer[server] = site.Name
 		}
-		for _, cell := range site.Cells {
+		for _, cell := range site.Zones {
 			if other, isTaken := cells[cell]; isTaken {
 				return errors.NotValidf("cell %s, which belongs to %s and %s,", cell, other, site.Name)
 			}
@@ -98,7 +98,7 @@
 func (t *Tree) check() error {
 	for _, name := range slices.Sorted(maps.Keys(t.sites)) {
 		at := name
-		for steps := 0; at != Whole; steps++ {
+		for steps := 0; at != Root; steps++ {
 			site, isKnown := t.sites[at]
 			if !isKnown {
 				return errors.NotValidf("site %s: unknown parent %s", name, at)
@@ -108,7 +108,7 @@
 			}
 			at = site.Parent
 		}
-		if name != Whole {
+		if name != Root {
 			t.children[t.sites[name].Parent] = append(t.children[t.sites[name].Parent], name)
 		}
 	}
@@ -127,7 +127,7 @@
 	if site, isKnown := t.ofCell[cell]; isKnown {
 		return site
 	}
-	return Whole
+	return Root
 }
 
 // Sites lists the sites by name.
@@ -148,7 +148,7 @@
 // Example:
 //
 //	for _, site := range tree.Way("tvm-a") { ask(site) }
-func (t *Tree) Way(from string) (out []string) {
+func (t *Tree) FailoverOrder(from string) (out []string) {
 	seen := map[string]bool{from: true}
 	var under func(site string)
 	under = func(site string) {
@@ -162,7 +162,7 @@
 			}
 		}
 	}
-	for at := from; at != Whole; {
+	for at := from; at != Root; {
 		at = t.sites[at].Parent
 		under(at)
 	}
@@ -174,7 +174,7 @@
 // Example:
 //
 //	capacity := tree.Limit("tvm-b", "fees", declared)
-func (t *Tree) Limit(site, service string, declared int) int {
+func (t *Tree) EffectiveCapacity(site, service string, declared int) int {
 	if said, isSaid := t.sites[site].Capacity[service]; isSaid {
 		return min(said, declared)
 	}
--- a/internal/trial/plan.go
+++ b/internal/trial/plan.go
@@ -22,11 +22,11 @@
 	Elapsed time.Duration
 	// InPhase is how long the trial has been in its phase.
 	InPhase time.Duration
-	Finding outlier.Finding
+	Finding outlier.Evaluation
 	// Ready and Old are what the servers of the new and of the old version can
 	// take at once.
 	Ready, Old int
-	Touch      outlier.Touch
+	Touch      outlier.Usage
 }
 
 const (
@@ -91,13 +91,13 @@
 //	event, reason := state.Next(facts)
 func (s State) Next(facts Facts) (event Event, reason string) {
 	left := s.term() - facts.Elapsed
-	isFit := facts.Finding.Verdict == outlier.Fit
+	isFit := facts.Finding.Verdict == outlier.Pass
 	switch {
 	case !s.Phase.IsActive():
 		return None, ""
-	case facts.Finding.Verdict == outlier.Unfit:
+	case facts.Finding.Verdict == outlier.Fail:
 		return Harmed, facts.Finding.Reason
-	case s.Phase == Emptying && (facts.Touch.IsLeft() || left <= s.end()):
+	case s.Phase == Emptying && (facts.Touch.Drained() || left <= s.end()):
 		return Emptied, ""
 	case left <= s.end():
 		return Lapsed, "undecided at the term: " + facts.Finding.Reason
@@ -106,7 +106,7 @@
 		if isFit && isReady && left > s.reserve()/2 {
 			return Proved, ""
 		}
-	case s.Phase == Shifting && facts.InPhase > time.Duration(len(ramp)+1)*rampStep && facts.Touch.Behind == 0:
+	case s.Phase == Shifting && facts.InPhase > time.Duration(len(ramp)+1)*rampStep && facts.Touch.Outdated == 0:
 		return Shifted, ""
 	}
 	return None, ""
--- a/internal/trial/stage.go
+++ b/internal/trial/stage.go
@@ -65,7 +65,7 @@
 // StageFacts are what the holder knows of a staged change at one moment.
 type StageFacts struct {
 	Elapsed, InWave time.Duration
-	Finding         outlier.Finding
+	Finding         outlier.Evaluation
 	// Silent is a reached node that reports no more; IsUnheard, that one has not
 	// reported just now.
 	Silent    string
@@ -99,13 +99,13 @@
 		return Superseded, "an ordinary change of the same item came in between"
 	case isTrying && facts.IsDoubled:
 		return Harmed, "a key with two runs is in the records"
-	case isTrying && facts.Finding.Verdict == outlier.Unfit:
+	case isTrying && facts.Finding.Verdict == outlier.Fail:
 		return Harmed, facts.Finding.Reason
 	case isTrying && facts.Silent != "":
 		return Harmed, "node " + facts.Silent + " reports no more"
 	case isTrying && s.term()-facts.Elapsed <= 0:
 		return Lapsed, "undecided at the term: " + facts.Finding.Reason
-	case !isTrying || facts.InWave < leastInWave || facts.IsUnheard || facts.Finding.IsSuspect || facts.Finding.Verdict != outlier.Fit:
+	case !isTrying || facts.InWave < leastInWave || facts.IsUnheard || facts.Finding.Suspect || facts.Finding.Verdict != outlier.Pass:
 		return None, ""
 	case s.Wave+1 < len(s.Waves):
 		return WaveHeld, ""
--- a/internal/trial/stage_test.go
+++ b/internal/trial/stage_test.go
@@ -18,7 +18,7 @@
 type line struct {
 	hand   *timetable.Hand
 	random *rand.Rand
-	court  *outlier.Court
+	court  *outlier.Aggregator
 	state  trial.State
 	// ill is the chance that an inquiry under the change ends in this way, and
 	// wide one that everybody has.
@@ -34,7 +34,7 @@
 
 func newLine(seed uint64) *line {
 	l := &line{hand: &timetable.Hand{}, random: rand.New(rand.NewPCG(seed, 9)), illness: outlier.Failed}
-	l.court = outlier.NewCourt(l.hand)
+	l.court = outlier.NewAggregator(l.hand)
 	var nodes []string
 	for i := range 12 {
 		nodes = append(nodes, fmt.Sprintf("%c%02d", 'a'+i/4, i))
@@ -47,7 +47,7 @@
 
 // run plays until the change has ended or everybody has it.
 func (l *line) run() {
-	boxes, number := map[string]*outlier.Box{}, map[string]int{}
+	boxes, number := map[string]*outlier.Recorder{}, map[string]int{}
 	for l.state.Phase == trial.Trying && l.hand.Now < 2*time.Minute {
 		reached := map[string]bool{}
 		for _, node := range l.state.Reached() {
@@ -56,11 +56,11 @@
 		for _, wave := range l.state.Waves {
 			for _, node := range wave {
 				if boxes[node] == nil {
-					boxes[node] = outlier.NewBox()
+					boxes[node] = outlier.NewRecorder()
 				}
 				for range 3 {
-					outcome := outlier.Good
-					mark := outlier.Mark{Subject: l.state.Subject, Number: l.state.Number, Lane: "l", IsTrial: reached[node]}
+					outcome := outlier.Success
+					mark := outlier.Label{Subject: l.state.Subject, Number: l.state.Number, Route: "l", OnTrial: reached[node]}
 					if reached[node] {
 						mark.Wave = l.state.Wave
 					}
@@ -71,23 +71,23 @@
 					case l.random.Float64() < l.wide:
 						outcome = outlier.Failed
 					}
-					boxes[node].Note(mark, outcome)
+					boxes[node].Record(mark, outcome)
 				}
 				if number[node]++; number[node]%2 == 0 && node != l.silent && l.random.IntN(5) > 0 {
-					l.court.Hear(boxes[node].Report(node, "1"))
+					l.court.AddReport(boxes[node].Report(node, "1"))
 				}
 			}
 		}
 		l.hand.Sleep(100 * time.Millisecond)
-		l.court.Tend()
-		finding := l.court.Hearing(l.state.Subject, l.state.Number, l.state.Wave)
+		l.court.UpdateWindow()
+		finding := l.court.Evaluate(l.state.Subject, l.state.Number, l.state.Wave)
 		facts := trial.StageFacts{Elapsed: l.hand.Now, InWave: l.hand.Now - l.waveAt, Finding: finding}
 		if l.isBlind {
-			facts.Finding.Verdict, facts.Finding.IsSuspect = outlier.Fit, false
+			facts.Finding.Verdict, facts.Finding.Suspect = outlier.Pass, false
 		}
 		for node := range reached {
-			facts.IsUnheard = facts.IsUnheard || !l.court.IsFresh(node, time.Second)
-			if facts.InWave > 2*time.Second && !l.court.IsFresh(node, 2*time.Second) {
+			facts.IsUnheard = facts.IsUnheard || !l.court.ReportedWithin(node, time.Second)
+			if facts.InWave > 2*time.Second && !l.court.ReportedWithin(node, 2*time.Second) {
 				facts.Silent = node
 			}
 		}
@@ -127,8 +127,8 @@
 		Entry("failures", outlier.Failed, 0.4),
 		Entry("late reads", outlier.Slow, 0.5),
 		Entry("downloads broken off", outlier.Broken, 0.8),
-		Entry("keyed operations missing", outlier.Missing, 0.2),
-		Entry("keyed operations doubled", outlier.Doubled, 0.5),
+		Entry("keyed operations missing", outlier.Unresolved, 0.2),
+		Entry("keyed operations doubled", outlier.Duplicated, 0.5),
 	)
 
 	It("is not condemned for a trouble that everybody has, nor excused by it", func() {
--- a/internal/trial/trial_test.go
+++ b/internal/trial/trial_test.go
@@ -27,7 +27,7 @@
 type world struct {
 	hand   *timetable.Hand
 	random *rand.Rand
-	court  *outlier.Court
+	court  *outlier.Aggregator
 	state  trial.State
 	phase  time.Duration
 	// bad tells the chance of a bad reply on trial, by elapsed time and lane.
@@ -35,9 +35,9 @@
 	// deaf is the part of the proxies that hear nothing after a while.
 	deaf float64
 
-	boxes      []*outlier.Box
+	boxes      []*outlier.Recorder
 	lives      []int
-	allowances []*balancer.Allowance
+	allowances []*balancer.CanaryAllowance
 	heardPart  []float64
 	heardAt    []time.Duration
 	part       float64
@@ -57,10 +57,10 @@
 
 func newWorld(seed uint64) *world {
 	w := &world{hand: &timetable.Hand{}, random: rand.New(rand.NewPCG(seed, 3))}
-	w.court = outlier.NewCourt(w.hand)
+	w.court = outlier.NewAggregator(w.hand)
 	w.state, _ = trial.State{Subject: "s", InForce: "v1"}.Order("v2", timetable.Span(duration))
 	for range proxies {
-		w.boxes, w.allowances = append(w.boxes, outlier.NewBox()), append(w.allowances, &balancer.Allowance{})
+		w.boxes, w.allowances = append(w.boxes, outlier.NewRecorder()), append(w.allowances, &balancer.CanaryAllowance{})
 		w.lives, w.heardPart, w.heardAt = append(w.lives, 0), append(w.heardPart, 0), append(w.heardAt, -time.Hour)
 	}
 	w.bad = func(time.Duration, string, float64) float64 { return 0.004 }
@@ -73,7 +73,7 @@
 	now := w.hand.Now
 	isTrial := now-w.heardAt[proxy] < granted && w.heardPart[proxy] > 0 &&
 		w.allowances[proxy].Take(w.state.Number, w.heardPart[proxy], lane)
-	outcome := outlier.Good
+	outcome := outlier.Success
 	chance := 0.004
 	if isTrial {
 		w.onTrial++
@@ -88,12 +88,12 @@
 			}
 		}
 	}
-	w.boxes[proxy].Note(outlier.Mark{Subject: "s", Number: w.state.Number, Lane: lane, IsTrial: isTrial}, outcome)
+	w.boxes[proxy].Record(outlier.Label{Subject: "s", Number: w.state.Number, Route: lane, OnTrial: isTrial}, outcome)
 }
 
 func (w *world) facts(behind int) trial.Facts {
-	touch := outlier.Touch{Proxies: proxies, Behind: behind}
-	return trial.Facts{Elapsed: w.hand.Now, InPhase: w.hand.Now - w.phase, Finding: w.court.Hearing("s", w.state.Number, 0), Ready: 100, Old: 100, Touch: touch}
+	touch := outlier.Usage{Proxies: proxies, Outdated: behind}
+	return trial.Facts{Elapsed: w.hand.Now, InPhase: w.hand.Now - w.phase, Finding: w.court.Evaluate("s", w.state.Number, 0), Ready: 100, Old: 100, Touch: touch}
 }
 
 // run plays until the term's end.
@@ -112,18 +112,18 @@
 				w.heardPart[i], w.heardAt[i] = w.part, w.hand.Now
 			}
 			if w.random.IntN(400) == 0 { // a restart forgets its counts
-				w.boxes[i], w.allowances[i] = outlier.NewBox(), &balancer.Allowance{}
+				w.boxes[i], w.allowances[i] = outlier.NewRecorder(), &balancer.CanaryAllowance{}
 				w.lives[i]++
 			}
 			if w.random.IntN(2) == 0 {
 				report := w.boxes[i].Report(fmt.Sprint(i), fmt.Sprint(w.lives[i]))
-				w.court.Hear(report)
+				w.court.AddReport(report)
 				if w.random.IntN(10) == 0 {
-					w.court.Hear(report)
+					w.court.AddReport(report)
 				}
 			}
 		}
-		w.court.Tend()
+		w.court.UpdateWindow()
 		facts := w.facts(0)
 		if event, reason := w.state.Next(facts); event != trial.None {
 			next, isDone := w.state.Step(event, reason, w.hand.Now)
@@ -178,8 +178,8 @@
 
 	It("does not complete on no evidence, and says why", func() {
 		state, _ := trial.State{Subject: "s", InForce: "v1"}.Order("v2", timetable.Span(duration))
-		court := outlier.NewCourt(&timetable.Hand{})
-		facts := trial.Facts{Elapsed: duration - 500*time.Millisecond, Finding: court.Hearing("s", 1, 0), Ready: 100, Old: 100}
+		court := outlier.NewAggregator(&timetable.Hand{})
+		facts := trial.Facts{Elapsed: duration - 500*time.Millisecond, Finding: court.Evaluate("s", 1, 0), Ready: 100, Old: 100}
 		event, reason := state.Next(facts)
 		Expect(event).To(Equal(trial.Lapsed))
 		Expect(reason).To(ContainSubstring("too little is seen"))
