--- a/internal/balancer/canary_allowance.go
+++ b/internal/balancer/canary_allowance.go
@@ -6,18 +6,18 @@
 // inquiries for the service, counted from when the trial began here. Each node
 // keeping to its share, the sum over all nodes keeps to it too.
 type CanaryAllowance struct {
-	lock   sync.Mutex
-	number uint64
-	left   float64
-	lanes  map[string]int
+	mu          sync.Mutex
+	number      uint64
+	credit      float64
+	sentByRoute map[string]int
 }
 
 const (
 	// spare is how much must be left for a lane that was seen often enough, so
 	// that rare lanes are seen as well.
-	spare = 2.5
+	overrepresentedCredit = 2.5
 	// ahead is by how much one lane may be seen more than the least seen.
-	ahead = 2
+	maxRouteLead = 2
 )
 
 // Take notes an inquiry for the service, and tells whether it goes to the
@@ -26,30 +26,30 @@
 // Example:
 //
 //	isTrial := allowance.Take(share.Number, share.Part, lane)
-func (a *CanaryAllowance) Take(number uint64, part float64, lane string) bool {
-	a.lock.Lock()
-	defer a.lock.Unlock()
+func (a *CanaryAllowance) Take(number uint64, share float64, route string) bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	if a.number != number {
-		a.number, a.left, a.lanes = number, 0, map[string]int{}
+		a.number, a.credit, a.sentByRoute = number, 0, map[string]int{}
 	}
-	least, isSeen := a.lanes[lane], false
-	for _, count := range a.lanes {
-		if !isSeen || count < least {
-			least, isSeen = count, true
+	least, found := a.sentByRoute[route], false
+	for _, count := range a.sentByRoute {
+		if !found || count < least {
+			least, found = count, true
 		}
 	}
-	if _, isKnown := a.lanes[lane]; !isKnown {
-		a.lanes[lane] = 0
+	if _, known := a.sentByRoute[route]; !known {
+		a.sentByRoute[route] = 0
 	}
-	a.left += part
-	needed := 1.0
-	if a.lanes[lane] > least+ahead {
-		needed = spare
+	a.credit += share
+	required := 1.0
+	if a.sentByRoute[route] > least+maxRouteLead {
+		required = overrepresentedCredit
 	}
-	if part < 1 && a.left < needed {
+	if share < 1 && a.credit < required {
 		return false
 	}
-	a.left = max(0, a.left-1)
-	a.lanes[lane]++
+	a.credit = max(0, a.credit-1)
+	a.sentByRoute[route]++
 	return true
 }
--- a/internal/balancer/choose.go
+++ b/internal/balancer/choose.go
@@ -33,46 +33,46 @@
 	// cell and from the others.
 	// Few: what is known of a server's load is never quite new, and with many to
 	// choose from all would run to the same.
-	nearSamples = 2
-	farSamples  = 1
+	localSamples  = 2
+	remoteSamples = 1
 	// homeFavor is how much dearer than the best the home may be.
-	homeFavor = 1.25
-	homeSlack = 2 * time.Millisecond
+	homeCostFactor = 1.25
+	homeCostMargin = 2 * time.Millisecond
 	// walkLimit is how far along the ring servers of the own cell are sought.
-	walkLimit = 24
+	maxRingSteps = 24
 )
 
 // choice is one choice on its way.
-type choice struct {
-	wish        Criteria
-	cell        string
-	now         timetable.Steady
-	wall        time.Time
-	best, first *Endpoint
-	least       float64
-	firstCost   float64
-	near, far   int
+type selection struct {
+	criteria                Criteria
+	zone                    string
+	now                     timetable.Steady
+	wallTime                time.Time
+	best, first             *Endpoint
+	bestCost                float64
+	firstCost               float64
+	localCount, remoteCount int
 }
 
 // look weighs one server; it is counted if it could well be taken.
-func (c *choice) look(siding *Endpoint) {
-	isFull := c.wish.MaxInFlight > 0 && siding.atWork.Load() >= int64(c.wish.MaxInFlight)
-	if isFull || siding.isGone.Load() || siding.Leaving() || wasPassed(c.wish.Tried, siding) || c.wish.Allowed != nil && !c.wish.Allowed(siding) {
+func (c *selection) consider(endpoint *Endpoint) {
+	full := c.criteria.MaxInFlight > 0 && endpoint.inFlight.Load() >= int64(c.criteria.MaxInFlight)
+	if full || endpoint.misdirected.Load() || endpoint.Leaving() || alreadyTried(c.criteria.Tried, endpoint) || c.criteria.Allowed != nil && !c.criteria.Allowed(endpoint) {
 		return
 	}
-	cost := siding.cost(c.now, c.wall, c.cell, c.wish)
+	cost := endpoint.cost(c.now, c.wallTime, c.zone, c.criteria)
 	if c.first == nil {
-		c.first, c.firstCost = siding, cost
+		c.first, c.firstCost = endpoint, cost
 	}
-	if cost < c.least {
-		c.best, c.least = siding, cost
+	if cost < c.bestCost {
+		c.best, c.bestCost = endpoint, cost
 	}
 	switch {
 	case cost >= float64(time.Minute):
-	case siding.Cell == c.cell:
-		c.near++
+	case endpoint.Cell == c.zone:
+		c.localCount++
 	default:
-		c.far++
+		c.remoteCount++
 	}
 }
 
@@ -84,59 +84,59 @@
 // Example:
 //
 //	siding := yard.Choose(balancer.Wish{Service: "paadam"}, clock)
-func (y *ServerSet) Choose(wish Criteria, clock timetable.Clock) *Endpoint {
-	c := &choice{wish: wish, cell: y.home.Zone, now: clock.Steady(), wall: clock.Wall(), least: math.Inf(1)}
-	stand := y.stand(wish.Service)
-	if wish.Canary {
-		stand = y.stand(trialName(wish.Service))
+func (s *ServerSet) Choose(criteria Criteria, clock timetable.Clock) *Endpoint {
+	c := &selection{criteria: criteria, zone: s.locality.Zone, now: clock.Steady(), wallTime: clock.Wall(), bestCost: math.Inf(1)}
+	service := s.service(criteria.Service)
+	if criteria.Canary {
+		service = s.service(canaryName(criteria.Service))
 	}
-	if wish.HasPosition {
-		left := walkLimit
-		stand.ring.walk(wish.Position, func(siding *Endpoint) bool {
-			c.look(siding)
-			left--
-			isEnough := c.near+c.far >= nearSamples+farSamples && c.near > 0
-			return !isEnough && (left > 0 || c.best == nil)
+	if criteria.HasPosition {
+		stepsLeft := maxRingSteps
+		service.ring.walk(criteria.Position, func(endpoint *Endpoint) bool {
+			c.consider(endpoint)
+			stepsLeft--
+			enough := c.localCount+c.remoteCount >= localSamples+remoteSamples && c.localCount > 0
+			return !enough && (stepsLeft > 0 || c.best == nil)
 		})
-		if c.near+c.far > 0 && c.firstCost <= c.least*homeFavor+float64(homeSlack) {
+		if c.localCount+c.remoteCount > 0 && c.firstCost <= c.bestCost*homeCostFactor+float64(homeCostMargin) {
 			return c.first
 		}
-		return c.orAny(stand)
+		return c.bestOrAny(service)
 	}
-	draw(stand.near, func(siding *Endpoint) bool { c.look(siding); return c.near < nearSamples })
-	draw(stand.far, func(siding *Endpoint) bool { c.look(siding); return c.far < farSamples })
-	return c.orAny(stand)
+	visitRandomly(service.local, func(endpoint *Endpoint) bool { c.consider(endpoint); return c.localCount < localSamples })
+	visitRandomly(service.remote, func(endpoint *Endpoint) bool { c.consider(endpoint); return c.remoteCount < remoteSamples })
+	return c.bestOrAny(service)
 }
 
 // orAny is the best that was found; where none of those that the node keeps to could
 // well be taken, any other server of the service is looked at too.
-func (c *choice) orAny(stand *stand) *Endpoint {
-	if c.near+c.far == 0 {
-		draw(stand.list, func(siding *Endpoint) bool { c.look(siding); return c.near+c.far == 0 })
+func (c *selection) bestOrAny(service *serviceEndpoints) *Endpoint {
+	if c.localCount+c.remoteCount == 0 {
+		visitRandomly(service.all, func(endpoint *Endpoint) bool { c.consider(endpoint); return c.localCount+c.remoteCount == 0 })
 	}
 	return c.best
 }
 
 // draw visits the list in an order by lot, until visit says no.
-func draw(list []*Endpoint, visit func(*Endpoint) bool) {
-	if len(list) == 0 {
+func visitRandomly(endpoints []*Endpoint, visit func(*Endpoint) bool) {
+	if len(endpoints) == 0 {
 		return
 	}
-	start, step := rand.IntN(len(list)), stride(len(list))
-	for i := range list {
-		if !visit(list[(start+i*step)%len(list)]) {
+	start, step := rand.IntN(len(endpoints)), randomStride(len(endpoints))
+	for i := range endpoints {
+		if !visit(endpoints[(start+i*step)%len(endpoints)]) {
 			return
 		}
 	}
 }
 
 // stride is a step that visits every place of a list of the size once.
-func stride(size int) int {
+func randomStride(size int) int {
 	for {
 		step := 1 + rand.IntN(size)
-		a, z := step, size
-		for z != 0 {
-			a, z = z, a%z
+		a, b := step, size
+		for b != 0 {
+			a, b = b, a%b
 		}
 		if a == 1 {
 			return step
@@ -144,9 +144,9 @@
 	}
 }
 
-func wasPassed(passed []*Endpoint, siding *Endpoint) bool {
-	for _, one := range passed {
-		if one.ID == siding.ID {
+func alreadyTried(tried []*Endpoint, endpoint *Endpoint) bool {
+	for _, other := range tried {
+		if other.ID == endpoint.ID {
 			return true
 		}
 	}
--- a/internal/balancer/endpoint.go
+++ b/internal/balancer/endpoint.go
@@ -21,56 +21,56 @@
 type endpointState struct {
 	Pool *upstream.Pool
 
-	atWork atomic.Int64
+	inFlight atomic.Int64
 	// pace is how long its replies take here beside the lane's usual, smoothed,
 	// in thousandths; paced how many showed it.
-	pace, paced atomic.Int64
+	latencyRatio, latencySamples atomic.Int64
 	// told is the pace that all proxies saw, in eighths, and isAside that they
 	// found the server ill: both change often, and nothing else with them.
-	told    atomic.Int64
-	isAside atomic.Bool
+	fleetLatencyRatio atomic.Int64
+	ejected           atomic.Bool
 	// shy is until when the server is passed over if there is another.
-	shy   atomic.Int64
-	fails atomic.Int64
+	avoidUntil atomic.Int64
+	failures   atomic.Int64
 	// isGone: another server has the address.
-	isGone atomic.Bool
+	misdirected atomic.Bool
 	// isLeaving: the server is known to leave, whatever the fleet says. It never
 	// becomes ready again.
-	isLeaving atomic.Bool
+	leaving atomic.Bool
 }
 
 const (
-	paceWeight = 0.2
-	paceLeast  = 5 * time.Millisecond
+	latencyWeight   = 0.2
+	minUsualLatency = 5 * time.Millisecond
 	// sharedWeight is how many of its own replies weigh as much to a proxy as
 	// what all saw; ownMost is how many count.
-	sharedWeight = 3.0
-	ownMost      = 4
-	shyFirst     = 250 * time.Millisecond
-	shyLongest   = 4 * time.Second
-	shyFull      = 60 * time.Millisecond
-	warmingCost  = 1.0
+	fleetLatencyWeight = 3.0
+	maxOwnWeight       = 4
+	minFailureBackoff  = 250 * time.Millisecond
+	maxFailureBackoff  = 4 * time.Second
+	overloadBackoff    = 60 * time.Millisecond
+	warmingPenalty     = 1.0
 	// trickle: of so many choices that meet a server set aside, one heeds it.
-	trickle = 40
+	ejectedProbeInterval = 40
 )
 
-func newSiding(server feed.Server) *Endpoint {
-	s := &Endpoint{Server: server, endpointState: &endpointState{Pool: &upstream.Pool{Address: server.Address, Instance: server.ID}}}
-	s.hear(server)
-	return s
+func newEndpoint(server feed.Server) *Endpoint {
+	e := &Endpoint{Server: server, endpointState: &endpointState{Pool: &upstream.Pool{Address: server.Address, Instance: server.ID}}}
+	e.updateHealth(server)
+	return e
 }
 
 // hear takes what the news say of the server that is no part of its identity.
-func (s *Endpoint) hear(server feed.Server) {
-	s.told.Store(int64(server.Pace))
-	s.isAside.Store(server.IsAside)
+func (e *Endpoint) updateHealth(server feed.Server) {
+	e.fleetLatencyRatio.Store(int64(server.Pace))
+	e.ejected.Store(server.IsAside)
 }
 
 // isSame tells whether the list says the same of the server but for what hear
 // takes.
-func (s *Endpoint) isSame(server feed.Server) bool {
-	server.Pace, server.IsAside = s.Pace, s.IsAside
-	return s.Server == server
+func (e *Endpoint) sameListing(server feed.Server) bool {
+	server.Pace, server.IsAside = e.Pace, e.IsAside
+	return e.Server == server
 }
 
 // IsLeaving tells whether the server was reported to leave.
@@ -78,14 +78,14 @@
 // Example:
 //
 //	if siding.IsLeaving() { chooseAnother() }
-func (s *Endpoint) Leaving() bool { return s.isLeaving.Load() }
+func (e *Endpoint) Leaving() bool { return e.leaving.Load() }
 
 // Begin notes that an inquiry is on its way to the server.
 //
 // Example:
 //
 //	siding.Begin()
-func (s *Endpoint) Begin() { s.atWork.Add(1) }
+func (e *Endpoint) Begin() { e.inFlight.Add(1) }
 
 // Outcome is what a delivery showed of the server.
 type Outcome uint8
@@ -106,56 +106,56 @@
 // Example:
 //
 //	siding.End(balancer.Served, took, usual, clock.Steady())
-func (s *Endpoint) End(outcome Outcome, took, usual time.Duration, now timetable.Steady) {
-	s.atWork.Add(-1)
+func (e *Endpoint) End(outcome Outcome, latency, usual time.Duration, now timetable.Steady) {
+	e.inFlight.Add(-1)
 	switch outcome {
 	case Served:
-		s.fails.Store(0)
+		e.failures.Store(0)
 		if usual > 0 {
-			now, count := 1000*float64(took)/float64(usual), s.paced.Add(1)
-			weight := max(paceWeight, 1/float64(count))
-			s.pace.Store(int64(float64(s.pace.Load()) + weight*(now-float64(s.pace.Load()))))
+			now, count := 1000*float64(latency)/float64(usual), e.latencySamples.Add(1)
+			weight := max(latencyWeight, 1/float64(count))
+			e.latencyRatio.Store(int64(float64(e.latencyRatio.Load()) + weight*(now-float64(e.latencyRatio.Load()))))
 		}
 	case Overloaded:
-		s.shy.Store(int64(now) + int64(shyFull))
+		e.avoidUntil.Store(int64(now) + int64(overloadBackoff))
 	case Misdirected:
-		s.isGone.Store(true)
+		e.misdirected.Store(true)
 	case Failed:
-		fails := s.fails.Add(1)
-		wait := min(shyLongest, shyFirst<<min(fails-1, 5))
-		s.shy.Store(int64(now) + int64(wait))
+		failures := e.failures.Add(1)
+		backoff := min(maxFailureBackoff, minFailureBackoff<<min(failures-1, 5))
+		e.avoidUntil.Store(int64(now) + int64(backoff))
 	}
 }
 
 // beside is how long the server's replies take beside the usual: what all the
 // proxies saw, and what this one saw itself.
-func (s *Endpoint) beside() float64 {
-	own := float64(min(s.paced.Load(), ownMost))
-	shared := 1.0
-	if told := s.told.Load(); told > 0 {
-		shared = float64(told) / 8
+func (e *Endpoint) combinedLatencyRatio() float64 {
+	ownWeight := float64(min(e.latencySamples.Load(), maxOwnWeight))
+	fleetRatio := 1.0
+	if eighths := e.fleetLatencyRatio.Load(); eighths > 0 {
+		fleetRatio = float64(eighths) / 8
 	}
-	return (shared*sharedWeight + own*float64(s.pace.Load())/1000) / (sharedWeight + own)
+	return (fleetRatio*fleetLatencyWeight + ownWeight*float64(e.latencyRatio.Load())/1000) / (fleetLatencyWeight + ownWeight)
 }
 
 // cost is the expected delay of one more inquiry, in nanoseconds.
-func (s *Endpoint) cost(now timetable.Steady, wall time.Time, cell string, wish Criteria) float64 {
-	pace := s.beside() * float64(max(wish.UsualLatency, paceLeast))
-	cost := pace * (1 + float64(s.atWork.Load())/float64(max(1, s.Capacity)))
-	if s.WarmLeft(wall) > 0 {
-		cost += pace * warmingCost
+func (e *Endpoint) cost(now timetable.Steady, wallTime time.Time, zone string, criteria Criteria) float64 {
+	latency := e.combinedLatencyRatio() * float64(max(criteria.UsualLatency, minUsualLatency))
+	cost := latency * (1 + float64(e.inFlight.Load())/float64(max(1, e.Capacity)))
+	if e.WarmLeft(wallTime) > 0 {
+		cost += latency * warmingPenalty
 	}
-	if s.Cell != cell {
-		cost += float64(wish.ZoneCost)
+	if e.Cell != zone {
+		cost += float64(criteria.ZoneCost)
 	}
-	isAside := s.isAside.Load()
-	if int64(now) < s.shy.Load() || isAside && rand.IntN(trickle) > 0 {
+	ejected := e.ejected.Load()
+	if int64(now) < e.avoidUntil.Load() || ejected && rand.IntN(ejectedProbeInterval) > 0 {
 		cost += float64(time.Hour)
 	}
 	return cost
 }
 
 // with is the siding under the list's new words for the same server.
-func (s *Endpoint) with(server feed.Server) *Endpoint {
-	return &Endpoint{Server: server, endpointState: s.endpointState}
+func (e *Endpoint) withListing(server feed.Server) *Endpoint {
+	return &Endpoint{Server: server, endpointState: e.endpointState}
 }
--- a/internal/balancer/ring.go
+++ b/internal/balancer/ring.go
@@ -17,12 +17,12 @@
 //
 //	wish.Place = balancer.PlaceOf(tenant, key)
 func RingPositionOf(parts ...string) RingPosition {
-	sum := fnv.New64a()
+	hash := fnv.New64a()
 	for _, part := range parts {
-		_, _ = sum.Write([]byte(part))
-		_, _ = sum.Write([]byte{0})
+		_, _ = hash.Write([]byte(part))
+		_, _ = hash.Write([]byte{0})
 	}
-	return mix(sum.Sum64())
+	return mix(hash.Sum64())
 }
 
 // mix spreads near hashes over the whole ring.
@@ -35,46 +35,46 @@
 }
 
 // stop is one of the places at which a server stands on the ring.
-type stop struct {
-	at     RingPosition
-	siding *Endpoint
+type virtualNode struct {
+	position RingPosition
+	endpoint *Endpoint
 }
 
 // ring is the ready servers of one service, each at several places by its
 // instance, so that one that comes or goes moves only what is next to it.
-type ring []stop
+type ring []virtualNode
 
-const stopsPerServer = 48
+const virtualNodesPerServer = 48
 
-func newRing(list []*Endpoint) ring {
-	r := make(ring, 0, len(list)*stopsPerServer)
-	for _, siding := range list {
-		for n := range stopsPerServer {
-			r = append(r, stop{RingPositionOf(siding.ID, strconv.Itoa(n)), siding})
+func newRing(endpoints []*Endpoint) ring {
+	r := make(ring, 0, len(endpoints)*virtualNodesPerServer)
+	for _, endpoint := range endpoints {
+		for n := range virtualNodesPerServer {
+			r = append(r, virtualNode{RingPositionOf(endpoint.ID, strconv.Itoa(n)), endpoint})
 		}
 	}
 	sort.Slice(r, func(i, j int) bool { return r[i].before(r[j]) })
 	return r
 }
 
-func (s stop) before(other stop) bool {
-	return s.at < other.at || s.at == other.at && s.siding.ID < other.siding.ID
+func (v virtualNode) before(other virtualNode) bool {
+	return v.position < other.position || v.position == other.position && v.endpoint.ID < other.endpoint.ID
 }
 
 // walk visits distinct servers from the place on, until visit says no.
 func (r ring) walk(from RingPosition, visit func(*Endpoint) bool) {
-	start := sort.Search(len(r), func(i int) bool { return r[i].at >= from })
+	start := sort.Search(len(r), func(i int) bool { return r[i].position >= from })
 	var seen []*Endpoint
 next:
 	for i := range r {
-		siding := r[(start+i)%len(r)].siding
-		for _, one := range seen {
-			if one == siding {
+		endpoint := r[(start+i)%len(r)].endpoint
+		for _, other := range seen {
+			if other == endpoint {
 				continue next
 			}
 		}
-		seen = append(seen, siding)
-		if !visit(siding) {
+		seen = append(seen, endpoint)
+		if !visit(endpoint) {
 			return
 		}
 	}
@@ -87,9 +87,9 @@
 // Example:
 //
 //	siding := yard.Home("fees", balancer.PlaceOf(tenant, key))
-func (y *ServerSet) HomeServer(service string, place RingPosition) (home *Endpoint) {
-	y.stand(service).ring.walk(place, func(siding *Endpoint) bool {
-		home = siding
+func (s *ServerSet) HomeServer(service string, position RingPosition) (home *Endpoint) {
+	s.service(service).ring.walk(position, func(endpoint *Endpoint) bool {
+		home = endpoint
 		return false
 	})
 	return home
@@ -100,11 +100,11 @@
 // Example:
 //
 //	isThere := slices.Contains(yard.Names("fees"), "i-7f3a91c2")
-func (y *ServerSet) InstanceIDs(service string) (out []string) {
-	for _, siding := range y.stand(service).list {
-		out = append(out, siding.ID)
+func (s *ServerSet) InstanceIDs(service string) (ids []string) {
+	for _, endpoint := range s.service(service).all {
+		ids = append(ids, endpoint.ID)
 	}
-	return out
+	return ids
 }
 
 // Change is a change of servers that an operator is thinking about.
@@ -124,23 +124,23 @@
 //
 //	trial := yard.Trial(change)
 //	isMoving := trial(place) != yard.Home(change.Service, place).ID
-func (y *ServerSet) HomeAfter(change Change) (homeAfter func(RingPosition) string) {
-	var list []*Endpoint
-	coming := map[string]bool{}
+func (s *ServerSet) HomeAfter(change Change) (homeOf func(RingPosition) string) {
+	var endpoints []*Endpoint
+	adding := map[string]bool{}
 	for _, text := range change.Add {
 		added := &Endpoint{endpointState: &endpointState{}}
 		added.ID, added.Cell, _ = strings.Cut(text, "@")
-		list, coming[added.ID] = append(list, added), true
+		endpoints, adding[added.ID] = append(endpoints, added), true
 	}
-	for _, siding := range y.stand(change.Service).list {
-		if !contains(change.Retire, siding.ID) && !coming[siding.ID] {
-			list = append(list, siding)
+	for _, endpoint := range s.service(change.Service).all {
+		if !contains(change.Retire, endpoint.ID) && !adding[endpoint.ID] {
+			endpoints = append(endpoints, endpoint)
 		}
 	}
-	trial := noStand.change(list, y.home).ring
-	return func(place RingPosition) (id string) {
-		trial.walk(place, func(siding *Endpoint) bool {
-			id = siding.ID
+	changed := noEndpoints.withEndpoints(endpoints, s.locality).ring
+	return func(position RingPosition) (id string) {
+		changed.walk(position, func(endpoint *Endpoint) bool {
+			id = endpoint.ID
 			return false
 		})
 		return id
@@ -148,8 +148,8 @@
 }
 
 func contains(list []string, wanted string) bool {
-	for _, one := range list {
-		if one == wanted {
+	for _, item := range list {
+		if item == wanted {
 			return true
 		}
 	}
--- a/internal/balancer/server_set.go
+++ b/internal/balancer/server_set.go
@@ -12,9 +12,9 @@
 // Yard is the servers of every service as one node sees them; it never changes
 // once made.
 type ServerSet struct {
-	home   Locality
-	stands map[string]*stand
-	byID   map[string]*Endpoint
+	locality Locality
+	services map[string]*serviceEndpoints
+	byID     map[string]*Endpoint
 }
 
 // NewYard makes an empty yard.
@@ -22,8 +22,8 @@
 // Example:
 //
 //	yard := balancer.NewYard(balancer.Home{Node: "edge-1", Cell: "a", Set: 24})
-func NewServerSet(home Locality) *ServerSet {
-	return &ServerSet{home: home, stands: map[string]*stand{}, byID: map[string]*Endpoint{}}
+func NewServerSet(locality Locality) *ServerSet {
+	return &ServerSet{locality: locality, services: map[string]*serviceEndpoints{}, byID: map[string]*Endpoint{}}
 }
 
 // Lay makes the yard of a fleet, keeping the sidings of servers that stay, and
@@ -32,33 +32,33 @@
 // Example:
 //
 //	yard = yard.Lay(fleet)
-func (y *ServerSet) WithFleet(fleet feed.Fleet) *ServerSet {
-	next := NewServerSet(y.home)
-	lists := map[string][]*Endpoint{}
+func (s *ServerSet) WithFleet(fleet feed.Fleet) *ServerSet {
+	next := NewServerSet(s.locality)
+	byService := map[string][]*Endpoint{}
 	for _, server := range fleet.Servers {
-		siding := y.byID[server.ID]
+		endpoint := s.byID[server.ID]
 		switch {
-		case siding == nil:
-			siding = newSiding(server)
-		case !siding.isSame(server):
-			siding = siding.with(server)
+		case endpoint == nil:
+			endpoint = newEndpoint(server)
+		case !endpoint.sameListing(server):
+			endpoint = endpoint.withListing(server)
 		}
-		siding.hear(server)
-		next.byID[server.ID] = siding
+		endpoint.updateHealth(server)
+		next.byID[server.ID] = endpoint
 		switch {
 		case !server.IsReady || server.Grade == feed.Shut:
 		case server.Grade == feed.OnTrial:
-			lists[trialName(server.Service)] = append(lists[trialName(server.Service)], siding)
+			byService[canaryName(server.Service)] = append(byService[canaryName(server.Service)], endpoint)
 		default:
-			lists[server.Service] = append(lists[server.Service], siding)
+			byService[server.Service] = append(byService[server.Service], endpoint)
 		}
 	}
-	for service, list := range lists {
-		next.stands[service] = y.stands[service].change(list, y.home)
+	for service, endpoints := range byService {
+		next.services[service] = s.services[service].withEndpoints(endpoints, s.locality)
 	}
-	for id, siding := range y.byID {
+	for id, endpoint := range s.byID {
 		if next.byID[id] == nil {
-			siding.Pool.Close()
+			endpoint.Pool.Close()
 		}
 	}
 	return next
@@ -70,10 +70,10 @@
 // Example:
 //
 //	if feed.IsKeptAs(fleet.Servers, servers) { yard.Hear(fleet) }
-func (y *ServerSet) UpdateHealth(fleet feed.Fleet) {
+func (s *ServerSet) UpdateHealth(fleet feed.Fleet) {
 	for _, server := range fleet.Servers {
-		if siding := y.byID[server.ID]; siding != nil {
-			siding.hear(server)
+		if endpoint := s.byID[server.ID]; endpoint != nil {
+			endpoint.updateHealth(server)
 		}
 	}
 }
@@ -84,10 +84,10 @@
 // Example:
 //
 //	yard.Leave(news.Leaving)
-func (y *ServerSet) MarkLeaving(ids []string) {
+func (s *ServerSet) MarkLeaving(ids []string) {
 	for _, id := range ids {
-		if siding := y.byID[id]; siding != nil {
-			siding.isLeaving.Store(true)
+		if endpoint := s.byID[id]; endpoint != nil {
+			endpoint.leaving.Store(true)
 		}
 	}
 }
@@ -97,22 +97,22 @@
 // Example:
 //
 //	if siding, isThere := yard.Find(id); isThere { look(siding) }
-func (y *ServerSet) Find(id string) (siding *Endpoint, isThere bool) {
-	siding, isThere = y.byID[id]
-	return siding, isThere
+func (s *ServerSet) Find(id string) (endpoint *Endpoint, found bool) {
+	endpoint, found = s.byID[id]
+	return endpoint, found
 }
 
 // trialName is the stand of a service's version on trial.
-func trialName(service string) string { return service + "\x00trial" }
+func canaryName(service string) string { return service + "\x00trial" }
 
 // AtWork is how many inquiries are under way at a service's version in force.
 //
 // Example:
 //
 //	isLeft := yard.AtWork(service) == 0
-func (y *ServerSet) InFlight(service string) (count int) {
-	for _, siding := range y.stand(service).list {
-		count += int(siding.atWork.Load())
+func (s *ServerSet) InFlight(service string) (count int) {
+	for _, endpoint := range s.service(service).all {
+		count += int(endpoint.inFlight.Load())
 	}
 	return count
 }
@@ -122,15 +122,15 @@
 // Example:
 //
 //	if yard.Ready(service) == 0 { refuse() }
-func (y *ServerSet) ReadyCount(service string) int { return len(y.stand(service).list) }
+func (s *ServerSet) ReadyCount(service string) int { return len(s.service(service).all) }
 
-var noStand = &stand{}
+var noEndpoints = &serviceEndpoints{}
 
-func (y *ServerSet) stand(service string) *stand {
-	if known := y.stands[service]; known != nil {
+func (s *ServerSet) service(name string) *serviceEndpoints {
+	if known := s.services[name]; known != nil {
 		return known
 	}
-	return noStand
+	return noEndpoints
 }
 
 // Size is how many servers are listed.
@@ -138,4 +138,4 @@
 // Example:
 //
 //	isKnown := yard.Size() > 0
-func (y *ServerSet) Size() int { return len(y.byID) }
+func (s *ServerSet) Size() int { return len(s.byID) }
--- a/internal/balancer/service_endpoints.go
+++ b/internal/balancer/service_endpoints.go
@@ -6,68 +6,68 @@
 )
 
 // stand is the ready servers of one service.
-type stand struct {
-	list []*Endpoint
+type serviceEndpoints struct {
+	all []*Endpoint
 	// ring is of those that the node keeps to: near and far.
 	ring ring
 	// near and far are the servers of the own cell and of the others to which
 	// the node keeps where no ring decides: few enough that its connections to
 	// them are used again, and others than those of the next node.
-	near, far []*Endpoint
+	local, remote []*Endpoint
 	// most is the most capacity that near ever had.
-	most int
+	peakLocalCapacity int
 }
 
 // nearPart is the part of the set that is of the own cell, if it has so many.
-const nearPart = 2.0 / 3
+const localSubsetShare = 2.0 / 3
 
 // change is the stand with another list; what did not change stays.
-func (s *stand) change(list []*Endpoint, home Locality) *stand {
+func (s *serviceEndpoints) withEndpoints(endpoints []*Endpoint, locality Locality) *serviceEndpoints {
 	if s == nil {
-		s = noStand
+		s = noEndpoints
 	}
-	if slices.Equal(s.list, list) {
+	if slices.Equal(s.all, endpoints) {
 		return s
 	}
-	next := &stand{list: list}
+	next := &serviceEndpoints{all: endpoints}
 	rank := map[string]RingPosition{}
-	for _, siding := range list {
-		rank[siding.ID] = RingPositionOf(home.Node, siding.ID)
-		if siding.Cell == home.Zone {
-			next.near = append(next.near, siding)
+	for _, endpoint := range endpoints {
+		rank[endpoint.ID] = RingPositionOf(locality.Node, endpoint.ID)
+		if endpoint.Cell == locality.Zone {
+			next.local = append(next.local, endpoint)
 		} else {
-			next.far = append(next.far, siding)
+			next.remote = append(next.remote, endpoint)
 		}
 	}
-	if home.SubsetSize > 0 && len(list) > home.SubsetSize {
-		next.keep(home, rank)
+	if locality.SubsetSize > 0 && len(endpoints) > locality.SubsetSize {
+		next.limitSubset(locality, rank)
 	}
-	next.ring = s.ring.change(s.kept(), next.kept())
-	next.most = max(s.most, capacity(next.near))
+	next.ring = s.ring.withEndpoints(s.subset(), next.subset())
+	next.peakLocalCapacity = max(s.peakLocalCapacity, totalCapacity(next.local))
 	return next
 }
 
 // kept are the servers that the node keeps to.
-func (s *stand) kept() []*Endpoint { return slices.Concat(s.near, s.far) }
+func (s *serviceEndpoints) subset() []*Endpoint { return slices.Concat(s.local, s.remote) }
 
-func capacity(list []*Endpoint) (sum int) {
-	for _, siding := range list {
-		sum += siding.Capacity
+func totalCapacity(endpoints []*Endpoint) (sum int) {
+	for _, endpoint := range endpoints {
+		sum += endpoint.Capacity
 	}
 	return sum
 }
 
 // keep leaves the servers that the node keeps to.
-func (s *stand) keep(home Locality, rank map[string]RingPosition) {
-	for _, part := range [][]*Endpoint{s.near, s.far} {
-		sort.Slice(part, func(i, j int) bool { return rank[part[i].ID] < rank[part[j].ID] })
+func (s *serviceEndpoints) limitSubset(locality Locality, rank map[string]RingPosition) {
+	for _, endpoints := range [][]*Endpoint{s.local, s.remote} {
+		sort.Slice(endpoints, func(i, j int) bool { return rank[endpoints[i].ID] < rank[endpoints[j].ID] })
 	}
-	near := min(len(s.near), max(int(float64(home.SubsetSize)*nearPart), home.SubsetSize-len(s.far)))
-	s.near, s.far = s.near[:near], s.far[:min(len(s.far), home.SubsetSize-near)]
+	localSize := min(len(s.local), max(int(float64(locality.SubsetSize)*localSubsetShare), locality.SubsetSize-len(s.remote)))
+	s.local, s.remote = s.local[:localSize], s.remote[:min(len(s.remote), locality.SubsetSize-localSize)]
 }
 
 // fallenPart is the part of its capacity with which a site counts as fallen.
-const fallenPart = 0.5
+const degradedShare = 0.5
 
 // IsSound tells whether the server is neither set aside nor failed when it was
 // last asked.
@@ -75,8 +75,8 @@
 // Example:
 //
 //	if !siding.IsSound() { passOn() }
-func (s *Endpoint) Healthy() bool {
-	return s.fails.Load() == 0 && !s.isAside.Load() && !s.isGone.Load()
+func (e *Endpoint) Healthy() bool {
+	return e.failures.Load() == 0 && !e.ejected.Load() && !e.misdirected.Load()
 }
 
 // IsFallen tells whether the node's own cell has lost most of a service: few of
@@ -85,38 +85,38 @@
 // Example:
 //
 //	if yard.IsFallen(service) { passUp() }
-func (y *ServerSet) LocalZoneDegraded(service string) bool {
-	s, left := y.stand(service), 0
-	for _, siding := range s.near {
-		if siding.Healthy() {
-			left += siding.Capacity
+func (s *ServerSet) LocalZoneDegraded(service string) bool {
+	endpoints, healthyCapacity := s.service(service), 0
+	for _, endpoint := range endpoints.local {
+		if endpoint.Healthy() {
+			healthyCapacity += endpoint.Capacity
 		}
 	}
-	return s.most > 0 && float64(left) <= fallenPart*float64(s.most)
+	return endpoints.peakLocalCapacity > 0 && float64(healthyCapacity) <= degradedShare*float64(endpoints.peakLocalCapacity)
 }
 
 // change is the ring of another list, made from this one's.
-func (r ring) change(old, list []*Endpoint) ring {
-	isOld, now := map[string]bool{}, map[string]*Endpoint{}
-	for _, siding := range old {
-		isOld[siding.ID] = true
+func (r ring) withEndpoints(previous, endpoints []*Endpoint) ring {
+	onRing, byID := map[string]bool{}, map[string]*Endpoint{}
+	for _, endpoint := range previous {
+		onRing[endpoint.ID] = true
 	}
 	var added []*Endpoint
-	for _, siding := range list {
-		if now[siding.ID] = siding; !isOld[siding.ID] {
-			added = append(added, siding)
+	for _, endpoint := range endpoints {
+		if byID[endpoint.ID] = endpoint; !onRing[endpoint.ID] {
+			added = append(added, endpoint)
 		}
 	}
-	fresh := newRing(added)
-	out := make(ring, 0, len(list)*stopsPerServer)
-	for _, stop := range r {
-		if stop.siding = now[stop.siding.ID]; stop.siding == nil {
+	addedNodes := newRing(added)
+	merged := make(ring, 0, len(endpoints)*virtualNodesPerServer)
+	for _, node := range r {
+		if node.endpoint = byID[node.endpoint.ID]; node.endpoint == nil {
 			continue
 		}
-		for len(fresh) > 0 && fresh[0].before(stop) {
-			out, fresh = append(out, fresh[0]), fresh[1:]
+		for len(addedNodes) > 0 && addedNodes[0].before(node) {
+			merged, addedNodes = append(merged, addedNodes[0]), addedNodes[1:]
 		}
-		out = append(out, stop)
+		merged = append(merged, node)
 	}
-	return append(out, fresh...)
+	return append(merged, addedNodes...)
 }
