--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -18,20 +18,20 @@
 	RunSpecs(t, "balancer")
 }
 
-var _ = Describe("the budget", func() {
-	It("leaves all nodes together under the common slack, however many they are", func() {
+var _ = Describe("the retry budget", func() {
+	It("keeps the sum over all nodes within the common slack for any number of nodes", func() {
 		for _, proxies := range []int{1, 12, 71, 285, 4000} {
 			Expect(float64(proxies) * balancer.SlackPerProxy(610, proxies)).To(BeNumerically("<=", 305.001))
 		}
 		Expect(balancer.SlackPerProxy(64, 0)).To(BeNumerically("~", 1.6))
 	})
 
-	It("never lets the tries of any window pass its share of what was asked", func() {
+	It("never allows more retries in a window than its share of the requests", func() {
 		const ratio, floor, window = 0.2, 2.0, 10 * time.Second
 		random := rand.New(rand.NewPCG(6, 6))
-		hand := &timetable.Hand{}
-		budget := balancer.NewRetryBudget(ratio, window, func() float64 { return floor }, hand)
-		var asked, spent []time.Duration
+		clock := &timetable.Hand{}
+		budget := balancer.NewRetryBudget(ratio, window, func() float64 { return floor }, clock)
+		var requests, retries []time.Duration
 		within := func(times []time.Duration, from time.Duration) (count float64) {
 			for _, at := range times {
 				if at > from {
@@ -42,26 +42,26 @@
 		}
 		granted := 0
 		for range 6000 {
-			hand.Sleep(time.Duration(random.IntN(20)) * time.Millisecond)
+			clock.Sleep(time.Duration(random.IntN(20)) * time.Millisecond)
 			if random.IntN(300) == 0 {
-				hand.Sleep(time.Duration(random.IntN(8000)) * time.Millisecond)
+				clock.Sleep(time.Duration(random.IntN(8000)) * time.Millisecond)
 			}
 			if random.IntN(3) > 0 {
 				budget.RecordRequest()
-				asked = append(asked, hand.Now)
+				requests = append(requests, clock.Now)
 			} else if budget.TakeRetry() {
 				granted++
-				spent = append(spent, hand.Now)
+				retries = append(retries, clock.Now)
 			}
-			// The rule's own count: what was asked in that window, the one
-			// before it, or the one half a window before it. The budget's
-			// steps are a little coarser than the window.
-			most := 0.0
-			for _, back := range []time.Duration{0, window / 2, window} {
-				from := hand.Now - window - back
-				most = max(most, within(asked, from-window/19)-within(asked, from+window))
+			// The rule counts the requests of the same window, of the previous
+			// one or of the one half a window earlier. The budget's buckets span
+			// slightly more than the window.
+			allowed := 0.0
+			for _, offset := range []time.Duration{0, window / 2, window} {
+				from := clock.Now - window - offset
+				allowed = max(allowed, within(requests, from-window/19)-within(requests, from+window))
 			}
-			Expect(within(spent, hand.Now-window)).To(BeNumerically("<=", most*ratio+floor))
+			Expect(within(retries, clock.Now-window)).To(BeNumerically("<=", allowed*ratio+floor))
 		}
 		Expect(granted).To(BeNumerically(">", 400))
 	})
@@ -69,96 +69,96 @@
 
 func fleet(servers ...feed.Server) feed.Fleet { return feed.Fleet{Servers: servers} }
 
-var here = balancer.NewServerSet(balancer.Locality{Node: "n", Zone: "c1"})
+var emptySet = balancer.NewServerSet(balancer.Locality{Node: "n", Zone: "c1"})
 
-func server(id, cell string) feed.Server {
-	return feed.Server{ID: id, Service: "s", Address: "127.0.0.1:1", Cell: cell, Capacity: 2, IsReady: true}
+func server(id, zone string) feed.Server {
+	return feed.Server{ID: id, Service: "s", Address: "127.0.0.1:1", Cell: zone, Capacity: 2, IsReady: true}
 }
 
-func chosen(yard *balancer.ServerSet, wish balancer.Criteria, hand *timetable.Hand) map[string]int {
+func countChoices(set *balancer.ServerSet, criteria balancer.Criteria, clock *timetable.Hand) map[string]int {
 	counts := map[string]int{}
 	for range 200 {
-		if siding := yard.Choose(wish, hand); siding != nil {
-			counts[siding.ID]++
+		if endpoint := set.Choose(criteria, clock); endpoint != nil {
+			counts[endpoint.ID]++
 		}
 	}
 	return counts
 }
 
-var _ = Describe("the choice of a server", func() {
-	It("heeds draining, failures, full servers, strangers and cells", func() {
-		hand := &timetable.Hand{}
-		wish := balancer.Criteria{Service: "s", ZoneCost: 5 * time.Millisecond}
+var _ = Describe("Choose", func() {
+	It("respects readiness, failures, misdirected responses, earlier attempts and zones", func() {
+		clock := &timetable.Hand{}
+		criteria := balancer.Criteria{Service: "s", ZoneCost: 5 * time.Millisecond}
 		draining := server("d", "c1")
 		draining.IsReady = false
-		yard := here.WithFleet(fleet(server("a", "c1"), server("b", "c2"), draining))
-		Expect(chosen(yard, wish, hand)).To(Equal(map[string]int{"a": 200}))
-		near := yard.Choose(wish, hand)
-		near.Begin()
-		near.End(balancer.Failed, time.Second, 0, hand.Steady())
-		Expect(chosen(yard, wish, hand)).To(Equal(map[string]int{"b": 200}))
-		hand.Sleep(time.Second)
-		Expect(chosen(yard, wish, hand)).To(Equal(map[string]int{"a": 200}))
-		near.Begin()
-		near.End(balancer.Misdirected, 0, 0, hand.Steady())
-		Expect(chosen(yard, wish, hand)).To(Equal(map[string]int{"b": 200}))
-		wish.Tried = []*balancer.Endpoint{yard.Choose(wish, hand)}
-		Expect(yard.Choose(wish, hand)).To(BeNil())
+		set := emptySet.WithFleet(fleet(server("a", "c1"), server("b", "c2"), draining))
+		Expect(countChoices(set, criteria, clock)).To(Equal(map[string]int{"a": 200}))
+		local := set.Choose(criteria, clock)
+		local.Begin()
+		local.End(balancer.Failed, time.Second, 0, clock.Steady())
+		Expect(countChoices(set, criteria, clock)).To(Equal(map[string]int{"b": 200}))
+		clock.Sleep(time.Second)
+		Expect(countChoices(set, criteria, clock)).To(Equal(map[string]int{"a": 200}))
+		local.Begin()
+		local.End(balancer.Misdirected, 0, 0, clock.Steady())
+		Expect(countChoices(set, criteria, clock)).To(Equal(map[string]int{"b": 200}))
+		criteria.Tried = []*balancer.Endpoint{set.Choose(criteria, clock)}
+		Expect(set.Choose(criteria, clock)).To(BeNil())
 	})
 
-	It("sends less to a server that is slow, warming or busy", func() {
-		hand := &timetable.Hand{}
+	It("prefers servers that are neither warming nor busy", func() {
+		clock := &timetable.Hand{}
 		warming := server("w", "c1")
-		warming.WarmMs = hand.Wall().Add(time.Second).UnixMilli()
-		yard := here.WithFleet(fleet(server("a", "c1"), warming))
-		wish := balancer.Criteria{Service: "s"}
-		Expect(chosen(yard, wish, hand)).To(Equal(map[string]int{"a": 200}))
-		busy := yard.Choose(wish, hand)
+		warming.WarmMs = clock.Wall().Add(time.Second).UnixMilli()
+		set := emptySet.WithFleet(fleet(server("a", "c1"), warming))
+		criteria := balancer.Criteria{Service: "s"}
+		Expect(countChoices(set, criteria, clock)).To(Equal(map[string]int{"a": 200}))
+		busy := set.Choose(criteria, clock)
 		for range 4 {
 			busy.Begin()
 		}
-		Expect(chosen(yard, wish, hand)["w"]).To(Equal(200))
+		Expect(countChoices(set, criteria, clock)["w"]).To(Equal(200))
 	})
 
-	It("holds no more at a server than its part of the server's connections", func() {
-		hand := &timetable.Hand{}
-		yard := here.WithFleet(fleet(server("a", "c1")))
-		wish := balancer.Criteria{Service: "s", MaxInFlight: 2}
-		first := yard.Choose(wish, hand)
+	It("does not exceed the limit of requests in flight to a server", func() {
+		clock := &timetable.Hand{}
+		set := emptySet.WithFleet(fleet(server("a", "c1")))
+		criteria := balancer.Criteria{Service: "s", MaxInFlight: 2}
+		first := set.Choose(criteria, clock)
 		first.Begin()
-		yard.Choose(wish, hand).Begin()
-		Expect(yard.Choose(wish, hand)).To(BeNil())
-		wish.HasPosition = true
-		Expect(yard.Choose(wish, hand)).To(BeNil())
-		first.End(balancer.Served, time.Millisecond, 0, hand.Steady())
-		Expect(yard.Choose(wish, hand)).NotTo(BeNil())
+		set.Choose(criteria, clock).Begin()
+		Expect(set.Choose(criteria, clock)).To(BeNil())
+		criteria.HasPosition = true
+		Expect(set.Choose(criteria, clock)).To(BeNil())
+		first.End(balancer.Served, time.Millisecond, 0, clock.Steady())
+		Expect(set.Choose(criteria, clock)).NotTo(BeNil())
 	})
 
-	It("knows a fallen site by what is left of it, and by what fails, not by what is busy", func() {
-		hand := &timetable.Hand{}
-		yard := here.WithFleet(fleet(server("a", "c1"), server("b", "c1"), server("z", "c2")))
-		wish := balancer.Criteria{Service: "s"}
-		Expect(yard.LocalZoneDegraded("s")).To(BeFalse())
-		first := yard.Choose(wish, hand)
+	It("counts the local zone as degraded by lost and failing servers, not by overloaded ones", func() {
+		clock := &timetable.Hand{}
+		set := emptySet.WithFleet(fleet(server("a", "c1"), server("b", "c1"), server("z", "c2")))
+		criteria := balancer.Criteria{Service: "s"}
+		Expect(set.LocalZoneDegraded("s")).To(BeFalse())
+		first := set.Choose(criteria, clock)
 		first.Begin()
-		first.End(balancer.Overloaded, 0, 0, hand.Steady())
-		Expect(yard.LocalZoneDegraded("s")).To(BeFalse())
+		first.End(balancer.Overloaded, 0, 0, clock.Steady())
+		Expect(set.LocalZoneDegraded("s")).To(BeFalse())
 		first.Begin()
-		first.End(balancer.Failed, 0, 0, hand.Steady())
-		Expect(yard.LocalZoneDegraded("s")).To(BeTrue())
+		first.End(balancer.Failed, 0, 0, clock.Steady())
+		Expect(set.LocalZoneDegraded("s")).To(BeTrue())
 		first.Begin()
-		first.End(balancer.Served, time.Millisecond, 0, hand.Steady())
-		Expect(yard.LocalZoneDegraded("s")).To(BeFalse())
-		Expect(yard.WithFleet(fleet(server("z", "c2"))).LocalZoneDegraded("s")).To(BeTrue())
-		Expect(here.WithFleet(fleet(server("z", "c2"))).LocalZoneDegraded("s")).To(BeFalse())
+		first.End(balancer.Served, time.Millisecond, 0, clock.Steady())
+		Expect(set.LocalZoneDegraded("s")).To(BeFalse())
+		Expect(set.WithFleet(fleet(server("z", "c2"))).LocalZoneDegraded("s")).To(BeTrue())
+		Expect(emptySet.WithFleet(fleet(server("z", "c2"))).LocalZoneDegraded("s")).To(BeFalse())
 	})
 
-	It("keeps what it learnt of a server when the list says something new", func() {
-		hand := &timetable.Hand{}
-		yard := here.WithFleet(fleet(server("a", "c1")))
-		yard.Choose(balancer.Criteria{Service: "s"}, hand).End(balancer.Misdirected, 0, 0, 0)
+	It("keeps the observed state of a server when its listing changes", func() {
+		clock := &timetable.Hand{}
+		set := emptySet.WithFleet(fleet(server("a", "c1")))
+		set.Choose(balancer.Criteria{Service: "s"}, clock).End(balancer.Misdirected, 0, 0, 0)
 		changed := server("a", "c1")
 		changed.Capacity = 9
-		Expect(yard.WithFleet(fleet(changed)).Choose(balancer.Criteria{Service: "s"}, hand)).To(BeNil())
+		Expect(set.WithFleet(fleet(changed)).Choose(balancer.Criteria{Service: "s"}, clock)).To(BeNil())
 	})
 })
--- a/internal/balancer/canary_allowance.go
+++ b/internal/balancer/canary_allowance.go
@@ -2,9 +2,9 @@
 
 import "sync"
 
-// Allowance bounds what one node sends a version on trial to a share of its own
-// inquiries for the service, counted from when the trial began here. Each node
-// keeping to its share, the sum over all nodes keeps to it too.
+// CanaryAllowance limits the requests that one node sends to a version on trial to a
+// share of its own requests for the service, counted from when the trial began on this
+// node. As every node keeps to its share, so does the sum over all nodes.
 type CanaryAllowance struct {
 	mu          sync.Mutex
 	number      uint64
@@ -13,19 +13,16 @@
 }
 
 const (
-	// spare is how much must be left for a lane that was seen often enough, so
-	// that rare lanes are seen as well.
+	// overrepresentedCredit is the credit that a request of an overrepresented route
+	// requires, so that rare routes reach the version on trial as well.
 	overrepresentedCredit = 2.5
-	// ahead is by how much one lane may be seen more than the least seen.
+	// maxRouteLead is the number of requests by which a route may lead the least sent
+	// route before it counts as overrepresented.
 	maxRouteLead = 2
 )
 
-// Take notes an inquiry for the service, and tells whether it goes to the
-// version on trial. A part of 1 or more takes all.
-//
-// Example:
-//
-//	isTrial := allowance.Take(share.Number, share.Part, lane)
+// Take records a request for the service and reports whether it goes to the version on
+// trial. A share of 1 or more sends every request there.
 func (a *CanaryAllowance) Take(number uint64, share float64, route string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/balancer/choose.go
+++ b/internal/balancer/choose.go
@@ -8,41 +8,44 @@
 	"ploverhitch/internal/timetable"
 )
 
-// Wish is what a choice has to heed.
+// Criteria describe which server a request needs.
 type Criteria struct {
 	Service string
-	// Crossing is what it costs, as delay, to leave the cell.
+	// ZoneCost is the cost of leaving the local zone, as a delay.
 	ZoneCost time.Duration
-	// Usual is how long the lane's replies usually take.
+	// UsualLatency is the usual latency of the route's responses.
 	UsualLatency time.Duration
-	// Passed are the servers that had the inquiry already.
+	// Tried are the servers that the request was already sent to.
 	Tried []*Endpoint
-	// Limit is how many inquiries of this node one server may hold, if not 0.
+	// MaxInFlight limits this node's concurrent requests to one server. 0 means no
+	// limit.
 	MaxInFlight int
-	// Place is the operation's place on the ring, if IsPlaced.
+	// Position is the operation's position on the ring if HasPosition is set.
 	Position    RingPosition
 	HasPosition bool
-	// Allows, if set, tells whether a server may be taken at all.
+	// Allowed, if set, reports whether a server may be chosen at all.
 	Allowed func(*Endpoint) bool
-	// IsTrial asks for the version on trial.
+	// Canary requests a server of the version on trial.
 	Canary bool
 }
 
 const (
-	// nearSamples and farSamples are how many servers are drawn from the own
-	// cell and from the others.
-	// Few: what is known of a server's load is never quite new, and with many to
-	// choose from all would run to the same.
+	// localSamples and remoteSamples are the numbers of servers sampled from the local
+	// zone and from the other zones. They are small because load information is always
+	// slightly out of date: with many candidates, all nodes would choose the same
+	// server.
 	localSamples  = 2
 	remoteSamples = 1
-	// homeFavor is how much dearer than the best the home may be.
+	// homeCostFactor and homeCostMargin bound how far the home server's cost may exceed
+	// the lowest cost before another server is preferred.
 	homeCostFactor = 1.25
 	homeCostMargin = 2 * time.Millisecond
-	// walkLimit is how far along the ring servers of the own cell are sought.
+	// maxRingSteps limits how many servers along the ring are considered in search of
+	// servers of the local zone.
 	maxRingSteps = 24
 )
 
-// choice is one choice on its way.
+// selection is the state of one choice of a server.
 type selection struct {
 	criteria                Criteria
 	zone                    string
@@ -54,7 +57,8 @@
 	localCount, remoteCount int
 }
 
-// look weighs one server; it is counted if it could well be taken.
+// consider evaluates one server. A server that is not currently avoided counts as a
+// candidate of its zone.
 func (c *selection) consider(endpoint *Endpoint) {
 	full := c.criteria.MaxInFlight > 0 && endpoint.inFlight.Load() >= int64(c.criteria.MaxInFlight)
 	if full || endpoint.misdirected.Load() || endpoint.Leaving() || alreadyTried(c.criteria.Tried, endpoint) || c.criteria.Allowed != nil && !c.criteria.Allowed(endpoint) {
@@ -76,14 +80,11 @@
 	}
 }
 
-// Choose takes the least expected delay of a few servers, or nil if the service
-// has none left that may take one more. The few are drawn by lot from those that
-// the node keeps to, or, for a placed operation, are its home on the ring and
-// those that follow; the home is kept while it is not clearly worse.
-//
-// Example:
-//
-//	siding := yard.Choose(balancer.Wish{Service: "paadam"}, clock)
+// Choose returns the server with the lowest expected delay among a few candidates, or
+// nil if no server of the service may take another request. The candidates are a random
+// sample of the node's subset, or, for an operation with a ring position, its home
+// server and the servers that follow on the ring. The home server is kept unless it is
+// clearly worse.
 func (s *ServerSet) Choose(criteria Criteria, clock timetable.Clock) *Endpoint {
 	c := &selection{criteria: criteria, zone: s.locality.Zone, now: clock.Steady(), wallTime: clock.Wall(), bestCost: math.Inf(1)}
 	service := s.service(criteria.Service)
@@ -108,8 +109,8 @@
 	return c.bestOrAny(service)
 }
 
-// orAny is the best that was found; where none of those that the node keeps to could
-// well be taken, any other server of the service is looked at too.
+// bestOrAny returns the best server found. If the node's subset has no candidate, the
+// other servers of the service are considered too.
 func (c *selection) bestOrAny(service *serviceEndpoints) *Endpoint {
 	if c.localCount+c.remoteCount == 0 {
 		visitRandomly(service.all, func(endpoint *Endpoint) bool { c.consider(endpoint); return c.localCount+c.remoteCount == 0 })
@@ -117,7 +118,7 @@
 	return c.best
 }
 
-// draw visits the list in an order by lot, until visit says no.
+// visitRandomly visits the endpoints in a random order until visit returns false.
 func visitRandomly(endpoints []*Endpoint, visit func(*Endpoint) bool) {
 	if len(endpoints) == 0 {
 		return
@@ -130,7 +131,8 @@
 	}
 }
 
-// stride is a step that visits every place of a list of the size once.
+// randomStride returns a random step width that visits every index of a list of the
+// given size exactly once.
 func randomStride(size int) int {
 	for {
 		step := 1 + rand.IntN(size)
--- a/internal/balancer/endpoint.go
+++ b/internal/balancer/endpoint.go
@@ -10,47 +10,50 @@
 	"ploverhitch/internal/upstream"
 )
 
-// Siding is one server as this node knows it from its own inquiries. Its
-// figures are atomics: the path of an inquiry takes no lock here.
+// Endpoint is a server with the state that this node observed from its own requests.
+// The state is atomic: requests take no lock here.
 type Endpoint struct {
 	feed.Server
 	*endpointState
 }
 
-// learnt is what the node learnt of a server, whatever the list says of it.
+// endpointState is what the node observed of a server. It survives changes of the
+// server's listing.
 type endpointState struct {
 	Pool *upstream.Pool
 
 	inFlight atomic.Int64
-	// pace is how long its replies take here beside the lane's usual, smoothed,
-	// in thousandths; paced how many showed it.
+	// latencyRatio is the smoothed ratio of the server's latency to the route's usual
+	// latency, in thousandths, and latencySamples the number of responses it is based
+	// on.
 	latencyRatio, latencySamples atomic.Int64
-	// told is the pace that all proxies saw, in eighths, and isAside that they
-	// found the server ill: both change often, and nothing else with them.
+	// fleetLatencyRatio is the latency ratio that all proxies observed, in eighths, and
+	// ejected is set while the fleet state ejects the server as an outlier. Both change
+	// often without any other change of the server's listing.
 	fleetLatencyRatio atomic.Int64
 	ejected           atomic.Bool
-	// shy is until when the server is passed over if there is another.
+	// avoidUntil is the time until which other servers are preferred.
 	avoidUntil atomic.Int64
 	failures   atomic.Int64
-	// isGone: another server has the address.
+	// misdirected is set once another server answered at the address.
 	misdirected atomic.Bool
-	// isLeaving: the server is known to leave, whatever the fleet says. It never
-	// becomes ready again.
+	// leaving is set once the server is known to be leaving, regardless of the fleet
+	// state. It is never cleared.
 	leaving atomic.Bool
 }
 
 const (
 	latencyWeight   = 0.2
 	minUsualLatency = 5 * time.Millisecond
-	// sharedWeight is how many of its own replies weigh as much to a proxy as
-	// what all saw; ownMost is how many count.
+	// fleetLatencyWeight is the weight of the fleet's latency ratio, in responses that
+	// the node observed itself; at most maxOwnWeight of the latter count.
 	fleetLatencyWeight = 3.0
 	maxOwnWeight       = 4
 	minFailureBackoff  = 250 * time.Millisecond
 	maxFailureBackoff  = 4 * time.Second
 	overloadBackoff    = 60 * time.Millisecond
 	warmingPenalty     = 1.0
-	// trickle: of so many choices that meet a server set aside, one heeds it.
+	// ejectedProbeInterval: one in so many choices ignores that a server is ejected.
 	ejectedProbeInterval = 40
 )
 
@@ -60,52 +63,41 @@
 	return e
 }
 
-// hear takes what the news say of the server that is no part of its identity.
+// updateHealth applies the parts of the listing that may change without a new Endpoint.
 func (e *Endpoint) updateHealth(server feed.Server) {
 	e.fleetLatencyRatio.Store(int64(server.Pace))
 	e.ejected.Store(server.IsAside)
 }
 
-// isSame tells whether the list says the same of the server but for what hear
-// takes.
+// sameListing reports whether the listing is unchanged except for what updateHealth
+// applies.
 func (e *Endpoint) sameListing(server feed.Server) bool {
 	server.Pace, server.IsAside = e.Pace, e.IsAside
 	return e.Server == server
 }
 
-// IsLeaving tells whether the server was reported to leave.
-//
-// Example:
-//
-//	if siding.IsLeaving() { chooseAnother() }
+// Leaving reports whether the server was reported to be leaving.
 func (e *Endpoint) Leaving() bool { return e.leaving.Load() }
 
-// Begin notes that an inquiry is on its way to the server.
-//
-// Example:
-//
-//	siding.Begin()
+// Begin counts a request as in flight.
 func (e *Endpoint) Begin() { e.inFlight.Add(1) }
 
-// Outcome is what a delivery showed of the server.
+// Outcome is the outcome of an attempt at a server.
 type Outcome uint8
 
-// The outcomes of a delivery.
+// The outcomes of an attempt.
 const (
 	Served Outcome = iota
 	Overloaded
 	Misdirected
 	Failed
-	// Unasked: the time to send had passed; it says nothing of the server.
+	// NotSent means that the deadline for sending passed. It says nothing about the
+	// server.
 	NotSent
 )
 
-// End notes how the inquiry ended, how long it took, and how long the lane's
-// replies usually take.
-//
-// Example:
-//
-//	siding.End(balancer.Served, took, usual, clock.Steady())
+// End records the outcome and the latency of an attempt; usual is the usual latency of
+// the route's responses, or 0 if unknown.
 func (e *Endpoint) End(outcome Outcome, latency, usual time.Duration, now timetable.Steady) {
 	e.inFlight.Add(-1)
 	switch outcome {
@@ -127,8 +119,8 @@
 	}
 }
 
-// beside is how long the server's replies take beside the usual: what all the
-// proxies saw, and what this one saw itself.
+// combinedLatencyRatio returns the ratio of the server's latency to the usual latency,
+// as a weighted mean of the fleet's and the node's own observations.
 func (e *Endpoint) combinedLatencyRatio() float64 {
 	ownWeight := float64(min(e.latencySamples.Load(), maxOwnWeight))
 	fleetRatio := 1.0
@@ -138,7 +130,8 @@
 	return (fleetRatio*fleetLatencyWeight + ownWeight*float64(e.latencyRatio.Load())/1000) / (fleetLatencyWeight + ownWeight)
 }
 
-// cost is the expected delay of one more inquiry, in nanoseconds.
+// cost returns the expected delay of one more request, in nanoseconds. An avoided or
+// ejected server costs an hour more.
 func (e *Endpoint) cost(now timetable.Steady, wallTime time.Time, zone string, criteria Criteria) float64 {
 	latency := e.combinedLatencyRatio() * float64(max(criteria.UsualLatency, minUsualLatency))
 	cost := latency * (1 + float64(e.inFlight.Load())/float64(max(1, e.Capacity)))
@@ -155,7 +148,7 @@
 	return cost
 }
 
-// with is the siding under the list's new words for the same server.
+// withListing returns an endpoint with a new listing that shares the state of e.
 func (e *Endpoint) withListing(server feed.Server) *Endpoint {
 	return &Endpoint{Server: server, endpointState: e.endpointState}
 }
--- a/internal/balancer/leaving_server_test.go
+++ b/internal/balancer/leaving_server_test.go
@@ -11,30 +11,30 @@
 	"ploverhitch/internal/timetable"
 )
 
-var _ = Describe("a server that is reported to leave", func() {
-	It("is never chosen again, on the ring or off it, whatever the fleet says and however long it takes", func() {
-		hand := &timetable.Hand{Now: time.Hour}
+var _ = Describe("a server that is reported to be leaving", func() {
+	It("is never chosen again, with or without a ring position, even if the fleet state lists it as ready for an hour", func() {
+		clock := &timetable.Hand{Now: time.Hour}
 		fleet := feed.Fleet{Term: 1, Count: 1, Servers: []feed.Server{
 			{ID: "a", Service: "s", Cell: "z", Capacity: 2, IsReady: true}, {ID: "b", Service: "s", Cell: "z", Capacity: 2, IsReady: true},
 		}}
-		yard := balancer.NewServerSet(balancer.Locality{Node: "n", Zone: "z"}).WithFleet(fleet)
-		yard.MarkLeaving([]string{"a", "unknown"})
-		// What is known of it outlives a reading that still calls it ready.
+		set := balancer.NewServerSet(balancer.Locality{Node: "n", Zone: "z"}).WithFleet(fleet)
+		set.MarkLeaving([]string{"a", "unknown"})
+		// The mark survives a fleet state that still lists the server as ready.
 		fleet.Count, fleet.Servers[0].Capacity = 2, 3
-		yard = yard.WithFleet(fleet)
+		set = set.WithFleet(fleet)
 		chosen := func() map[string]bool {
-			out := map[string]bool{}
-			for place := range 200 {
-				for _, isPlaced := range []bool{false, true} {
-					out[yard.Choose(balancer.Criteria{Service: "s", Position: balancer.RingPositionOf("k", string(rune(place))), HasPosition: isPlaced}, hand).ID] = true
+			ids := map[string]bool{}
+			for i := range 200 {
+				for _, hasPosition := range []bool{false, true} {
+					ids[set.Choose(balancer.Criteria{Service: "s", Position: balancer.RingPositionOf("k", string(rune(i))), HasPosition: hasPosition}, clock).ID] = true
 				}
 			}
-			return out
+			return ids
 		}
 		Expect(chosen()).To(Equal(map[string]bool{"b": true}))
-		hand.Sleep(time.Hour)
+		clock.Sleep(time.Hour)
 		fleet.Count, fleet.Servers[0].Capacity = 3, 4
-		yard = yard.WithFleet(fleet)
+		set = set.WithFleet(fleet)
 		Expect(chosen()).To(Equal(map[string]bool{"b": true}))
 	})
 })
--- a/internal/balancer/retry_budget.go
+++ b/internal/balancer/retry_budget.go
@@ -1,5 +1,5 @@
-// Package balancer decides where an inquiry goes: the choice of a server, the
-// budget of further tries, and admission.
+// Package balancer chooses the server of each request and limits retries and the
+// requests that a version on trial receives.
 package balancer
 
 import (
@@ -9,9 +9,9 @@
 	"ploverhitch/internal/timetable"
 )
 
-// Budget bounds one node's further tries at one service to a share of its own
-// inquiries for it over a sliding window. Each node keeping to its share, the
-// sum keeps to it too, with no talk between nodes.
+// RetryBudget limits one node's retries for one service to a ratio of its own requests
+// for the service in a sliding window. As every node keeps to its ratio, so does the
+// sum, without communication between nodes.
 type RetryBudget struct {
 	ratio       float64
 	minimum     func() float64
@@ -24,42 +24,37 @@
 }
 
 const (
-	// ratioPart is the part of the ratio that a node takes. A further try arrives some
-	// hundred milliseconds after it was paid for, so that a window may hold the tries
-	// of more inquiries than it holds inquiries.
+	// usableRatio is the part of the ratio that a node uses. A retry arrives some
+	// hundred milliseconds after it was granted, so a window may contain the retries of
+	// more requests than it contains requests.
 	usableRatio = 0.85
-	// budgetSteps is over how many steps tries and inquiries are counted: a little more
-	// than the window.
+	// budgetBuckets is the number of buckets in which requests and retries are counted.
+	// Together they span slightly more than the window.
 	budgetBuckets = 20
 )
 
 const (
-	// slackPart is the part of the common slack that all nodes together may take;
-	// the rest is for nodes that have started anew and forgotten what they spent.
+	// usableSlack is the part of the common slack that all nodes together may use. The
+	// rest is reserved for nodes that restarted and lost count of their retries.
 	usableSlack = 0.5
-	// proxiesLeast is how many nodes share it at least.
+	// minSlackProxies is the lowest number of nodes that the slack is divided by.
 	minSlackProxies = 20
 )
 
-// Floor is one node's part of the slack that all nodes have in common.
-//
-// Example:
-//
-//	floor := balancer.Floor(bounds.RetrySlack, fleet.Proxies)
+// SlackPerProxy returns one node's part of the retry slack that all nodes have in
+// common.
 func SlackPerProxy(slack, proxies int) float64 {
 	return usableSlack * float64(slack) / float64(max(minSlackProxies, proxies))
 }
 
-// NewBudget makes a budget; floor is what may be spent whatever was asked.
-//
-// Example:
-//
-//	budget := balancer.NewBudget(0.2, 10*time.Second, func() float64 { return balancer.Floor(64, 12) }, clock)
+// NewRetryBudget returns an empty budget. minimum returns the number of retries per
+// window that are allowed regardless of the number of requests.
 func NewRetryBudget(ratio float64, window time.Duration, minimum func() float64, clock timetable.Clock) *RetryBudget {
 	return &RetryBudget{ratio: ratio, minimum: minimum, bucketWidth: timetable.Steady(window) / (budgetBuckets - 1), now: clock.Steady}
 }
 
-// turn moves to the present step, emptying those that were passed.
+// advance moves to the current bucket, clears the buckets passed on the way and returns
+// the current bucket's index.
 func (b *RetryBudget) advance() int {
 	now := int64(b.now() / max(b.bucketWidth, 1))
 	if now-b.current >= budgetBuckets {
@@ -73,22 +68,14 @@
 	return int(now % budgetBuckets)
 }
 
-// Ask notes an inquiry for the service.
-//
-// Example:
-//
-//	budget.Ask()
+// RecordRequest counts a request for the service.
 func (b *RetryBudget) RecordRequest() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.requests[b.advance()]++
 }
 
-// Spend takes one further try, if there is one left.
-//
-// Example:
-//
-//	if budget.Spend() { tryAgain() }
+// TakeRetry reports whether a retry is allowed and counts it if so.
 func (b *RetryBudget) TakeRetry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/balancer/ring.go
+++ b/internal/balancer/ring.go
@@ -7,15 +7,11 @@
 	"strings"
 )
 
-// Place is a place on a service's ring.
+// RingPosition is a position on a service's consistent-hash ring.
 type RingPosition uint64
 
-// PlaceOf is the place of an operation's name: a key within its tenant, or a
-// download's path.
-//
-// Example:
-//
-//	wish.Place = balancer.PlaceOf(tenant, key)
+// RingPositionOf returns the position of an operation's name: a key within its tenant,
+// or a download's path.
 func RingPositionOf(parts ...string) RingPosition {
 	hash := fnv.New64a()
 	for _, part := range parts {
@@ -25,7 +21,7 @@
 	return mix(hash.Sum64())
 }
 
-// mix spreads near hashes over the whole ring.
+// mix spreads similar hashes over the whole ring.
 func mix(h uint64) RingPosition {
 	h ^= h >> 33
 	h *= 0xff51afd7ed558ccd
@@ -34,14 +30,15 @@
 	return RingPosition(h ^ h>>33)
 }
 
-// stop is one of the places at which a server stands on the ring.
+// virtualNode is one of a server's positions on the ring.
 type virtualNode struct {
 	position RingPosition
 	endpoint *Endpoint
 }
 
-// ring is the ready servers of one service, each at several places by its
-// instance, so that one that comes or goes moves only what is next to it.
+// ring holds the ready servers of one service, each at several positions derived from
+// its instance ID, so that adding or removing a server moves only the adjacent
+// operations.
 type ring []virtualNode
 
 const virtualNodesPerServer = 48
@@ -61,7 +58,7 @@
 	return v.position < other.position || v.position == other.position && v.endpoint.ID < other.endpoint.ID
 }
 
-// walk visits distinct servers from the place on, until visit says no.
+// walk visits distinct servers from the position onwards until visit returns false.
 func (r ring) walk(from RingPosition, visit func(*Endpoint) bool) {
 	start := sort.Search(len(r), func(i int) bool { return r[i].position >= from })
 	var seen []*Endpoint
@@ -80,13 +77,9 @@
 	}
 }
 
-// Home is the server at which the ring places the operation, or nil. It depends
-// on the service's ready servers, and where these are more than the node keeps to,
-// on the node.
-//
-// Example:
-//
-//	siding := yard.Home("fees", balancer.PlaceOf(tenant, key))
+// HomeServer returns the server that the ring assigns to the operation, or nil. It
+// depends on the service's ready servers and, if these exceed the node's subset, on the
+// node.
 func (s *ServerSet) HomeServer(service string, position RingPosition) (home *Endpoint) {
 	s.service(service).ring.walk(position, func(endpoint *Endpoint) bool {
 		home = endpoint
@@ -95,11 +88,7 @@
 	return home
 }
 
-// Names lists the instances on the service's ring.
-//
-// Example:
-//
-//	isThere := slices.Contains(yard.Names("fees"), "i-7f3a91c2")
+// InstanceIDs returns the instance IDs of the service's ready servers.
 func (s *ServerSet) InstanceIDs(service string) (ids []string) {
 	for _, endpoint := range s.service(service).all {
 		ids = append(ids, endpoint.ID)
@@ -107,23 +96,19 @@
 	return ids
 }
 
-// Change is a change of servers that an operator is thinking about.
+// Change is a change of servers that an operator considers.
 type Change struct {
 	Service string `cbor:"1,keyasint" json:"Service"`
-	// Add names instances that would come, as ID or ID@CELL, Retire those that
-	// would go. Of a service with more servers than a node keeps to, the cell
-	// decides which nodes take the new one up.
+	// Add lists instances to be added, as ID or ID@ZONE, Retire those to be removed. If
+	// the service has more servers than a node's subset, the zone determines which
+	// nodes use an added instance.
 	Add    []string `cbor:"2,keyasint,omitempty" json:"Add,omitempty"`
 	Retire []string `cbor:"3,keyasint,omitempty" json:"Retire,omitempty"`
 }
 
-// Trial is the ring of the service as it would be after the change. The yard
-// itself, and what it knows of its servers, stay as they are.
-//
-// Example:
-//
-//	trial := yard.Trial(change)
-//	isMoving := trial(place) != yard.Home(change.Service, place).ID
+// HomeAfter returns a function that maps positions to the instance IDs of their home
+// servers as they would be after the change. The set itself and the state of its
+// servers do not change.
 func (s *ServerSet) HomeAfter(change Change) (homeOf func(RingPosition) string) {
 	var endpoints []*Endpoint
 	adding := map[string]bool{}
--- a/internal/balancer/server_set.go
+++ b/internal/balancer/server_set.go
@@ -2,36 +2,29 @@
 
 import "ploverhitch/internal/feed"
 
-// Home is the place of the node itself.
+// Locality is the location of this node.
 type Locality struct {
 	Node, Zone string
-	// Set is how many servers of a service the node keeps to, if not 0.
+	// SubsetSize limits how many servers of a service the node uses. 0 means all.
 	SubsetSize int
 }
 
-// Yard is the servers of every service as one node sees them; it never changes
-// once made.
+// ServerSet holds the servers of every service as seen by one node. It is immutable
+// except for the state of its endpoints.
 type ServerSet struct {
 	locality Locality
 	services map[string]*serviceEndpoints
 	byID     map[string]*Endpoint
 }
 
-// NewYard makes an empty yard.
-//
-// Example:
-//
-//	yard := balancer.NewYard(balancer.Home{Node: "edge-1", Cell: "a", Set: 24})
+// NewServerSet returns an empty set.
 func NewServerSet(locality Locality) *ServerSet {
 	return &ServerSet{locality: locality, services: map[string]*serviceEndpoints{}, byID: map[string]*Endpoint{}}
 }
 
-// Lay makes the yard of a fleet, keeping the sidings of servers that stay, and
-// all of a service whose servers are the same.
-//
-// Example:
-//
-//	yard = yard.Lay(fleet)
+// WithFleet returns the set of the fleet's servers. It keeps the state of servers that
+// remain and all state of services whose servers are unchanged, and closes the
+// connection pools of removed servers.
 func (s *ServerSet) WithFleet(fleet feed.Fleet) *ServerSet {
 	next := NewServerSet(s.locality)
 	byService := map[string][]*Endpoint{}
@@ -64,12 +57,8 @@
 	return next
 }
 
-// Hear takes over the paces of a fleet whose servers are otherwise those of the
-// yard, without laying anything anew.
-//
-// Example:
-//
-//	if feed.IsKeptAs(fleet.Servers, servers) { yard.Hear(fleet) }
+// UpdateHealth applies the latency ratios and ejections of a fleet whose servers are
+// otherwise those of the set.
 func (s *ServerSet) UpdateHealth(fleet feed.Fleet) {
 	for _, server := range fleet.Servers {
 		if endpoint := s.byID[server.ID]; endpoint != nil {
@@ -78,12 +67,8 @@
 	}
 }
 
-// Leave takes the servers out of every choice for good: the platform's list showed
-// that they leave, and the fleet may not say so yet.
-//
-// Example:
-//
-//	yard.Leave(news.Leaving)
+// MarkLeaving excludes servers from every later choice. The platform's list showed that
+// they are leaving, which the fleet state may not contain yet.
 func (s *ServerSet) MarkLeaving(ids []string) {
 	for _, id := range ids {
 		if endpoint := s.byID[id]; endpoint != nil {
@@ -92,24 +77,16 @@
 	}
 }
 
-// Find is a listed server by its instance.
-//
-// Example:
-//
-//	if siding, isThere := yard.Find(id); isThere { look(siding) }
+// Find returns a listed server by its instance ID.
 func (s *ServerSet) Find(id string) (endpoint *Endpoint, found bool) {
 	endpoint, found = s.byID[id]
 	return endpoint, found
 }
 
-// trialName is the stand of a service's version on trial.
+// canaryName returns the name under which a service's version on trial is kept.
 func canaryName(service string) string { return service + "\x00trial" }
 
-// AtWork is how many inquiries are under way at a service's version in force.
-//
-// Example:
-//
-//	isLeft := yard.AtWork(service) == 0
+// InFlight returns the number of requests in flight to the service's version in force.
 func (s *ServerSet) InFlight(service string) (count int) {
 	for _, endpoint := range s.service(service).all {
 		count += int(endpoint.inFlight.Load())
@@ -117,11 +94,7 @@
 	return count
 }
 
-// Ready is how many servers of the service may be chosen.
-//
-// Example:
-//
-//	if yard.Ready(service) == 0 { refuse() }
+// ReadyCount returns the number of servers of the service that may be chosen.
 func (s *ServerSet) ReadyCount(service string) int { return len(s.service(service).all) }
 
 var noEndpoints = &serviceEndpoints{}
@@ -133,9 +106,5 @@
 	return noEndpoints
 }
 
-// Size is how many servers are listed.
-//
-// Example:
-//
-//	isKnown := yard.Size() > 0
+// Size returns the number of listed servers.
 func (s *ServerSet) Size() int { return len(s.byID) }
--- a/internal/balancer/service_endpoints.go
+++ b/internal/balancer/service_endpoints.go
@@ -5,23 +5,25 @@
 	"sort"
 )
 
-// stand is the ready servers of one service.
+// serviceEndpoints holds the ready servers of one service.
 type serviceEndpoints struct {
 	all []*Endpoint
-	// ring is of those that the node keeps to: near and far.
+	// ring holds the node's subset: local and remote.
 	ring ring
-	// near and far are the servers of the own cell and of the others to which
-	// the node keeps where no ring decides: few enough that its connections to
-	// them are used again, and others than those of the next node.
+	// local and remote are the servers in the local zone and in other zones that form
+	// the node's subset. The subset is small enough that connections are reused, and
+	// differs from node to node.
 	local, remote []*Endpoint
-	// most is the most capacity that near ever had.
+	// peakLocalCapacity is the highest capacity that local ever had.
 	peakLocalCapacity int
 }
 
-// nearPart is the part of the set that is of the own cell, if it has so many.
+// localSubsetShare is the share of the subset that is in the local zone, if the zone
+// has enough servers.
 const localSubsetShare = 2.0 / 3
 
-// change is the stand with another list; what did not change stays.
+// withEndpoints returns the state for the new list of endpoints, reusing unchanged
+// parts of s.
 func (s *serviceEndpoints) withEndpoints(endpoints []*Endpoint, locality Locality) *serviceEndpoints {
 	if s == nil {
 		s = noEndpoints
@@ -47,7 +49,7 @@
 	return next
 }
 
-// kept are the servers that the node keeps to.
+// subset returns the servers that the node uses.
 func (s *serviceEndpoints) subset() []*Endpoint { return slices.Concat(s.local, s.remote) }
 
 func totalCapacity(endpoints []*Endpoint) (sum int) {
@@ -57,7 +59,8 @@
 	return sum
 }
 
-// keep leaves the servers that the node keeps to.
+// limitSubset reduces local and remote to the servers that the node uses, in the order
+// of rank.
 func (s *serviceEndpoints) limitSubset(locality Locality, rank map[string]RingPosition) {
 	for _, endpoints := range [][]*Endpoint{s.local, s.remote} {
 		sort.Slice(endpoints, func(i, j int) bool { return rank[endpoints[i].ID] < rank[endpoints[j].ID] })
@@ -66,25 +69,19 @@
 	s.local, s.remote = s.local[:localSize], s.remote[:min(len(s.remote), locality.SubsetSize-localSize)]
 }
 
-// fallenPart is the part of its capacity with which a site counts as fallen.
+// degradedShare is the share of its peak capacity at or below which a zone counts as
+// degraded.
 const degradedShare = 0.5
 
-// IsSound tells whether the server is neither set aside nor failed when it was
-// last asked.
-//
-// Example:
-//
-//	if !siding.IsSound() { passOn() }
+// Healthy reports whether the server is not ejected, not misdirected and did not fail
+// its last attempt.
 func (e *Endpoint) Healthy() bool {
 	return e.failures.Load() == 0 && !e.ejected.Load() && !e.misdirected.Load()
 }
 
-// IsFallen tells whether the node's own cell has lost most of a service: few of
-// its servers are left that are ready and did not fail when last asked.
-//
-// Example:
-//
-//	if yard.IsFallen(service) { passUp() }
+// LocalZoneDegraded reports whether the local zone has lost most of the service's
+// capacity, counting only ready servers that did not fail their last attempt.
+// Overloaded servers count as healthy.
 func (s *ServerSet) LocalZoneDegraded(service string) bool {
 	endpoints, healthyCapacity := s.service(service), 0
 	for _, endpoint := range endpoints.local {
@@ -95,7 +92,8 @@
 	return endpoints.peakLocalCapacity > 0 && float64(healthyCapacity) <= degradedShare*float64(endpoints.peakLocalCapacity)
 }
 
-// change is the ring of another list, made from this one's.
+// withEndpoints returns the ring of another list of endpoints, merged from r and the
+// virtual nodes of the added endpoints.
 func (r ring) withEndpoints(previous, endpoints []*Endpoint) ring {
 	onRing, byID := map[string]bool{}, map[string]*Endpoint{}
 	for _, endpoint := range previous {
--- a/internal/outlier/aggregator.go
+++ b/internal/outlier/aggregator.go
@@ -42,19 +42,11 @@
 )
 
 // NewCourt makes a court without evidence.
-//
-// Example:
-//
-//	court := outlier.NewCourt(clock)
 func NewAggregator(clock timetable.Clock) *Aggregator {
 	return &Aggregator{clock: clock, witnesses: map[string]*witness{}, ended: map[Label]Counts{}, bench: newBench()}
 }
 
 // Hear takes a report; one that was taken already has no effect.
-//
-// Example:
-//
-//	court.Hear(report)
 func (c *Aggregator) AddReport(report Report) {
 	now := c.clock.Steady()
 	held := c.witnesses[report.Node]
@@ -74,10 +66,6 @@
 }
 
 // Tend keeps the sliding window; it is called every few hundred milliseconds.
-//
-// Example:
-//
-//	court.Tend()
 func (c *Aggregator) UpdateWindow() {
 	now := c.clock.Steady()
 	for node, held := range c.witnesses {
@@ -109,29 +97,17 @@
 }
 
 // Forget drops the trials of a subject that came before the number.
-//
-// Example:
-//
-//	court.Forget(service, number)
 func (c *Aggregator) ForgetBefore(subject string, number uint64) {
 	maps.DeleteFunc(c.ended, func(at Label, _ Counts) bool { return at.Subject == subject && at.Number < number })
 }
 
 // IsFresh tells whether the proxy reported within the span.
-//
-// Example:
-//
-//	if !court.IsFresh(node, 2*time.Second) { halt() }
 func (c *Aggregator) ReportedWithin(node string, span time.Duration) bool {
 	held := c.witnesses[node]
 	return held != nil && time.Duration(c.clock.Steady()-held.at) <= span
 }
 
 // Proxies is how many proxies reported within the span.
-//
-// Example:
-//
-//	share := limit / court.Proxies(5*time.Second)
 func (c *Aggregator) ProxyCount(span time.Duration) (count int) {
 	for node := range c.witnesses {
 		if c.ReportedWithin(node, span) {
@@ -143,10 +119,6 @@
 
 // Lives is the sum over the proxies that reported within the span, each in its
 // present life, by the closure that makes a figure of one.
-//
-// Example:
-//
-//	lives := court.Lives(2500*time.Millisecond, loopline.LifeOf)
 func (c *Aggregator) CombineIncarnations(span time.Duration, figure func(node, life string) uint64) (sum uint64) {
 	for node, held := range c.witnesses {
 		if c.ReportedWithin(node, span) {
@@ -167,17 +139,9 @@
 
 // IsLeft tells whether no proxy in touch has anything under way at the version
 // in force, or could still send it something.
-//
-// Example:
-//
-//	if touch.IsLeft() { stopOldServers() }
 func (t Usage) Drained() bool { return t.Proxies > 0 && t.Outdated == 0 && t.InFlight == 0 }
 
 // Touch looks at the proxies that reported a short while ago.
-//
-// Example:
-//
-//	isLeft := court.Touch(service, reading).AtWork == 0
 func (c *Aggregator) Usage(subject string, reading feed.Reading) (out Usage) {
 	now := c.clock.Steady()
 	for _, held := range c.witnesses {
--- a/internal/outlier/compare.go
+++ b/internal/outlier/compare.go
@@ -13,10 +13,6 @@
 )
 
 // String names the verdict.
-//
-// Example:
-//
-//	note("info", "verdict", "is", verdict.String())
 func (v Verdict) String() string { return [...]string{"open", "fit", "unfit"}[v] }
 
 // measure is how one outcome is held against the side in force.
@@ -56,10 +52,6 @@
 // Judge holds the side on trial against the one in force: unfit only where it
 // fails, or is slow, far more often, and that is hardly chance; open while it
 // looks worse and that might be chance.
-//
-// Example:
-//
-//	isBad := outlier.Judge(onTrial, inForce) == outlier.Unfit
 func Compare(onTrial, inForce Counts) Verdict {
 	seen := onTrial.Total()
 	switch {
--- a/internal/outlier/evaluation.go
+++ b/internal/outlier/evaluation.go
@@ -38,10 +38,6 @@
 
 // Hearing judges one trial of a subject (and the wave it has reached): in sum and lane by lane, over
 // the whole trial and over the last moments.
-//
-// Example:
-//
-//	finding := court.Hearing(service, number, 0)
 func (c *Aggregator) Evaluate(subject string, number uint64, wave int) (out Evaluation) {
 	all := split(c.sums(), subject, number, wave)
 	lately := map[string][2]Counts{}
--- a/internal/outlier/recorder.go
+++ b/internal/outlier/recorder.go
@@ -32,10 +32,6 @@
 type Counts [outcomes]uint32
 
 // Sum is how many deliveries the tally counts.
-//
-// Example:
-//
-//	isEnough := tally.Sum() >= 40
 func (t Counts) Total() (sum uint32) {
 	for _, count := range t {
 		sum += count
@@ -44,10 +40,6 @@
 }
 
 // Plus adds two tallies.
-//
-// Example:
-//
-//	all = all.Plus(tally)
 func (t Counts) Add(other Counts) Counts {
 	for i := range t {
 		t[i] += other[i]
@@ -56,10 +48,6 @@
 }
 
 // Less takes an older reading of the same counts away.
-//
-// Example:
-//
-//	lately := now.Less(before)
 func (t Counts) Subtract(older Counts) Counts {
 	for i := range t {
 		t[i] -= min(t[i], older[i])
@@ -136,20 +124,12 @@
 }
 
 // NewBox makes an empty box.
-//
-// Example:
-//
-//	box := outlier.NewBox()
 func NewRecorder() *Recorder {
 	return &Recorder{rows: map[Label]Counts{}, servers: map[string]ServerCounts{}}
 }
 
 // Note counts one outcome for a trial. An earlier trial of the subject is over
 // then, and its counts with it.
-//
-// Example:
-//
-//	box.Note(outlier.Mark{Subject: service, Number: 3, Lane: lane}, outlier.Good)
 func (b *Recorder) Record(mark Label, outcome Outcome) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -163,10 +143,6 @@
 
 // NoteServer counts one outcome of a server, and how long its reply took beside
 // what the lane's usually take, if that is known.
-//
-// Example:
-//
-//	box.NoteServer("i-7f3a91c2", outlier.Good, 1.2)
 func (b *Recorder) RecordServer(server string, outcome Outcome, pace float64) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -183,10 +159,6 @@
 }
 
 // NoteStrain counts a try at a server for the overload of its service.
-//
-// Example:
-//
-//	box.NoteStrain("i-7f3a91c2", isTurnedAway)
 func (b *Recorder) RecordLoad(server string, isStrained bool) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -202,10 +174,6 @@
 }
 
 // Report is what the holder is told now. The servers' counts begin anew.
-//
-// Example:
-//
-//	line.Send(messages.KindReport, box.Report(node, life), nil)
 func (b *Recorder) Report(node, life string) Report {
 	b.lock.Lock()
 	defer b.lock.Unlock()
--- a/internal/outlier/server_health.go
+++ b/internal/outlier/server_health.go
@@ -62,10 +62,6 @@
 // Aside names the servers of one group (of one service and version) that are
 // to be set aside: those that fail far more often than the others of the group,
 // and never more than a part of it.
-//
-// Example:
-//
-//	aside := court.Aside(ids)
 func (c *Aggregator) Ejected(group []string) map[string]bool {
 	now := c.clock.Steady()
 	seen, bad := 0.0, 0.0
@@ -111,10 +107,6 @@
 
 // Pace is how long a server's replies take beside those of others, in eighths;
 // 0 while too few were seen. It is told in steps, so that news stay few.
-//
-// Example:
-//
-//	server.Pace = court.Pace(server.ID) // 8 is usual, 16 twice as long
 func (c *Aggregator) LatencyRatio(id string) int {
 	s, now := c.bench.stands[id], c.clock.Steady()
 	if s == nil {
@@ -139,10 +131,6 @@
 
 // Strained is the part of a group's servers, of those tried lately, that turned
 // inquiries away or were late with them.
-//
-// Example:
-//
-//	isWide := court.Strained(ids) >= 0.5
 func (c *Aggregator) OverloadedShare(group []string) float64 {
 	tried, strained, now := 0, 0, c.clock.Steady()
 	for _, id := range group {
@@ -158,10 +146,6 @@
 }
 
 // Keep forgets the servers that are no longer listed.
-//
-// Example:
-//
-//	court.Keep(func(id string) bool { return isListed[id] })
 func (c *Aggregator) RetainServers(isListed func(id string) bool) {
 	for id := range c.bench.stands {
 		if !isListed(id) {
--- a/internal/sites/allocator.go
+++ b/internal/sites/allocator.go
@@ -70,10 +70,6 @@
 
 // NewOffice makes an office that gives nothing until the lots of the one before
 // it have lapsed.
-//
-// Example:
-//
-//	office := sites.NewOffice(tree, clock)
 func NewAllocator(tree *Tree, clock timetable.Clock) *Allocator {
 	return &Allocator{
 		clock: clock, tree: tree, opens: clock.Steady() + timetable.Steady(LeaseDuration+spanMargin),
@@ -82,10 +78,6 @@
 }
 
 // Lay tells the office the tree and what the ready servers declare by now.
-//
-// Example:
-//
-//	office.Lay(tree, map[sites.Key]int{{"fees", "tvm-b"}: 84})
 func (o *Allocator) Update(tree *Tree, declared map[Key]int) {
 	o.tree, o.capacity = tree, map[Key]int{}
 	for key, slots := range declared {
@@ -94,10 +86,6 @@
 }
 
 // Hear takes what a node has under way and wants, and returns its lots.
-//
-// Example:
-//
-//	lots := office.Hear("edge-1", "tvm-a", report.Uses)
 func (o *Allocator) HandleReport(node, site string, uses []Usage) (lots []Lease) {
 	now := o.clock.Steady()
 	t := o.tenants[node]
@@ -174,10 +162,6 @@
 }
 
 // Room is what others may use of a site with so much capacity and own load.
-//
-// Example:
-//
-//	room := sites.Room(40, 16)
 func SpareCapacity(capacity, own int) int { return max(0, room(capacity, own)) }
 
 // Account is what stands of one site and service, for operators to read.
@@ -196,10 +180,6 @@
 }
 
 // Accounts lists what stands, by site and service.
-//
-// Example:
-//
-//	for _, account := range office.Accounts() { print(account.Site, account.Own) }
 func (o *Allocator) Statuses() (out []Status) {
 	now := o.clock.Steady()
 	for key, capacity := range o.capacity {
--- a/internal/sites/node_leases.go
+++ b/internal/sites/node_leases.go
@@ -22,19 +22,11 @@
 }
 
 // NewPurse makes an empty purse.
-//
-// Example:
-//
-//	purse := sites.NewPurse(clock)
 func NewNodeLeases(clock timetable.Clock) *NodeLeases {
 	return &NodeLeases{clock: clock, lots: map[Key]int{}, uses: map[Key]int{}, turned: map[string]time.Duration{}, since: clock.Steady()}
 }
 
 // Take takes the lots that answer a report sent at some time.
-//
-// Example:
-//
-//	purse.Take(lots, sentAt)
 func (p *NodeLeases) Apply(lots []Lease, sentAt timetable.Steady) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -51,10 +43,6 @@
 
 // HasRoom tells whether one more inquiry may go to another site; part is how
 // much of a lot inquiries of its rank may fill.
-//
-// Example:
-//
-//	isOpen := purse.HasRoom("fees", "tvm-b", 1)
 func (p *NodeLeases) HasSlot(service, site string, part float64) bool {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -67,19 +55,11 @@
 
 // Enter takes a place at a site, at the node's own one always, and returns the
 // closure that gives it back.
-//
-// Example:
-//
-//	leave, isIn := purse.Enter("fees", "tvm-b", "tvm-a", 1)
 func (p *NodeLeases) Acquire(service, site, own string, part float64) (leave func(), isIn bool) {
 	return p.enter(Key{service, site}, site == own, part)
 }
 
 // Note takes a place that needs no lot, so that reports tell of it.
-//
-// Example:
-//
-//	leave := purse.Note("fees", "tvm-b")
 func (p *NodeLeases) AcquireUnleased(service, site string) (leave func()) {
 	leave, _ = p.enter(Key{service, site}, true, 1)
 	return leave
@@ -102,10 +82,6 @@
 }
 
 // Turn notes an inquiry that found no room and would have been at work so long.
-//
-// Example:
-//
-//	purse.Turn("fees", 200*time.Millisecond)
 func (p *NodeLeases) RecordRejection(service string, usual time.Duration) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -114,10 +90,6 @@
 
 // Uses is what a report says: all that is under way, and how many more places
 // could have been used since the last one.
-//
-// Example:
-//
-//	report.Uses = purse.Uses()
 func (p *NodeLeases) Usages() (out []Usage) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -135,10 +107,6 @@
 }
 
 // IsShort tells whether inquiries found no room since the last report.
-//
-// Example:
-//
-//	if purse.IsShort() { reportSoon() }
 func (p *NodeLeases) HasRejections() bool {
 	p.lock.Lock()
 	defer p.lock.Unlock()
--- a/internal/sites/tree.go
+++ b/internal/sites/tree.go
@@ -34,10 +34,6 @@
 
 // Build lays the tree: the platform's cells under their regions, and what the
 // operator says of them or adds. What does not fit is refused by name.
-//
-// Example:
-//
-//	tree, err := sites.Build(map[string]string{"tvm-a": "tvm"}, sites)
 func Build(cells map[string]string, sites []Site) (*Tree, error) {
 	t := &Tree{sites: map[string]Site{Root: {Name: Root}}, children: map[string][]string{}, ofCell: map[string]string{}, ofServer: map[string]string{}}
 	for _, cell := range slices.Sorted(maps.Keys(cells)) {
@@ -116,10 +112,6 @@
 }
 
 // SiteOf is the site of a server, or of a node without one (an empty id).
-//
-// Example:
-//
-//	site := tree.SiteOf(server.ID, server.Cell)
 func (t *Tree) SiteOf(server, cell string) string {
 	if site, isKnown := t.ofServer[server]; isKnown {
 		return site
@@ -131,10 +123,6 @@
 }
 
 // Sites lists the sites by name.
-//
-// Example:
-//
-//	for _, site := range tree.Sites() { print(site.Name, site.Parent) }
 func (t *Tree) Sites() (out []Site) {
 	for _, name := range slices.Sorted(maps.Keys(t.sites)) {
 		out = append(out, t.sites[name])
@@ -144,10 +132,6 @@
 
 // Way is the order in which a site's callers are passed on: to its parent, to
 // the parent's other children and all under them, and then further up.
-//
-// Example:
-//
-//	for _, site := range tree.Way("tvm-a") { ask(site) }
 func (t *Tree) FailoverOrder(from string) (out []string) {
 	seen := map[string]bool{from: true}
 	var under func(site string)
@@ -170,10 +154,6 @@
 }
 
 // Limit is what a site may be loaded with, given what its servers declare.
-//
-// Example:
-//
-//	capacity := tree.Limit("tvm-b", "fees", declared)
 func (t *Tree) EffectiveCapacity(site, service string, declared int) int {
 	if said, isSaid := t.sites[site].Capacity[service]; isSaid {
 		return min(said, declared)
