--- a/internal/outlier/aggregator.go
+++ b/internal/outlier/aggregator.go
@@ -9,87 +9,87 @@
 )
 
 // witness is one life of one proxy, as it reported last.
-type witness struct {
-	report Report
-	at     timetable.Steady
+type proxyReport struct {
+	report     Report
+	receivedAt timetable.Steady
 }
 
 // moment is the sum of all rows at some time.
-type moment struct {
+type windowSample struct {
 	at   timetable.Steady
 	rows map[Label]Counts
 }
 
 // Court sums reports. It has one owner.
 type Aggregator struct {
-	clock     timetable.Clock
-	witnesses map[string]*witness
+	clock   timetable.Clock
+	proxies map[string]*proxyReport
 	// ended are the rows of lives that are over.
 	ended   map[Label]Counts
-	moments []moment
+	samples []windowSample
 	// bench is where the servers' evidence is kept.
-	bench *ServerHealth
+	health *ServerHealth
 }
 
 const (
 	// window is the span of the recent past that is judged besides the whole.
-	window     = 2500 * time.Millisecond
-	momentStep = 250 * time.Millisecond
+	window         = 2500 * time.Millisecond
+	sampleInterval = 250 * time.Millisecond
 	// freshSpan is how old a report may be for its proxy to count as in touch.
-	freshSpan = 1500 * time.Millisecond
+	contactTimeout = 1500 * time.Millisecond
 	// forgetSpan is how long the last report of a silent proxy is kept.
-	forgetSpan = 2 * time.Minute
+	reportRetention = 2 * time.Minute
 )
 
 // NewCourt makes a court without evidence.
 func NewAggregator(clock timetable.Clock) *Aggregator {
-	return &Aggregator{clock: clock, witnesses: map[string]*witness{}, ended: map[Label]Counts{}, bench: newBench()}
+	return &Aggregator{clock: clock, proxies: map[string]*proxyReport{}, ended: map[Label]Counts{}, health: newServerHealth()}
 }
 
 // Hear takes a report; one that was taken already has no effect.
-func (c *Aggregator) AddReport(report Report) {
-	now := c.clock.Steady()
-	held := c.witnesses[report.Node]
+func (a *Aggregator) AddReport(report Report) {
+	now := a.clock.Steady()
+	proxy := a.proxies[report.Node]
 	switch {
-	case held == nil:
-		held = &witness{}
-		c.witnesses[report.Node] = held
-	case held.report.Incarnation == report.Incarnation && held.report.Sequence >= report.Sequence:
+	case proxy == nil:
+		proxy = &proxyReport{}
+		a.proxies[report.Node] = proxy
+	case proxy.report.Incarnation == report.Incarnation && proxy.report.Sequence >= report.Sequence:
 		return
-	case held.report.Incarnation != report.Incarnation:
-		for _, row := range held.report.Rows {
-			c.ended[row.Label] = c.ended[row.Label].Add(row.Counts)
+	case proxy.report.Incarnation != report.Incarnation:
+		for _, row := range proxy.report.Rows {
+			a.ended[row.Label] = a.ended[row.Label].Add(row.Counts)
 		}
 	}
-	held.report, held.at = report, now
-	c.bench.hear(report.Servers, now)
+	proxy.report, proxy.receivedAt = report, now
+	a.health.add(report.Servers, now)
 }
 
 // Tend keeps the sliding window; it is called every few hundred milliseconds.
-func (c *Aggregator) UpdateWindow() {
-	now := c.clock.Steady()
-	for node, held := range c.witnesses {
-		if now-held.at > timetable.Steady(forgetSpan) {
-			delete(c.witnesses, node)
+func (a *Aggregator) UpdateWindow() {
+	now := a.clock.Steady()
+	for node, proxy := range a.proxies {
+		if now-proxy.receivedAt > timetable.Steady(reportRetention) {
+			delete(a.proxies, node)
 		}
 	}
-	if len(c.moments) > 0 && now-c.moments[len(c.moments)-1].at < timetable.Steady(momentStep) {
+	if len(a.samples) > 0 && now-a.samples[len(a.samples)-1].at < timetable.Steady(sampleInterval) {
 		return
 	}
-	old := 0
-	for old+1 < len(c.moments) && now-c.moments[old+1].at >= timetable.Steady(window) {
-		old++
+	oldest := 0
+	for oldest+1 < len(a.samples) && now-a.samples[oldest+1].at >= timetable.Steady(window) {
+		oldest++
 	}
-	c.moments = append(c.moments[old:], moment{now, c.sums()})
+	a.samples = append(a.samples[oldest:], windowSample{now, a.sum()})
 }
 
-func (c *Aggregator) sums() map[Label]Counts {
-	sums := make(map[Label]Counts, len(c.ended))
-	for at, tally := range c.ended {
-		sums[at] = tally
+func (a *Aggregator) sum() map[Label]Counts {
+	sums := make(map[Label]Counts, len(a.ended))
+	for label, counts := range a.ended {
+		sums[label] = counts
 	}
-	for _, held := range c.witnesses {
-		for _, row := range held.report.Rows {
+	for _, proxy := range a.proxies {
+		for _, row := range proxy.report.Rows {
 			sums[row.Label] = sums[row.Label].Add(row.Counts)
 		}
 	}
@@ -97,20 +97,20 @@
 }
 
 // Forget drops the trials of a subject that came before the number.
-func (c *Aggregator) ForgetBefore(subject string, number uint64) {
-	maps.DeleteFunc(c.ended, func(at Label, _ Counts) bool { return at.Subject == subject && at.Number < number })
+func (a *Aggregator) ForgetBefore(subject string, number uint64) {
+	maps.DeleteFunc(a.ended, func(label Label, _ Counts) bool { return label.Subject == subject && label.Number < number })
 }
 
 // IsFresh tells whether the proxy reported within the span.
-func (c *Aggregator) ReportedWithin(node string, span time.Duration) bool {
-	held := c.witnesses[node]
-	return held != nil && time.Duration(c.clock.Steady()-held.at) <= span
+func (a *Aggregator) ReportedWithin(node string, span time.Duration) bool {
+	proxy := a.proxies[node]
+	return proxy != nil && time.Duration(a.clock.Steady()-proxy.receivedAt) <= span
 }
 
 // Proxies is how many proxies reported within the span.
-func (c *Aggregator) ProxyCount(span time.Duration) (count int) {
-	for node := range c.witnesses {
-		if c.ReportedWithin(node, span) {
+func (a *Aggregator) ProxyCount(span time.Duration) (count int) {
+	for node := range a.proxies {
+		if a.ReportedWithin(node, span) {
 			count++
 		}
 	}
@@ -119,10 +119,10 @@
 
 // Lives is the sum over the proxies that reported within the span, each in its
 // present life, by the closure that makes a figure of one.
-func (c *Aggregator) CombineIncarnations(span time.Duration, figure func(node, life string) uint64) (sum uint64) {
-	for node, held := range c.witnesses {
-		if c.ReportedWithin(node, span) {
-			sum ^= figure(node, held.report.Incarnation)
+func (a *Aggregator) CombineIncarnations(span time.Duration, hash func(node, incarnation string) uint64) (sum uint64) {
+	for node, proxy := range a.proxies {
+		if a.ReportedWithin(node, span) {
+			sum ^= hash(node, proxy.report.Incarnation)
 		}
 	}
 	return sum
@@ -139,24 +139,24 @@
 
 // IsLeft tells whether no proxy in touch has anything under way at the version
 // in force, or could still send it something.
-func (t Usage) Drained() bool { return t.Proxies > 0 && t.Outdated == 0 && t.InFlight == 0 }
+func (u Usage) Drained() bool { return u.Proxies > 0 && u.Outdated == 0 && u.InFlight == 0 }
 
 // Touch looks at the proxies that reported a short while ago.
-func (c *Aggregator) Usage(subject string, reading feed.Reading) (out Usage) {
-	now := c.clock.Steady()
-	for _, held := range c.witnesses {
-		if now-held.at > timetable.Steady(freshSpan) {
+func (a *Aggregator) Usage(subject string, reading feed.Reading) (usage Usage) {
+	now := a.clock.Steady()
+	for _, proxy := range a.proxies {
+		if now-proxy.receivedAt > timetable.Steady(contactTimeout) {
 			continue
 		}
-		out.Proxies++
-		if reading.Outranks(feed.Reading{Term: held.report.Term, Count: held.report.Count}) {
-			out.Outdated++
+		usage.Proxies++
+		if reading.Outranks(feed.Reading{Term: proxy.report.Term, Count: proxy.report.Count}) {
+			usage.Outdated++
 		}
-		for _, work := range held.report.InFlight {
-			if work.Subject == subject {
-				out.InFlight += work.Requests
+		for _, inFlight := range proxy.report.InFlight {
+			if inFlight.Subject == subject {
+				usage.InFlight += inFlight.Requests
 			}
 		}
 	}
-	return out
+	return usage
 }
--- a/internal/outlier/recorder.go
+++ b/internal/outlier/recorder.go
@@ -25,34 +25,34 @@
 	Unresolved
 	// Doubled: a keyed operation would have run without its record.
 	Duplicated
-	outcomes
+	outcomeCount
 )
 
 // Tally counts outcomes; Sum of its counts is how many deliveries there were.
-type Counts [outcomes]uint32
+type Counts [outcomeCount]uint32
 
 // Sum is how many deliveries the tally counts.
-func (t Counts) Total() (sum uint32) {
-	for _, count := range t {
+func (c Counts) Total() (sum uint32) {
+	for _, count := range c {
 		sum += count
 	}
 	return sum
 }
 
 // Plus adds two tallies.
-func (t Counts) Add(other Counts) Counts {
-	for i := range t {
-		t[i] += other[i]
+func (c Counts) Add(other Counts) Counts {
+	for i := range c {
+		c[i] += other[i]
 	}
-	return t
+	return c
 }
 
 // Less takes an older reading of the same counts away.
-func (t Counts) Subtract(older Counts) Counts {
-	for i := range t {
-		t[i] -= min(t[i], older[i])
+func (c Counts) Subtract(older Counts) Counts {
+	for i := range c {
+		c[i] -= min(c[i], older[i])
 	}
-	return t
+	return c
 }
 
 // Mark says what an outcome is counted for: the trial, by its subject and
@@ -110,17 +110,17 @@
 }
 
 const (
-	serverLimit = 512
+	maxServers = 512
 	// paceMost bounds what one reply can say of a server's pace.
-	paceMost = 6
+	maxLatencyRatio = 6
 )
 
 // Box counts outcomes at one proxy.
 type Recorder struct {
-	lock    sync.Mutex
-	rows    map[Label]Counts
-	servers map[string]ServerCounts
-	number  uint64
+	mu       sync.Mutex
+	rows     map[Label]Counts
+	servers  map[string]ServerCounts
+	sequence uint64
 }
 
 // NewBox makes an empty box.
@@ -130,61 +130,61 @@
 
 // Note counts one outcome for a trial. An earlier trial of the subject is over
 // then, and its counts with it.
-func (b *Recorder) Record(mark Label, outcome Outcome) {
-	b.lock.Lock()
-	defer b.lock.Unlock()
-	row, isKnown := b.rows[mark]
-	if !isKnown {
-		maps.DeleteFunc(b.rows, func(at Label, _ Counts) bool { return at.Subject == mark.Subject && at.Number < mark.Number })
+func (r *Recorder) Record(label Label, outcome Outcome) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	row, known := r.rows[label]
+	if !known {
+		maps.DeleteFunc(r.rows, func(other Label, _ Counts) bool { return other.Subject == label.Subject && other.Number < label.Number })
 	}
 	row[outcome]++
-	b.rows[mark] = row
+	r.rows[label] = row
 }
 
 // NoteServer counts one outcome of a server, and how long its reply took beside
 // what the lane's usually take, if that is known.
-func (b *Recorder) RecordServer(server string, outcome Outcome, pace float64) {
-	b.lock.Lock()
-	defer b.lock.Unlock()
-	row, isKnown := b.servers[server]
-	if !isKnown && len(b.servers) >= serverLimit {
+func (r *Recorder) RecordServer(server string, outcome Outcome, latencyRatio float64) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	row, known := r.servers[server]
+	if !known && len(r.servers) >= maxServers {
 		return
 	}
 	row.ID = server
-	if row.Counts[outcome]++; pace > 0 && (outcome == Success || outcome == Slow) {
-		row.LatencyRatioSum += float32(min(pace, paceMost))
+	if row.Counts[outcome]++; latencyRatio > 0 && (outcome == Success || outcome == Slow) {
+		row.LatencyRatioSum += float32(min(latencyRatio, maxLatencyRatio))
 		row.LatencySamples++
 	}
-	b.servers[server] = row
+	r.servers[server] = row
 }
 
 // NoteStrain counts a try at a server for the overload of its service.
-func (b *Recorder) RecordLoad(server string, isStrained bool) {
-	b.lock.Lock()
-	defer b.lock.Unlock()
-	row, isKnown := b.servers[server]
-	if !isKnown && len(b.servers) >= serverLimit {
+func (r *Recorder) RecordLoad(server string, overloaded bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	row, known := r.servers[server]
+	if !known && len(r.servers) >= maxServers {
 		return
 	}
 	row.ID = server
-	if row.Attempts++; isStrained {
+	if row.Attempts++; overloaded {
 		row.Overloaded++
 	}
-	b.servers[server] = row
+	r.servers[server] = row
 }
 
 // Report is what the holder is told now. The servers' counts begin anew.
-func (b *Recorder) Report(node, life string) Report {
-	b.lock.Lock()
-	defer b.lock.Unlock()
-	b.number++
-	report := Report{Node: node, Incarnation: life, Sequence: b.number}
-	for at, tally := range b.rows {
-		report.Rows = append(report.Rows, LabelCounts{at, tally})
+func (r *Recorder) Report(node, incarnation string) Report {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.sequence++
+	report := Report{Node: node, Incarnation: incarnation, Sequence: r.sequence}
+	for other, counts := range r.rows {
+		report.Rows = append(report.Rows, LabelCounts{other, counts})
 	}
-	for _, id := range slices.Sorted(maps.Keys(b.servers)) {
-		report.Servers = append(report.Servers, b.servers[id])
+	for _, id := range slices.Sorted(maps.Keys(r.servers)) {
+		report.Servers = append(report.Servers, r.servers[id])
 	}
-	clear(b.servers)
+	clear(r.servers)
 	return report
 }
--- a/internal/outlier/server_health.go
+++ b/internal/outlier/server_health.go
@@ -9,147 +9,147 @@
 
 // stand is what is known of one server: counts that fade, and whether it is set
 // aside.
-type stand struct {
-	seen, bad float64
+type serverStats struct {
+	total, failed float64
 	// tried and strained are the tries that ended, and those turned away or late.
-	tried, strained float64
-	at              timetable.Steady
+	attempts, overloaded float64
+	updatedAt            timetable.Steady
 	// paces and paced are the sum and the number of the paces; told is the pace
 	// last told, in eighths, and when.
-	paces, paced float64
-	told         int
-	toldAt       timetable.Steady
+	latencyRatioSum, latencySamples float64
+	published                       int
+	publishedAt                     timetable.Steady
 	// asideAt is since when it is set aside, times how often.
-	asideAt timetable.Steady
-	times   int
-	isAside bool
+	ejectedAt timetable.Steady
+	ejections int
+	ejected   bool
 }
 
 // Bench keeps the evidence of single servers.
-type ServerHealth struct{ stands map[string]*stand }
+type ServerHealth struct{ servers map[string]*serverStats }
 
-func newBench() *ServerHealth { return &ServerHealth{stands: map[string]*stand{}} }
+func newServerHealth() *ServerHealth { return &ServerHealth{servers: map[string]*serverStats{}} }
 
 const (
 	// fade is how long it takes for a count to weigh half as much.
-	fade = 4 * time.Second
+	halfLife = 4 * time.Second
 	// asideFirst is how long a server is set aside at first; each time longer.
-	asideFirst   = 4 * time.Second
-	asideLongest = 32 * time.Second
+	minEjection = 4 * time.Second
+	maxEjection = 32 * time.Second
 	// asidePart is the part of a service's servers that may be set aside.
-	asidePart = 0.25
-	benchSeen = 6
-	benchBad  = 0.2
-	benchOdds = 4
+	maxEjectedShare    = 0.25
+	ejectionMinTotal   = 6
+	ejectionMinRate    = 0.2
+	ejectionRateFactor = 4
 )
 
-func (b *ServerHealth) hear(rows []ServerCounts, now timetable.Steady) {
+func (h *ServerHealth) add(rows []ServerCounts, now timetable.Steady) {
 	for _, row := range rows {
-		s := b.stands[row.ID]
+		s := h.servers[row.ID]
 		if s == nil {
-			s = &stand{at: now}
-			b.stands[row.ID] = s
+			s = &serverStats{updatedAt: now}
+			h.servers[row.ID] = s
 		}
-		weight := math.Exp2(-float64(now-s.at) / float64(fade))
-		s.seen, s.bad, s.at = s.seen*weight, s.bad*weight, now
-		s.paces, s.paced = s.paces*weight+float64(row.LatencyRatioSum), s.paced*weight+float64(row.LatencySamples)
-		s.tried, s.strained = s.tried*weight+float64(row.Attempts), s.strained*weight+float64(row.Overloaded)
-		s.seen += float64(row.Counts.Total())
-		s.bad += float64(row.Counts[Failed] + row.Counts[Broken])
+		weight := math.Exp2(-float64(now-s.updatedAt) / float64(halfLife))
+		s.total, s.failed, s.updatedAt = s.total*weight, s.failed*weight, now
+		s.latencyRatioSum, s.latencySamples = s.latencyRatioSum*weight+float64(row.LatencyRatioSum), s.latencySamples*weight+float64(row.LatencySamples)
+		s.attempts, s.overloaded = s.attempts*weight+float64(row.Attempts), s.overloaded*weight+float64(row.Overloaded)
+		s.total += float64(row.Counts.Total())
+		s.failed += float64(row.Counts[Failed] + row.Counts[Broken])
 	}
 }
 
 // Aside names the servers of one group (of one service and version) that are
 // to be set aside: those that fail far more often than the others of the group,
 // and never more than a part of it.
-func (c *Aggregator) Ejected(group []string) map[string]bool {
-	now := c.clock.Steady()
-	seen, bad := 0.0, 0.0
+func (a *Aggregator) Ejected(group []string) map[string]bool {
+	now := a.clock.Steady()
+	total, failed := 0.0, 0.0
 	for _, id := range group {
-		if s := c.bench.stands[id]; s != nil {
-			seen, bad = seen+s.seen, bad+s.bad
+		if s := a.health.servers[id]; s != nil {
+			total, failed = total+s.total, failed+s.failed
 		}
 	}
-	out := map[string]bool{}
-	room := int(asidePart * float64(len(group)))
+	ejected := map[string]bool{}
+	maxEjected := int(maxEjectedShare * float64(len(group)))
 	for _, id := range group {
-		s := c.bench.stands[id]
+		s := a.health.servers[id]
 		if s == nil {
 			continue
 		}
-		others := 0.0
-		if seen > s.seen {
-			others = (bad - s.bad) / (seen - s.seen)
+		othersRate := 0.0
+		if total > s.total {
+			othersRate = (failed - s.failed) / (total - s.total)
 		}
-		isBad := s.seen >= benchSeen && s.bad/s.seen > max(benchBad, benchOdds*others)
-		length := min(asideLongest, asideFirst<<min(max(s.times-1, 0), 3))
+		outlying := s.total >= ejectionMinTotal && s.failed/s.total > max(ejectionMinRate, ejectionRateFactor*othersRate)
+		duration := min(maxEjection, minEjection<<min(max(s.ejections-1, 0), 3))
 		switch {
-		case isBad && !s.isAside:
-			s.isAside, s.asideAt = true, now
-			s.times++
-		case s.isAside && !isBad && time.Duration(now-s.asideAt) > length:
-			s.isAside = false
+		case outlying && !s.ejected:
+			s.ejected, s.ejectedAt = true, now
+			s.ejections++
+		case s.ejected && !outlying && time.Duration(now-s.ejectedAt) > duration:
+			s.ejected = false
 		}
-		if s.isAside && len(out) < room {
-			out[id] = true
+		if s.ejected && len(ejected) < maxEjected {
+			ejected[id] = true
 		}
 	}
-	return out
+	return ejected
 }
 
 const (
 	// paceSeen is how many replies show a pace, paceStep by how much, and paceRest
 	// after how long at least, it must have changed to be told anew.
-	paceSeen = 6
-	paceStep = 0.15
-	paceRest = 1500 * time.Millisecond
+	latencyMinSamples  = 6
+	latencyMinChange   = 0.15
+	latencyMinInterval = 1500 * time.Millisecond
 )
 
 // Pace is how long a server's replies take beside those of others, in eighths;
 // 0 while too few were seen. It is told in steps, so that news stay few.
-func (c *Aggregator) LatencyRatio(id string) int {
-	s, now := c.bench.stands[id], c.clock.Steady()
+func (a *Aggregator) LatencyRatio(id string) int {
+	s, now := a.health.servers[id], a.clock.Steady()
 	if s == nil {
 		return 0
 	}
-	if s.paced < paceSeen || s.told > 0 && time.Duration(now-s.toldAt) < paceRest {
-		return s.told
+	if s.latencySamples < latencyMinSamples || s.published > 0 && time.Duration(now-s.publishedAt) < latencyMinInterval {
+		return s.published
 	}
-	pace := max(1, int(math.Round(8*s.paces/s.paced)))
-	if change := math.Abs(float64(pace - s.told)); s.told == 0 || change > max(1, paceStep*float64(s.told)) {
-		s.told, s.toldAt = pace, now
+	ratio := max(1, int(math.Round(8*s.latencyRatioSum/s.latencySamples)))
+	if change := math.Abs(float64(ratio - s.published)); s.published == 0 || change > max(1, latencyMinChange*float64(s.published)) {
+		s.published, s.publishedAt = ratio, now
 	}
-	return s.told
+	return s.published
 }
 
 // strainedPart is the part of its tries above which a server is strained, and
 // triedLeast how much it must have been tried for that.
 const (
-	strainedPart = 0.1
-	triedLeast   = 1
+	overloadedRate      = 0.1
+	overloadMinAttempts = 1
 )
 
 // Strained is the part of a group's servers, of those tried lately, that turned
 // inquiries away or were late with them.
-func (c *Aggregator) OverloadedShare(group []string) float64 {
-	tried, strained, now := 0, 0, c.clock.Steady()
+func (a *Aggregator) OverloadedShare(group []string) float64 {
+	attempted, overloaded, now := 0, 0, a.clock.Steady()
 	for _, id := range group {
-		s := c.bench.stands[id]
-		if s == nil || s.tried*math.Exp2(-float64(now-s.at)/float64(fade)) < triedLeast {
+		s := a.health.servers[id]
+		if s == nil || s.attempts*math.Exp2(-float64(now-s.updatedAt)/float64(halfLife)) < overloadMinAttempts {
 			continue
 		}
-		if tried++; s.strained > strainedPart*s.tried {
-			strained++
+		if attempted++; s.overloaded > overloadedRate*s.attempts {
+			overloaded++
 		}
 	}
-	return float64(strained) / float64(max(1, tried))
+	return float64(overloaded) / float64(max(1, attempted))
 }
 
 // Keep forgets the servers that are no longer listed.
-func (c *Aggregator) RetainServers(isListed func(id string) bool) {
-	for id := range c.bench.stands {
-		if !isListed(id) {
-			delete(c.bench.stands, id)
+func (a *Aggregator) RetainServers(listed func(id string) bool) {
+	for id := range a.health.servers {
+		if !listed(id) {
+			delete(a.health.servers, id)
 		}
 	}
 }
