--- a/internal/outlier/aggregator.go
+++ b/internal/outlier/aggregator.go
@@ -8,45 +8,45 @@
 	"ploverhitch/internal/timetable"
 )
 
-// witness is one life of one proxy, as it reported last.
+// proxyReport is the last report of a proxy's current incarnation.
 type proxyReport struct {
 	report     Report
 	receivedAt timetable.Steady
 }
 
-// moment is the sum of all rows at some time.
+// windowSample is the sum of all rows at a point in time.
 type windowSample struct {
 	at   timetable.Steady
 	rows map[Label]Counts
 }
 
-// Court sums reports. It has one owner.
+// Aggregator sums reports. It is not safe for concurrent use.
 type Aggregator struct {
 	clock   timetable.Clock
 	proxies map[string]*proxyReport
-	// ended are the rows of lives that are over.
+	// ended holds the rows of previous incarnations.
 	ended   map[Label]Counts
 	samples []windowSample
-	// bench is where the servers' evidence is kept.
+	// health holds the statistics of the servers.
 	health *ServerHealth
 }
 
 const (
-	// window is the span of the recent past that is judged besides the whole.
+	// window is the recent period that is evaluated in addition to the whole trial.
 	window         = 2500 * time.Millisecond
 	sampleInterval = 250 * time.Millisecond
-	// freshSpan is how old a report may be for its proxy to count as in touch.
+	// contactTimeout is the age up to which a report counts its proxy as in contact.
 	contactTimeout = 1500 * time.Millisecond
-	// forgetSpan is how long the last report of a silent proxy is kept.
+	// reportRetention is how long the last report of a silent proxy is kept.
 	reportRetention = 2 * time.Minute
 )
 
-// NewCourt makes a court without evidence.
+// NewAggregator returns an aggregator without reports.
 func NewAggregator(clock timetable.Clock) *Aggregator {
 	return &Aggregator{clock: clock, proxies: map[string]*proxyReport{}, ended: map[Label]Counts{}, health: newServerHealth()}
 }
 
-// Hear takes a report; one that was taken already has no effect.
+// AddReport adds a report. A report that was added before has no effect.
 func (a *Aggregator) AddReport(report Report) {
 	now := a.clock.Steady()
 	proxy := a.proxies[report.Node]
@@ -65,7 +65,8 @@
 	a.health.add(report.Servers, now)
 }
 
-// Tend keeps the sliding window; it is called every few hundred milliseconds.
+// UpdateWindow advances the sliding window. It is called every few hundred
+// milliseconds.
 func (a *Aggregator) UpdateWindow() {
 	now := a.clock.Steady()
 	for node, proxy := range a.proxies {
@@ -96,18 +97,18 @@
 	return sums
 }
 
-// Forget drops the trials of a subject that came before the number.
+// ForgetBefore discards the rows of the subject's trials before the number.
 func (a *Aggregator) ForgetBefore(subject string, number uint64) {
 	maps.DeleteFunc(a.ended, func(label Label, _ Counts) bool { return label.Subject == subject && label.Number < number })
 }
 
-// IsFresh tells whether the proxy reported within the span.
+// ReportedWithin reports whether the proxy sent a report within the span.
 func (a *Aggregator) ReportedWithin(node string, span time.Duration) bool {
 	proxy := a.proxies[node]
 	return proxy != nil && time.Duration(a.clock.Steady()-proxy.receivedAt) <= span
 }
 
-// Proxies is how many proxies reported within the span.
+// ProxyCount returns the number of proxies that sent a report within the span.
 func (a *Aggregator) ProxyCount(span time.Duration) (count int) {
 	for node := range a.proxies {
 		if a.ReportedWithin(node, span) {
@@ -117,8 +118,8 @@
 	return count
 }
 
-// Lives is the sum over the proxies that reported within the span, each in its
-// present life, by the closure that makes a figure of one.
+// CombineIncarnations combines (by exclusive or) the hashes of the current incarnations
+// of all proxies that sent a report within the span.
 func (a *Aggregator) CombineIncarnations(span time.Duration, hash func(node, incarnation string) uint64) (sum uint64) {
 	for node, proxy := range a.proxies {
 		if a.ReportedWithin(node, span) {
@@ -128,20 +129,20 @@
 	return sum
 }
 
-// Touch is what the proxies in touch say of one subject.
+// Usage is what the proxies in contact report about one subject.
 type Usage struct {
-	// Proxies is how many there are; Behind, how many work by a reading of the
-	// fleet that is older than the one asked for.
+	// Proxies is the number of proxies in contact, Outdated the number of those that
+	// use an older version of the fleet state than the given one.
 	Proxies, Outdated int
-	// AtWork is how many inquiries are under way at the version in force.
+	// InFlight is the number of requests in flight to the version in force.
 	InFlight int
 }
 
-// IsLeft tells whether no proxy in touch has anything under way at the version
-// in force, or could still send it something.
+// Drained reports whether no proxy in contact has a request in flight to the version in
+// force, or could still send one to it.
 func (u Usage) Drained() bool { return u.Proxies > 0 && u.Outdated == 0 && u.InFlight == 0 }
 
-// Touch looks at the proxies that reported a short while ago.
+// Usage sums the reports of the proxies in contact.
 func (a *Aggregator) Usage(subject string, reading feed.Reading) (usage Usage) {
 	now := a.clock.Steady()
 	for _, proxy := range a.proxies {
--- a/internal/outlier/compare.go
+++ b/internal/outlier/compare.go
@@ -2,56 +2,56 @@
 
 import "math"
 
-// Verdict is what evidence comes to.
+// Verdict is the result of a comparison.
 type Verdict uint8
 
-// The verdicts. Open means that there is too little to tell.
+// The verdicts. Inconclusive means that the counts do not suffice for a decision.
 const (
 	Inconclusive Verdict = iota
 	Pass
 	Fail
 )
 
-// String names the verdict.
+// String returns the verdict's name in reports.
 func (v Verdict) String() string { return [...]string{"open", "fit", "unfit"}[v] }
 
-// measure is how one outcome is held against the side in force.
+// criterion determines how the rate of one outcome is compared with the side in force.
 type criterion struct {
 	outcome Outcome
-	// factor and margin: the share may be so many times, and so much above, the
-	// share of the side in force before it is looked at at all.
+	// The rate may be up to factor times the rate of the side in force, plus margin,
+	// before it can fail.
 	factor, margin float64
 	minCount       uint32
-	// suspicion is how unlikely the counts must be for the side not to be found
-	// fit yet, where the share in force is rare at least.
+	// suspectProbability is the probability of the counts below which the side does not
+	// pass yet, assuming that the rate in force is at least minRate.
 	suspectProbability, minRate float64
 }
 
 var criteria = []criterion{
 	{Failed, 3, 0.08, 4, 0.01, minUsualRate / 2},
 	{Slow, 2.5, 0.12, 5, 0.01, minUsualRate / 2},
-	// A single server that goes dark breaks many replies at first.
+	// The sudden loss of a single server breaks many responses at first.
 	{Broken, 3, 0.40, 8, 0.01, minUsualRate / 2},
-	// One keyed operation without an end is enough to wait for more.
+	// A single unresolved keyed operation is enough to wait for more requests.
 	{Unresolved, 3, 0.04, 3, 0.2, 0.002},
 }
 
 const (
-	// doubt is how unlikely the counts must be, were the two sides alike, for
-	// one test to condemn. A trial makes at most some thousand tests.
+	// failProbability is the probability of the counts, assuming that both sides are
+	// alike, below which a single test fails. A trial runs at most some thousand tests.
 	failProbability = 1e-5
-	// suspectFactor and suspectMargin say how much more often a side must fail to
-	// be suspected.
+	// suspectFactor and suspectMargin determine how much higher a rate must be to be
+	// suspect.
 	suspectFactor = 1.5
 	suspectMargin = 0.01
-	// floor is the least rate that is taken for usual.
+	// minUsualRate is the lowest rate that is assumed to be usual.
 	minUsualRate    = 0.02
 	compareMinTotal = 6
 )
 
-// Judge holds the side on trial against the one in force: unfit only where it
-// fails, or is slow, far more often, and that is hardly chance; open while it
-// looks worse and that might be chance.
+// Compare compares the side on trial with the side in force. It returns Fail only if
+// the side on trial fails or is slow far more often and this is unlikely to be chance,
+// and Inconclusive while it looks worse and that may be chance.
 func Compare(onTrial, inForce Counts) Verdict {
 	total := onTrial.Total()
 	switch {
@@ -65,7 +65,7 @@
 		usualRate := rate(inForce, c.outcome)
 		count := onTrial[c.outcome]
 		if suspect := float64(count) > float64(total)*(usualRate*suspectFactor+suspectMargin); suspect && upperTail(total, count, max(usualRate, c.minRate)) < c.suspectProbability {
-			// Not enough to condemn, and too much to call it fit.
+			// Not enough to fail, but too much to pass.
 			verdict = Inconclusive
 		}
 		excessive := float64(count) > float64(total)*(usualRate*c.factor+c.margin)
@@ -84,7 +84,8 @@
 	return float64(counts[outcome]) / float64(total)
 }
 
-// tail is how likely at least count of n are, each with the chance p.
+// upperTail returns the probability that at least count of n independent events with
+// probability p occur.
 func upperTail(n, count uint32, p float64) float64 {
 	if p >= 1 || count == 0 {
 		return 1
--- a/internal/outlier/evaluation.go
+++ b/internal/outlier/evaluation.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Evidence is one lane's counts on both sides, for operators to read.
+// Evidence holds one route's counts on both sides, for operators.
 type Evidence struct {
 	Route   string `json:"Route"`
 	OnTrial Counts `json:"OnTrial"`
@@ -15,29 +15,30 @@
 	Verdict string `json:"Verdict"`
 }
 
-// Finding is what the court comes to for one trial.
+// Evaluation is the result for one trial.
 type Evaluation struct {
 	Verdict Verdict
 	Reason  string
-	// IsSuspect: it is not unfit, but looks worse in a way that may be chance.
+	// Suspect is set if the version does not fail but looks worse in a way that may be
+	// chance.
 	Suspect bool
-	// Rate is how many of its deliveries were seen a second, lately.
+	// Rate is the recent number of attempts per second.
 	Rate     float64
 	Evidence []Evidence
 }
 
 const (
-	// fitSum and fitLane are how much must have been seen of all lanes, and of
-	// each, for the version to be found fit.
+	// minTotal and minRouteTotal are the numbers of attempts on trial that are required
+	// in all and per route for a version to pass.
 	minTotal      = 40
 	minRouteTotal = 8
-	// rareLane is the share of all inquiries under which a lane is too
-	// rare to wait for.
+	// rareRouteShare is the share of all requests below which a route is too rare to
+	// wait for.
 	rareRouteShare = 0.02
 )
 
-// Hearing judges one trial of a subject (and the wave it has reached): in sum and lane by lane, over
-// the whole trial and over the last moments.
+// Evaluate evaluates one trial of a subject (in the wave that it has reached): in total
+// and by route, over the whole trial and over the recent window.
 func (a *Aggregator) Evaluate(subject string, number uint64, wave int) (out Evaluation) {
 	all := countsByRoute(a.sum(), subject, number, wave)
 	recent := map[string][2]Counts{}
@@ -58,41 +59,42 @@
 		verdict := Compare(sides[1], reference)
 		if verdict == Fail && out.Verdict != Fail {
 			out.Verdict = Fail
-			out.Reason = fmt.Sprintf("%s: on trial %v, in force %v (good, failed, slow, broken, missing, doubled)", scope, sides[1], reference)
+			out.Reason = fmt.Sprintf("%s: on trial %v, in force %v (success, failed, slow, broken, unresolved, duplicated)", scope, sides[1], reference)
 		}
 		return verdict
 	}
-	overallVerdict := compare("all lanes", totals, totals[0])
+	overallVerdict := compare("all routes", totals, totals[0])
 	checkSuspicion := func(scope string, verdict Verdict, count uint32) {
 		if verdict == Inconclusive && count >= minRouteTotal && out.Verdict == Pass {
-			out.Suspect, out.Reason = true, scope+" look worse on trial, which may be chance"
+			out.Suspect, out.Reason = true, scope+" look worse on trial, which may be due to chance"
 		}
 	}
 	recentSum := sumRoutes(recent)
-	compare("all lanes lately", recentSum, recentSum[0])
+	compare("all routes recently", recentSum, recentSum[0])
 	for _, route := range slices.Sorted(maps.Keys(all)) {
 		sides := all[route]
 		reference := sides[0]
 		if reference.Total() < minTotal {
 			reference = reference.Add(totals[0])
 		}
-		verdict := compare("lane "+route, sides, reference)
-		compare("lane "+route+" lately", recent[route], reference)
-		checkSuspicion("replies of lane "+route, verdict, sides[1].Total())
+		verdict := compare("route "+route, sides, reference)
+		compare("route "+route+" recently", recent[route], reference)
+		checkSuspicion("responses of route "+route, verdict, sides[1].Total())
 		rare := float64(sides[0].Total()) < rareRouteShare*float64(totals[0].Total())
 		if out.Verdict == Pass && !rare && sides[1].Total() < minRouteTotal {
-			out.Verdict, out.Reason = Inconclusive, "too little is seen of lane "+route
+			out.Verdict, out.Reason = Inconclusive, "too few requests on trial for route "+route
 		}
 		out.Evidence = append(out.Evidence, Evidence{route, sides[1], sides[0], verdict.String()})
 	}
-	checkSuspicion("replies of all lanes", overallVerdict, totals[1].Total())
+	checkSuspicion("responses of all routes", overallVerdict, totals[1].Total())
 	if out.Verdict == Pass && totals[1].Total() < minTotal {
-		out.Verdict, out.Reason = Inconclusive, "too little is seen"
+		out.Verdict, out.Reason = Inconclusive, "too few requests on trial"
 	}
 	return out
 }
 
-// split lays a trial's rows out by lane: in force, then on trial.
+// countsByRoute returns a trial's counts by route: the side in force, then the side on
+// trial.
 func countsByRoute(rows map[Label]Counts, subject string, number uint64, wave int) map[string][2]Counts {
 	out := map[string][2]Counts{}
 	for label, counts := range rows {
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -18,145 +18,145 @@
 	RunSpecs(t, "outlier")
 }
 
-var _ = Describe("the judgement", func() {
-	It("hardly ever condemns a side that is like the other, and soon one that is not", func() {
+var _ = Describe("Compare", func() {
+	It("does not fail a side that equals the other, and fails one with a much higher rate", func() {
 		random := rand.New(rand.NewPCG(1, 1))
-		wrong := 0
+		falseFailures := 0
 		for range 3000 {
-			usual := random.Float64() * 0.2
-			draw := func(n int, chance float64) (tally outlier.Counts) {
+			usualRate := random.Float64() * 0.2
+			sample := func(n int, failureRate float64) (counts outlier.Counts) {
 				for range n {
-					if random.Float64() < chance {
-						tally[outlier.Failed]++
+					if random.Float64() < failureRate {
+						counts[outlier.Failed]++
 					} else {
-						tally[outlier.Success]++
+						counts[outlier.Success]++
 					}
 				}
-				return tally
+				return counts
 			}
-			if outlier.Compare(draw(10+random.IntN(300), usual), draw(2000, usual)) == outlier.Fail {
-				wrong++
+			if outlier.Compare(sample(10+random.IntN(300), usualRate), sample(2000, usualRate)) == outlier.Fail {
+				falseFailures++
 			}
-			Expect(outlier.Compare(draw(80, 0.45), draw(2000, 0.02))).To(Equal(outlier.Fail))
+			Expect(outlier.Compare(sample(80, 0.45), sample(2000, 0.02))).To(Equal(outlier.Fail))
 		}
-		Expect(wrong).To(BeZero())
+		Expect(falseFailures).To(BeZero())
 	})
 
-	It("says nothing on a handful, nor of a trouble that both sides have", func() {
+	It("is inconclusive on few counts, and passes a side whose failures occur on both sides", func() {
 		Expect(outlier.Compare(outlier.Counts{0, 5}, outlier.Counts{100})).To(Equal(outlier.Inconclusive))
 		Expect(outlier.Compare(outlier.Counts{50, 50}, outlier.Counts{500, 500})).To(Equal(outlier.Pass))
 	})
 })
 
-var _ = Describe("the court", func() {
-	mark := outlier.Label{Subject: "s", Number: 1, Route: "l", OnTrial: true}
+var _ = Describe("Aggregator", func() {
+	label := outlier.Label{Subject: "s", Number: 1, Route: "l", OnTrial: true}
 
-	It("counts each report once, over restarts, losses and repeats, as a plain sum does", func() {
+	It("counts each outcome once despite restarted proxies and lost or repeated reports", func() {
 		for seed := range uint64(50) {
 			random := rand.New(rand.NewPCG(seed, 4))
-			court := outlier.NewAggregator(&timetable.Hand{})
-			boxes, lives := make([]*outlier.Recorder, 4), make([]int, 4)
-			said := make([]uint32, 4)   // all lives' counts, as reported
-			before := make([]uint32, 4) // of lives that are over
-			var last []outlier.Report
-			for i := range boxes {
-				boxes[i] = outlier.NewRecorder()
+			aggregator := outlier.NewAggregator(&timetable.Hand{})
+			recorders, incarnations := make([]*outlier.Recorder, 4), make([]int, 4)
+			reported := make([]uint32, 4) // counts of all incarnations, as reported
+			ended := make([]uint32, 4)    // counts of previous incarnations
+			var sent []outlier.Report
+			for i := range recorders {
+				recorders[i] = outlier.NewRecorder()
 			}
 			for range 300 {
 				i := random.IntN(4)
 				switch random.IntN(8) {
 				case 0:
-					boxes[i], before[i] = outlier.NewRecorder(), said[i]
-					lives[i]++
+					recorders[i], ended[i] = outlier.NewRecorder(), reported[i]
+					incarnations[i]++
 				case 1, 2:
-					report := boxes[i].Report(fmt.Sprint(i), fmt.Sprint(lives[i]))
+					report := recorders[i].Report(fmt.Sprint(i), fmt.Sprint(incarnations[i]))
 					if random.IntN(3) > 0 {
-						court.AddReport(report)
-						last = append(last, report)
-						said[i] = before[i]
+						aggregator.AddReport(report)
+						sent = append(sent, report)
+						reported[i] = ended[i]
 						for _, row := range report.Rows {
-							said[i] += row.Counts.Total()
+							reported[i] += row.Counts.Total()
 						}
 					}
 				case 3:
-					if len(last) > 0 && last[len(last)-1].Incarnation == fmt.Sprint(lives[i]) && last[len(last)-1].Node == fmt.Sprint(i) {
-						court.AddReport(last[len(last)-1])
+					if len(sent) > 0 && sent[len(sent)-1].Incarnation == fmt.Sprint(incarnations[i]) && sent[len(sent)-1].Node == fmt.Sprint(i) {
+						aggregator.AddReport(sent[len(sent)-1])
 					}
 				default:
-					boxes[i].Record(mark, outlier.Success)
+					recorders[i].Record(label, outlier.Success)
 				}
 			}
 			sum := uint32(0)
-			for i := range said {
-				sum += said[i]
+			for i := range reported {
+				sum += reported[i]
 			}
 			got := uint32(0)
-			for _, evidence := range court.Evaluate("s", 1, 0).Evidence {
+			for _, evidence := range aggregator.Evaluate("s", 1, 0).Evidence {
 				got += evidence.OnTrial.Total()
 			}
 			Expect(got).To(Equal(sum), "seed %d", seed)
 		}
 	})
 
-	It("finds a lane that alone is bad, and waits for one that was hardly seen", func() {
-		court := outlier.NewAggregator(&timetable.Hand{})
-		box := outlier.NewRecorder()
-		note := func(lane string, isTrial bool, good, failed int) {
-			for range good {
-				box.Record(outlier.Label{Subject: "s", Number: 1, Route: lane, OnTrial: isTrial}, outlier.Success)
+	It("fails a single bad route and waits for a route with few requests", func() {
+		aggregator := outlier.NewAggregator(&timetable.Hand{})
+		recorder := outlier.NewRecorder()
+		record := func(route string, onTrial bool, successes, failures int) {
+			for range successes {
+				recorder.Record(outlier.Label{Subject: "s", Number: 1, Route: route, OnTrial: onTrial}, outlier.Success)
 			}
-			for range failed {
-				box.Record(outlier.Label{Subject: "s", Number: 1, Route: lane, OnTrial: isTrial}, outlier.Failed)
+			for range failures {
+				recorder.Record(outlier.Label{Subject: "s", Number: 1, Route: route, OnTrial: onTrial}, outlier.Failed)
 			}
 		}
-		note("a", false, 1000, 5)
-		note("b", false, 100, 0)
-		note("a", true, 100, 0)
-		court.AddReport(box.Report("n", "1"))
-		Expect(court.Evaluate("s", 1, 0).Verdict).To(Equal(outlier.Inconclusive))
-		note("b", true, 10, 0)
-		court.AddReport(box.Report("n", "1"))
-		Expect(court.Evaluate("s", 1, 0).Verdict).To(Equal(outlier.Pass))
-		note("b", true, 0, 9)
-		court.AddReport(box.Report("n", "1"))
-		finding := court.Evaluate("s", 1, 0)
-		Expect(finding.Verdict).To(Equal(outlier.Fail))
-		Expect(finding.Reason).To(HavePrefix("lane b"))
+		record("a", false, 1000, 5)
+		record("b", false, 100, 0)
+		record("a", true, 100, 0)
+		aggregator.AddReport(recorder.Report("n", "1"))
+		Expect(aggregator.Evaluate("s", 1, 0).Verdict).To(Equal(outlier.Inconclusive))
+		record("b", true, 10, 0)
+		aggregator.AddReport(recorder.Report("n", "1"))
+		Expect(aggregator.Evaluate("s", 1, 0).Verdict).To(Equal(outlier.Pass))
+		record("b", true, 0, 9)
+		aggregator.AddReport(recorder.Report("n", "1"))
+		evaluation := aggregator.Evaluate("s", 1, 0)
+		Expect(evaluation.Verdict).To(Equal(outlier.Fail))
+		Expect(evaluation.Reason).To(HavePrefix("route b"))
 	})
 
-	It("sets a server aside that fails more than its like, never a whole service", func() {
-		hand := &timetable.Hand{}
-		court := outlier.NewAggregator(hand)
+	It("ejects a server that fails more than its group, but never a whole group", func() {
+		clock := &timetable.Hand{}
+		aggregator := outlier.NewAggregator(clock)
 		ids := []string{"a", "b", "c", "d", "e", "f", "g", "h"}
-		number := 0
-		hear := func(isBad func(id string) bool) {
-			box := outlier.NewRecorder()
+		incarnation := 0
+		report := func(failing func(id string) bool) {
+			recorder := outlier.NewRecorder()
 			for _, id := range ids {
 				for range 10 {
 					outcome := outlier.Success
-					if isBad(id) {
+					if failing(id) {
 						outcome = outlier.Failed
 					}
-					box.RecordServer(id, outcome, 1)
+					recorder.RecordServer(id, outcome, 1)
 				}
 			}
-			number++
-			court.AddReport(box.Report("n", fmt.Sprint(number)))
+			incarnation++
+			aggregator.AddReport(recorder.Report("n", fmt.Sprint(incarnation)))
 		}
-		hear(func(id string) bool { return id == "c" })
-		Expect(court.Ejected(ids)).To(Equal(map[string]bool{"c": true}))
-		// It is good again, and taken back after a while, not at once.
+		report(func(id string) bool { return id == "c" })
+		Expect(aggregator.Ejected(ids)).To(Equal(map[string]bool{"c": true}))
+		// A recovered server is taken back after the ejection time, not at once.
 		for range 6 {
-			hear(func(string) bool { return false })
+			report(func(string) bool { return false })
 		}
-		Expect(court.Ejected(ids)).To(HaveKey("c"))
-		hand.Sleep(5 * time.Second)
-		hear(func(string) bool { return false })
-		Expect(court.Ejected(ids)).To(BeEmpty())
-		hand.Sleep(time.Hour)
+		Expect(aggregator.Ejected(ids)).To(HaveKey("c"))
+		clock.Sleep(5 * time.Second)
+		report(func(string) bool { return false })
+		Expect(aggregator.Ejected(ids)).To(BeEmpty())
+		clock.Sleep(time.Hour)
 		for range 5 {
-			hear(func(string) bool { return true })
+			report(func(string) bool { return true })
 		}
-		Expect(len(court.Ejected(ids))).To(BeNumerically("<=", 2))
+		Expect(len(aggregator.Ejected(ids))).To(BeNumerically("<=", 2))
 	})
 })
--- a/internal/outlier/recorder.go
+++ b/internal/outlier/recorder.go
@@ -1,6 +1,6 @@
-// Package outlier gathers what real replies show of servers and versions, and
-// judges by it. Proxies count outcomes and report them; the holder of the duty
-// sums the reports and compares like with like: the same lane, the same time.
+// Package outlier evaluates servers and versions by the outcomes of real requests.
+// Proxies count outcomes and report them; the term holder sums the reports and compares
+// like with like: the same route in the same period.
 package outlier
 
 import (
@@ -9,29 +9,29 @@
 	"sync"
 )
 
-// Outcome is what one delivery showed.
+// Outcome is the outcome of one attempt.
 type Outcome uint8
 
-// The outcomes of a delivery that say something of the server's version.
+// The outcomes of an attempt that say something about the server's version.
 const (
 	Success Outcome = iota
 	// Failed: the server itself answered that it failed.
 	Failed
-	// Slow: the reply took several times what the lane's replies usually take.
+	// Slow: the response took several times the route's usual latency.
 	Slow
-	// Broken: the connection broke off before the reply was whole.
+	// Broken: the connection broke before the response was complete.
 	Broken
-	// Missing: a keyed operation was given up on without an end.
+	// Unresolved: a keyed operation was given up without a known result.
 	Unresolved
-	// Doubled: a keyed operation would have run without its record.
+	// Duplicated: a keyed operation would have run without its intent record.
 	Duplicated
 	outcomeCount
 )
 
-// Tally counts outcomes; Sum of its counts is how many deliveries there were.
+// Counts holds the number of attempts by outcome.
 type Counts [outcomeCount]uint32
 
-// Sum is how many deliveries the tally counts.
+// Total returns the number of attempts.
 func (c Counts) Total() (sum uint32) {
 	for _, count := range c {
 		sum += count
@@ -39,7 +39,7 @@
 	return sum
 }
 
-// Plus adds two tallies.
+// Add returns the sum of both counts.
 func (c Counts) Add(other Counts) Counts {
 	for i := range c {
 		c[i] += other[i]
@@ -47,7 +47,7 @@
 	return c
 }
 
-// Less takes an older reading of the same counts away.
+// Subtract returns the counts without those of an older reading.
 func (c Counts) Subtract(older Counts) Counts {
 	for i := range c {
 		c[i] -= min(c[i], older[i])
@@ -55,53 +55,53 @@
 	return c
 }
 
-// Mark says what an outcome is counted for: the trial, by its subject and
-// number, the lane, and the side of the trial.
+// Label identifies what an outcome is counted for: the trial, by its subject and
+// number, the route and the side of the trial.
 type Label struct {
 	// Subject is a service whose version is on trial, or a staged change.
 	Subject string `cbor:"1,keyasint"`
 	Number  uint64 `cbor:"2,keyasint"`
 	Route   string `cbor:"3,keyasint"`
-	// IsTrial tells the side that is on trial from the one in force.
+	// OnTrial distinguishes the side on trial from the side in force.
 	OnTrial bool `cbor:"4,keyasint,omitempty"`
-	// Wave is the wave of a staged change, on the side that is on trial.
+	// Wave is the wave of a staged change, for the side on trial.
 	Wave int `cbor:"5,keyasint,omitempty"`
 }
 
-// Row is the tally of one mark.
+// LabelCounts holds the counts of one label.
 type LabelCounts struct {
 	Label  Label  `cbor:"1,keyasint"`
 	Counts Counts `cbor:"2,keyasint"`
 }
 
-// Work is how many inquiries are under way at the side in force.
+// InFlight is the number of requests in flight to the side in force.
 type InFlight struct {
 	Subject  string `cbor:"1,keyasint"`
 	Requests int    `cbor:"2,keyasint"`
 }
 
-// ServerRow is what one server did since the last report.
+// ServerCounts holds the counts of one server since the last report.
 type ServerCounts struct {
 	ID     string `cbor:"1,keyasint"`
 	Counts Counts `cbor:"2,keyasint"`
-	// Paces is the sum of how long its replies took beside the lane's usual,
-	// over as many as Paced.
+	// LatencyRatioSum is the sum of the ratios of the server's latency to the route's
+	// usual latency, LatencySamples their number.
 	LatencyRatioSum float32 `cbor:"3,keyasint,omitempty"`
 	LatencySamples  uint32  `cbor:"4,keyasint,omitempty"`
-	// Tried is how many tries came to an end there, Strained how many of them the
-	// server turned away or was late with.
+	// Attempts counts the finished attempts, Overloaded those that the server rejected
+	// or was late with.
 	Attempts   uint32 `cbor:"5,keyasint,omitempty"`
 	Overloaded uint32 `cbor:"6,keyasint,omitempty"`
 }
 
-// Report is one proxy's counts. Rows are whole since the trial began, so a
-// later report takes the place of an earlier one, and one that is lost or comes
-// twice does no harm; the servers' rows are changes and count once by number.
+// Report holds one proxy's counts. Rows are totals since the trial began, so that a
+// later report replaces an earlier one, and lost or repeated reports do no harm.
+// Servers are increments that count once per sequence number.
 type Report struct {
 	Node        string `cbor:"1,keyasint"`
 	Incarnation string `cbor:"2,keyasint"`
 	Sequence    uint64 `cbor:"3,keyasint"`
-	// Term and Count are the reading of the fleet that the proxy works by.
+	// Term and Count are the version of the fleet state that the proxy uses.
 	Term     uint64         `cbor:"4,keyasint"`
 	Count    uint64         `cbor:"5,keyasint"`
 	Rows     []LabelCounts  `cbor:"6,keyasint,omitempty"`
@@ -111,11 +111,11 @@
 
 const (
 	maxServers = 512
-	// paceMost bounds what one reply can say of a server's pace.
+	// maxLatencyRatio limits the influence of a single response.
 	maxLatencyRatio = 6
 )
 
-// Box counts outcomes at one proxy.
+// Recorder counts outcomes at one proxy.
 type Recorder struct {
 	mu       sync.Mutex
 	rows     map[Label]Counts
@@ -123,13 +123,13 @@
 	sequence uint64
 }
 
-// NewBox makes an empty box.
+// NewRecorder returns an empty recorder.
 func NewRecorder() *Recorder {
 	return &Recorder{rows: map[Label]Counts{}, servers: map[string]ServerCounts{}}
 }
 
-// Note counts one outcome for a trial. An earlier trial of the subject is over
-// then, and its counts with it.
+// Record counts an outcome for a trial. The first outcome of a trial discards the
+// counts of earlier trials of the subject.
 func (r *Recorder) Record(label Label, outcome Outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -141,8 +141,8 @@
 	r.rows[label] = row
 }
 
-// NoteServer counts one outcome of a server, and how long its reply took beside
-// what the lane's usually take, if that is known.
+// RecordServer counts an outcome for a server. latencyRatio is the ratio of its latency
+// to the route's usual latency, or 0 if unknown.
 func (r *Recorder) RecordServer(server string, outcome Outcome, latencyRatio float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -158,7 +158,7 @@
 	r.servers[server] = row
 }
 
-// NoteStrain counts a try at a server for the overload of its service.
+// RecordLoad counts an attempt at a server for the detection of overload.
 func (r *Recorder) RecordLoad(server string, overloaded bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -173,7 +173,8 @@
 	r.servers[server] = row
 }
 
-// Report is what the holder is told now. The servers' counts begin anew.
+// Report returns the report to send to the term holder, and resets the counts of the
+// servers.
 func (r *Recorder) Report(node, incarnation string) Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/outlier/server_health.go
+++ b/internal/outlier/server_health.go
@@ -7,36 +7,37 @@
 	"ploverhitch/internal/timetable"
 )
 
-// stand is what is known of one server: counts that fade, and whether it is set
-// aside.
+// serverStats holds what is known of one server: counts with exponential decay, and
+// whether the server is ejected.
 type serverStats struct {
 	total, failed float64
-	// tried and strained are the tries that ended, and those turned away or late.
+	// attempts are the finished attempts, overloaded those that were rejected or late.
 	attempts, overloaded float64
 	updatedAt            timetable.Steady
-	// paces and paced are the sum and the number of the paces; told is the pace
-	// last told, in eighths, and when.
+	// latencyRatioSum and latencySamples are the sum and the number of the latency
+	// ratios; published is the last published ratio, in eighths.
 	latencyRatioSum, latencySamples float64
 	published                       int
 	publishedAt                     timetable.Steady
-	// asideAt is since when it is set aside, times how often.
+	// ejectedAt is the time of the last ejection, ejections the number of ejections.
 	ejectedAt timetable.Steady
 	ejections int
 	ejected   bool
 }
 
-// Bench keeps the evidence of single servers.
+// ServerHealth holds the statistics of single servers.
 type ServerHealth struct{ servers map[string]*serverStats }
 
 func newServerHealth() *ServerHealth { return &ServerHealth{servers: map[string]*serverStats{}} }
 
 const (
-	// fade is how long it takes for a count to weigh half as much.
+	// halfLife is the time after which a count weighs half as much.
 	halfLife = 4 * time.Second
-	// asideFirst is how long a server is set aside at first; each time longer.
+	// minEjection is the duration of a server's first ejection. Each further ejection
+	// lasts longer, up to maxEjection.
 	minEjection = 4 * time.Second
 	maxEjection = 32 * time.Second
-	// asidePart is the part of a service's servers that may be set aside.
+	// maxEjectedShare is the share of a group's servers that may be ejected.
 	maxEjectedShare    = 0.25
 	ejectionMinTotal   = 6
 	ejectionMinRate    = 0.2
@@ -59,9 +60,9 @@
 	}
 }
 
-// Aside names the servers of one group (of one service and version) that are
-// to be set aside: those that fail far more often than the others of the group,
-// and never more than a part of it.
+// Ejected returns the servers of one group (of one service and version) that are
+// ejected as outliers: those that fail far more often than the others of the group. It
+// ejects at most maxEjectedShare of the group.
 func (a *Aggregator) Ejected(group []string) map[string]bool {
 	now := a.clock.Steady()
 	total, failed := 0.0, 0.0
@@ -98,15 +99,17 @@
 }
 
 const (
-	// paceSeen is how many replies show a pace, paceStep by how much, and paceRest
-	// after how long at least, it must have changed to be told anew.
+	// latencyMinSamples is the number of responses required for a ratio. A published
+	// ratio is replaced only if it changed by more than latencyMinChange, and not
+	// before latencyMinInterval has passed.
 	latencyMinSamples  = 6
 	latencyMinChange   = 0.15
 	latencyMinInterval = 1500 * time.Millisecond
 )
 
-// Pace is how long a server's replies take beside those of others, in eighths;
-// 0 while too few were seen. It is told in steps, so that news stay few.
+// LatencyRatio returns the ratio of a server's latency to the usual latency, in
+// eighths: 8 is usual, 16 is twice as long, and 0 means too few samples. It changes in
+// steps to keep fleet updates rare.
 func (a *Aggregator) LatencyRatio(id string) int {
 	s, now := a.health.servers[id], a.clock.Steady()
 	if s == nil {
@@ -122,15 +125,15 @@
 	return s.published
 }
 
-// strainedPart is the part of its tries above which a server is strained, and
-// triedLeast how much it must have been tried for that.
+// overloadedRate is the rate of rejected or late attempts above which a server counts
+// as overloaded, overloadMinAttempts the number of recent attempts required for that.
 const (
 	overloadedRate      = 0.1
 	overloadMinAttempts = 1
 )
 
-// Strained is the part of a group's servers, of those tried lately, that turned
-// inquiries away or were late with them.
+// OverloadedShare returns the share of overloaded servers among the servers of the
+// group that had recent attempts.
 func (a *Aggregator) OverloadedShare(group []string) float64 {
 	attempted, overloaded, now := 0, 0, a.clock.Steady()
 	for _, id := range group {
@@ -145,7 +148,7 @@
 	return float64(overloaded) / float64(max(1, attempted))
 }
 
-// Keep forgets the servers that are no longer listed.
+// RetainServers discards the statistics of servers that are no longer listed.
 func (a *Aggregator) RetainServers(listed func(id string) bool) {
 	for id := range a.health.servers {
 		if !listed(id) {
--- a/internal/trial/trial_test.go
+++ b/internal/trial/trial_test.go
@@ -182,7 +182,7 @@
 		facts := trial.Facts{Elapsed: duration - 500*time.Millisecond, Finding: court.Evaluate("s", 1, 0), Ready: 100, Old: 100}
 		event, reason := state.Next(facts)
 		Expect(event).To(Equal(trial.Lapsed))
-		Expect(reason).To(ContainSubstring("too little is seen"))
+		Expect(reason).To(ContainSubstring("too few requests on trial"))
 	})
 
 	It("goes on only from where it is: every event out of place is refused", func() {
