--- a/internal/sites/allocator.go
+++ b/internal/sites/allocator.go
@@ -36,133 +36,133 @@
 
 const (
 	// spanMargin is by how much longer the office counts a lot as given.
-	spanMargin = 300 * time.Millisecond
+	leaseMargin = 300 * time.Millisecond
 	// roomPart is the part of a site's capacity that may be counted on.
-	roomPart = 0.95
+	usableCapacity = 0.95
 	// ownSpread is how many roots of its own load a site keeps free for itself:
 	// that load comes unevenly, and is known only as of the last reports.
-	ownSpread = 2.5
+	ownLoadDeviations = 2.5
 	// spareRoom is by how much more a node that passes callers on is given than
 	// it has under way: its inquiries do not come evenly.
-	spareRoom = 1.4
+	demandFactor = 1.4
 	// freshSpan is how old a report may be to count.
-	freshSpan = 4 * time.Second
+	reportTimeout = 4 * time.Second
 )
 
-type tenant struct {
-	site string
-	at   timetable.Steady
-	uses map[Key]int
-	lots map[Key]int
-	due  timetable.Steady
+type nodeState struct {
+	site       string
+	reportedAt timetable.Steady
+	inFlight   map[Key]int
+	leases     map[Key]int
+	expiresAt  timetable.Steady
 }
 
 // Office gives out the room of the sites. It belongs to the holder of the duty
 // and has one owner. The sum of all lots that may still be used, and of what a
 // site's own callers have under way there, never exceeds the site's room.
 type Allocator struct {
-	clock    timetable.Clock
-	tree     *Tree
-	opens    timetable.Steady
-	capacity map[Key]int
-	tenants  map[string]*tenant
+	clock      timetable.Clock
+	tree       *Tree
+	grantsFrom timetable.Steady
+	capacity   map[Key]int
+	nodes      map[string]*nodeState
 }
 
 // NewOffice makes an office that gives nothing until the lots of the one before
 // it have lapsed.
 func NewAllocator(tree *Tree, clock timetable.Clock) *Allocator {
 	return &Allocator{
-		clock: clock, tree: tree, opens: clock.Steady() + timetable.Steady(LeaseDuration+spanMargin),
-		capacity: map[Key]int{}, tenants: map[string]*tenant{},
+		clock: clock, tree: tree, grantsFrom: clock.Steady() + timetable.Steady(LeaseDuration+leaseMargin),
+		capacity: map[Key]int{}, nodes: map[string]*nodeState{},
 	}
 }
 
 // Lay tells the office the tree and what the ready servers declare by now.
-func (o *Allocator) Update(tree *Tree, declared map[Key]int) {
-	o.tree, o.capacity = tree, map[Key]int{}
+func (a *Allocator) Update(tree *Tree, declared map[Key]int) {
+	a.tree, a.capacity = tree, map[Key]int{}
 	for key, slots := range declared {
-		o.capacity[key] = tree.EffectiveCapacity(key.Site, key.Service, slots)
+		a.capacity[key] = tree.EffectiveCapacity(key.Site, key.Service, slots)
 	}
 }
 
 // Hear takes what a node has under way and wants, and returns its lots.
-func (o *Allocator) HandleReport(node, site string, uses []Usage) (lots []Lease) {
-	now := o.clock.Steady()
-	t := o.tenants[node]
-	if t == nil {
-		t = &tenant{}
-		o.tenants[node] = t
+func (a *Allocator) HandleReport(node, site string, usages []Usage) (leases []Lease) {
+	now := a.clock.Steady()
+	state := a.nodes[node]
+	if state == nil {
+		state = &nodeState{}
+		a.nodes[node] = state
 	}
-	t.site, t.at, t.uses, t.lots, t.due = site, now, map[Key]int{}, nil, 0
+	state.site, state.reportedAt, state.inFlight, state.leases, state.expiresAt = site, now, map[Key]int{}, nil, 0
 	wanted := map[string]int{}
-	for _, use := range uses {
-		if use.Site == "" {
-			wanted[use.Service] += use.Wanted
+	for _, usage := range usages {
+		if usage.Site == "" {
+			wanted[usage.Service] += usage.Wanted
 			continue
 		}
-		t.uses[Key{use.Service, use.Site}] += use.InFlight
-		if use.Site != site {
-			wanted[use.Service] += use.InFlight
+		state.inFlight[Key{usage.Service, usage.Site}] += usage.InFlight
+		if usage.Site != site {
+			wanted[usage.Service] += usage.InFlight
 		}
 	}
 	for service, count := range wanted {
-		wanted[service] = int(math.Ceil(spareRoom*float64(count))) + 1
+		wanted[service] = int(math.Ceil(demandFactor*float64(count))) + 1
 	}
-	if now < o.opens {
+	if now < a.grantsFrom {
 		return nil
 	}
-	t.lots, t.due = map[Key]int{}, now+timetable.Steady(LeaseDuration+spanMargin)
+	state.leases, state.expiresAt = map[Key]int{}, now+timetable.Steady(LeaseDuration+leaseMargin)
 	services := map[string]bool{}
-	for key := range o.capacity {
+	for key := range a.capacity {
 		services[key.Service] = true
 	}
-	way := o.tree.FailoverOrder(site)
+	failoverOrder := a.tree.FailoverOrder(site)
 	for _, service := range slices.Sorted(maps.Keys(services)) {
-		for _, other := range way {
-			key := Key{service, other}
-			free := o.free(key, node)
+		for _, otherSite := range failoverOrder {
+			key := Key{service, otherSite}
+			free := a.freeSlots(key, node)
 			slots := max(0, min(free, wanted[service]))
-			if slots == 0 && free > room(o.capacity[key], 0)/2 {
+			if slots == 0 && free > spareCapacity(a.capacity[key], 0)/2 {
 				// One place to go on with, should the site drop out.
 				slots = 1
 			}
 			if slots > 0 {
-				t.lots[key] = slots
-				lots = append(lots, Lease{service, other, slots})
+				state.leases[key] = slots
+				leases = append(leases, Lease{service, otherSite, slots})
 				wanted[service] -= slots
 			}
 		}
 	}
-	return lots
+	return leases
 }
 
 // free is the room that is left at a site for a node, besides all others.
-func (o *Allocator) free(key Key, node string) int {
-	now, own, taken := o.clock.Steady(), 0, 0
-	for name, t := range o.tenants {
+func (a *Allocator) freeSlots(key Key, node string) int {
+	now, ownLoad, reserved := a.clock.Steady(), 0, 0
+	for name, state := range a.nodes {
 		switch {
-		case now-t.at > timetable.Steady(freshSpan):
-			delete(o.tenants, name)
-		case t.site == key.Site:
-			own += t.uses[key]
+		case now-state.reportedAt > timetable.Steady(reportTimeout):
+			delete(a.nodes, name)
+		case state.site == key.Site:
+			ownLoad += state.inFlight[key]
 		case name != node:
-			if now < t.due {
-				taken += max(t.uses[key], t.lots[key])
+			if now < state.expiresAt {
+				reserved += max(state.inFlight[key], state.leases[key])
 			} else {
-				taken += t.uses[key]
+				reserved += state.inFlight[key]
 			}
 		}
 	}
-	return room(o.capacity[key], own) - taken
+	return spareCapacity(a.capacity[key], ownLoad) - reserved
 }
 
-func room(capacity, own int) int {
-	spread := int(math.Ceil(ownSpread * math.Sqrt(float64(own))))
-	return int(roomPart*float64(capacity)) - own - spread
+func spareCapacity(capacity, ownLoad int) int {
+	headroom := int(math.Ceil(ownLoadDeviations * math.Sqrt(float64(ownLoad))))
+	return int(usableCapacity*float64(capacity)) - ownLoad - headroom
 }
 
 // Room is what others may use of a site with so much capacity and own load.
-func SpareCapacity(capacity, own int) int { return max(0, room(capacity, own)) }
+func SpareCapacity(capacity, ownLoad int) int { return max(0, spareCapacity(capacity, ownLoad)) }
 
 // Account is what stands of one site and service, for operators to read.
 type Status struct {
@@ -180,26 +180,26 @@
 }
 
 // Accounts lists what stands, by site and service.
-func (o *Allocator) Statuses() (out []Status) {
-	now := o.clock.Steady()
-	for key, capacity := range o.capacity {
-		a := Status{Site: key.Site, Parent: o.tree.sites[key.Site].Parent, Service: key.Service, Capacity: capacity, RemoteBySite: map[string]int{}}
-		for _, t := range o.tenants {
-			if t.site == key.Site {
-				a.Own += t.uses[key]
+func (a *Allocator) Statuses() (statuses []Status) {
+	now := a.clock.Steady()
+	for key, capacity := range a.capacity {
+		status := Status{Site: key.Site, Parent: a.tree.sites[key.Site].Parent, Service: key.Service, Capacity: capacity, RemoteBySite: map[string]int{}}
+		for _, state := range a.nodes {
+			if state.site == key.Site {
+				status.Own += state.inFlight[key]
 				continue
 			}
-			if a.Remote += t.uses[key]; t.uses[key] > 0 {
-				a.RemoteBySite[t.site] += t.uses[key]
+			if status.Remote += state.inFlight[key]; state.inFlight[key] > 0 {
+				status.RemoteBySite[state.site] += state.inFlight[key]
 			}
-			if now < t.due {
-				a.Leased += t.lots[key]
+			if now < state.expiresAt {
+				status.Leased += state.leases[key]
 			}
 		}
-		out = append(out, a)
+		statuses = append(statuses, status)
 	}
-	slices.SortFunc(out, func(a, z Status) int {
-		return cmp.Or(cmp.Compare(a.Site, z.Site), cmp.Compare(a.Service, z.Service))
+	slices.SortFunc(statuses, func(status, other Status) int {
+		return cmp.Or(cmp.Compare(status.Site, other.Site), cmp.Compare(status.Service, other.Service))
 	})
-	return out
+	return statuses
 }
--- a/internal/sites/simulation_test.go
+++ b/internal/sites/simulation_test.go
@@ -11,137 +11,137 @@
 
 // rush is a slow plain model: sites with servers that count their own load, and
 // nodes whose reports and lots come late or not at all.
-type rush struct {
-	hand     *timetable.Hand
-	random   *rand.Rand
-	tree     *sites.Tree
-	office   *sites.Allocator
-	isOn     bool
-	capacity map[string]int
-	load     map[string]int
-	worst    map[string]int
-	nodes    []*edge
-	jobs     []job
-	mail     []letter
+type simulation struct {
+	clock     *timetable.Hand
+	random    *rand.Rand
+	tree      *sites.Tree
+	allocator *sites.Allocator
+	useLeases bool
+	capacity  map[string]int
+	load      map[string]int
+	maxExcess map[string]int
+	nodes     []*proxyNode
+	requests  []request
+	messages  []message
 	// served and turned count the urgent and the other inquiries.
-	served, turned map[bool]int
-	officeIsGone   bool
+	served, rejected map[bool]int
+	allocatorDown    bool
 }
 
-type edge struct {
-	name, site string
-	purse      *sites.NodeLeases
-	perTick    float64
+type proxyNode struct {
+	name, site      string
+	leases          *sites.NodeLeases
+	requestsPerTick float64
 }
 
-type job struct {
-	site  string
-	until time.Duration
-	leave func()
+type request struct {
+	site    string
+	endsAt  time.Duration
+	release func()
 }
 
-type letter struct {
-	at  time.Duration
-	act func()
+type message struct {
+	arrivesAt time.Duration
+	deliver   func()
 }
 
 const (
-	tick = 10 * time.Millisecond
-	work = 100 * time.Millisecond
+	tick        = 10 * time.Millisecond
+	meanLatency = 100 * time.Millisecond
 )
 
-func newRush(seed uint64, isOn bool) *rush {
-	r := &rush{hand: &timetable.Hand{Now: time.Hour}, random: rand.New(rand.NewPCG(seed, 7)), isOn: isOn}
-	r.tree, _ = sites.Build(cells, nil)
-	r.capacity = map[string]int{"a": 40, "b": 40, "c": 60}
-	r.load, r.worst, r.served, r.turned = map[string]int{}, map[string]int{}, map[bool]int{}, map[bool]int{}
-	r.open()
+func newSimulation(seed uint64, useLeases bool) *simulation {
+	s := &simulation{clock: &timetable.Hand{Now: time.Hour}, random: rand.New(rand.NewPCG(seed, 7)), useLeases: useLeases}
+	s.tree, _ = sites.Build(regions, nil)
+	s.capacity = map[string]int{"a": 40, "b": 40, "c": 60}
+	s.load, s.maxExcess, s.served, s.rejected = map[string]int{}, map[string]int{}, map[bool]int{}, map[bool]int{}
+	s.startAllocator()
 	const count = 8
 	for _, site := range []string{"a", "b", "c"} {
 		for i := range count {
-			e := &edge{name: fmt.Sprint(site, i), site: site, purse: sites.NewNodeLeases(r.hand)}
-			e.perTick = 0.4 * float64(r.capacity[site]) * float64(tick) / float64(work) / float64(count)
-			r.nodes = append(r.nodes, e)
+			n := &proxyNode{name: fmt.Sprint(site, i), site: site, leases: sites.NewNodeLeases(s.clock)}
+			n.requestsPerTick = 0.4 * float64(s.capacity[site]) * float64(tick) / float64(meanLatency) / float64(count)
+			s.nodes = append(s.nodes, n)
 		}
 	}
-	return r
+	return s
 }
 
-func (r *rush) open() {
-	r.office = sites.NewAllocator(r.tree, r.hand)
-	r.lay()
+func (s *simulation) startAllocator() {
+	s.allocator = sites.NewAllocator(s.tree, s.clock)
+	s.updateCapacity()
 }
 
-func (r *rush) lay() {
+func (s *simulation) updateCapacity() {
 	declared := map[sites.Key]int{}
-	for site, slots := range r.capacity {
+	for site, slots := range s.capacity {
 		declared[sites.Key{Service: "s", Site: site}] = slots
 	}
-	r.office.Update(r.tree, declared)
+	s.allocator.Update(s.tree, declared)
 }
 
-func (r *rush) place(e *edge, isUrgent bool) {
-	part := 0.7
-	if isUrgent {
-		part = 1
+func (s *simulation) sendRequest(n *proxyNode, highPriority bool) {
+	share := 0.7
+	if highPriority {
+		share = 1
 	}
-	for _, site := range append([]string{e.site}, r.tree.FailoverOrder(e.site)...) {
-		if r.capacity[site] == 0 || site == e.site && r.load[site] >= r.capacity[site] {
+	for _, site := range append([]string{n.site}, s.tree.FailoverOrder(n.site)...) {
+		if s.capacity[site] == 0 || site == n.site && s.load[site] >= s.capacity[site] {
 			continue
 		}
-		leave, isIn := func() {}, true
-		if r.isOn {
-			leave, isIn = e.purse.Acquire("s", site, e.site, part)
+		release, acquired := func() {}, true
+		if s.useLeases {
+			release, acquired = n.leases.Acquire("s", site, n.site, share)
 		}
-		if isIn {
-			r.load[site]++
-			r.worst[site] = max(r.worst[site], r.load[site]-r.capacity[site])
-			r.jobs = append(r.jobs, job{site, r.hand.Now + work/2 + time.Duration(r.random.Int64N(int64(work))), leave})
-			r.served[isUrgent]++
+		if acquired {
+			s.load[site]++
+			s.maxExcess[site] = max(s.maxExcess[site], s.load[site]-s.capacity[site])
+			s.requests = append(s.requests, request{site, s.clock.Now + meanLatency/2 + time.Duration(s.random.Int64N(int64(meanLatency))), release})
+			s.served[highPriority]++
 			return
 		}
 	}
-	e.purse.RecordRejection("s", work)
-	r.turned[isUrgent]++
+	n.leases.RecordRejection("s", meanLatency)
+	s.rejected[highPriority]++
 }
 
-func (r *rush) run(span time.Duration) {
-	for end := r.hand.Now + span; r.hand.Now < end; r.hand.Sleep(tick) {
-		var left []job
-		for _, j := range r.jobs {
-			if j.until <= r.hand.Now {
-				r.load[j.site]--
-				j.leave()
+func (s *simulation) run(span time.Duration) {
+	for end := s.clock.Now + span; s.clock.Now < end; s.clock.Sleep(tick) {
+		var remaining []request
+		for _, request := range s.requests {
+			if request.endsAt <= s.clock.Now {
+				s.load[request.site]--
+				request.release()
 				continue
 			}
-			left = append(left, j)
+			remaining = append(remaining, request)
 		}
-		r.jobs = left
-		mail := r.mail
-		r.mail = nil
-		for _, l := range mail {
-			if l.at <= r.hand.Now {
-				l.act()
+		s.requests = remaining
+		pending := s.messages
+		s.messages = nil
+		for _, m := range pending {
+			if m.arrivesAt <= s.clock.Now {
+				m.deliver()
 				continue
 			}
-			r.mail = append(r.mail, l)
+			s.messages = append(s.messages, m)
 		}
-		for _, e := range r.nodes {
-			for chance := e.perTick; chance > 0; chance-- {
-				if r.random.Float64() < chance {
-					r.place(e, r.random.IntN(3) == 0)
+		for _, n := range s.nodes {
+			for expected := n.requestsPerTick; expected > 0; expected-- {
+				if s.random.Float64() < expected {
+					s.sendRequest(n, s.random.IntN(3) == 0)
 				}
 			}
-			if r.random.IntN(25) == 0 && !r.officeIsGone {
-				sentAt, uses, office := r.hand.Steady(), e.purse.Usages(), r.office
-				if r.random.IntN(10) == 0 {
+			if s.random.IntN(25) == 0 && !s.allocatorDown {
+				sentAt, usages, allocator := s.clock.Steady(), n.leases.Usages(), s.allocator
+				if s.random.IntN(10) == 0 {
 					continue // lost on the way
 				}
-				delay := func() time.Duration { return time.Duration(r.random.Int64N(int64(150 * time.Millisecond))) }
-				r.mail = append(r.mail, letter{r.hand.Now + delay(), func() {
-					lots := office.HandleReport(e.name, e.site, uses)
-					if r.random.IntN(10) > 0 {
-						r.mail = append(r.mail, letter{r.hand.Now + delay(), func() { e.purse.Apply(lots, sentAt) }})
+				delay := func() time.Duration { return time.Duration(s.random.Int64N(int64(150 * time.Millisecond))) }
+				s.messages = append(s.messages, message{s.clock.Now + delay(), func() {
+					leases := allocator.HandleReport(n.name, n.site, usages)
+					if s.random.IntN(10) > 0 {
+						s.messages = append(s.messages, message{s.clock.Now + delay(), func() { n.leases.Apply(leases, sentAt) }})
 					}
 				}})
 			}
@@ -150,12 +150,12 @@
 }
 
 // fall lets a site's servers drop out; what ran there ends.
-func (r *rush) fall(site string) {
-	r.capacity[site] = 0
-	r.lay()
-	for i := range r.jobs {
-		if r.jobs[i].site == site {
-			r.jobs[i].until = r.hand.Now
+func (s *simulation) failSite(site string) {
+	s.capacity[site] = 0
+	s.updateCapacity()
+	for i := range s.requests {
+		if s.requests[i].site == site {
+			s.requests[i].endsAt = s.clock.Now
 		}
 	}
 }
--- a/internal/sites/sites_test.go
+++ b/internal/sites/sites_test.go
@@ -15,11 +15,11 @@
 	RunSpecs(t, "sites")
 }
 
-var cells = map[string]string{"a": "east", "b": "east", "c": "west"}
+var regions = map[string]string{"a": "east", "b": "east", "c": "west"}
 
 var _ = Describe("the tree", func() {
 	It("is laid from the platform's cells, and passes up: siblings before strangers", func() {
-		tree, err := sites.Build(cells, nil)
+		tree, err := sites.Build(regions, nil)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(tree.FailoverOrder("a")).To(Equal([]string{"east", "b", "whole", "west", "c"}))
 		Expect(tree.SiteOf("i-1", "c")).To(Equal("c"))
@@ -27,7 +27,7 @@
 	})
 
 	It("takes finer sites from the operator", func() {
-		tree, err := sites.Build(cells, []sites.Site{
+		tree, err := sites.Build(regions, []sites.Site{
 			{Name: "hall", Parent: "a", Servers: []string{"i-1"}, Capacity: map[string]int{"exams": 3}},
 		})
 		Expect(err).NotTo(HaveOccurred())
@@ -37,9 +37,9 @@
 		Expect(tree.EffectiveCapacity("hall", "other", 8)).To(Equal(8))
 	})
 
-	DescribeTable("refuses by name what does not fit", func(what string, declared ...sites.Site) {
-		_, err := sites.Build(cells, declared)
-		Expect(err).To(MatchError(ContainSubstring(what)))
+	DescribeTable("refuses by name what does not fit", func(message string, declared ...sites.Site) {
+		_, err := sites.Build(regions, declared)
+		Expect(err).To(MatchError(ContainSubstring(message)))
 	},
 		Entry("a cycle", "site x", sites.Site{Name: "x", Parent: "y"}, sites.Site{Name: "y", Parent: "x"}),
 		Entry("an unknown parent", "unknown parent none", sites.Site{Name: "x", Parent: "none"}),
@@ -50,8 +50,8 @@
 })
 
 var _ = Describe("a site that falls away in the rush", func() {
-	over := func(r *rush) (worst int) {
-		for _, count := range r.worst {
+	maxExcess := func(s *simulation) (worst int) {
+		for _, count := range s.maxExcess {
 			worst = max(worst, count)
 		}
 		return worst
@@ -59,28 +59,28 @@
 
 	It("passes its callers on, and overruns nobody, however late the news is", func() {
 		for seed := range uint64(25) {
-			r := newRush(seed, true)
-			r.run(4 * time.Second)
-			r.fall("a")
-			r.run(1 * time.Second)
-			before := r.served[true]
-			turned := r.turned[true]
-			r.run(3 * time.Second)
-			Expect(over(r)).To(BeNumerically("<=", 0), "seed %d", seed)
+			s := newSimulation(seed, true)
+			s.run(4 * time.Second)
+			s.failSite("a")
+			s.run(1 * time.Second)
+			servedBefore := s.served[true]
+			rejected := s.rejected[true]
+			s.run(3 * time.Second)
+			Expect(maxExcess(s)).To(BeNumerically("<=", 0), "seed %d", seed)
 			// Once the lots are out, urgent inquiries find their place.
-			urgent := r.served[true] - before
-			Expect(float64(r.turned[true]-turned)).To(BeNumerically("<", 0.25*float64(urgent)), "seed %d", seed)
+			served := s.served[true] - servedBefore
+			Expect(float64(s.rejected[true]-rejected)).To(BeNumerically("<", 0.25*float64(served)), "seed %d", seed)
 		}
 	})
 
 	It("overruns its neighbours without the lots: the check can fail", func() {
 		failed := 0
 		for seed := range uint64(25) {
-			r := newRush(seed, false)
-			r.run(4 * time.Second)
-			r.fall("a")
-			r.run(4 * time.Second)
-			if over(r) > 0 {
+			s := newSimulation(seed, false)
+			s.run(4 * time.Second)
+			s.failSite("a")
+			s.run(4 * time.Second)
+			if maxExcess(s) > 0 {
 				failed++
 			}
 		}
@@ -89,37 +89,37 @@
 
 	It("holds with two sites gone at once, too little room everywhere, and the holder lost in the middle", func() {
 		for seed := range uint64(25) {
-			r := newRush(seed, true)
-			r.run(4 * time.Second)
-			r.fall("a")
-			r.fall("c")
-			r.run(time.Second)
-			r.officeIsGone = true
-			r.run(time.Second)
-			r.officeIsGone = false
-			r.open()
-			r.run(4 * time.Second)
-			Expect(over(r)).To(BeNumerically("<=", 0), "seed %d", seed)
+			s := newSimulation(seed, true)
+			s.run(4 * time.Second)
+			s.failSite("a")
+			s.failSite("c")
+			s.run(time.Second)
+			s.allocatorDown = true
+			s.run(time.Second)
+			s.allocatorDown = false
+			s.startAllocator()
+			s.run(4 * time.Second)
+			Expect(maxExcess(s)).To(BeNumerically("<=", 0), "seed %d", seed)
 			// The less urgent are turned away first.
-			share := func(isUrgent bool) float64 {
-				return float64(r.turned[isUrgent]) / float64(r.turned[isUrgent]+r.served[isUrgent])
+			share := func(highPriority bool) float64 {
+				return float64(s.rejected[highPriority]) / float64(s.rejected[highPriority]+s.served[highPriority])
 			}
 			Expect(share(true)).To(BeNumerically("<", share(false)))
 		}
 	})
 
 	It("is come home to, and then its room is its own again", func() {
-		r := newRush(3, true)
-		r.run(3 * time.Second)
-		r.fall("a")
-		r.run(2 * time.Second)
-		r.capacity["a"] = 40
-		r.lay()
-		r.run(3 * time.Second)
-		Expect(over(r)).To(BeNumerically("<=", 0))
-		for _, account := range r.office.Statuses() {
-			if account.Site == "b" || account.Site == "c" {
-				Expect(account.RemoteBySite).NotTo(HaveKey("a"))
+		s := newSimulation(3, true)
+		s.run(3 * time.Second)
+		s.failSite("a")
+		s.run(2 * time.Second)
+		s.capacity["a"] = 40
+		s.updateCapacity()
+		s.run(3 * time.Second)
+		Expect(maxExcess(s)).To(BeNumerically("<=", 0))
+		for _, status := range s.allocator.Statuses() {
+			if status.Site == "b" || status.Site == "c" {
+				Expect(status.RemoteBySite).NotTo(HaveKey("a"))
 			}
 		}
 	})
--- a/internal/sites/tree.go
+++ b/internal/sites/tree.go
@@ -26,35 +26,35 @@
 
 // Tree is the sites under one top; it never changes once built.
 type Tree struct {
-	sites    map[string]Site
-	children map[string][]string
-	ofCell   map[string]string
-	ofServer map[string]string
+	sites        map[string]Site
+	children     map[string][]string
+	siteByZone   map[string]string
+	siteByServer map[string]string
 }
 
 // Build lays the tree: the platform's cells under their regions, and what the
 // operator says of them or adds. What does not fit is refused by name.
-func Build(cells map[string]string, sites []Site) (*Tree, error) {
-	t := &Tree{sites: map[string]Site{Root: {Name: Root}}, children: map[string][]string{}, ofCell: map[string]string{}, ofServer: map[string]string{}}
-	for _, cell := range slices.Sorted(maps.Keys(cells)) {
-		region := cells[cell]
-		if region == "" || region == cell {
+func Build(regions map[string]string, sites []Site) (*Tree, error) {
+	t := &Tree{sites: map[string]Site{Root: {Name: Root}}, children: map[string][]string{}, siteByZone: map[string]string{}, siteByServer: map[string]string{}}
+	for _, zone := range slices.Sorted(maps.Keys(regions)) {
+		region := regions[zone]
+		if region == "" || region == zone {
 			region = Root
-		} else if _, isKnown := t.sites[region]; !isKnown {
+		} else if _, known := t.sites[region]; !known {
 			t.sites[region] = Site{Name: region, Parent: Root}
 		}
-		t.sites[cell] = Site{Name: cell, Parent: region}
-		t.ofCell[cell] = cell
+		t.sites[zone] = Site{Name: zone, Parent: region}
+		t.siteByZone[zone] = zone
 	}
-	said := map[string]bool{}
+	declared := map[string]bool{}
 	for _, site := range sites {
 		switch {
 		case site.Name == "" || site.Name == Root:
 			return nil, errors.NotValidf("site name %q", site.Name)
-		case said[site.Name]:
+		case declared[site.Name]:
 			return nil, errors.NotValidf("site %s, which is there twice,", site.Name)
 		}
-		said[site.Name] = true
+		declared[site.Name] = true
 		if site.Parent == "" {
 			site.Parent = Root
 		}
@@ -65,44 +65,44 @@
 		}
 		t.sites[site.Name] = site
 	}
-	if err := t.claim(sites); err != nil {
+	if err := t.assignMembers(sites); err != nil {
 		return nil, err
 	}
-	return t, t.check()
+	return t, t.linkChildren()
 }
 
 // claim lays down what belongs to whom.
-func (t *Tree) claim(sites []Site) error {
-	cells := map[string]string{}
+func (t *Tree) assignMembers(sites []Site) error {
+	siteByZone := map[string]string{}
 	for _, site := range sites {
 		for _, server := range site.Servers {
-			if other, isTaken := t.ofServer[server]; isTaken {
+			if other, taken := t.siteByServer[server]; taken {
 				return errors.NotValidf("server %s, which belongs to %s and %s,", server, other, site.Name)
 			}
-			t.ofServer[server] = site.Name
+			t.siteByServer[server] = site.Name
 		}
-		for _, cell := range site.Zones {
-			if other, isTaken := cells[cell]; isTaken {
-				return errors.NotValidf("cell %s, which belongs to %s and %s,", cell, other, site.Name)
+		for _, zone := range site.Zones {
+			if other, taken := siteByZone[zone]; taken {
+				return errors.NotValidf("cell %s, which belongs to %s and %s,", zone, other, site.Name)
 			}
-			cells[cell], t.ofCell[cell] = site.Name, site.Name
+			siteByZone[zone], t.siteByZone[zone] = site.Name, site.Name
 		}
 	}
 	return nil
 }
 
-func (t *Tree) check() error {
+func (t *Tree) linkChildren() error {
 	for _, name := range slices.Sorted(maps.Keys(t.sites)) {
-		at := name
-		for steps := 0; at != Root; steps++ {
-			site, isKnown := t.sites[at]
-			if !isKnown {
-				return errors.NotValidf("site %s: unknown parent %s", name, at)
+		ancestor := name
+		for steps := 0; ancestor != Root; steps++ {
+			site, known := t.sites[ancestor]
+			if !known {
+				return errors.NotValidf("site %s: unknown parent %s", name, ancestor)
 			}
 			if steps > len(t.sites) {
 				return errors.NotValidf("site %s, which is its own parent in the end,", name)
 			}
-			at = site.Parent
+			ancestor = site.Parent
 		}
 		if name != Root {
 			t.children[t.sites[name].Parent] = append(t.children[t.sites[name].Parent], name)
@@ -112,51 +112,51 @@
 }
 
 // SiteOf is the site of a server, or of a node without one (an empty id).
-func (t *Tree) SiteOf(server, cell string) string {
-	if site, isKnown := t.ofServer[server]; isKnown {
+func (t *Tree) SiteOf(server, zone string) string {
+	if site, known := t.siteByServer[server]; known {
 		return site
 	}
-	if site, isKnown := t.ofCell[cell]; isKnown {
+	if site, known := t.siteByZone[zone]; known {
 		return site
 	}
 	return Root
 }
 
 // Sites lists the sites by name.
-func (t *Tree) Sites() (out []Site) {
+func (t *Tree) Sites() (list []Site) {
 	for _, name := range slices.Sorted(maps.Keys(t.sites)) {
-		out = append(out, t.sites[name])
+		list = append(list, t.sites[name])
 	}
-	return out
+	return list
 }
 
 // Way is the order in which a site's callers are passed on: to its parent, to
 // the parent's other children and all under them, and then further up.
-func (t *Tree) FailoverOrder(from string) (out []string) {
+func (t *Tree) FailoverOrder(from string) (order []string) {
 	seen := map[string]bool{from: true}
-	var under func(site string)
-	under = func(site string) {
+	var appendSubtree func(site string)
+	appendSubtree = func(site string) {
 		if !seen[site] {
 			seen[site] = true
-			out = append(out, site)
+			order = append(order, site)
 		}
 		for _, child := range t.children[site] {
 			if child != from {
-				under(child)
+				appendSubtree(child)
 			}
 		}
 	}
-	for at := from; at != Root; {
-		at = t.sites[at].Parent
-		under(at)
+	for ancestor := from; ancestor != Root; {
+		ancestor = t.sites[ancestor].Parent
+		appendSubtree(ancestor)
 	}
-	return out
+	return order
 }
 
 // Limit is what a site may be loaded with, given what its servers declare.
 func (t *Tree) EffectiveCapacity(site, service string, declared int) int {
-	if said, isSaid := t.sites[site].Capacity[service]; isSaid {
-		return min(said, declared)
+	if limit, limited := t.sites[site].Capacity[service]; limited {
+		return min(limit, declared)
 	}
 	return declared
 }
