--- a/internal/sites/allocator.go
+++ b/internal/sites/allocator.go
@@ -10,45 +10,46 @@
 	"ploverhitch/internal/timetable"
 )
 
-// Use is what one node has under way at one site's servers of a service.
+// Usage is what one node uses of a service at one site, or lacks.
 type Usage struct {
 	Service string `cbor:"1,keyasint"`
-	// Site is where the servers are; empty where there was none with room.
+	// Site is the site of the servers, or empty for requests that found no slot.
 	Site     string `cbor:"2,keyasint,omitempty"`
 	InFlight int    `cbor:"3,keyasint,omitempty"`
-	// Wanted is how many more places it could use, if Site is empty.
+	// Wanted is the number of further slots the node could use, if Site is empty.
 	Wanted int `cbor:"4,keyasint,omitempty"`
 }
 
-// Lot is how much of another site's room a node may use; a grant with a due.
+// Lease allows a node to use slots at another site until the lease expires.
 type Lease struct {
 	Service string `cbor:"1,keyasint" json:"Service"`
 	Site    string `cbor:"2,keyasint" json:"Site"`
 	Slots   int    `cbor:"3,keyasint" json:"Slots"`
 }
 
-// Key names a service at a site.
+// Key identifies a service at a site.
 type Key struct{ Service, Site string }
 
-// GrantSpan is how long a lot may be used, counted by the node from when it sent
-// its report.
+// LeaseDuration is how long a lease is valid, counted by the node from when it sent the
+// report.
 const LeaseDuration = 1500 * time.Millisecond
 
 const (
-	// spanMargin is by how much longer the office counts a lot as given.
+	// leaseMargin is how much longer the allocator counts a lease as valid.
 	leaseMargin = 300 * time.Millisecond
-	// roomPart is the part of a site's capacity that may be counted on.
+	// usableCapacity is the share of a site's capacity that is allocated.
 	usableCapacity = 0.95
-	// ownSpread is how many roots of its own load a site keeps free for itself:
-	// that load comes unevenly, and is known only as of the last reports.
+	// ownLoadDeviations is how many square roots of its own load a site keeps free for
+	// itself: its own load varies and is known only as of the last reports.
 	ownLoadDeviations = 2.5
-	// spareRoom is by how much more a node that passes callers on is given than
-	// it has under way: its inquiries do not come evenly.
+	// demandFactor is how much more a node is granted than it has in flight at other
+	// sites, as its requests do not arrive evenly.
 	demandFactor = 1.4
-	// freshSpan is how old a report may be to count.
+	// reportTimeout is the age up to which a report counts.
 	reportTimeout = 4 * time.Second
 )
 
+// nodeState is the last report of a node and the leases granted in reply.
 type nodeState struct {
 	site       string
 	reportedAt timetable.Steady
@@ -57,19 +58,20 @@
 	expiresAt  timetable.Steady
 }
 
-// Office gives out the room of the sites. It belongs to the holder of the duty
-// and has one owner. The sum of all lots that may still be used, and of what a
-// site's own callers have under way there, never exceeds the site's room.
+// Allocator leases spare capacity of the sites to nodes at other sites. It runs at the
+// term holder and is not safe for concurrent use. The sum of all unexpired leases and
+// of the site's own requests in flight never exceeds the usable capacity of a site.
 type Allocator struct {
-	clock      timetable.Clock
-	tree       *Tree
+	clock timetable.Clock
+	tree  *Tree
+	// grantsFrom is when the leases of the previous allocator have expired.
 	grantsFrom timetable.Steady
 	capacity   map[Key]int
 	nodes      map[string]*nodeState
 }
 
-// NewOffice makes an office that gives nothing until the lots of the one before
-// it have lapsed.
+// NewAllocator returns an allocator that grants nothing until the leases of its
+// predecessor have expired.
 func NewAllocator(tree *Tree, clock timetable.Clock) *Allocator {
 	return &Allocator{
 		clock: clock, tree: tree, grantsFrom: clock.Steady() + timetable.Steady(LeaseDuration+leaseMargin),
@@ -77,7 +79,7 @@
 	}
 }
 
-// Lay tells the office the tree and what the ready servers declare by now.
+// Update sets the tree and the capacity that the ready servers declare.
 func (a *Allocator) Update(tree *Tree, declared map[Key]int) {
 	a.tree, a.capacity = tree, map[Key]int{}
 	for key, slots := range declared {
@@ -85,7 +87,7 @@
 	}
 }
 
-// Hear takes what a node has under way and wants, and returns its lots.
+// HandleReport records what a node uses and lacks, and returns its new leases.
 func (a *Allocator) HandleReport(node, site string, usages []Usage) (leases []Lease) {
 	now := a.clock.Steady()
 	state := a.nodes[node]
@@ -123,7 +125,7 @@
 			free := a.freeSlots(key, node)
 			slots := max(0, min(free, wanted[service]))
 			if slots == 0 && free > spareCapacity(a.capacity[key], 0)/2 {
-				// One place to go on with, should the site drop out.
+				// One slot to start with if the node's site fails.
 				slots = 1
 			}
 			if slots > 0 {
@@ -136,7 +138,7 @@
 	return leases
 }
 
-// free is the room that is left at a site for a node, besides all others.
+// freeSlots returns the slots at a site that are left for a node beside all others.
 func (a *Allocator) freeSlots(key Key, node string) int {
 	now, ownLoad, reserved := a.clock.Steady(), 0, 0
 	for name, state := range a.nodes {
@@ -156,30 +158,33 @@
 	return spareCapacity(a.capacity[key], ownLoad) - reserved
 }
 
+// spareCapacity returns the usable capacity that a site's own load and its variation
+// leave to other sites. It may be negative.
 func spareCapacity(capacity, ownLoad int) int {
 	headroom := int(math.Ceil(ownLoadDeviations * math.Sqrt(float64(ownLoad))))
 	return int(usableCapacity*float64(capacity)) - ownLoad - headroom
 }
 
-// Room is what others may use of a site with so much capacity and own load.
+// SpareCapacity returns how many slots of a site with the given capacity and own load
+// may be leased to other sites.
 func SpareCapacity(capacity, ownLoad int) int { return max(0, spareCapacity(capacity, ownLoad)) }
 
-// Account is what stands of one site and service, for operators to read.
+// Status is the state of one service at one site, for operators.
 type Status struct {
 	Site     string `json:"Site"`
 	Parent   string `json:"Parent"`
 	Service  string `json:"Service"`
 	Capacity int    `json:"Capacity"`
-	// Own and Passed are under way there: from the site itself, and from
-	// others; Granted is what others may use.
+	// Own and Remote are the requests in flight from the site itself and from other
+	// sites; Leased is the number of slots that other sites may use.
 	Own    int `json:"Own"`
 	Remote int `json:"Passed"`
 	Leased int `json:"Granted"`
-	// From names the sites whose callers are passed here, with how many.
+	// RemoteBySite splits Remote by the sites that the requests come from.
 	RemoteBySite map[string]int `json:"From,omitempty"`
 }
 
-// Accounts lists what stands, by site and service.
+// Statuses returns the state of all sites and services, in the order of their names.
 func (a *Allocator) Statuses() (statuses []Status) {
 	now := a.clock.Steady()
 	for key, capacity := range a.capacity {
--- a/internal/sites/node_leases.go
+++ b/internal/sites/node_leases.go
@@ -8,25 +8,27 @@
 	"ploverhitch/internal/timetable"
 )
 
-// Purse is a node's own side: the lots it was given, and what it has under way.
+// NodeLeases holds the leases granted to a node and its requests in flight by site.
 type NodeLeases struct {
 	clock     timetable.Clock
 	mu        sync.Mutex
 	leases    map[Key]int
 	expiresAt timetable.Steady
 	inFlight  map[Key]int
-	// turned sums, by service, for how long the inquiries that found no room
-	// would have been at work.
-	rejected   map[string]time.Duration
+	// rejected sums, by service, the usual latencies of the requests that found no
+	// slot.
+	rejected map[string]time.Duration
+	// reportedAt is when the last report was made.
 	reportedAt timetable.Steady
 }
 
-// NewPurse makes an empty purse.
+// NewNodeLeases returns an empty set of leases.
 func NewNodeLeases(clock timetable.Clock) *NodeLeases {
 	return &NodeLeases{clock: clock, leases: map[Key]int{}, inFlight: map[Key]int{}, rejected: map[string]time.Duration{}, reportedAt: clock.Steady()}
 }
 
-// Take takes the lots that answer a report sent at some time.
+// Apply replaces the leases by those in the reply to the report sent at sentAt. Replies
+// to earlier reports than the last applied one are ignored.
 func (l *NodeLeases) Apply(leases []Lease, sentAt timetable.Steady) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -41,8 +43,8 @@
 	}
 }
 
-// HasRoom tells whether one more inquiry may go to another site; part is how
-// much of a lot inquiries of its rank may fill.
+// HasSlot reports whether another request may go to another site. share is the share of
+// a lease that requests of this priority may use.
 func (l *NodeLeases) HasSlot(service, site string, share float64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -53,13 +55,13 @@
 	return l.clock.Steady() < l.expiresAt && l.inFlight[key] < int(share*float64(l.leases[key])+1e-9)
 }
 
-// Enter takes a place at a site, at the node's own one always, and returns the
-// closure that gives it back.
+// Acquire takes a slot at a site and returns the function that releases it. A slot at
+// the local site is always available.
 func (l *NodeLeases) Acquire(service, site, localSite string, share float64) (release func(), acquired bool) {
 	return l.acquire(Key{service, site}, site == localSite, share)
 }
 
-// Note takes a place that needs no lot, so that reports tell of it.
+// AcquireUnleased takes a slot that needs no lease, so that it is reported.
 func (l *NodeLeases) AcquireUnleased(service, site string) (release func()) {
 	release, _ = l.acquire(Key{service, site}, true, 1)
 	return release
@@ -81,15 +83,16 @@
 	}, true
 }
 
-// Turn notes an inquiry that found no room and would have been at work so long.
+// RecordRejection records a request that found no slot, with the latency it would have
+// had.
 func (l *NodeLeases) RecordRejection(service string, usualLatency time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.rejected[service] += usualLatency
 }
 
-// Uses is what a report says: all that is under way, and how many more places
-// could have been used since the last one.
+// Usages returns the content of a report: all requests in flight, and how many more
+// slots could have been used since the previous report.
 func (l *NodeLeases) Usages() (usages []Usage) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -106,7 +109,7 @@
 	return usages
 }
 
-// IsShort tells whether inquiries found no room since the last report.
+// HasRejections reports whether requests found no slot since the last report.
 func (l *NodeLeases) HasRejections() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/sites/simulation_test.go
+++ b/internal/sites/simulation_test.go
@@ -9,8 +9,8 @@
 	"ploverhitch/internal/timetable"
 )
 
-// rush is a slow plain model: sites with servers that count their own load, and
-// nodes whose reports and lots come late or not at all.
+// simulation is a simple model of sites whose servers count their load, and of nodes
+// whose reports and leases arrive late or not at all.
 type simulation struct {
 	clock     *timetable.Hand
 	random    *rand.Rand
@@ -23,7 +23,7 @@
 	nodes     []*proxyNode
 	requests  []request
 	messages  []message
-	// served and turned count the urgent and the other inquiries.
+	// served and rejected count requests by whether their priority is high.
 	served, rejected map[bool]int
 	allocatorDown    bool
 }
@@ -135,7 +135,7 @@
 			if s.random.IntN(25) == 0 && !s.allocatorDown {
 				sentAt, usages, allocator := s.clock.Steady(), n.leases.Usages(), s.allocator
 				if s.random.IntN(10) == 0 {
-					continue // lost on the way
+					continue // the report is lost
 				}
 				delay := func() time.Duration { return time.Duration(s.random.Int64N(int64(150 * time.Millisecond))) }
 				s.messages = append(s.messages, message{s.clock.Now + delay(), func() {
@@ -149,7 +149,7 @@
 	}
 }
 
-// fall lets a site's servers drop out; what ran there ends.
+// failSite makes a site's servers fail; their requests end at once.
 func (s *simulation) failSite(site string) {
 	s.capacity[site] = 0
 	s.updateCapacity()
--- a/internal/sites/sites_test.go
+++ b/internal/sites/sites_test.go
@@ -17,8 +17,8 @@
 
 var regions = map[string]string{"a": "east", "b": "east", "c": "west"}
 
-var _ = Describe("the tree", func() {
-	It("is laid from the platform's cells, and passes up: siblings before strangers", func() {
+var _ = Describe("Tree", func() {
+	It("is built from the platform's zones, and fails over to siblings before other regions", func() {
 		tree, err := sites.Build(regions, nil)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(tree.FailoverOrder("a")).To(Equal([]string{"east", "b", "whole", "west", "c"}))
@@ -26,7 +26,7 @@
 		Expect(tree.SiteOf("i-1", "nowhere")).To(Equal(sites.Root))
 	})
 
-	It("takes finer sites from the operator", func() {
+	It("contains the smaller sites that the operator declares", func() {
 		tree, err := sites.Build(regions, []sites.Site{
 			{Name: "hall", Parent: "a", Servers: []string{"i-1"}, Capacity: map[string]int{"exams": 3}},
 		})
@@ -37,19 +37,19 @@
 		Expect(tree.EffectiveCapacity("hall", "other", 8)).To(Equal(8))
 	})
 
-	DescribeTable("refuses by name what does not fit", func(message string, declared ...sites.Site) {
+	DescribeTable("rejects an invalid declaration with its name", func(message string, declared ...sites.Site) {
 		_, err := sites.Build(regions, declared)
 		Expect(err).To(MatchError(ContainSubstring(message)))
 	},
 		Entry("a cycle", "site x", sites.Site{Name: "x", Parent: "y"}, sites.Site{Name: "y", Parent: "x"}),
 		Entry("an unknown parent", "unknown parent none", sites.Site{Name: "x", Parent: "none"}),
-		Entry("two parents", "x, which is there twice", sites.Site{Name: "x", Parent: "a"}, sites.Site{Name: "x", Parent: "b"}),
+		Entry("two parents", "x, which is declared twice", sites.Site{Name: "x", Parent: "a"}, sites.Site{Name: "x", Parent: "b"}),
 		Entry("a server in two sites", "server i-1", sites.Site{Name: "x", Servers: []string{"i-1"}}, sites.Site{Name: "y", Servers: []string{"i-1"}}),
 		Entry("a negative capacity", "capacity -1", sites.Site{Name: "x", Capacity: map[string]int{"s": -1}}),
 	)
 })
 
-var _ = Describe("a site that falls away in the rush", func() {
+var _ = Describe("the failure of a site under load", func() {
 	maxExcess := func(s *simulation) (worst int) {
 		for _, count := range s.maxExcess {
 			worst = max(worst, count)
@@ -57,7 +57,7 @@
 		return worst
 	}
 
-	It("passes its callers on, and overruns nobody, however late the news is", func() {
+	It("sends requests to other sites without exceeding their capacity, even if reports and leases are late or lost", func() {
 		for seed := range uint64(25) {
 			s := newSimulation(seed, true)
 			s.run(4 * time.Second)
@@ -67,13 +67,13 @@
 			rejected := s.rejected[true]
 			s.run(3 * time.Second)
 			Expect(maxExcess(s)).To(BeNumerically("<=", 0), "seed %d", seed)
-			// Once the lots are out, urgent inquiries find their place.
+			// Once leases are granted, requests of high priority find slots.
 			served := s.served[true] - servedBefore
 			Expect(float64(s.rejected[true]-rejected)).To(BeNumerically("<", 0.25*float64(served)), "seed %d", seed)
 		}
 	})
 
-	It("overruns its neighbours without the lots: the check can fail", func() {
+	It("exceeds the capacity of other sites without leases, so the check above can fail", func() {
 		failed := 0
 		for seed := range uint64(25) {
 			s := newSimulation(seed, false)
@@ -87,7 +87,7 @@
 		Expect(failed).To(BeNumerically(">", 20))
 	})
 
-	It("holds with two sites gone at once, too little room everywhere, and the holder lost in the middle", func() {
+	It("exceeds no capacity if two sites fail at once, all capacity is too small and the term holder is lost meanwhile", func() {
 		for seed := range uint64(25) {
 			s := newSimulation(seed, true)
 			s.run(4 * time.Second)
@@ -100,7 +100,7 @@
 			s.startAllocator()
 			s.run(4 * time.Second)
 			Expect(maxExcess(s)).To(BeNumerically("<=", 0), "seed %d", seed)
-			// The less urgent are turned away first.
+			// Requests of low priority are rejected first.
 			share := func(highPriority bool) float64 {
 				return float64(s.rejected[highPriority]) / float64(s.rejected[highPriority]+s.served[highPriority])
 			}
@@ -108,7 +108,7 @@
 		}
 	})
 
-	It("is come home to, and then its room is its own again", func() {
+	It("ends when the site recovers: its requests return to it", func() {
 		s := newSimulation(3, true)
 		s.run(3 * time.Second)
 		s.failSite("a")
--- a/internal/sites/tree.go
+++ b/internal/sites/tree.go
@@ -1,5 +1,5 @@
-// Package sites knows the hierarchy of sites and passes callers up it when
-// a site drops out: never more to another site than that one has room for.
+// Package sites holds the hierarchy of sites and sends requests to other sites up the
+// hierarchy when a site fails, never more than these have spare capacity for.
 package sites
 
 import (
@@ -9,22 +9,22 @@
 	"github.com/juju/errors"
 )
 
-// Whole is the site at the top.
+// Root is the name of the site at the top of the hierarchy.
 const Root = "whole"
 
-// Site is one place in the hierarchy, as an operator may name it.
+// Site is one site of the hierarchy, as declared by an operator.
 type Site struct {
 	Name   string `json:"Name"`
 	Parent string `json:"Parent"`
-	// Cells and Servers are what belongs to the site itself.
+	// Zones and Servers belong to the site directly.
 	Zones   []string `json:"Zones,omitempty"`
 	Servers []string `json:"Servers,omitempty"`
-	// Capacity is, by service, what the site may be loaded with, where that is
-	// less than its servers declare.
+	// Capacity limits, by service, the load of the site where that is less than what
+	// its servers declare.
 	Capacity map[string]int `json:"Capacity,omitempty"`
 }
 
-// Tree is the sites under one top; it never changes once built.
+// Tree is the immutable hierarchy of all sites.
 type Tree struct {
 	sites        map[string]Site
 	children     map[string][]string
@@ -32,8 +32,8 @@
 	siteByServer map[string]string
 }
 
-// Build lays the tree: the platform's cells under their regions, and what the
-// operator says of them or adds. What does not fit is refused by name.
+// Build builds the tree of the platform's zones under their regions and of the sites
+// that the operator declares. The error for an invalid declaration names the site.
 func Build(regions map[string]string, sites []Site) (*Tree, error) {
 	t := &Tree{sites: map[string]Site{Root: {Name: Root}}, children: map[string][]string{}, siteByZone: map[string]string{}, siteByServer: map[string]string{}}
 	for _, zone := range slices.Sorted(maps.Keys(regions)) {
@@ -52,7 +52,7 @@
 		case site.Name == "" || site.Name == Root:
 			return nil, errors.NotValidf("site name %q", site.Name)
 		case declared[site.Name]:
-			return nil, errors.NotValidf("site %s, which is there twice,", site.Name)
+			return nil, errors.NotValidf("site %s, which is declared twice,", site.Name)
 		}
 		declared[site.Name] = true
 		if site.Parent == "" {
@@ -71,7 +71,7 @@
 	return t, t.linkChildren()
 }
 
-// claim lays down what belongs to whom.
+// assignMembers assigns zones and servers to the declared sites.
 func (t *Tree) assignMembers(sites []Site) error {
 	siteByZone := map[string]string{}
 	for _, site := range sites {
@@ -83,7 +83,7 @@
 		}
 		for _, zone := range site.Zones {
 			if other, taken := siteByZone[zone]; taken {
-				return errors.NotValidf("cell %s, which belongs to %s and %s,", zone, other, site.Name)
+				return errors.NotValidf("zone %s, which belongs to %s and %s,", zone, other, site.Name)
 			}
 			siteByZone[zone], t.siteByZone[zone] = site.Name, site.Name
 		}
@@ -91,6 +91,7 @@
 	return nil
 }
 
+// linkChildren checks that every site descends from the root, and fills children.
 func (t *Tree) linkChildren() error {
 	for _, name := range slices.Sorted(maps.Keys(t.sites)) {
 		ancestor := name
@@ -100,7 +101,7 @@
 				return errors.NotValidf("site %s: unknown parent %s", name, ancestor)
 			}
 			if steps > len(t.sites) {
-				return errors.NotValidf("site %s, which is its own parent in the end,", name)
+				return errors.NotValidf("site %s, whose parents form a cycle,", name)
 			}
 			ancestor = site.Parent
 		}
@@ -111,7 +112,7 @@
 	return nil
 }
 
-// SiteOf is the site of a server, or of a node without one (an empty id).
+// SiteOf returns the site of a server, or with an empty server ID the site of a zone.
 func (t *Tree) SiteOf(server, zone string) string {
 	if site, known := t.siteByServer[server]; known {
 		return site
@@ -122,7 +123,7 @@
 	return Root
 }
 
-// Sites lists the sites by name.
+// Sites returns the sites in the order of their names.
 func (t *Tree) Sites() (list []Site) {
 	for _, name := range slices.Sorted(maps.Keys(t.sites)) {
 		list = append(list, t.sites[name])
@@ -130,8 +131,9 @@
 	return list
 }
 
-// Way is the order in which a site's callers are passed on: to its parent, to
-// the parent's other children and all under them, and then further up.
+// FailoverOrder returns the order in which other sites receive a site's requests: its
+// parent, the parent's other children with all their descendants, then further up in
+// the same way.
 func (t *Tree) FailoverOrder(from string) (order []string) {
 	seen := map[string]bool{from: true}
 	var appendSubtree func(site string)
@@ -153,7 +155,7 @@
 	return order
 }
 
-// Limit is what a site may be loaded with, given what its servers declare.
+// EffectiveCapacity returns the capacity of a site, given what its servers declare.
 func (t *Tree) EffectiveCapacity(site, service string, declared int) int {
 	if limit, limited := t.sites[site].Capacity[service]; limited {
 		return min(limit, declared)
