--- a/internal/sites/allocator.go
+++ b/internal/sites/allocator.go
@@ -37,13 +37,13 @@
 const (
 	// leaseMargin is how much longer the allocator counts a lease as valid.
 	leaseMargin = 300 * time.Millisecond
-	// usableCapacity is the share of a site's capacity that is allocated.
+	// usableCapacity is the share of a site's capacity that may be relied on.
 	usableCapacity = 0.95
 	// ownLoadDeviations is how many square roots of its own load a site keeps free for
 	// itself: its own load varies and is known only as of the last reports.
 	ownLoadDeviations = 2.5
-	// demandFactor is how much more a node is granted than it has in flight at other
-	// sites, as its requests do not arrive evenly.
+	// demandFactor is how many more slots a node is granted than it uses and lacks at
+	// other sites, as its requests do not arrive evenly.
 	demandFactor = 1.4
 	// reportTimeout is the age up to which a report counts.
 	reportTimeout = 4 * time.Second
