--- a/internal/balancer/endpoint.go
+++ b/internal/balancer/endpoint.go
@@ -93,7 +93,7 @@
 	Failed
 	// NotSent means that the deadline for sending passed. It says nothing about the
 	// server.
-	NotSent
+	Inconclusive
 )
 
 // End records the outcome and the latency of an attempt; usual is the usual latency of
--- a/internal/proxy/eligibility.go
+++ b/internal/proxy/eligibility.go
@@ -33,9 +33,9 @@
 func (d *forwarder) serverOutcome(response *upstream.Response, err error) balancer.Outcome {
 	switch {
 	case d.abortedByClient(err), errors.Is(err, upstream.ErrNotServing):
-		return balancer.NotSent
+		return balancer.Inconclusive
 	case errors.Is(err, upstream.ErrNotSent) && errors.Is(err, errors.Timeout):
-		return balancer.NotSent
+		return balancer.Inconclusive
 	case err != nil:
 		return balancer.Failed
 	case response.Status == http.StatusMisdirectedRequest:
