--- a/internal/balancer/endpoint.go
+++ b/internal/balancer/endpoint.go
@@ -91,8 +91,8 @@
 	Overloaded
 	Misdirected
 	Failed
-	// NotSent means that the deadline for sending passed. It says nothing about the
-	// server.
+	// Inconclusive: the attempt says nothing about the server, for example because the
+	// time to send had passed.
 	Inconclusive
 )
 
--- a/internal/outlier/recorder.go
+++ b/internal/outlier/recorder.go
@@ -23,7 +23,7 @@
 	Broken
 	// Unresolved: a keyed operation was given up without a known result.
 	Unresolved
-	// Duplicated: a keyed operation would have run without its intent record.
+	// Duplicated: a keyed operation would have run without its record.
 	Duplicated
 	outcomeCount
 )
