--- a/internal/balancer/choose.go
+++ b/internal/balancer/choose.go
@@ -8,135 +8,137 @@
 	"ploverhitch/internal/timetable"
 )
 
-// Wish is what a choice has to heed.
-type Wish struct {
+// Criteria describe which server a request needs.
+type Criteria struct {
 	Service string
-	// Crossing is what it costs, as delay, to leave the cell.
-	Crossing time.Duration
-	// Usual is how long the lane's replies usually take.
-	Usual time.Duration
-	// Passed are the servers that had the inquiry already.
-	Passed []*Siding
-	// Limit is how many inquiries of this node one server may hold, if not 0.
-	Limit int
-	// Place is the operation's place on the ring, if IsPlaced.
-	Place    Place
-	IsPlaced bool
-	// Allows, if set, tells whether a server may be taken at all.
-	Allows func(*Siding) bool
-	// IsTrial asks for the version on trial.
-	IsTrial bool
+	// ZoneCost is the cost of leaving the local zone, as a delay.
+	ZoneCost time.Duration
+	// UsualLatency is the usual latency of the route's responses.
+	UsualLatency time.Duration
+	// Tried are the servers that the request was already sent to.
+	Tried []*Endpoint
+	// MaxInFlight limits this node's concurrent requests to one server. 0 means no
+	// limit.
+	MaxInFlight int
+	// Position is the operation's position on the ring if HasPosition is set.
+	Position    RingPosition
+	HasPosition bool
+	// Allowed, if set, reports whether a server may be chosen at all.
+	Allowed func(*Endpoint) bool
+	// Canary requests a server of the version on trial.
+	Canary bool
 }
 
 const (
-	// nearSamples and farSamples are how many servers are drawn from the own
-	// cell and from the others.
-	// Few: what is known of a server's load is never quite new, and with many to
-	// choose from all would run to the same.
-	nearSamples = 2
-	farSamples  = 1
-	// homeFavor is how much dearer than the best the home may be.
-	homeFavor = 1.25
-	homeSlack = 2 * time.Millisecond
-	// walkLimit is how far along the ring servers of the own cell are sought.
-	walkLimit = 24
+	// localSamples and remoteSamples are the numbers of servers sampled from the local
+	// zone and from the other zones. They are small because load information is always
+	// slightly out of date: with many candidates, all nodes would choose the same
+	// server.
+	localSamples  = 2
+	remoteSamples = 1
+	// homeCostFactor and homeCostMargin bound how far the home server's cost may exceed
+	// the lowest cost before another server is preferred.
+	homeCostFactor = 1.25
+	homeCostMargin = 2 * time.Millisecond
+	// maxRingSteps limits how many servers along the ring are considered in search of
+	// servers of the local zone.
+	maxRingSteps = 24
 )
 
-// choice is one choice on its way.
-type choice struct {
-	wish        Wish
-	cell        string
-	now         timetable.Steady
-	wall        time.Time
-	best, first *Siding
-	least       float64
-	firstCost   float64
-	near, far   int
+// selection is the state of one choice of a server.
+type selection struct {
+	criteria                Criteria
+	zone                    string
+	now                     timetable.Steady
+	wallTime                time.Time
+	best, first             *Endpoint
+	bestCost                float64
+	firstCost               float64
+	localCount, remoteCount int
 }
 
-// look weighs one server; it is counted if it could well be taken.
-func (c *choice) look(siding *Siding) {
-	isFull := c.wish.Limit > 0 && siding.atWork.Load() >= int64(c.wish.Limit)
-	if isFull || siding.isGone.Load() || siding.IsLeaving() || wasPassed(c.wish.Passed, siding) || c.wish.Allows != nil && !c.wish.Allows(siding) {
+// consider evaluates one server. A server that is not currently avoided counts as a
+// candidate of its zone.
+func (c *selection) consider(endpoint *Endpoint) {
+	full := c.criteria.MaxInFlight > 0 && endpoint.inFlight.Load() >= int64(c.criteria.MaxInFlight)
+	if full || endpoint.misdirected.Load() || endpoint.Leaving() || alreadyTried(c.criteria.Tried, endpoint) || c.criteria.Allowed != nil && !c.criteria.Allowed(endpoint) {
 		return
 	}
-	cost := siding.cost(c.now, c.wall, c.cell, c.wish)
+	cost := endpoint.cost(c.now, c.wallTime, c.zone, c.criteria)
 	if c.first == nil {
-		c.first, c.firstCost = siding, cost
+		c.first, c.firstCost = endpoint, cost
 	}
-	if cost < c.least {
-		c.best, c.least = siding, cost
+	if cost < c.bestCost {
+		c.best, c.bestCost = endpoint, cost
 	}
 	switch {
 	case cost >= float64(time.Minute):
-	case siding.Cell == c.cell:
-		c.near++
+	case endpoint.Cell == c.zone:
+		c.localCount++
 	default:
-		c.far++
+		c.remoteCount++
 	}
 }
 
-// Choose takes the least expected delay of a few servers, or nil if the service
-// has none left that may take one more. The few are drawn by lot from those that
-// the node keeps to, or, for a placed operation, are its home on the ring and
-// those that follow; the home is kept while it is not clearly worse.
-//
-// Example:
-//
-//	siding := yard.Choose(balancer.Wish{Service: "paadam"}, clock)
-func (y *Yard) Choose(wish Wish, clock timetable.Clock) *Siding {
-	c := &choice{wish: wish, cell: y.home.Cell, now: clock.Steady(), wall: clock.Wall(), least: math.Inf(1)}
-	stand := y.stand(wish.Service)
-	if wish.IsTrial {
-		stand = y.stand(trialName(wish.Service))
+// Choose returns the server with the lowest expected delay among a few candidates, or
+// nil if no server of the service may take another request. The candidates are a random
+// sample of the node's subset, or, for an operation with a ring position, its home
+// server and the servers that follow on the ring. The home server is kept unless it is
+// clearly worse.
+func (s *ServerSet) Choose(criteria Criteria, clock timetable.Clock) *Endpoint {
+	c := &selection{criteria: criteria, zone: s.locality.Zone, now: clock.Steady(), wallTime: clock.Wall(), bestCost: math.Inf(1)}
+	service := s.service(criteria.Service)
+	if criteria.Canary {
+		service = s.service(canaryName(criteria.Service))
 	}
-	if wish.IsPlaced {
-		left := walkLimit
-		stand.ring.walk(wish.Place, func(siding *Siding) bool {
-			c.look(siding)
-			left--
-			isEnough := c.near+c.far >= nearSamples+farSamples && c.near > 0
-			return !isEnough && (left > 0 || c.best == nil)
+	if criteria.HasPosition {
+		stepsLeft := maxRingSteps
+		service.ring.walk(criteria.Position, func(endpoint *Endpoint) bool {
+			c.consider(endpoint)
+			stepsLeft--
+			enough := c.localCount+c.remoteCount >= localSamples+remoteSamples && c.localCount > 0
+			return !enough && (stepsLeft > 0 || c.best == nil)
 		})
-		if c.near+c.far > 0 && c.firstCost <= c.least*homeFavor+float64(homeSlack) {
+		if c.localCount+c.remoteCount > 0 && c.firstCost <= c.bestCost*homeCostFactor+float64(homeCostMargin) {
 			return c.first
 		}
-		return c.orAny(stand)
+		return c.bestOrAny(service)
 	}
-	draw(stand.near, func(siding *Siding) bool { c.look(siding); return c.near < nearSamples })
-	draw(stand.far, func(siding *Siding) bool { c.look(siding); return c.far < farSamples })
-	return c.orAny(stand)
+	visitRandomly(service.local, func(endpoint *Endpoint) bool { c.consider(endpoint); return c.localCount < localSamples })
+	visitRandomly(service.remote, func(endpoint *Endpoint) bool { c.consider(endpoint); return c.remoteCount < remoteSamples })
+	return c.bestOrAny(service)
 }
 
-// orAny is the best that was found; where none of those that the node keeps to could
-// well be taken, any other server of the service is looked at too.
-func (c *choice) orAny(stand *stand) *Siding {
-	if c.near+c.far == 0 {
-		draw(stand.list, func(siding *Siding) bool { c.look(siding); return c.near+c.far == 0 })
+// bestOrAny returns the best server found. If the node's subset has no candidate, the
+// other servers of the service are considered too.
+func (c *selection) bestOrAny(service *serviceEndpoints) *Endpoint {
+	if c.localCount+c.remoteCount == 0 {
+		visitRandomly(service.all, func(endpoint *Endpoint) bool { c.consider(endpoint); return c.localCount+c.remoteCount == 0 })
 	}
 	return c.best
 }
 
-// draw visits the list in an order by lot, until visit says no.
-func draw(list []*Siding, visit func(*Siding) bool) {
-	if len(list) == 0 {
+// visitRandomly visits the endpoints in a random order until visit returns false.
+func visitRandomly(endpoints []*Endpoint, visit func(*Endpoint) bool) {
+	if len(endpoints) == 0 {
 		return
 	}
-	start, step := rand.IntN(len(list)), stride(len(list))
-	for i := range list {
-		if !visit(list[(start+i*step)%len(list)]) {
+	start, step := rand.IntN(len(endpoints)), randomStride(len(endpoints))
+	for i := range endpoints {
+		if !visit(endpoints[(start+i*step)%len(endpoints)]) {
 			return
 		}
 	}
 }
 
-// stride is a step that visits every place of a list of the size once.
-func stride(size int) int {
+// randomStride returns a random step width that visits every index of a list of the
+// given size exactly once.
+func randomStride(size int) int {
 	for {
 		step := 1 + rand.IntN(size)
-		a, z := step, size
-		for z != 0 {
-			a, z = z, a%z
+		a, b := step, size
+		for b != 0 {
+			a, b = b, a%b
 		}
 		if a == 1 {
 			return step
@@ -144,9 +146,9 @@
 	}
 }
 
-func wasPassed(passed []*Siding, siding *Siding) bool {
-	for _, one := range passed {
-		if one.ID == siding.ID {
+func alreadyTried(tried []*Endpoint, endpoint *Endpoint) bool {
+	for _, other := range tried {
+		if other.ID == endpoint.ID {
 			return true
 		}
 	}
--- a/internal/balancer/ring.go
+++ b/internal/balancer/ring.go
@@ -7,140 +7,125 @@
 	"strings"
 )
 
-// Place is a place on a service's ring.
-type Place uint64
+// RingPosition is a position on a service's consistent-hash ring.
+type RingPosition uint64
 
-// PlaceOf is the place of an operation's name: a key within its tenant, or a
-// download's path.
-//
-// Example:
-//
-//	wish.Place = balancer.PlaceOf(tenant, key)
-func PlaceOf(parts ...string) Place {
-	sum := fnv.New64a()
+// RingPositionOf returns the position of an operation's name: a key within its tenant,
+// or a download's path.
+func RingPositionOf(parts ...string) RingPosition {
+	hash := fnv.New64a()
 	for _, part := range parts {
-		_, _ = sum.Write([]byte(part))
-		_, _ = sum.Write([]byte{0})
+		_, _ = hash.Write([]byte(part))
+		_, _ = hash.Write([]byte{0})
 	}
-	return mix(sum.Sum64())
+	return mix(hash.Sum64())
 }
 
-// mix spreads near hashes over the whole ring.
-func mix(h uint64) Place {
+// mix spreads similar hashes over the whole ring.
+func mix(h uint64) RingPosition {
 	h ^= h >> 33
 	h *= 0xff51afd7ed558ccd
 	h ^= h >> 33
 	h *= 0xc4ceb9fe1a85ec53
-	return Place(h ^ h>>33)
+	return RingPosition(h ^ h>>33)
 }
 
-// stop is one of the places at which a server stands on the ring.
-type stop struct {
-	at     Place
-	siding *Siding
+// virtualNode is one of a server's positions on the ring.
+type virtualNode struct {
+	position RingPosition
+	endpoint *Endpoint
 }
 
-// ring is the ready servers of one service, each at several places by its
-// instance, so that one that comes or goes moves only what is next to it.
-type ring []stop
+// ring holds the ready servers of one service, each at several positions derived from
+// its instance ID, so that adding or removing a server moves only the adjacent
+// operations.
+type ring []virtualNode
 
-const stopsPerServer = 48
+const virtualNodesPerServer = 48
 
-func newRing(list []*Siding) ring {
-	r := make(ring, 0, len(list)*stopsPerServer)
-	for _, siding := range list {
-		for n := range stopsPerServer {
-			r = append(r, stop{PlaceOf(siding.ID, strconv.Itoa(n)), siding})
+func newRing(endpoints []*Endpoint) ring {
+	r := make(ring, 0, len(endpoints)*virtualNodesPerServer)
+	for _, endpoint := range endpoints {
+		for n := range virtualNodesPerServer {
+			r = append(r, virtualNode{RingPositionOf(endpoint.ID, strconv.Itoa(n)), endpoint})
 		}
 	}
 	sort.Slice(r, func(i, j int) bool { return r[i].before(r[j]) })
 	return r
 }
 
-func (s stop) before(other stop) bool {
-	return s.at < other.at || s.at == other.at && s.siding.ID < other.siding.ID
+func (v virtualNode) before(other virtualNode) bool {
+	return v.position < other.position || v.position == other.position && v.endpoint.ID < other.endpoint.ID
 }
 
-// walk visits distinct servers from the place on, until visit says no.
-func (r ring) walk(from Place, visit func(*Siding) bool) {
-	start := sort.Search(len(r), func(i int) bool { return r[i].at >= from })
-	var seen []*Siding
+// walk visits distinct servers from the position onwards until visit returns false.
+func (r ring) walk(from RingPosition, visit func(*Endpoint) bool) {
+	start := sort.Search(len(r), func(i int) bool { return r[i].position >= from })
+	var seen []*Endpoint
 next:
 	for i := range r {
-		siding := r[(start+i)%len(r)].siding
-		for _, one := range seen {
-			if one == siding {
+		endpoint := r[(start+i)%len(r)].endpoint
+		for _, other := range seen {
+			if other == endpoint {
 				continue next
 			}
 		}
-		seen = append(seen, siding)
-		if !visit(siding) {
+		seen = append(seen, endpoint)
+		if !visit(endpoint) {
 			return
 		}
 	}
 }
 
-// Home is the server at which the ring places the operation, or nil. It depends
-// on the service's ready servers, and where these are more than the node keeps to,
-// on the node.
-//
-// Example:
-//
-//	siding := yard.Home("fees", balancer.PlaceOf(tenant, key))
-func (y *Yard) Home(service string, place Place) (home *Siding) {
-	y.stand(service).ring.walk(place, func(siding *Siding) bool {
-		home = siding
+// HomeServer returns the server that the ring assigns to the operation, or nil. It
+// depends on the service's ready servers and, if these exceed the node's subset, on the
+// node.
+func (s *ServerSet) HomeServer(service string, position RingPosition) (home *Endpoint) {
+	s.service(service).ring.walk(position, func(endpoint *Endpoint) bool {
+		home = endpoint
 		return false
 	})
 	return home
 }
 
-// Names lists the instances on the service's ring.
-//
-// Example:
-//
-//	isThere := slices.Contains(yard.Names("fees"), "i-7f3a91c2")
-func (y *Yard) Names(service string) (out []string) {
-	for _, siding := range y.stand(service).list {
-		out = append(out, siding.ID)
+// InstanceIDs returns the instance IDs of the service's ready servers.
+func (s *ServerSet) InstanceIDs(service string) (ids []string) {
+	for _, endpoint := range s.service(service).all {
+		ids = append(ids, endpoint.ID)
 	}
-	return out
+	return ids
 }
 
-// Change is a change of servers that an operator is thinking about.
+// Change is a change of servers that an operator considers.
 type Change struct {
 	Service string `cbor:"1,keyasint" json:"Service"`
-	// Add names instances that would come, as ID or ID@CELL, Retire those that
-	// would go. Of a service with more servers than a node keeps to, the cell
-	// decides which nodes take the new one up.
+	// Add lists instances to be added, as ID or ID@ZONE, Retire those to be removed. If
+	// the service has more servers than a node's subset, the zone determines which
+	// nodes use an added instance.
 	Add    []string `cbor:"2,keyasint,omitempty" json:"Add,omitempty"`
 	Retire []string `cbor:"3,keyasint,omitempty" json:"Retire,omitempty"`
 }
 
-// Trial is the ring of the service as it would be after the change. The yard
-// itself, and what it knows of its servers, stay as they are.
-//
-// Example:
-//
-//	trial := yard.Trial(change)
-//	isMoving := trial(place) != yard.Home(change.Service, place).ID
-func (y *Yard) Trial(change Change) (homeAfter func(Place) string) {
-	var list []*Siding
-	coming := map[string]bool{}
+// HomeAfter returns a function that maps positions to the instance IDs of their home
+// servers as they would be after the change. The set itself and the state of its
+// servers do not change.
+func (s *ServerSet) HomeAfter(change Change) (homeOf func(RingPosition) string) {
+	var endpoints []*Endpoint
+	adding := map[string]bool{}
 	for _, text := range change.Add {
-		added := &Siding{learnt: &learnt{}}
+		added := &Endpoint{endpointState: &endpointState{}}
 		added.ID, added.Cell, _ = strings.Cut(text, "@")
-		list, coming[added.ID] = append(list, added), true
+		endpoints, adding[added.ID] = append(endpoints, added), true
 	}
-	for _, siding := range y.stand(change.Service).list {
-		if !contains(change.Retire, siding.ID) && !coming[siding.ID] {
-			list = append(list, siding)
+	for _, endpoint := range s.service(change.Service).all {
+		if !contains(change.Retire, endpoint.ID) && !adding[endpoint.ID] {
+			endpoints = append(endpoints, endpoint)
 		}
 	}
-	trial := noStand.change(list, y.home).ring
-	return func(place Place) (id string) {
-		trial.walk(place, func(siding *Siding) bool {
-			id = siding.ID
+	changed := noEndpoints.withEndpoints(endpoints, s.locality).ring
+	return func(position RingPosition) (id string) {
+		changed.walk(position, func(endpoint *Endpoint) bool {
+			id = endpoint.ID
 			return false
 		})
 		return id
@@ -148,8 +133,8 @@
 }
 
 func contains(list []string, wanted string) bool {
-	for _, one := range list {
-		if one == wanted {
+	for _, item := range list {
+		if item == wanted {
 			return true
 		}
 	}
--- a/internal/control/commands.go
+++ b/internal/control/commands.go
@@ -62,7 +62,7 @@
 	if in.Target == state.InForce {
 		next.Phase, next.Reason = trial.Complete, "the version is in force"
 	}
-	c.detector.Forget(in.Service, next.Number)
+	c.detector.ForgetBefore(in.Service, next.Number)
 	if err := c.commitState(next); err != nil {
 		return apierror.Gone, ""
 	}
--- a/internal/control/coordinator.go
+++ b/internal/control/coordinator.go
@@ -6,10 +6,10 @@
 	"time"
 
 	"ploverhitch/internal/apierror"
-	"ploverhitch/internal/branchline"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/outlier"
 	"ploverhitch/internal/shedding"
+	"ploverhitch/internal/sites"
 	"ploverhitch/internal/timetable"
 	"ploverhitch/internal/trial"
 )
@@ -19,7 +19,7 @@
 type coordinator struct {
 	*node
 	loop     *timetable.Loop[func()]
-	detector *outlier.Court
+	detector *outlier.Aggregator
 	// term is the term under which states was read, 0 while this node is not the leader.
 	term     uint64
 	states   map[string]trial.State
@@ -43,9 +43,9 @@
 	// configuration with the digest siteTreeDigest; allocator allocates the capacity of
 	// the sites under allocatorTerm.
 	proxyZones       map[string]string
-	siteTree         *branchline.Tree
+	siteTree         *sites.Tree
 	siteTreeDigest   string
-	allocator        *branchline.Office
+	allocator        *sites.Allocator
 	allocatorTerm    uint64
 	allocatedReading feed.Reading
 	allocatedAt      timetable.Steady
@@ -66,7 +66,7 @@
 	phaseStartedAt timetable.Steady
 	// fullShareReading is the first fleet reading that gives the target all requests.
 	fullShareReading feed.Reading
-	finding          outlier.Finding
+	finding          outlier.Evaluation
 	// knownDuplicates is the number of keys with duplicate executions that this node
 	// knew of when it began to advance the rollout: those counted in an earlier term
 	// are no evidence about the rollout.
@@ -89,7 +89,7 @@
 
 func newCoordinator(n *node) *coordinator {
 	return &coordinator{
-		node: n, loop: timetable.NewLoop[func()](1024), detector: outlier.NewCourt(n.clock),
+		node: n, loop: timetable.NewLoop[func()](1024), detector: outlier.NewAggregator(n.clock),
 		states: map[string]trial.State{}, progress: map[string]*rolloutProgress{}, proxyZones: map[string]string{},
 		activeMirrors: map[string]*activeMirror{}, loadGauge: shedding.NewGauge(n.clock, rand.Uint64), repeatedCommands: map[string]repeatedCommand{},
 	}
@@ -101,7 +101,7 @@
 
 // coordinate runs periodically in the coordinator's loop.
 func (c *coordinator) coordinate() {
-	c.detector.Tend()
+	c.detector.UpdateWindow()
 	if !c.ensureLeading() {
 		return
 	}
@@ -224,13 +224,13 @@
 	now := c.clock.Steady()
 	facts := trial.Facts{
 		Elapsed: time.Duration(now - c.rolloutStartedAt(state)), InPhase: time.Duration(now - progress.phaseStartedAt),
-		Finding: c.detector.Hearing(state.Subject, state.Number, 0),
+		Finding: c.detector.Evaluate(state.Subject, state.Number, 0),
 	}
 	current, target := splitByVersion(c.listedServers, state)
 	facts.Ready, facts.Old = totalCapacity(c.listedServers, target), totalCapacity(c.listedServers, current)
-	facts.Touch = c.detector.Touch(state.Subject, progress.fullShareReading)
+	facts.Touch = c.detector.Usage(state.Subject, progress.fullShareReading)
 	if progress.fullShareReading.Term == 0 {
-		facts.Touch.Behind = max(1, facts.Touch.Behind)
+		facts.Touch.Outdated = max(1, facts.Touch.Outdated)
 	}
 	return facts
 }
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -18,7 +18,7 @@
 	for _, server := range c.listedServers {
 		known[server.ID] = true
 	}
-	c.detector.Keep(func(id string) bool { return known[id] })
+	c.detector.RetainServers(func(id string) bool { return known[id] })
 	c.initializeVersions()
 	c.publish()
 }
@@ -101,7 +101,7 @@
 // followers and the reporting proxies. Within a term the count never falls; at the start of
 // a term it is at least the last leader's count until proxyReportMaxAge has passed.
 func (c *coordinator) proxyCount() int {
-	count := max(len(c.hub.Followers()), c.detector.Proxies(proxyReportMaxAge))
+	count := max(len(c.hub.Followers()), c.detector.ProxyCount(proxyReportMaxAge))
 	if c.lastFleet.Term == c.term || time.Duration(c.clock.Steady()-c.termStartedAt) < proxyReportMaxAge {
 		count = max(count, c.lastFleet.Proxies)
 	}
--- a/internal/control/grades.go
+++ b/internal/control/grades.go
@@ -29,14 +29,14 @@
 	}
 	ejected := map[string]bool{}
 	for _, group := range groups {
-		for id := range c.detector.Aside(group) {
+		for id := range c.detector.Ejected(group) {
 			ejected[id] = true
 		}
 	}
 	if now := c.clock.Steady(); c.relativeLatencies == nil || time.Duration(now-c.latenciesReadAt) >= latencyPublishInterval {
 		c.relativeLatencies, c.latenciesReadAt = make(map[string]int, len(fleet.Servers)), now
 		for _, server := range fleet.Servers {
-			c.relativeLatencies[server.ID] = c.detector.Pace(server.ID)
+			c.relativeLatencies[server.ID] = c.detector.LatencyRatio(server.ID)
 		}
 	}
 	for i := range fleet.Servers {
@@ -109,7 +109,7 @@
 	for zone, list := range byZone {
 		zones = append(zones, zone)
 		sort.Slice(list, func(x, y int) bool {
-			return balancer.PlaceOf(servers[list[x]].ID) < balancer.PlaceOf(servers[list[y]].ID)
+			return balancer.RingPositionOf(servers[list[x]].ID) < balancer.RingPositionOf(servers[list[y]].ID)
 		})
 	}
 	sort.Strings(zones)
--- a/internal/control/load.go
+++ b/internal/control/load.go
@@ -42,7 +42,7 @@
 			group = append(group, server.ID)
 		}
 	}
-	return c.detector.Strained(group)
+	return c.detector.OverloadedShare(group)
 }
 
 func (c *coordinator) cutoffs() []shedding.Cutoff {
--- a/internal/control/mirrors.go
+++ b/internal/control/mirrors.go
@@ -49,7 +49,7 @@
 		clear(c.activeMirrors)
 		return nil
 	}
-	lives := c.detector.Lives(mirrorReportMaxAge, loopline.LifeOf)
+	lives := c.detector.CombineIncarnations(mirrorReportMaxAge, loopline.LifeOf)
 	inForce := map[string]bool{}
 	for i, mirror := range mirrors {
 		if !mirror.Until.After(c.clock.Wall()) || compiled.IsLive(mirror.Shadow) {
@@ -79,7 +79,7 @@
 		active.grant.Era, active.grant.Lives, active.grant.IsSettled = c.term<<32|c.eraCount, lives, false
 		active.eraStart = feed.Reading{Term: c.term, Count: c.lastFleet.Count + 1}
 	}
-	if touch := c.detector.Touch("", active.eraStart); !active.grant.IsSettled && touch.Proxies > 0 && touch.Behind == 0 {
+	if touch := c.detector.Usage("", active.eraStart); !active.grant.IsSettled && touch.Proxies > 0 && touch.Outdated == 0 {
 		active.grant.IsSettled = true
 	}
 	now := time.Duration(c.clock.Steady())
--- a/internal/control/sites.go
+++ b/internal/control/sites.go
@@ -7,10 +7,10 @@
 	"github.com/juju/errors"
 
 	"ploverhitch/internal/apierror"
-	"ploverhitch/internal/branchline"
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/messages"
+	"ploverhitch/internal/sites"
 )
 
 // allocationInterval is how often the capacity of the sites is allocated anew without a
@@ -21,14 +21,14 @@
 func (n *node) onReport(in messages.Report, reply func(messages.Lots)) {
 	c := n.coordinator
 	c.loop.Offer(func() {
-		c.detector.Hear(in.Evidence)
+		c.detector.AddReport(in.Evidence)
 		c.proxyZones[in.Evidence.Node] = in.Cell
 		if c.loadGaugeOn() {
 			c.loadGauge.Hear(in.Evidence.Node, in.Loads)
 		}
 		c.recordCopies(in.Mirrored)
 		if c.ensureLeading() && c.siteTree != nil {
-			reply(messages.Lots{Lots: c.allocator.Hear(in.Evidence.Node, c.siteTree.SiteOf("", in.Cell), in.Uses)})
+			reply(messages.Lots{Lots: c.allocator.HandleReport(in.Evidence.Node, c.siteTree.SiteOf("", in.Cell), in.Uses)})
 		}
 	})
 }
@@ -54,35 +54,35 @@
 		return
 	}
 	c.siteTree, c.allocatedReading, c.allocatedAt = tree, c.lastFleet.Reading(), now
-	capacities := map[branchline.Key]int{}
+	capacities := map[sites.Key]int{}
 	wall := c.clock.Wall()
 	for _, server := range c.lastFleet.Servers {
 		if !server.IsReady || server.Grade != feed.Open || server.IsAside || server.WarmLeft(wall) > 0 {
 			continue
 		}
-		capacities[branchline.Key{Service: server.Service, Site: tree.SiteOf(server.ID, server.Cell)}] += server.Capacity
+		capacities[sites.Key{Service: server.Service, Site: tree.SiteOf(server.ID, server.Cell)}] += server.Capacity
 	}
 	if c.allocator == nil || c.allocatorTerm != c.term {
-		c.allocator, c.allocatorTerm = branchline.NewOffice(tree, c.clock), c.term
+		c.allocator, c.allocatorTerm = sites.NewAllocator(tree, c.clock), c.term
 	}
-	c.allocator.Lay(tree, capacities)
+	c.allocator.Update(tree, capacities)
 }
 
 // SitePage contains the tree of sites and the allocation of their capacity.
 type SitePage struct {
-	Sites    []branchline.Site    `json:"Sites"`
-	Accounts []branchline.Account `json:"Accounts"`
+	Sites    []sites.Site   `json:"Sites"`
+	Accounts []sites.Status `json:"Accounts"`
 	// IsLeader is whether this node allocates the capacity; only then are there accounts.
 	IsLeader bool   `json:"IsHolder"`
 	Leader   string `json:"Holder"`
 }
 
 func (n *node) sitesEndpoint(context.Context, any) (any, error) {
-	c, page := n.coordinator, SitePage{Sites: []branchline.Site{}, Accounts: []branchline.Account{}, Leader: n.leader()}
+	c, page := n.coordinator, SitePage{Sites: []sites.Site{}, Accounts: []sites.Status{}, Leader: n.leader()}
 	runAndWait(c.loop, func() {
 		if page.IsLeader = c.ensureLeading() && c.allocator != nil && c.siteTree != nil; page.IsLeader {
 			page.Sites = c.siteTree.Sites()
-			page.Accounts = append(page.Accounts, c.allocator.Accounts()...)
+			page.Accounts = append(page.Accounts, c.allocator.Statuses()...)
 		}
 	})
 	if page.IsLeader {
--- a/internal/control/staged_coordinator.go
+++ b/internal/control/staged_coordinator.go
@@ -112,7 +112,7 @@
 func (c *coordinator) planWaves(first string) [][]string {
 	var nodes []string
 	for _, node := range slices.Sorted(maps.Keys(c.proxyZones)) {
-		if c.detector.IsFresh(node, nodeSilenceTimeout) {
+		if c.detector.ReportedWithin(node, nodeSilenceTimeout) {
 			nodes = append(nodes, node)
 		}
 	}
@@ -132,7 +132,7 @@
 	now := c.clock.Steady()
 	facts := trial.StageFacts{
 		Elapsed: time.Duration(now - c.rolloutStartedAt(state)), InWave: time.Duration(now - progress.phaseStartedAt),
-		Finding: c.detector.Hearing(state.Subject, state.Number, state.Wave),
+		Finding: c.detector.Evaluate(state.Subject, state.Number, state.Wave),
 	}
 	progress.finding = facts.Finding
 	duplicates := 0
@@ -148,8 +148,8 @@
 	facts.IsDoubled = duplicates > progress.knownDuplicates
 	facts.IsSuperseded = len(newer) < len(state.Items)
 	for _, node := range state.Reached() {
-		facts.IsUnheard = facts.IsUnheard || !c.detector.IsFresh(node, waveReportMaxAge)
-		if facts.InWave > nodeSilenceTimeout && !c.detector.IsFresh(node, nodeSilenceTimeout) {
+		facts.IsUnheard = facts.IsUnheard || !c.detector.ReportedWithin(node, waveReportMaxAge)
+		if facts.InWave > nodeSilenceTimeout && !c.detector.ReportedWithin(node, nodeSilenceTimeout) {
 			facts.Silent = node
 		}
 	}
