--- a/internal/control/catchup.go
+++ b/internal/control/catchup.go
@@ -71,7 +71,7 @@
 			return nil
 		}
 		state = t.registry.State()
-		state.OK, state.IsRebuilding = t.trusted, !t.trusted
+		state.OK, state.Rebuilding = t.trusted, !t.trusted
 		return nil
 	}, func() { reply(state) })
 }
@@ -150,7 +150,7 @@
 		if assembly.Add(*missed.Page); number == 0 {
 			first = missed.Page.Index
 		}
-		if after = missed.Page.After(); missed.Page.IsLast {
+		if after = missed.Page.After(); missed.Page.Last {
 			break
 		}
 	}
--- a/internal/control/config_replicator.go
+++ b/internal/control/config_replicator.go
@@ -156,19 +156,19 @@
 	draft := &roundDraft{node: n, proposals: proposals, index: round.Index}
 	round.Draft = draft.build
 	outcome := round.Run(&roundTransport{node: n, view: view, startedAt: n.clock.Steady()})
-	r.round = max(r.round, outcome.Highest.Round)
+	r.round = max(r.round, outcome.HighestBallot.Round)
 	if outcome.View != nil {
 		n.adoptView(*outcome.View)
 	}
 	if outcome.Decided != nil {
 		r.broadcast(*outcome.Decided)
 	}
-	r.sendMissing(outcome.Behind)
-	if outcome.Ahead >= round.Index {
-		r.catchUpFrom(outcome.AheadOf)
+	r.sendMissing(outcome.Lagging)
+	if outcome.HighestIndex >= round.Index {
+		r.catchUpFrom(outcome.HighestIndexMember)
 	}
-	heard = outcome.Heard >= round.Majority
-	if outcome.Decided == nil && !outcome.IsQuiet || !draft.drafted {
+	heard = outcome.Responses >= round.Majority
+	if outcome.Decided == nil && !outcome.NothingToPropose || !draft.drafted {
 		return false, heard
 	}
 	draft.reply(outcome)
--- a/internal/control/read_config.go
+++ b/internal/control/read_config.go
@@ -91,7 +91,7 @@
 	var sources []string
 	complete := 0
 	callAll(n, view.Members, messages.KindState, messages.State{Epoch: view.Epoch}, callTimeout, func(member string, state registry.State) bool {
-		if member == n.self || !state.OK && !state.IsRebuilding {
+		if member == n.self || !state.OK && !state.Rebuilding {
 			return false
 		}
 		if states, sources = append(states, state), append(sources, member); state.OK {
@@ -113,7 +113,7 @@
 		if t.view.Epoch != view.Epoch {
 			return nil
 		}
-		rebuilt = t.registry.Rebuilt(states, rand.Uint64())
+		rebuilt = t.registry.Rebuild(states, rand.Uint64())
 		return durableRecord(t, rebuilt)
 	}, 5*time.Second)
 	return rebuilt
--- a/internal/control/registry/acceptor.go
+++ b/internal/control/registry/acceptor.go
@@ -14,7 +14,7 @@
 	Index Index         `cbor:"1,keyasint"`
 	Items []config.Item `cbor:"2,keyasint,omitempty"`
 	// IsWhole says that the items are the whole set, and that all else goes.
-	IsWhole bool `cbor:"3,keyasint,omitempty"`
+	ReplacesAll bool `cbor:"3,keyasint,omitempty"`
 }
 
 // Acceptor is one replica's part in deciding the change that follows its set.
@@ -25,7 +25,7 @@
 }
 
 // join takes the later promise and the later acceptance of the two.
-func (a Acceptor) join(other Acceptor) Acceptor {
+func (a Acceptor) merge(other Acceptor) Acceptor {
 	if a.Promised.Below(other.Promised) {
 		a.Promised = other.Promised
 	}
@@ -67,7 +67,7 @@
 // Example:
 //
 //	if promise.IsLost(prepare) { tryAgain() }
-func (p Promise) IsLost(prepare Prepare) bool {
+func (p Promise) Preempted(prepare Prepare) bool {
 	return !p.OK && (p.Index >= prepare.Index || prepare.Ballot.Below(p.Acceptor.Promised))
 }
 
@@ -94,7 +94,7 @@
 // Example:
 //
 //	if acceptance.IsLost(accept) { tryAgain() }
-func (a Acceptance) IsLost(accept Accept) bool {
+func (a Acceptance) Preempted(accept Accept) bool {
 	return !a.OK && (a.Index >= accept.Change.Index || accept.Ballot.Below(a.Promised))
 }
 
@@ -102,9 +102,9 @@
 type State struct {
 	// OK says that the replica takes part in decisions of the asker's epoch,
 	// IsRebuilding that it is in the epoch and not whole yet.
-	OK           bool             `cbor:"1,keyasint"`
-	IsRebuilding bool             `cbor:"5,keyasint,omitempty"`
-	Index        Index            `cbor:"2,keyasint"`
-	Acceptor     Acceptor         `cbor:"3,keyasint"`
-	View         *membership.View `cbor:"4,keyasint,omitempty"`
+	OK         bool             `cbor:"1,keyasint"`
+	Rebuilding bool             `cbor:"5,keyasint,omitempty"`
+	Index      Index            `cbor:"2,keyasint"`
+	Acceptor   Acceptor         `cbor:"3,keyasint"`
+	View       *membership.View `cbor:"4,keyasint,omitempty"`
 }
--- a/internal/control/registry/cluster_test.go
+++ b/internal/control/registry/cluster_test.go
@@ -22,60 +22,60 @@
 }
 
 // check is the part of the program's check that needs no more than the items.
-func check(whole config.Book, _, unseen []config.Item) error {
-	if err := whole.Check(); err != nil {
+func check(book config.Book, _, unseen []config.Item) error {
+	if err := book.Check(); err != nil {
 		return err
 	}
-	return whole.CheckRoutes(unseen)
+	return book.CheckRoutes(unseen)
 }
 
 // cluster is three replicas that answer at once, but for those that are away.
 type cluster struct {
-	replicas map[string]*registry.Replica
-	away     map[string]bool
+	replicas    map[string]*registry.Replica
+	unreachable map[string]bool
 }
 
 func newCluster(names ...string) *cluster {
-	c := &cluster{replicas: map[string]*registry.Replica{}, away: map[string]bool{}}
+	c := &cluster{replicas: map[string]*registry.Replica{}, unreachable: map[string]bool{}}
 	for _, name := range names {
 		c.replicas[name] = registry.NewReplica()
 	}
 	return c
 }
 
-func (c *cluster) Prepare(prepare registry.Prepare) (out []registry.Promise) {
+func (c *cluster) Prepare(prepare registry.Prepare) (promises []registry.Promise) {
 	for name, replica := range c.replicas {
-		if !c.away[name] {
+		if !c.unreachable[name] {
 			promise, _ := replica.Promise(prepare)
 			promise.Member = name
-			out = append(out, promise)
+			promises = append(promises, promise)
 		}
 	}
-	return out
+	return promises
 }
 
-func (c *cluster) Accept(accept registry.Accept) (out []registry.Acceptance) {
+func (c *cluster) Accept(accept registry.Accept) (acceptances []registry.Acceptance) {
 	for name, replica := range c.replicas {
-		if !c.away[name] {
+		if !c.unreachable[name] {
 			acceptance, _ := replica.Accept(name, accept)
-			out = append(out, acceptance)
+			acceptances = append(acceptances, acceptance)
 		}
 	}
-	return out
+	return acceptances
 }
 
 // propose plays one round for an order from one replica's set.
-func (c *cluster) propose(from string, ballot membership.Number, order ...config.Item) (outcome registry.Outcome, err error) {
+func (c *cluster) propose(from string, ballot membership.Number, items ...config.Item) (outcome registry.Outcome, err error) {
 	set := c.replicas[from].Set
 	round := registry.Round{Index: set.Index + 1, Ballot: ballot, Majority: 2, Draft: func([]config.Item) (registry.Change, bool) {
 		draft := set.Draft(check)
-		err = draft.Add(order)
+		err = draft.Add(items)
 		return draft.Change()
 	}}
 	outcome = round.Run(c)
 	if outcome.Decided != nil {
 		for name, replica := range c.replicas {
-			if !c.away[name] {
+			if !c.unreachable[name] {
 				replica.Learn(*outcome.Decided)
 			}
 		}
--- a/internal/control/registry/draft.go
+++ b/internal/control/registry/draft.go
@@ -32,13 +32,13 @@
 // Draft collects orders into the change that follows a set. Orders that do not
 // hold leave nothing behind.
 type Draft struct {
-	set   *Set
-	whole config.Book
+	set  *Set
+	book config.Book
 	// items are what the orders taken so far bring, in their order; an item may
 	// stand there under several versions, and under versions with no effect.
-	items    []config.Item
-	accepted map[versionKey]string
-	check    Check
+	items        []config.Item
+	fingerprints map[versionKey]string
+	check        Check
 }
 
 // versionKey names one version of one item.
@@ -54,7 +54,7 @@
 //	draft := set.Draft(check)
 //	err := draft.Add(items)
 func (s *Set) Draft(check Check) *Draft {
-	return &Draft{set: s, whole: s.Items.Clone(), accepted: map[versionKey]string{}, check: check}
+	return &Draft{set: s, book: s.Items.Clone(), fingerprints: map[versionKey]string{}, check: check}
 }
 
 // Add takes an order whole or not at all. An item at or below the version held
@@ -64,62 +64,62 @@
 // Example:
 //
 //	if err := draft.Add(items); err != nil { refuse(err) }
-func (d *Draft) Add(order []config.Item) error {
-	newer, unseen, conflict := d.sort(order)
+func (d *Draft) Add(items []config.Item) error {
+	newer, unseen, conflict := d.classify(items)
 	if len(unseen) == 0 {
 		return nil
 	}
-	undo := map[config.ID]config.Item{}
+	previous := map[config.ID]config.Item{}
 	for _, item := range newer {
-		if held, isHeld := d.whole[item.ID]; isHeld {
-			if _, isNoted := undo[item.ID]; !isNoted {
-				undo[item.ID] = held
+		if current, ok := d.book[item.ID]; ok {
+			if _, saved := previous[item.ID]; !saved {
+				previous[item.ID] = current
 			}
 		}
-		d.whole[item.ID] = item
+		d.book[item.ID] = item
 	}
-	err := d.check(d.whole, newer, unseen)
+	err := d.check(d.book, newer, unseen)
 	if err == nil && conflict != nil {
 		err = conflict
 	}
 	if err != nil {
 		for _, item := range newer {
-			delete(d.whole, item.ID)
+			delete(d.book, item.ID)
 		}
-		for id, held := range undo {
-			d.whole[id] = held
+		for id, current := range previous {
+			d.book[id] = current
 		}
 		return err
 	}
-	d.take(unseen)
+	d.include(unseen)
 	return nil
 }
 
 // sort tells an order's items apart: those that have an effect, and those that
 // were not accepted before with this content. It returns the first conflict.
-func (d *Draft) sort(order []config.Item) (newer, unseen []config.Item, conflict *ConflictError) {
+func (d *Draft) classify(items []config.Item) (newer, unseen []config.Item, conflict *ConflictError) {
 	highest := map[config.ID]config.Item{}
-	for _, item := range order {
-		other, isTwice := highest[item.ID]
-		if isTwice && other.Version == item.Version && other.Fingerprint() != item.Fingerprint() {
-			conflict = cmp.Or(conflict, d.conflict(item, other.Fingerprint()))
+	for _, item := range items {
+		other, seen := highest[item.ID]
+		if seen && other.Version == item.Version && other.Fingerprint() != item.Fingerprint() {
+			conflict = cmp.Or(conflict, d.newConflict(item, other.Fingerprint()))
 		}
-		if !isTwice || other.Version < item.Version {
+		if !seen || other.Version < item.Version {
 			highest[item.ID] = item
 		}
 	}
-	for _, item := range order {
-		accepted, isAccepted := d.fingerprintOf(item)
-		if isAccepted && accepted == item.Fingerprint() {
+	for _, item := range items {
+		accepted, known := d.acceptedFingerprint(item)
+		if known && accepted == item.Fingerprint() {
 			continue
 		}
 		unseen = append(unseen, item)
-		if isAccepted {
-			conflict = cmp.Or(conflict, d.conflict(item, accepted))
+		if known {
+			conflict = cmp.Or(conflict, d.newConflict(item, accepted))
 			continue
 		}
-		held, isHeld := d.whole[item.ID]
-		if highest[item.ID].Version == item.Version && (!isHeld || item.Version > held.Version) {
+		current, exists := d.book[item.ID]
+		if highest[item.ID].Version == item.Version && (!exists || item.Version > current.Version) {
 			newer = append(newer, item)
 		}
 	}
@@ -128,26 +128,26 @@
 
 // fingerprintOf is the content accepted under the item's version, by the set or
 // by an earlier order of this draft.
-func (d *Draft) fingerprintOf(item config.Item) (fingerprint string, isAccepted bool) {
-	fingerprint, isAccepted = d.accepted[versionKey{item.ID, item.Version}]
-	if isAccepted {
+func (d *Draft) acceptedFingerprint(item config.Item) (fingerprint string, known bool) {
+	fingerprint, known = d.fingerprints[versionKey{item.ID, item.Version}]
+	if known {
 		return fingerprint, true
 	}
-	return d.set.fingerprintOf(item.ID, item.Version)
+	return d.set.acceptedFingerprint(item.ID, item.Version)
 }
 
-func (d *Draft) conflict(item config.Item, accepted string) *ConflictError {
+func (d *Draft) newConflict(item config.Item, accepted string) *ConflictError {
 	return &ConflictError{ID: item.ID, Version: item.Version, Accepted: accepted, Offered: item.Fingerprint()}
 }
 
 // take brings what was not accepted before into the change, also what has no
 // effect: its version is accepted with this content from now on.
-func (d *Draft) take(unseen []config.Item) {
+func (d *Draft) include(unseen []config.Item) {
 	for _, item := range unseen {
-		if _, isTaken := d.accepted[versionKey{item.ID, item.Version}]; isTaken || d.set.isForgotten(item.ID, item.Version) {
+		if _, included := d.fingerprints[versionKey{item.ID, item.Version}]; included || d.set.precedesHistory(item.ID, item.Version) {
 			continue
 		}
-		d.accepted[versionKey{item.ID, item.Version}] = item.Fingerprint()
+		d.fingerprints[versionKey{item.ID, item.Version}] = item.Fingerprint()
 		d.items = append(d.items, item)
 	}
 }
@@ -157,6 +157,6 @@
 // Example:
 //
 //	change, isAny := draft.Change()
-func (d *Draft) Change() (change Change, isAny bool) {
+func (d *Draft) Change() (change Change, ok bool) {
 	return Change{Index: d.set.Index + 1, Items: d.items}, len(d.items) > 0
 }
--- a/internal/control/registry/history_test.go
+++ b/internal/control/registry/history_test.go
@@ -12,7 +12,7 @@
 	"ploverhitch/internal/control/registry"
 )
 
-func itemOf(version config.Version, content string) config.Item {
+func newItem(version config.Version, content string) config.Item {
 	body, err := json.Marshal(content)
 	Expect(err).NotTo(HaveOccurred())
 	return config.Item{ID: config.ID{Class: config.RouteItem, Name: "route"}, Version: version, Body: body}
@@ -26,7 +26,7 @@
 	if err := draft.Add(items); err != nil {
 		return err
 	}
-	if change, isAny := draft.Change(); isAny {
+	if change, ok := draft.Change(); ok {
 		replica.Learn(change)
 	}
 	return nil
@@ -38,24 +38,24 @@
 var _ = Describe("accepted versions", func() {
 	It("refuses another content under a version that was acknowledged with no effect", func() {
 		replica := registry.NewReplica()
-		Expect(submit(replica, itemOf(7, "seven"))).To(Succeed())
-		Expect(submit(replica, itemOf(5, "five"))).To(Succeed())
-		Expect(replica.Items[itemOf(7, "").ID].Version).To(Equal(config.Version(7)))
-		err := submit(replica, itemOf(5, "other"))
+		Expect(submit(replica, newItem(7, "seven"))).To(Succeed())
+		Expect(submit(replica, newItem(5, "five"))).To(Succeed())
+		Expect(replica.Items[newItem(7, "").ID].Version).To(Equal(config.Version(7)))
+		err := submit(replica, newItem(5, "other"))
 		var conflict *registry.ConflictError
 		Expect(errors.As(err, &conflict)).To(BeTrue(), "%v", err)
-		Expect(submit(replica, itemOf(5, "five"))).To(Succeed())
+		Expect(submit(replica, newItem(5, "five"))).To(Succeed())
 		Expect(replica.Index).To(Equal(registry.Index(2)))
 	})
 
 	It("takes a version below all that is remembered without effect, however often", func() {
 		replica := registry.NewReplica()
 		for version := config.Version(2); version <= 10; version++ {
-			Expect(submit(replica, itemOf(version, "any"))).To(Succeed())
+			Expect(submit(replica, newItem(version, "any"))).To(Succeed())
 		}
 		before := replica.Index
-		Expect(submit(replica, itemOf(1, "old"))).To(Succeed())
-		Expect(submit(replica, itemOf(2, "any"))).To(Succeed())
+		Expect(submit(replica, newItem(1, "old"))).To(Succeed())
+		Expect(submit(replica, newItem(2, "any"))).To(Succeed())
 		Expect(replica.Index).To(Equal(before))
 	})
 
@@ -63,30 +63,30 @@
 		source := registry.NewReplica()
 		first := config.Item{ID: config.ID{Class: config.RouteItem, Name: "a"}, Version: 1}
 		Expect(submit(source, first)).To(Succeed())
-		Expect(submit(source, itemOf(1, "any"))).To(Succeed())
+		Expect(submit(source, newItem(1, "any"))).To(Succeed())
 		var assembly registry.Assembly
 		page := source.PageAfter(nil, 1)
-		Expect(page.IsLast).To(BeFalse())
+		Expect(page.Last).To(BeFalse())
 		assembly.Add(page)
-		began := page.Index
+		firstIndex := page.Index
 		for version := config.Version(2); version <= 12; version++ {
-			Expect(submit(source, itemOf(version, "any"))).To(Succeed())
+			Expect(submit(source, newItem(version, "any"))).To(Succeed())
 		}
 		assembly.Add(source.PageAfter(page.After(), 1<<20))
-		changes, _, _ := source.Since(began, 1<<20)
-		set, isWhole := assembly.Finish(changes)
-		Expect(isWhole).To(BeTrue())
+		changes, _, _ := source.Since(firstIndex, 1<<20)
+		set, complete := assembly.Finish(changes)
+		Expect(complete).To(BeTrue())
 		Expect(historyOf(set)).To(Equal(historyOf(source.Set)))
 	})
 
 	It("remembers the same after the first numbered change, whatever an older build left", func() {
-		one, other := itemOf(3, "one"), itemOf(3, "other")
+		one, other := newItem(3, "one"), newItem(3, "other")
 		left, right := registry.NewReplica(), registry.NewReplica()
 		left.MergeLegacy([]config.Item{one})
 		right.MergeLegacy([]config.Item{other})
-		set, _ := registry.Genesis([]config.Item{one, other})
-		change, isAny := set.First(set.Draft(acceptAll))
-		Expect(isAny).To(BeTrue())
+		set, _ := registry.MigrateLegacy([]config.Item{one, other})
+		change, ok := set.InitialChange(set.Draft(acceptAll))
+		Expect(ok).To(BeTrue())
 		left.Learn(change)
 		right.Learn(change)
 		Expect(historyOf(left.Set)).To(Equal(historyOf(right.Set)))
@@ -105,40 +105,40 @@
 		var assembly registry.Assembly
 		page := source.PageAfter(nil, 1)
 		assembly.Add(page)
-		wiped := registry.NewReplica()
-		page = wiped.PageAfter(page.After(), 1)
-		Expect(page.IsLast).To(BeTrue())
+		rebuilt := registry.NewReplica()
+		page = rebuilt.PageAfter(page.After(), 1)
+		Expect(page.Last).To(BeTrue())
 		assembly.Add(page)
-		changes, _, _ := wiped.Since(source.Index, 1<<20)
-		_, isWhole := assembly.Finish(changes)
-		Expect(isWhole).To(BeFalse())
+		changes, _, _ := rebuilt.Since(source.Index, 1<<20)
+		_, complete := assembly.Finish(changes)
+		Expect(complete).To(BeFalse())
 	})
 })
 
 // eager are peers that promise everything and note what is proposed.
-type eager struct{ proposed []registry.Accept }
+type promisingPeers struct{ proposed []registry.Accept }
 
-func (e *eager) Prepare(registry.Prepare) []registry.Promise {
+func (e *promisingPeers) Prepare(registry.Prepare) []registry.Promise {
 	return []registry.Promise{{OK: true, Member: "a"}, {OK: true, Member: "b"}}
 }
 
-func (e *eager) Accept(accept registry.Accept) []registry.Acceptance {
+func (e *promisingPeers) Accept(accept registry.Accept) []registry.Acceptance {
 	e.proposed = append(e.proposed, accept)
 	return []registry.Acceptance{{OK: true}, {OK: true}}
 }
 
 var _ = Describe("a round whose proposer learns the change of its number meanwhile", func() {
 	It("proposes nothing for the next number, for which nobody promised", func() {
-		peers, replica := &eager{}, registry.NewReplica()
+		peers, replica := &promisingPeers{}, registry.NewReplica()
 		draft := func([]config.Item) (registry.Change, bool) {
-			Expect(submit(replica, itemOf(1, "learned"))).To(Succeed())
+			Expect(submit(replica, newItem(1, "learned"))).To(Succeed())
 			draft := replica.Draft(acceptAll)
-			Expect(draft.Add([]config.Item{itemOf(2, "ours")})).To(Succeed())
+			Expect(draft.Add([]config.Item{newItem(2, "ours")})).To(Succeed())
 			return draft.Change()
 		}
 		outcome := registry.Round{Index: 1, Majority: 2, Draft: draft}.Run(peers)
 		Expect(peers.proposed).To(BeEmpty())
 		Expect(outcome.Decided).To(BeNil())
-		Expect(outcome.IsQuiet).To(BeFalse())
+		Expect(outcome.NothingToPropose).To(BeFalse())
 	})
 })
--- a/internal/control/registry/initial_set.go
+++ b/internal/control/registry/initial_set.go
@@ -14,46 +14,46 @@
 // Example:
 //
 //	set, dropped := registry.Genesis(legacy)
-func Genesis(legacy []config.Item) (set *Set, dropped []string) {
+func MigrateLegacy(legacy []config.Item) (set *Set, dropped []string) {
 	replica := NewReplica()
 	replica.MergeLegacy(legacy)
 	set = replica.Set
-	for _, loser := range losers(set.Items) {
-		loser.Dropped, loser.Body, loser.Host = true, nil, ""
-		set.put(loser)
-		dropped = append(dropped, loser.ID.Name)
+	for _, item := range shadowedRoutes(set.Items) {
+		item.Dropped, item.Body, item.Host = true, nil, ""
+		set.put(item)
+		dropped = append(dropped, item.ID.Name)
 	}
 	return set, dropped
 }
 
 // losers are the routes whose host and prefix another route holds: the one of
 // the higher version, then of the greater name, as config.Compile has it.
-func losers(book config.Book) (out []config.Item) {
-	holders := map[string]config.Item{}
+func shadowedRoutes(book config.Book) (shadowed []config.Item) {
+	owners := map[string]config.Item{}
 	for _, item := range book.Items() {
 		var route config.RouteSpec
 		if item.ID.Class != config.RouteItem || item.Dropped || json.Unmarshal(item.Body, &route) != nil {
 			continue
 		}
-		place := item.Host + route.PathPrefix
-		holder, isTaken := holders[place]
+		location := item.Host + route.PathPrefix
+		owner, taken := owners[location]
 		switch {
-		case !isTaken:
-			holders[place] = item
-		case item.Version >= holder.Version:
-			out = append(out, holder)
-			holders[place] = item
+		case !taken:
+			owners[location] = item
+		case item.Version >= owner.Version:
+			shadowed = append(shadowed, owner)
+			owners[location] = item
 		default:
-			out = append(out, item)
+			shadowed = append(shadowed, item)
 		}
 	}
-	return out
+	return shadowed
 }
 
 // whole turns a draft on a genesis set into the change that brings all of it.
-func (s *Set) whole(change Change) Change {
+func (s *Set) replaceAll(change Change) Change {
 	items := append(s.Items.Items(), change.Items...)
-	return Change{Index: change.Index, Items: slices.Clip(items), IsWhole: true}
+	return Change{Index: change.Index, Items: slices.Clip(items), ReplacesAll: true}
 }
 
 // First is the change numbered 1: the legacy items whole, and what a draft on
@@ -62,10 +62,10 @@
 // Example:
 //
 //	change := set.First(draft)
-func (s *Set) First(draft *Draft) (change Change, isAny bool) {
-	change, isAny = draft.Change()
+func (s *Set) InitialChange(draft *Draft) (change Change, ok bool) {
+	change, ok = draft.Change()
 	if len(s.Items) == 0 {
-		return change, isAny
+		return change, ok
 	}
-	return s.whole(change), true
+	return s.replaceAll(change), true
 }
--- a/internal/control/registry/legacy.go
+++ b/internal/control/registry/legacy.go
@@ -14,7 +14,7 @@
 }
 
 // renamed is an item that an older build kept, with the present names of its fields.
-func renamed(item config.Item) config.Item {
+func migrateFieldNames(item config.Item) config.Item {
 	decoder := json.NewDecoder(bytes.NewReader(item.Body))
 	decoder.UseNumber()
 	var body any
@@ -31,21 +31,21 @@
 }
 
 // renameFields changes former names within a value, and tells whether there were any.
-func renameFields(value any) (isChanged bool) {
+func renameFields(value any) (changed bool) {
 	switch inner := value.(type) {
 	case []any:
 		for _, entry := range inner {
-			isChanged = renameFields(entry) || isChanged
+			changed = renameFields(entry) || changed
 		}
 	case map[string]any:
 		for name, entry := range inner {
-			isChanged = renameFields(entry) || isChanged
-			if present, isFormer := formerNames[name]; isFormer {
+			changed = renameFields(entry) || changed
+			if present, former := formerNames[name]; former {
 				delete(inner, name)
 				inner[present] = entry
-				isChanged = true
+				changed = true
 			}
 		}
 	}
-	return isChanged
+	return changed
 }
--- a/internal/control/registry/page.go
+++ b/internal/control/registry/page.go
@@ -15,18 +15,18 @@
 	Items   []config.Item `cbor:"2,keyasint,omitempty"`
 	History []History     `cbor:"3,keyasint,omitempty"`
 	// IsFirst and IsLast mark the ends.
-	IsFirst bool `cbor:"4,keyasint,omitempty"`
-	IsLast  bool `cbor:"5,keyasint,omitempty"`
+	First bool `cbor:"4,keyasint,omitempty"`
+	Last  bool `cbor:"5,keyasint,omitempty"`
 }
 
-func compareIDs(a, z config.ID) int {
-	if a.Class != z.Class {
-		return int(a.Class) - int(z.Class)
+func compareIDs(a, b config.ID) int {
+	if a.Class != b.Class {
+		return int(a.Class) - int(b.Class)
 	}
-	if a.Name < z.Name {
+	if a.Name < b.Name {
 		return -1
 	}
-	if a.Name > z.Name {
+	if a.Name > b.Name {
 		return 1
 	}
 	return 0
@@ -38,8 +38,8 @@
 // Example:
 //
 //	page := set.PageAfter(nil, 64<<10)
-func (s *Set) PageAfter(after *config.ID, bytes int) Page {
-	return s.pageOf(s.sortedIDs(), after, bytes)
+func (s *Set) PageAfter(after *config.ID, maxBytes int) Page {
+	return s.pageOf(s.sortedIDs(), after, maxBytes)
 }
 
 func (s *Set) sortedIDs() []config.ID {
@@ -51,23 +51,23 @@
 	return ids
 }
 
-func (s *Set) pageOf(ids []config.ID, after *config.ID, bytes int) Page {
-	page := Page{Index: s.Index, IsFirst: after == nil}
+func (s *Set) pageOf(ids []config.ID, after *config.ID, maxBytes int) Page {
+	page := Page{Index: s.Index, First: after == nil}
 	from := 0
 	if after != nil {
-		at, isThere := slices.BinarySearchFunc(ids, *after, compareIDs)
-		if from = at; isThere {
+		at, found := slices.BinarySearchFunc(ids, *after, compareIDs)
+		if from = at; found {
 			from++
 		}
 	}
-	sum, next := 0, from
-	for ; next < len(ids) && (sum < bytes || next == from); next++ {
+	size, next := 0, from
+	for ; next < len(ids) && (size < maxBytes || next == from); next++ {
 		item := s.Items[ids[next]]
 		page.Items = append(page.Items, item)
 		page.History = append(page.History, History{item.ID, s.history[item.ID]})
-		sum += sizeOf(item)
+		size += approximateSize(item)
 	}
-	page.IsLast = next == len(ids)
+	page.Last = next == len(ids)
 	return page
 }
 
@@ -76,13 +76,13 @@
 // Example:
 //
 //	for page := range set.Pages(64 << 10) { keep(page) }
-func (s *Set) Pages(bytes int) func(yield func(Page) bool) {
+func (s *Set) Pages(maxBytes int) func(yield func(Page) bool) {
 	return func(yield func(Page) bool) {
 		ids := s.sortedIDs()
 		var after *config.ID
 		for {
-			page := s.pageOf(ids, after, bytes)
-			if !yield(page) || page.IsLast {
+			page := s.pageOf(ids, after, maxBytes)
+			if !yield(page) || page.Last {
 				return
 			}
 			after = &page.Items[len(page.Items)-1].ID
@@ -96,7 +96,7 @@
 	first Index
 	last  Index
 	// isBroken says that a page was cut from an older set than the one before.
-	isBroken bool
+	inconsistent bool
 }
 
 // Add takes the next page.
@@ -105,10 +105,10 @@
 //
 //	assembly.Add(page)
 func (a *Assembly) Add(page Page) {
-	if page.IsFirst || a.set == nil {
-		a.set, a.first, a.isBroken = NewSet(), page.Index, false
+	if page.First || a.set == nil {
+		a.set, a.first, a.inconsistent = NewSet(), page.Index, false
 	} else if page.Index < a.last {
-		a.isBroken = true
+		a.inconsistent = true
 	}
 	for _, item := range page.Items {
 		a.set.put(item)
@@ -124,11 +124,11 @@
 // Example:
 //
 //	page := ask(assembly.After())
-func (page Page) After() *config.ID {
-	if len(page.Items) == 0 {
+func (p Page) After() *config.ID {
+	if len(p.Items) == 0 {
 		return nil
 	}
-	return &page.Items[len(page.Items)-1].ID
+	return &p.Items[len(p.Items)-1].ID
 }
 
 // Finish brings the pages to one index by the changes that followed the first of
@@ -138,8 +138,8 @@
 // Example:
 //
 //	set, isWhole := assembly.Finish(changes)
-func (a *Assembly) Finish(changes []Change) (set *Set, isWhole bool) {
-	if a.set == nil || a.isBroken {
+func (a *Assembly) Finish(changes []Change) (set *Set, complete bool) {
+	if a.set == nil || a.inconsistent {
 		return nil, false
 	}
 	a.set.Index = a.first
--- a/internal/control/registry/proposer.go
+++ b/internal/control/registry/proposer.go
@@ -29,18 +29,18 @@
 	Decided *Change
 	// IsQuiet says that a majority promised, held no change for the number, and
 	// there was none to propose.
-	IsQuiet bool
+	NothingToPropose bool
 	// Highest is the highest ballot met, Ahead the highest index of a member.
-	Highest membership.Number
-	Ahead   Index
+	HighestBallot membership.Number
+	HighestIndex  Index
 	// AheadOf is the member of that index.
-	AheadOf string
+	HighestIndexMember string
 	// Heard is how many members answered the Prepare, whatever they said.
-	Heard int
+	Responses int
 	// View is a member's newer view.
 	View *membership.View
 	// Behind are the indexes of members whose set lacks changes before the number.
-	Behind map[string]Index
+	Lagging map[string]Index
 }
 
 // Run plays the round. Without a Decided change nothing is known: a change that
@@ -50,13 +50,13 @@
 //
 //	outcome := registry.Round{...}.Run(peers)
 func (r Round) Run(peers Peers) (outcome Outcome) {
-	outcome.Highest = r.Ballot
+	outcome.HighestBallot = r.Ballot
 	promises := peers.Prepare(Prepare{Epoch: r.Epoch, Index: r.Index, Ballot: r.Ballot})
 	accept := Accept{Epoch: r.Epoch, Ballot: r.Ballot, Incarnations: map[string]uint64{}}
 	var accepted Acceptor
 	var legacy []config.Item
 	for _, promise := range promises {
-		outcome.hear(r.Index, promise)
+		outcome.record(r.Index, promise)
 		if !promise.OK {
 			continue
 		}
@@ -72,9 +72,9 @@
 	if accepted.Change != nil {
 		accept.Change = *accepted.Change
 	} else {
-		change, isAny := r.Draft(legacy)
-		if !isAny {
-			outcome.IsQuiet = true
+		change, ok := r.Draft(legacy)
+		if !ok {
+			outcome.NothingToPropose = true
 			return outcome
 		}
 		if change.Index != r.Index {
@@ -83,35 +83,35 @@
 		}
 		accept.Change = change
 	}
-	count := 0
+	accepts := 0
 	for _, acceptance := range peers.Accept(accept) {
 		if acceptance.OK {
-			count++
+			accepts++
 		}
-		if outcome.Highest.Below(acceptance.Promised) {
-			outcome.Highest = acceptance.Promised
+		if outcome.HighestBallot.Below(acceptance.Promised) {
+			outcome.HighestBallot = acceptance.Promised
 		}
 	}
-	if count >= r.Majority {
+	if accepts >= r.Majority {
 		outcome.Decided = &accept.Change
 	}
 	return outcome
 }
 
 // hear notes what a promise, or its refusal, tells beside the promise itself.
-func (o *Outcome) hear(index Index, promise Promise) {
-	o.Heard++
-	if o.Highest.Below(promise.Acceptor.Promised) {
-		o.Highest = promise.Acceptor.Promised
+func (o *Outcome) record(index Index, promise Promise) {
+	o.Responses++
+	if o.HighestBallot.Below(promise.Acceptor.Promised) {
+		o.HighestBallot = promise.Acceptor.Promised
 	}
 	if promise.Index+1 < index && promise.Member != "" {
-		if o.Behind == nil {
-			o.Behind = map[string]Index{}
+		if o.Lagging == nil {
+			o.Lagging = map[string]Index{}
 		}
-		o.Behind[promise.Member] = promise.Index
+		o.Lagging[promise.Member] = promise.Index
 	}
-	if promise.Index > o.Ahead {
-		o.Ahead, o.AheadOf = promise.Index, promise.Member
+	if promise.Index > o.HighestIndex {
+		o.HighestIndex, o.HighestIndexMember = promise.Index, promise.Member
 	}
 	if promise.View != nil && (o.View == nil || promise.View.Epoch > o.View.Epoch) {
 		o.View = promise.View
--- a/internal/control/registry/replica.go
+++ b/internal/control/registry/replica.go
@@ -7,8 +7,8 @@
 const (
 	// recentChanges and recentBytes bound the changes that a replica keeps for
 	// others that missed them; who missed more takes the set in pages.
-	recentChanges = 512
-	recentBytes   = 2 << 20
+	maxRecentChanges = 512
+	maxRecentBytes   = 2 << 20
 )
 
 // Replica is one member's copy of the item set, with its part in deciding the
@@ -25,7 +25,7 @@
 // recentChange is a decided change and about how much room it takes.
 type recentChange struct {
 	change Change
-	bytes  int
+	size   int
 }
 
 // NewReplica makes a replica of the empty set.
@@ -48,18 +48,18 @@
 // Example:
 //
 //	promise, isChanged := replica.Promise(prepare)
-func (r *Replica) Promise(prepare Prepare) (promise Promise, isChanged bool) {
+func (r *Replica) Promise(prepare Prepare) (promise Promise, changed bool) {
 	promise = Promise{Incarnation: r.Incarnation, Index: r.Index, Acceptor: r.Acceptor}
 	if prepare.Index != r.Next() || prepare.Ballot.Below(r.Acceptor.Promised) {
 		return promise, false
 	}
-	isChanged = r.Acceptor.Promised != prepare.Ballot
+	changed = r.Acceptor.Promised != prepare.Ballot
 	r.Acceptor.Promised = prepare.Ballot
 	promise.OK, promise.Acceptor = true, r.Acceptor
 	if r.Index == 0 {
 		promise.Legacy = r.Items.Items()
 	}
-	return promise, isChanged
+	return promise, changed
 }
 
 // Accept answers an Accept for the member of that name; isChanged tells whether
@@ -68,18 +68,18 @@
 // Example:
 //
 //	acceptance, isChanged := replica.Accept(self, accept)
-func (r *Replica) Accept(member string, accept Accept) (acceptance Acceptance, isChanged bool) {
+func (r *Replica) Accept(member string, accept Accept) (acceptance Acceptance, changed bool) {
 	acceptance = Acceptance{Index: r.Index, Promised: r.Acceptor.Promised}
-	incarnation, isNamed := accept.Incarnations[member]
-	isForgotten := isNamed && incarnation != r.Incarnation
-	if accept.Change.Index != r.Next() || accept.Ballot.Below(r.Acceptor.Promised) || isForgotten {
+	incarnation, promised := accept.Incarnations[member]
+	lost := promised && incarnation != r.Incarnation
+	if accept.Change.Index != r.Next() || accept.Ballot.Below(r.Acceptor.Promised) || lost {
 		return acceptance, false
 	}
-	isChanged = r.Acceptor.Accepted != accept.Ballot || r.Acceptor.Change == nil
+	changed = r.Acceptor.Accepted != accept.Ballot || r.Acceptor.Change == nil
 	change := accept.Change
 	r.Acceptor = Acceptor{Promised: accept.Ballot, Accepted: accept.Ballot, Change: &change}
 	acceptance.OK, acceptance.Promised = true, accept.Ballot
-	return acceptance, isChanged
+	return acceptance, changed
 }
 
 // Learn takes a decided change, if it is the next one.
@@ -93,19 +93,19 @@
 	}
 	r.apply(change)
 	r.Acceptor = Acceptor{}
-	r.keepRecent(change)
+	r.retain(change)
 	return true
 }
 
-func (r *Replica) keepRecent(change Change) {
+func (r *Replica) retain(change Change) {
 	size := 64
 	for _, item := range change.Items {
-		size += sizeOf(item)
+		size += approximateSize(item)
 	}
 	r.recent = append(r.recent, recentChange{change, size})
 	r.recentBytes += size
-	for len(r.recent) > recentChanges || len(r.recent) > 1 && r.recentBytes > recentBytes {
-		r.recentBytes -= r.recent[0].bytes
+	for len(r.recent) > maxRecentChanges || len(r.recent) > 1 && r.recentBytes > maxRecentBytes {
+		r.recentBytes -= r.recent[0].size
 		r.recent[0] = recentChange{}
 		r.recent = r.recent[1:]
 	}
@@ -118,20 +118,20 @@
 // Example:
 //
 //	changes, isKept, isCheaper := replica.Since(request.From, pageBytes)
-func (r *Replica) Since(from Index, bytes int) (changes []Change, isKept, isCheaper bool) {
+func (r *Replica) Since(from Index, maxBytes int) (changes []Change, retained, smaller bool) {
 	if from >= r.Index {
 		return nil, true, true
 	}
 	if len(r.recent) == 0 || r.recent[0].change.Index > from+1 {
 		return nil, false, false
 	}
-	missing, sum := r.recent[from+1-r.recent[0].change.Index:], 0
+	missing, size := r.recent[from+1-r.recent[0].change.Index:], 0
 	for _, recent := range missing {
-		if sum += recent.bytes; sum <= bytes || len(changes) == 0 {
+		if size += recent.size; size <= maxBytes || len(changes) == 0 {
 			changes = append(changes, recent.change)
 		}
 	}
-	return changes, true, sum <= r.bytes
+	return changes, true, size <= r.size
 }
 
 // Latest is the last decided change that is kept, for telling a replica that it is
@@ -140,7 +140,7 @@
 // Example:
 //
 //	change, isAny := replica.Latest()
-func (r *Replica) Latest() (change Change, isAny bool) {
+func (r *Replica) Latest() (change Change, ok bool) {
 	if len(r.recent) == 0 {
 		return Change{}, false
 	}
@@ -154,7 +154,7 @@
 // Example:
 //
 //	isDone := replica.Rebuilt(states, rand.Uint64())
-func (r *Replica) Rebuilt(states []State, incarnation uint64) bool {
+func (r *Replica) Rebuild(states []State, incarnation uint64) bool {
 	for _, state := range states {
 		if state.Index > r.Index {
 			return false
@@ -162,7 +162,7 @@
 	}
 	for _, state := range states {
 		if state.Index == r.Index {
-			r.Acceptor = r.Acceptor.join(state.Acceptor)
+			r.Acceptor = r.Acceptor.merge(state.Acceptor)
 		}
 	}
 	r.Incarnation = incarnation
@@ -180,17 +180,17 @@
 		return
 	}
 	for _, item := range items {
-		item = renamed(item)
-		held, isHeld := r.Items[item.ID]
-		if !isHeld || item.Outranks(held) {
+		item = migrateFieldNames(item)
+		current, ok := r.Items[item.ID]
+		if !ok || item.Outranks(current) {
 			r.put(item)
-			r.remember(item)
+			r.recordAccepted(item)
 		}
 	}
 }
 
 // Durable is what is kept of a replica beside its set.
-type Durable struct {
+type DurableState struct {
 	Acceptor    Acceptor `cbor:"1,keyasint"`
 	Incarnation uint64   `cbor:"2,keyasint"`
 }
@@ -200,15 +200,15 @@
 // Example:
 //
 //	record := replica.Durable()
-func (r *Replica) Durable() Durable { return Durable{r.Acceptor, r.Incarnation} }
+func (r *Replica) DurableState() DurableState { return DurableState{r.Acceptor, r.Incarnation} }
 
 // Restore puts back what Durable gave.
 //
 // Example:
 //
 //	replica.Restore(record)
-func (r *Replica) Restore(durable Durable) {
-	r.Acceptor, r.Incarnation = durable.Acceptor, durable.Incarnation
+func (r *Replica) Restore(state DurableState) {
+	r.Acceptor, r.Incarnation = state.Acceptor, state.Incarnation
 }
 
 // State is the replica's place, for a quorum read or a rebuild.
--- a/internal/control/registry/set.go
+++ b/internal/control/registry/set.go
@@ -9,7 +9,7 @@
 
 // historyLength is how many accepted versions of an item are remembered, the
 // highest ones, the one in force included.
-const historyLength = 8
+const maxHistoryLength = 8
 
 // AcceptedVersion is a version that was accepted: its number, and the fingerprint
 // of its content.
@@ -29,21 +29,21 @@
 	Index   Index
 	Items   config.Book
 	history map[config.ID][]AcceptedVersion
-	bytes   int
+	size    int
 }
 
 // sizeOf is about how much room an item takes, on the wire and in memory.
-func sizeOf(item config.Item) int {
+func approximateSize(item config.Item) int {
 	return len(item.Body) + len(item.Host) + len(item.ID.Name) + 64
 }
 
 // put replaces the item of that id.
 func (s *Set) put(item config.Item) {
-	if held, isHeld := s.Items[item.ID]; isHeld {
-		s.bytes -= sizeOf(held)
+	if current, ok := s.Items[item.ID]; ok {
+		s.size -= approximateSize(current)
 	}
 	s.Items[item.ID] = item
-	s.bytes += sizeOf(item)
+	s.size += approximateSize(item)
 }
 
 // NewSet makes the empty set.
@@ -58,40 +58,40 @@
 // apply makes the set that follows; the change must be the next one. A version
 // below the one held is remembered and has no other effect.
 func (s *Set) apply(change Change) {
-	if change.IsWhole {
-		s.Items, s.bytes = config.Book{}, 0
+	if change.ReplacesAll {
+		s.Items, s.size = config.Book{}, 0
 		s.history = map[config.ID][]AcceptedVersion{}
 	}
 	for _, item := range change.Items {
-		if held, isHeld := s.Items[item.ID]; !isHeld || item.Version > held.Version {
+		if current, ok := s.Items[item.ID]; !ok || item.Version > current.Version {
 			s.put(item)
 		}
-		s.remember(item)
+		s.recordAccepted(item)
 	}
 	s.Index = change.Index
 }
 
 // remember notes that the item's version was accepted. What is remembered does
 // not depend on the order, so that applying a change twice leaves it the same.
-func (s *Set) remember(item config.Item) {
+func (s *Set) recordAccepted(item config.Item) {
 	accepted := AcceptedVersion{item.Version, item.Fingerprint()}
-	list := slices.Clone(s.history[item.ID])
-	at, isThere := slices.BinarySearchFunc(list, accepted, compareVersions)
-	if isThere {
-		list[at] = accepted
+	versions := slices.Clone(s.history[item.ID])
+	position, found := slices.BinarySearchFunc(versions, accepted, compareVersions)
+	if found {
+		versions[position] = accepted
 	} else {
-		list = slices.Insert(list, at, accepted)
+		versions = slices.Insert(versions, position, accepted)
 	}
-	s.history[item.ID] = list[max(0, len(list)-historyLength):]
+	s.history[item.ID] = versions[max(0, len(versions)-maxHistoryLength):]
 }
 
-func compareVersions(a, z AcceptedVersion) int { return cmp.Compare(a.Version, z.Version) }
+func compareVersions(a, b AcceptedVersion) int { return cmp.Compare(a.Version, b.Version) }
 
 // isForgotten tells whether the version is below all that can be remembered of
 // the item: whether it was accepted, and with what content, is not known then.
-func (s *Set) isForgotten(id config.ID, version config.Version) bool {
-	list := s.history[id]
-	return len(list) == historyLength && version < list[0].Version
+func (s *Set) precedesHistory(id config.ID, version config.Version) bool {
+	versions := s.history[id]
+	return len(versions) == maxHistoryLength && version < versions[0].Version
 }
 
 // Accepted are the versions of an item that are remembered, the oldest first.
@@ -102,15 +102,15 @@
 func (s *Set) Accepted(id config.ID) []AcceptedVersion { return slices.Clone(s.history[id]) }
 
 // fingerprintOf is the content that was accepted under a version of the item.
-func (s *Set) fingerprintOf(id config.ID, version config.Version) (fingerprint string, isKnown bool) {
+func (s *Set) acceptedFingerprint(id config.ID, version config.Version) (fingerprint string, ok bool) {
 	for _, accepted := range s.history[id] {
 		if accepted.Version == version {
 			return accepted.Fingerprint, true
 		}
 	}
-	held, isHeld := s.Items[id]
-	if isHeld && held.Version == version {
-		return held.Fingerprint(), true
+	current, exists := s.Items[id]
+	if exists && current.Version == version {
+		return current.Fingerprint(), true
 	}
 	return "", false
 }
--- a/internal/control/round_draft.go
+++ b/internal/control/round_draft.go
@@ -28,7 +28,7 @@
 		set := t.registry.Set
 		if d.index == 1 {
 			var droppedRoutes []string
-			set, droppedRoutes = registry.Genesis(legacy)
+			set, droppedRoutes = registry.MigrateLegacy(legacy)
 			n.logDroppedRoutes(droppedRoutes)
 		}
 		draft := set.Draft(n.checkProposal)
@@ -36,7 +36,7 @@
 			d.errs = append(d.errs, draft.Add(p.items))
 		}
 		if d.index == 1 {
-			change, ok = set.First(draft)
+			change, ok = set.InitialChange(draft)
 		} else {
 			change, ok = draft.Change()
 		}
--- a/internal/control/round_transport.go
+++ b/internal/control/round_transport.go
@@ -25,7 +25,7 @@
 func (t *roundTransport) Prepare(prepare registry.Prepare) []registry.Promise {
 	return callRound(t.node, t.view, messages.KindPrepare, prepare, t.startedAt,
 		func(promise *registry.Promise) *bool { return &promise.OK },
-		func(promise registry.Promise) bool { return promise.IsLost(prepare) })
+		func(promise registry.Promise) bool { return promise.Preempted(prepare) })
 }
 
 // Accept asks all members to accept a change, unless the promises have expired.
@@ -35,7 +35,7 @@
 	}
 	return callRound(t.node, t.view, messages.KindAccept, accept, t.node.clock.Steady(),
 		func(acceptance *registry.Acceptance) *bool { return &acceptance.OK },
-		func(acceptance registry.Acceptance) bool { return acceptance.IsLost(accept) })
+		func(acceptance registry.Acceptance) bool { return acceptance.Preempted(accept) })
 }
 
 func (n *node) voteTimeout() time.Duration { return n.settings.Load().Tuning.VoteSpan.Std() }
@@ -138,7 +138,7 @@
 	if !changed {
 		return nil
 	}
-	durable := t.registry.Durable()
+	durable := t.registry.DurableState()
 	return []record{{Durable: &durable}}
 }
 
--- a/internal/control/round_transport_test.go
+++ b/internal/control/round_transport_test.go
@@ -45,7 +45,7 @@
 			round := registry.Round{Epoch: 1, Index: 1, Ballot: low, Majority: 2}
 			outcome := round.Run(transport)
 			Expect(outcome.Decided).To(BeNil())
-			Expect(outcome.Highest).To(Equal(high))
+			Expect(outcome.HighestBallot).To(Equal(high))
 		})
 		withoutWaiting(func() {
 			accepted := transport.Accept(registry.Accept{Epoch: 1, Ballot: low, Change: registry.Change{Index: 1}})
@@ -59,7 +59,7 @@
 		n.learnAndWait([]registry.Change{{Index: 1}})
 		withoutWaiting(func() {
 			round := registry.Round{Epoch: 1, Index: 1, Ballot: low, Majority: 2}
-			Expect(round.Run(&roundTransport{node: n, view: view, startedAt: n.clock.Steady()}).Ahead).To(BeEquivalentTo(1))
+			Expect(round.Run(&roundTransport{node: n, view: view, startedAt: n.clock.Steady()}).HighestIndex).To(BeEquivalentTo(1))
 		})
 	})
 
@@ -67,7 +67,7 @@
 		startedAt := time.Now()
 		round := registry.Round{Epoch: 1, Index: 1, Ballot: low, Majority: 2}
 		outcome := round.Run(&roundTransport{node: n, view: view, startedAt: n.clock.Steady()})
-		Expect(outcome.Heard).To(Equal(1))
+		Expect(outcome.Responses).To(Equal(1))
 		Expect(time.Since(startedAt)).To(BeNumerically("~", n.settings.Load().Tuning.VoteSpan.Std(), 100*time.Millisecond))
 	})
 
--- a/internal/control/tables.go
+++ b/internal/control/tables.go
@@ -27,9 +27,9 @@
 	Trial    *trial.State         `cbor:"8,keyasint,omitempty"`
 	// Change is a decided change of the item set, Page is a part of a whole set, and
 	// Durable is the registry's acceptor. Items occurs only in logs of older builds.
-	Change  *registry.Change  `cbor:"9,keyasint,omitempty"`
-	Page    *registry.Page    `cbor:"10,keyasint,omitempty"`
-	Durable *registry.Durable `cbor:"11,keyasint,omitempty"`
+	Change  *registry.Change       `cbor:"9,keyasint,omitempty"`
+	Page    *registry.Page         `cbor:"10,keyasint,omitempty"`
+	Durable *registry.DurableState `cbor:"11,keyasint,omitempty"`
 }
 
 // tables is the in-memory state of a member. Only the store's loop accesses it.
@@ -103,7 +103,7 @@
 // addPage adds a page of a set, which is installed once its last page has been read.
 func (t *tables) addPage(page registry.Page) {
 	t.assembly.Add(page)
-	if !page.IsLast {
+	if !page.Last {
 		return
 	}
 	if set, complete := t.assembly.Finish(nil); complete {
@@ -175,7 +175,7 @@
 	for page := range t.registry.Pages(pageBytes) {
 		records = append(records, record{Page: &page})
 	}
-	durable := t.registry.Durable()
+	durable := t.registry.DurableState()
 	records = append(records, record{Durable: &durable})
 	for _, state := range t.trials {
 		records = append(records, record{Trial: &state})
--- a/internal/emulator/exploration/protocols.go
+++ b/internal/emulator/exploration/protocols.go
@@ -41,7 +41,7 @@
 
 func (registryProtocol) replica(m acceptor, incarnation uint8) *registry.Replica {
 	replica := registry.NewReplica()
-	durable := registry.Durable{Incarnation: uint64(incarnation)}
+	durable := registry.DurableState{Incarnation: uint64(incarnation)}
 	durable.Acceptor.Promised, durable.Acceptor.Accepted = numbers[m.Promised], numbers[m.Accepted]
 	if m.Value != 0 {
 		change := changeOf(m.Value)
@@ -115,6 +115,6 @@
 		states = append(states, registry.State{OK: true, Acceptor: r.replica(m, 0).Acceptor})
 	}
 	replica := registry.NewReplica()
-	replica.Rebuilt(states, 1)
+	replica.Rebuild(states, 1)
 	return r.acceptor(replica)
 }
--- a/internal/emulator/simulation/handlers.go
+++ b/internal/emulator/simulation/handlers.go
@@ -51,7 +51,7 @@
 		m.keep(answer)
 		return
 	}
-	durable := m.replica.Durable()
+	durable := m.replica.DurableState()
 	m.keep(answer, record{Durable: &durable})
 }
 
--- a/internal/emulator/simulation/member.go
+++ b/internal/emulator/simulation/member.go
@@ -22,13 +22,13 @@
 
 // record is one entry of a member's log.
 type record struct {
-	Change       *registry.Change     `cbor:"1,keyasint,omitempty"`
-	Durable      *registry.Durable    `cbor:"2,keyasint,omitempty"`
-	Pages        []registry.Page      `cbor:"3,keyasint,omitempty"`
-	View         *membership.View     `cbor:"4,keyasint,omitempty"`
-	ViewAcceptor *membership.Acceptor `cbor:"5,keyasint,omitempty"`
-	Entry        *idempotency.Entry   `cbor:"6,keyasint,omitempty"`
-	Trusted      *bool                `cbor:"7,keyasint,omitempty"`
+	Change       *registry.Change       `cbor:"1,keyasint,omitempty"`
+	Durable      *registry.DurableState `cbor:"2,keyasint,omitempty"`
+	Pages        []registry.Page        `cbor:"3,keyasint,omitempty"`
+	View         *membership.View       `cbor:"4,keyasint,omitempty"`
+	ViewAcceptor *membership.Acceptor   `cbor:"5,keyasint,omitempty"`
+	Entry        *idempotency.Entry     `cbor:"6,keyasint,omitempty"`
+	Trusted      *bool                  `cbor:"7,keyasint,omitempty"`
 }
 
 // tables are what a member knows; its log makes them again.
--- a/internal/emulator/simulation/proposer.go
+++ b/internal/emulator/simulation/proposer.go
@@ -117,9 +117,9 @@
 		return draft.Change()
 	}
 	outcome := round.Run(&peers{task: t, member: m, view: m.view})
-	p.round = max(p.round, outcome.Highest.Round)
+	p.round = max(p.round, outcome.HighestBallot.Round)
 	p.hear(t, index, outcome)
-	if !isDrafted || outcome.Decided == nil && !outcome.IsQuiet {
+	if !isDrafted || outcome.Decided == nil && !outcome.NothingToPropose {
 		return outcome.Decided != nil
 	}
 	for at, order := range orders {
@@ -157,8 +157,8 @@
 			}
 		}
 	}
-	if outcome.Ahead >= index {
-		m.catchUp(t, outcome.Ahead)
+	if outcome.HighestIndex >= index {
+		m.catchUp(t, outcome.HighestIndex)
 	}
 }
 
--- a/internal/emulator/simulation/reading.go
+++ b/internal/emulator/simulation/reading.go
@@ -78,9 +78,9 @@
 	round := registry.Round{Epoch: m.view.Epoch, Index: index, Ballot: ballot, Majority: m.view.Majority()}
 	round.Draft = func([]config.Item) (registry.Change, bool) { return registry.Change{}, false }
 	outcome := round.Run(&peers{task: t, member: m, view: m.view})
-	p.round = max(p.round, outcome.Highest.Round)
+	p.round = max(p.round, outcome.HighestBallot.Round)
 	p.hear(t, index, outcome)
-	return outcome.IsQuiet || m.replica.Index >= index
+	return outcome.NothingToPropose || m.replica.Index >= index
 }
 
 // learn takes a decided change, if it is the next.
@@ -131,11 +131,11 @@
 		if !isAnswered {
 			return
 		}
-		if page.IsFirst {
+		if page.First {
 			first = page.Index
 		}
 		assembly.Add(page)
-		if page.IsLast {
+		if page.Last {
 			break
 		}
 		request.after = &page
--- a/internal/emulator/simulation/repair.go
+++ b/internal/emulator/simulation/repair.go
@@ -77,10 +77,10 @@
 	if read < view.ReadSet() || !m.catchUp(t, highest) || m.view.Epoch != view.Epoch {
 		return
 	}
-	if !m.replica.Rebuilt(states, m.random.Uint64()) {
+	if !m.replica.Rebuild(states, m.random.Uint64()) {
 		return
 	}
-	durable := m.replica.Durable()
+	durable := m.replica.DurableState()
 	m.keep(t.wake, record{Durable: &durable})
 	t.park()
 	if m.view.Epoch == view.Epoch {
