--- a/internal/control/lease/grantor.go
+++ b/internal/control/lease/grantor.go
@@ -25,20 +25,12 @@
 
 // NewGrantor returns a member that has promised nothing, as in a system that
 // never ran before.
-//
-// Example:
-//
-//	grantor := lease.NewGrantor(900 * time.Millisecond)
 func NewGrantor(span time.Duration) *Grantor {
 	return &Grantor{span: timetable.Steady(span)}
 }
 
 // Wait grants no claim for one span: for after a start, and for a member that is
 // new in the view, when promises that it doesn't know of may run.
-//
-// Example:
-//
-//	grantor.Wait(clock.Steady())
 func (g *Grantor) Wait(now timetable.Steady) {
 	g.promisedTo, g.until = "", max(g.until, now+g.span)
 }
@@ -46,10 +38,6 @@
 // Claim decides on a claim of the duty under a new term, and promises it to the
 // claimant if it is granted. A claimant to whom the promise already runs need not
 // wait for its end.
-//
-// Example:
-//
-//	isGranted := grantor.Claim(held, wanted, clock.Steady())
 func (g *Grantor) Claim(held, wanted membership.Term, now timetable.Steady) bool {
 	if wanted.Number <= held.Number {
 		return false
@@ -64,10 +52,6 @@
 // Renew extends the promise to the holder of the term that the member holds. Only
 // a holder whose claim a majority granted renews, so that no promise to a holder of
 // a lower term can matter any longer.
-//
-// Example:
-//
-//	isRenewed := grantor.Renew(held, term, clock.Steady())
 func (g *Grantor) Renew(held, term membership.Term, now timetable.Steady) bool {
 	if held != term {
 		return false
@@ -78,10 +62,6 @@
 
 // Release ends the promise to a holder that has given its lease up. It doesn't
 // touch a promise under another term.
-//
-// Example:
-//
-//	grantor.Release(held, term)
 func (g *Grantor) Release(held, term membership.Term) {
 	if held == term && g.promisedTo == term.Holder {
 		g.promisedTo, g.until = "", 0
--- a/internal/control/lease/holder.go
+++ b/internal/control/lease/holder.go
@@ -34,10 +34,6 @@
 }
 
 // NewHolder returns a holder without a lease. The span is that of the grantors.
-//
-// Example:
-//
-//	holder := lease.NewHolder(900 * time.Millisecond)
 func NewHolder(span time.Duration) *Holder {
 	counted := span - span/driftDivisor
 	return &Holder{span: timetable.Steady(counted), rounds: map[Round]*round{}}
@@ -46,10 +42,6 @@
 // Start begins a round at the members of the view; it must be called before the
 // first message is sent. A round of another term ends the lease that was. A round of
 // a term that was given up wins nothing: members may hear of its end after it.
-//
-// Example:
-//
-//	round := holder.Start(term, view, clock.Steady())
 func (h *Holder) Start(term uint64, view membership.View, now timetable.Steady) Round {
 	if term <= h.ended {
 		return 0
@@ -70,10 +62,6 @@
 
 // Acknowledge notes a member's consent to a round, and tells whether a majority has
 // consented.
-//
-// Example:
-//
-//	isHeld := holder.Acknowledge(round, member)
 func (h *Holder) Acknowledge(number Round, member string) bool {
 	r := h.rounds[number]
 	if r == nil || !r.view.Has(member) {
@@ -88,10 +76,6 @@
 }
 
 // Remaining is how much longer the lease of that term is valid, 0 if it isn't.
-//
-// Example:
-//
-//	if holder.Remaining(term, clock.Steady()) == 0 { return }
 func (h *Holder) Remaining(term uint64, now timetable.Steady) time.Duration {
 	if term == 0 || term != h.term || now >= h.until {
 		return 0
@@ -100,10 +84,6 @@
 }
 
 // End gives the lease up for good; what is acknowledged later counts for nothing.
-//
-// Example:
-//
-//	holder.End()
 func (h *Holder) End() {
 	h.ended = max(h.ended, h.term)
 	h.term, h.until = 0, 0
--- a/internal/control/listing/pace.go
+++ b/internal/control/listing/pace.go
@@ -36,18 +36,10 @@
 
 // Burst is how many calls a second may see: more than the rate for a moment, so that a
 // reading need not wait for the end of the second in which the last one was made.
-//
-// Example:
-//
-//	wait := window.Reserve(clock.Steady(), pace.Burst())
 func (p Pace) Burst() float64 { return p.Rate * burst }
 
 // Next is when the reading after one of so many calls begins. The calls of a reading
 // come in a row, so the rate is kept from one beginning to the next.
-//
-// Example:
-//
-//	due := listing.Pace{Period: 700 * time.Millisecond, Rate: 25}.Next(began, ended, calls)
 func (p Pace) Next(began, ended timetable.Steady, calls int) timetable.Steady {
 	apart := p.Period
 	if p.Rate > 0 {
--- a/internal/control/listing/watch.go
+++ b/internal/control/listing/watch.go
@@ -32,30 +32,18 @@
 }
 
 // NewWatch makes a watch that begins at the given time.
-//
-// Example:
-//
-//	watch := listing.NewWatch(clock.Steady())
 func NewWatch(now timetable.Steady) *Watch {
 	return &Watch{began: now, heard: map[string]timetable.Steady{}, due: map[string]timetable.Steady{}}
 }
 
 // Hear notes that a member has read a page, and within which span it is to read the
 // next.
-//
-// Example:
-//
-//	watch.Hear("10.0.0.2:7200", 800*time.Millisecond, clock.Steady())
 func (w *Watch) Hear(member string, next time.Duration, now timetable.Steady) {
 	// What was told earlier may come later, over a line that was made anew.
 	w.due[member], w.heard[member] = max(w.due[member], now+timetable.Steady(next)), now
 }
 
 // Read notes a whole reading, which began so long ago.
-//
-// Example:
-//
-//	watch.Read(180*time.Millisecond, clock.Steady())
 func (w *Watch) Read(age time.Duration, now timetable.Steady) {
 	if began := now - timetable.Steady(age); !w.isRead || began > w.readAt {
 		w.readAt, w.isRead = began, true
@@ -64,19 +52,11 @@
 
 // Age is how old the newest complete reading is, counted from when it began; ok is
 // false before the first.
-//
-// Example:
-//
-//	age, ok := watch.Age(clock.Steady())
 func (w *Watch) Age(now timetable.Steady) (age time.Duration, ok bool) {
 	return time.Duration(now - w.readAt), w.isRead
 }
 
 // Silence is for how long nothing was heard of the readings of others.
-//
-// Example:
-//
-//	isAlone := watch.Silence(self, clock.Steady()) > 4*time.Second
 func (w *Watch) Silence(self string, now timetable.Steady) time.Duration {
 	latest := w.began
 	for member, at := range w.heard {
@@ -89,10 +69,6 @@
 
 // Rank is a member's place in the order of those that read in the holder's stead, or
 // -1 if it has none.
-//
-// Example:
-//
-//	isFirst := listing.Rank(view, holder, self) == 0
 func Rank(view membership.View, holder, member string) int {
 	if holder == "" || member == holder || !view.Has(member) {
 		return -1
@@ -105,10 +81,6 @@
 // time, nor has anybody before it in the order begun to: then nobody else uses the rate.
 // The first in the order also reads beside a holder whose pages come in time, while the
 // newest whole reading is too old.
-//
-// Example:
-//
-//	if share := watch.Share(view, holder, self, clock.Steady()); share > 0 { read(share) }
 func (w *Watch) Share(view membership.View, holder, self string, now timetable.Steady) float64 {
 	rank := Rank(view, holder, self)
 	if rank < 0 {
--- a/internal/control/listing/window.go
+++ b/internal/control/listing/window.go
@@ -18,10 +18,6 @@
 
 // Reserve takes the next place for a call, and tells after how long it comes. perSecond
 // is how many calls a second may see; 0 is no bound.
-//
-// Example:
-//
-//	wait := window.Reserve(clock.Steady(), 30)
 func (w *Window) Reserve(now timetable.Steady, perSecond float64) (wait time.Duration) {
 	for len(w.reserved) > 0 && w.reserved[0]+windowSpan <= now {
 		w.reserved = w.reserved[1:]
--- a/internal/control/registry/acceptor.go
+++ b/internal/control/registry/acceptor.go
@@ -5,26 +5,26 @@
 	"ploverhitch/internal/membership"
 )
 
-// Index numbers the changes of the item set; 0 is the set before the first.
+// Index numbers the changes of the item set; 0 is the set before the first change.
 type Index uint64
 
-// Change is one numbered change of the item set. Its items replace those of the
-// same id.
+// Change is one numbered change of the item set. Its items replace those with the
+// same ID.
 type Change struct {
 	Index Index         `cbor:"1,keyasint"`
 	Items []config.Item `cbor:"2,keyasint,omitempty"`
-	// IsWhole says that the items are the whole set, and that all else goes.
+	// ReplacesAll says that the items are the whole set and that all others are removed.
 	ReplacesAll bool `cbor:"3,keyasint,omitempty"`
 }
 
-// Acceptor is one replica's part in deciding the change that follows its set.
+// Acceptor is a replica's acceptor state for the change that follows its set.
 type Acceptor struct {
 	Promised membership.Number `cbor:"1,keyasint"`
 	Accepted membership.Number `cbor:"2,keyasint"`
 	Change   *Change           `cbor:"3,keyasint,omitempty"`
 }
 
-// join takes the later promise and the later acceptance of the two.
+// merge returns the higher promise and the higher acceptance of the two.
 func (a Acceptor) merge(other Acceptor) Acceptor {
 	if a.Promised.Below(other.Promised) {
 		a.Promised = other.Promised
@@ -35,38 +35,33 @@
 	return a
 }
 
-// Prepare asks a replica to promise that it accepts no lower ballot for the
-// change.
+// Prepare asks a replica to promise to accept no lower ballot for the change.
 type Prepare struct {
 	Epoch  membership.Epoch  `cbor:"1,keyasint"`
 	Index  Index             `cbor:"2,keyasint"`
 	Ballot membership.Number `cbor:"3,keyasint"`
 }
 
-// Promise answers a Prepare. Where it is not OK, Index and Acceptor tell what
-// stands against it.
+// Promise is the response to a Prepare. If it is not OK, Index and Acceptor give
+// the reason.
 type Promise struct {
 	OK     bool   `cbor:"1,keyasint"`
 	Member string `cbor:"2,keyasint"`
-	// Incarnation names the life of the replica's memory: it is drawn anew when
-	// a replica that lost its disk was rebuilt from others.
+	// Incarnation identifies the replica's acceptor state: a new one is drawn when
+	// a replica that lost its disk is rebuilt from other replicas.
 	Incarnation uint64 `cbor:"3,keyasint"`
-	// Index is that of the replica's set.
+	// Index is the index of the replica's set.
 	Index    Index    `cbor:"4,keyasint"`
 	Acceptor Acceptor `cbor:"5,keyasint"`
-	// Legacy is the set of a replica that has no numbered change yet, as an
-	// older build of the program left it.
+	// Legacy is the set that an older build stored, if the replica has no
+	// numbered change yet.
 	Legacy []config.Item `cbor:"6,keyasint,omitempty"`
-	// View is the replica's, where it is newer than the proposer's.
+	// View is the replica's view, if it is newer than the proposer's.
 	View *membership.View `cbor:"7,keyasint,omitempty"`
 }
 
-// IsLost tells whether the answer shows that no round under this ballot can decide
-// the change: the replica knows a decision of it, or promised a higher ballot.
-//
-// Example:
-//
-//	if promise.IsLost(prepare) { tryAgain() }
+// Preempted reports whether the response shows that no round under this ballot can
+// decide the change: the replica knows its decision, or has promised a higher ballot.
 func (p Promise) Preempted(prepare Prepare) bool {
 	return !p.OK && (p.Index >= prepare.Index || prepare.Ballot.Below(p.Acceptor.Promised))
 }
@@ -76,32 +71,28 @@
 	Epoch  membership.Epoch  `cbor:"1,keyasint"`
 	Ballot membership.Number `cbor:"2,keyasint"`
 	Change Change            `cbor:"3,keyasint"`
-	// Incarnations are those under which the members promised the ballot: a
-	// replica that has lost its memory since must not act on that promise.
+	// Incarnations are those under which the members promised the ballot: a replica
+	// that has lost its state since must not act on that promise.
 	Incarnations map[string]uint64 `cbor:"4,keyasint,omitempty"`
 }
 
-// Acceptance answers an Accept.
+// Acceptance is the response to an Accept.
 type Acceptance struct {
 	OK       bool              `cbor:"1,keyasint"`
 	Index    Index             `cbor:"2,keyasint"`
 	Promised membership.Number `cbor:"3,keyasint"`
 }
 
-// IsLost tells whether the answer shows that the round's change is decided already,
-// or that a higher ballot was promised meanwhile.
-//
-// Example:
-//
-//	if acceptance.IsLost(accept) { tryAgain() }
+// Preempted reports whether the response shows that the round's change is already
+// decided, or that a higher ballot has been promised meanwhile.
 func (a Acceptance) Preempted(accept Accept) bool {
 	return !a.OK && (a.Index >= accept.Change.Index || accept.Ballot.Below(a.Promised))
 }
 
-// State is what a replica tells about its place, for a quorum read or a rebuild.
+// State is a replica's state as reported to a quorum read or a rebuild.
 type State struct {
-	// OK says that the replica takes part in decisions of the asker's epoch,
-	// IsRebuilding that it is in the epoch and not whole yet.
+	// OK says that the replica votes in the requester's epoch, Rebuilding that it
+	// belongs to the epoch but is not yet rebuilt.
 	OK         bool             `cbor:"1,keyasint"`
 	Rebuilding bool             `cbor:"5,keyasint,omitempty"`
 	Index      Index            `cbor:"2,keyasint"`
--- a/internal/control/registry/cluster_test.go
+++ b/internal/control/registry/cluster_test.go
@@ -21,7 +21,7 @@
 	return config.Item{ID: config.ID{Class: config.RouteItem, Name: name}, Version: version, Dropped: true}
 }
 
-// check is the part of the program's check that needs no more than the items.
+// check is the part of the program's validation that needs only the items.
 func check(book config.Book, _, unseen []config.Item) error {
 	if err := book.Check(); err != nil {
 		return err
@@ -29,7 +29,7 @@
 	return book.CheckRoutes(unseen)
 }
 
-// cluster is three replicas that answer at once, but for those that are away.
+// cluster is a set of replicas that respond at once, except the unreachable ones.
 type cluster struct {
 	replicas    map[string]*registry.Replica
 	unreachable map[string]bool
@@ -64,7 +64,7 @@
 	return acceptances
 }
 
-// propose plays one round for an order from one replica's set.
+// propose runs one round with a proposal, based on the set of the named replica.
 func (c *cluster) propose(from string, ballot membership.Number, items ...config.Item) (outcome registry.Outcome, err error) {
 	set := c.replicas[from].Set
 	round := registry.Round{Index: set.Index + 1, Ballot: ballot, Majority: 2, Draft: func([]config.Item) (registry.Change, bool) {
--- a/internal/control/registry/doc.go
+++ b/internal/control/registry/doc.go
@@ -1,10 +1,10 @@
-// Package registry agrees on the operators' configuration. The whole item set
-// is a replicated state machine: change 1, change 2 and so on, each decided by
-// a single-decree agreement (prepare, accept) among a majority of the view, one
-// number at a time. A change is checked against the set that stands right
-// before it, so the set is valid after every change, whoever proposes.
+// Package registry replicates the operators' configuration by consensus. The item
+// set is a replicated state machine whose changes are numbered from 1. Each change
+// is decided by single-decree Paxos (prepare, accept) among a majority of the view,
+// one index at a time. A change is validated against the set that precedes it, so
+// the set is valid after every change, whichever member proposes.
 //
-// The package holds pure types: no clock, no network and no disk. Package
-// control owns the one Replica of a process, keeps what its methods report as
-// changed on disk before it answers, and carries the messages.
+// The types use no clock, network or disk. Package control owns the Replica of a
+// process, persists the state that its methods report as changed before it
+// responds, and sends the messages.
 package registry
--- a/internal/control/registry/draft.go
+++ b/internal/control/registry/draft.go
@@ -7,12 +7,12 @@
 	"ploverhitch/internal/config"
 )
 
-// Check looks at the set that an order would make; newer are the items of the
-// order that have an effect, unseen those that were not accepted before.
-type Check func(whole config.Book, newer, unseen []config.Item) error
+// Check validates the set that a proposal would produce. newer are the proposal's
+// items that take effect, unseen those that were not accepted before.
+type Check func(book config.Book, newer, unseen []config.Item) error
 
-// ConflictError says that another content was accepted under the number that an
-// order gives to an item.
+// ConflictError reports that the version which a proposal gives to an item was
+// accepted with different content.
 type ConflictError struct {
 	ID       config.ID
 	Version  config.Version
@@ -20,50 +20,37 @@
 	Offered  string
 }
 
-// Error names the item, the number and both contents.
-//
-// Example:
-//
-//	writeConflict(err.Error())
+// Error returns a message with the item, the version and both fingerprints.
 func (e *ConflictError) Error() string {
 	return fmt.Sprintf("item %s: r%d was accepted with content %s, not with %s", e.ID.Name, e.Version, e.Accepted, e.Offered)
 }
 
-// Draft collects orders into the change that follows a set. Orders that do not
-// hold leave nothing behind.
+// Draft collects proposals into the change that follows a set. A rejected proposal
+// has no effect on it.
 type Draft struct {
 	set  *Set
 	book config.Book
-	// items are what the orders taken so far bring, in their order; an item may
-	// stand there under several versions, and under versions with no effect.
+	// items are those of the proposals added so far, in the order of the proposals.
+	// They may hold several versions of an item, also versions without effect.
 	items        []config.Item
 	fingerprints map[versionKey]string
 	check        Check
 }
 
-// versionKey names one version of one item.
+// versionKey identifies one version of one item.
 type versionKey struct {
 	id      config.ID
 	version config.Version
 }
 
-// Draft begins the change that follows the set.
-//
-// Example:
-//
-//	draft := set.Draft(check)
-//	err := draft.Add(items)
+// Draft returns an empty draft of the change that follows the set.
 func (s *Set) Draft(check Check) *Draft {
 	return &Draft{set: s, book: s.Items.Clone(), fingerprints: map[versionKey]string{}, check: check}
 }
 
-// Add takes an order whole or not at all. An item at or below the version held
-// has no effect; under a version that was accepted with another content it is a
-// ConflictError, unless the order is invalid all the same.
-//
-// Example:
-//
-//	if err := draft.Add(items); err != nil { refuse(err) }
+// Add adds a proposal as a whole or not at all. An item has no effect if its version
+// is not higher than the current one. If its version was accepted with different
+// content, Add returns a ConflictError, unless the proposal fails validation.
 func (d *Draft) Add(items []config.Item) error {
 	newer, unseen, conflict := d.classify(items)
 	if len(unseen) == 0 {
@@ -95,8 +82,8 @@
 	return nil
 }
 
-// sort tells an order's items apart: those that have an effect, and those that
-// were not accepted before with this content. It returns the first conflict.
+// classify returns the items that take effect, those that were not accepted before
+// with this content, and the first conflict.
 func (d *Draft) classify(items []config.Item) (newer, unseen []config.Item, conflict *ConflictError) {
 	highest := map[config.ID]config.Item{}
 	for _, item := range items {
@@ -126,8 +113,8 @@
 	return newer, unseen, conflict
 }
 
-// fingerprintOf is the content accepted under the item's version, by the set or
-// by an earlier order of this draft.
+// acceptedFingerprint returns the fingerprint accepted under the item's version, by
+// the set or by an earlier proposal of this draft.
 func (d *Draft) acceptedFingerprint(item config.Item) (fingerprint string, known bool) {
 	fingerprint, known = d.fingerprints[versionKey{item.ID, item.Version}]
 	if known {
@@ -140,8 +127,8 @@
 	return &ConflictError{ID: item.ID, Version: item.Version, Accepted: accepted, Offered: item.Fingerprint()}
 }
 
-// take brings what was not accepted before into the change, also what has no
-// effect: its version is accepted with this content from now on.
+// include adds the items that were not accepted before to the change, also those
+// without effect: their versions are accepted with this content from now on.
 func (d *Draft) include(unseen []config.Item) {
 	for _, item := range unseen {
 		if _, included := d.fingerprints[versionKey{item.ID, item.Version}]; included || d.set.precedesHistory(item.ID, item.Version) {
@@ -152,11 +139,8 @@
 	}
 }
 
-// Change is what the orders come to, and whether they come to anything.
-//
-// Example:
-//
-//	change, isAny := draft.Change()
+// Change returns the change that the proposals amount to; ok is false if it has no
+// items.
 func (d *Draft) Change() (change Change, ok bool) {
 	return Change{Index: d.set.Index + 1, Items: d.items}, len(d.items) > 0
 }
--- a/internal/control/registry/history_test.go
+++ b/internal/control/registry/history_test.go
@@ -20,7 +20,7 @@
 
 func acceptAll(config.Book, []config.Item, []config.Item) error { return nil }
 
-// submit has the replica take an order as the next change.
+// submit applies a proposal to the replica as its next change.
 func submit(replica *registry.Replica, items ...config.Item) error {
 	draft := replica.Draft(acceptAll)
 	if err := draft.Add(items); err != nil {
@@ -32,11 +32,11 @@
 	return nil
 }
 
-// historyOf is all that a set remembers.
+// historyOf returns all accepted versions that a set records, as a string.
 func historyOf(set *registry.Set) string { return fmt.Sprint(set.PageAfter(nil, 1<<20).History) }
 
 var _ = Describe("accepted versions", func() {
-	It("refuses another content under a version that was acknowledged with no effect", func() {
+	It("rejects different content under a version that was acknowledged without effect", func() {
 		replica := registry.NewReplica()
 		Expect(submit(replica, newItem(7, "seven"))).To(Succeed())
 		Expect(submit(replica, newItem(5, "five"))).To(Succeed())
@@ -48,7 +48,7 @@
 		Expect(replica.Index).To(Equal(registry.Index(2)))
 	})
 
-	It("takes a version below all that is remembered without effect, however often", func() {
+	It("accepts a version below the recorded history repeatedly, without effect", func() {
 		replica := registry.NewReplica()
 		for version := config.Version(2); version <= 10; version++ {
 			Expect(submit(replica, newItem(version, "any"))).To(Succeed())
@@ -59,7 +59,7 @@
 		Expect(replica.Index).To(Equal(before))
 	})
 
-	It("remembers the same after pages that were read while changes went on", func() {
+	It("records the same history after catching up by pages during further changes", func() {
 		source := registry.NewReplica()
 		first := config.Item{ID: config.ID{Class: config.RouteItem, Name: "a"}, Version: 1}
 		Expect(submit(source, first)).To(Succeed())
@@ -79,7 +79,7 @@
 		Expect(historyOf(set)).To(Equal(historyOf(source.Set)))
 	})
 
-	It("remembers the same after the first numbered change, whatever an older build left", func() {
+	It("records the same history after the first numbered change, whatever an older build stored", func() {
 		one, other := newItem(3, "one"), newItem(3, "other")
 		left, right := registry.NewReplica(), registry.NewReplica()
 		left.MergeLegacy([]config.Item{one})
@@ -97,7 +97,7 @@
 })
 
 var _ = Describe("pages of a replica that loses its disk between two of them", func() {
-	It("are never taken for a whole set", func() {
+	It("are never accepted as a complete set", func() {
 		source := registry.NewReplica()
 		for _, name := range []string{"a", "b", "c"} {
 			Expect(submit(source, config.Item{ID: config.ID{Class: config.RouteItem, Name: name}, Version: 1})).To(Succeed())
@@ -115,7 +115,7 @@
 	})
 })
 
-// eager are peers that promise everything and note what is proposed.
+// promisingPeers promise every ballot and record what is proposed.
 type promisingPeers struct{ proposed []registry.Accept }
 
 func (e *promisingPeers) Prepare(registry.Prepare) []registry.Promise {
@@ -127,8 +127,8 @@
 	return []registry.Acceptance{{OK: true}, {OK: true}}
 }
 
-var _ = Describe("a round whose proposer learns the change of its number meanwhile", func() {
-	It("proposes nothing for the next number, for which nobody promised", func() {
+var _ = Describe("a round whose proposer learns the change with its index meanwhile", func() {
+	It("proposes nothing for the next index, for which no member promised", func() {
 		peers, replica := &promisingPeers{}, registry.NewReplica()
 		draft := func([]config.Item) (registry.Change, bool) {
 			Expect(submit(replica, newItem(1, "learned"))).To(Succeed())
--- a/internal/control/registry/initial_set.go
+++ b/internal/control/registry/initial_set.go
@@ -7,13 +7,9 @@
 	"ploverhitch/internal/config"
 )
 
-// Genesis is the set that the first numbered change makes of what an older build
-// of the program left on disk without numbers, together with the names of the
-// routes that had to be dropped because another held their host and prefix.
-//
-// Example:
-//
-//	set, dropped := registry.Genesis(legacy)
+// MigrateLegacy returns the set that the first numbered change makes of the
+// unnumbered items that an older build stored, and the names of the routes that it
+// drops because another route has their host and prefix.
 func MigrateLegacy(legacy []config.Item) (set *Set, dropped []string) {
 	replica := NewReplica()
 	replica.MergeLegacy(legacy)
@@ -26,8 +22,8 @@
 	return set, dropped
 }
 
-// losers are the routes whose host and prefix another route holds: the one of
-// the higher version, then of the greater name, as config.Compile has it.
+// shadowedRoutes returns the routes whose host and prefix belong to another route:
+// the one with the higher version, then with the greater name, as in config.Compile.
 func shadowedRoutes(book config.Book) (shadowed []config.Item) {
 	owners := map[string]config.Item{}
 	for _, item := range book.Items() {
@@ -50,18 +46,14 @@
 	return shadowed
 }
 
-// whole turns a draft on a genesis set into the change that brings all of it.
+// replaceAll extends a change to a migrated set to one that contains the whole set.
 func (s *Set) replaceAll(change Change) Change {
 	items := append(s.Items.Items(), change.Items...)
 	return Change{Index: change.Index, Items: slices.Clip(items), ReplacesAll: true}
 }
 
-// First is the change numbered 1: the legacy items whole, and what a draft on
-// their set adds.
-//
-// Example:
-//
-//	change := set.First(draft)
+// InitialChange returns the change with index 1: all legacy items, and the items
+// that a draft on their set adds.
 func (s *Set) InitialChange(draft *Draft) (change Change, ok bool) {
 	change, ok = draft.Change()
 	if len(s.Items) == 0 {
--- a/internal/control/registry/legacy.go
+++ b/internal/control/registry/legacy.go
@@ -7,13 +7,14 @@
 	"ploverhitch/internal/config"
 )
 
-// formerNames are the words that older builds wrote for fields of the operators'
-// interface, and the present ones.
+// formerNames maps the names that older builds stored for fields of the operator
+// API to the present names.
 var formerNames = map[string]string{
 	"LaneType": "RouteType", "Lane": "Route", "Lanes": "Routes", "Cell": "Zone", "Cells": "Zones",
 }
 
-// renamed is an item that an older build kept, with the present names of its fields.
+// migrateFieldNames returns an item stored by an older build with the present names
+// of its fields.
 func migrateFieldNames(item config.Item) config.Item {
 	decoder := json.NewDecoder(bytes.NewReader(item.Body))
 	decoder.UseNumber()
@@ -30,7 +31,7 @@
 	return item
 }
 
-// renameFields changes former names within a value, and tells whether there were any.
+// renameFields replaces former names within a value and reports whether there were any.
 func renameFields(value any) (changed bool) {
 	switch inner := value.(type) {
 	case []any:
--- a/internal/control/registry/page.go
+++ b/internal/control/registry/page.go
@@ -6,15 +6,15 @@
 	"ploverhitch/internal/config"
 )
 
-// Page is a part of the item set, in the order of the ids. Pages are read one
-// after another while changes go on: they may be of different indexes, and the
-// changes that follow the first page's index bring them all to one.
+// Page is a part of the item set, ordered by ID. Pages are read one after another
+// while changes are applied, so their indexes may differ; applying the changes that
+// follow the first page's index brings all of them to the same index.
 type Page struct {
-	// Index is that of the set which the page was cut from.
+	// Index is the index of the set that the page was read from.
 	Index   Index         `cbor:"1,keyasint"`
 	Items   []config.Item `cbor:"2,keyasint,omitempty"`
 	History []History     `cbor:"3,keyasint,omitempty"`
-	// IsFirst and IsLast mark the ends.
+	// First and Last mark the first and the last page of the set.
 	First bool `cbor:"4,keyasint,omitempty"`
 	Last  bool `cbor:"5,keyasint,omitempty"`
 }
@@ -32,12 +32,8 @@
 	return 0
 }
 
-// PageAfter cuts the page that follows an item, of about so many bytes; nil asks
-// for the first.
-//
-// Example:
-//
-//	page := set.PageAfter(nil, 64<<10)
+// PageAfter returns the page of about maxBytes that follows an item, or the first
+// page if after is nil.
 func (s *Set) PageAfter(after *config.ID, maxBytes int) Page {
 	return s.pageOf(s.sortedIDs(), after, maxBytes)
 }
@@ -71,11 +67,7 @@
 	return page
 }
 
-// Pages cuts the whole set.
-//
-// Example:
-//
-//	for page := range set.Pages(64 << 10) { keep(page) }
+// Pages iterates over the pages of the whole set.
 func (s *Set) Pages(maxBytes int) func(yield func(Page) bool) {
 	return func(yield func(Page) bool) {
 		ids := s.sortedIDs()
@@ -90,20 +82,16 @@
 	}
 }
 
-// Assembly puts the pages of another replica's set together.
+// Assembly builds a set from the pages of another replica's set.
 type Assembly struct {
 	set   *Set
 	first Index
 	last  Index
-	// isBroken says that a page was cut from an older set than the one before.
+	// inconsistent says that a page was read from an older set than the page before it.
 	inconsistent bool
 }
 
-// Add takes the next page.
-//
-// Example:
-//
-//	assembly.Add(page)
+// Add appends the next page; a first page starts the assembly again.
 func (a *Assembly) Add(page Page) {
 	if page.First || a.set == nil {
 		a.set, a.first, a.inconsistent = NewSet(), page.Index, false
@@ -119,11 +107,7 @@
 	a.last = page.Index
 }
 
-// After is the item that the next page follows.
-//
-// Example:
-//
-//	page := ask(assembly.After())
+// After returns the ID of the page's last item, which the next page follows.
 func (p Page) After() *config.ID {
 	if len(p.Items) == 0 {
 		return nil
@@ -131,13 +115,9 @@
 	return &p.Items[len(p.Items)-1].ID
 }
 
-// Finish brings the pages to one index by the changes that followed the first of
-// them, which must reach the last page's index at least; it tells whether they do.
-// Pages of a replica that lost its set between two of them never come to a whole.
-//
-// Example:
-//
-//	set, isWhole := assembly.Finish(changes)
+// Finish brings the pages to one index by applying the changes that followed the
+// first page, and reports whether these reach at least the last page's index. Pages
+// of a replica that lost its set between two of them are never complete.
 func (a *Assembly) Finish(changes []Change) (set *Set, complete bool) {
 	if a.set == nil || a.inconsistent {
 		return nil, false
@@ -151,12 +131,8 @@
 	return a.set, a.set.Index >= a.last
 }
 
-// Install replaces the replica's set by a newer one, as after catching up by
-// pages. What the acceptor holds concerned a change that is decided by then.
-//
-// Example:
-//
-//	if replica.Install(set) { publishAll() }
+// Install replaces the replica's set with a newer one, for example after catching up
+// by pages, and resets the acceptor: its change has been decided by then.
 func (r *Replica) Install(set *Set) bool {
 	if set.Index <= r.Index && !(set.Index == 0 && r.Index == 0) {
 		return false
--- a/internal/control/registry/proposer.go
+++ b/internal/control/registry/proposer.go
@@ -5,50 +5,48 @@
 	"ploverhitch/internal/membership"
 )
 
-// Peers carries a proposer's messages to all members of the view and returns the
-// answers that came while the round is still young enough to count them.
+// Peers sends a proposer's messages to all members of the view and returns the
+// responses that arrive before the round times out.
 type Peers interface {
 	Prepare(Prepare) []Promise
 	Accept(Accept) []Acceptance
 }
 
-// Round is one attempt to have the change of one number decided.
+// Round is one attempt to decide the change with a given index.
 type Round struct {
 	Epoch    membership.Epoch
 	Index    Index
 	Ballot   membership.Number
 	Majority int
-	// Draft is called once a majority has promised and none of them has accepted
-	// a change yet; legacy are unnumbered items that they hold.
-	Draft func(legacy []config.Item) (change Change, isAny bool)
+	// Draft is called once a majority has promised and none of its members has
+	// accepted a change yet; legacy are the unnumbered items that they hold.
+	Draft func(legacy []config.Item) (change Change, ok bool)
 }
 
-// Outcome is what a round came to.
+// Outcome is the result of a round.
 type Outcome struct {
-	// Decided is the change that the number has, whoever proposed it.
+	// Decided is the change decided for the index, whichever member proposed it.
 	Decided *Change
-	// IsQuiet says that a majority promised, held no change for the number, and
-	// there was none to propose.
+	// NothingToPropose says that a majority promised without having accepted a
+	// change for the index, and that there was no change to propose.
 	NothingToPropose bool
-	// Highest is the highest ballot met, Ahead the highest index of a member.
+	// HighestBallot is the highest ballot seen, HighestIndex the highest index of a
+	// member.
 	HighestBallot membership.Number
 	HighestIndex  Index
-	// AheadOf is the member of that index.
+	// HighestIndexMember is the member with that index.
 	HighestIndexMember string
-	// Heard is how many members answered the Prepare, whatever they said.
+	// Responses is the number of members that responded to the Prepare, with a
+	// promise or a refusal.
 	Responses int
-	// View is a member's newer view.
+	// View is a newer view reported by a member, if any.
 	View *membership.View
-	// Behind are the indexes of members whose set lacks changes before the number.
+	// Lagging has the indexes of the members whose sets lack changes before the index.
 	Lagging map[string]Index
 }
 
-// Run plays the round. Without a Decided change nothing is known: a change that
-// was sent may still be decided by a later round.
-//
-// Example:
-//
-//	outcome := registry.Round{...}.Run(peers)
+// Run executes the round. If the outcome has no Decided change, the result is
+// unknown: a change that was sent may still be decided by a later round.
 func (r Round) Run(peers Peers) (outcome Outcome) {
 	outcome.HighestBallot = r.Ballot
 	promises := peers.Prepare(Prepare{Epoch: r.Epoch, Index: r.Index, Ballot: r.Ballot})
@@ -78,7 +76,7 @@
 			return outcome
 		}
 		if change.Index != r.Index {
-			// The set moved on meanwhile: nothing was promised for that number.
+			// The set has advanced meanwhile: nothing was promised for the new index.
 			return outcome
 		}
 		accept.Change = change
@@ -98,7 +96,7 @@
 	return outcome
 }
 
-// hear notes what a promise, or its refusal, tells beside the promise itself.
+// record adds the ballot, index and view of a promise or refusal to the outcome.
 func (o *Outcome) record(index Index, promise Promise) {
 	o.Responses++
 	if o.HighestBallot.Below(promise.Acceptor.Promised) {
--- a/internal/control/registry/registry_test.go
+++ b/internal/control/registry/registry_test.go
@@ -20,7 +20,7 @@
 	RunSpecs(t, "registry")
 }
 
-var _ = Describe("an order", func() {
+var _ = Describe("a proposal", func() {
 	var set *registry.Set
 	var replica *registry.Replica
 	submitItems := func(items ...config.Item) error {
@@ -37,7 +37,7 @@
 		Expect(submitItems(service("s", 1), service("t", 1), route("a", 5, "/a/", "s"))).To(Succeed())
 	})
 
-	It("is a conflict under a number with another content, and is known again with the same", func() {
+	It("conflicts if its version was accepted with different content, and is a repeat with the same", func() {
 		err := submitItems(route("a", 5, "/a/", "t"))
 		var conflict *registry.ConflictError
 		Expect(errors.As(err, &conflict)).To(BeTrue())
@@ -45,46 +45,46 @@
 		Expect(conflict.Version).To(BeEquivalentTo(5))
 		Expect(err.Error()).To(And(ContainSubstring("item a"), ContainSubstring("r5"), ContainSubstring(conflict.Accepted), ContainSubstring(conflict.Offered)))
 		Expect(conflict.Accepted).NotTo(Equal(conflict.Offered))
-		Expect(errors.As(submitItems(route("a", 5, "/a/", "nobody")), &conflict)).To(BeFalse(), "an invalid order is told what is invalid")
+		Expect(errors.As(submitItems(route("a", 5, "/a/", "nobody")), &conflict)).To(BeFalse(), "validation errors precede conflicts")
 		index := set.Index
 		Expect(submitItems(route("a", 5, "/a/", "s"))).To(Succeed())
-		Expect(set.Index).To(Equal(index), "a repeat changes nothing")
+		Expect(set.Index).To(Equal(index), "a repeat has no effect")
 	})
 
-	It("is known again after newer ones overtook it, even where it could not be made any more", func() {
+	It("is recognized as a repeat after newer versions, even if it would no longer be valid", func() {
 		Expect(submitItems(route("a", 7, "/a/", "t"))).To(Succeed())
 		Expect(submitItems(config.Item{ID: config.ID{Class: config.ServiceItem, Name: "s"}, Version: 9, Dropped: true})).To(Succeed())
-		Expect(submitItems(route("a", 5, "/a/", "s"))).To(Succeed(), "its service is gone, yet it was accepted")
+		Expect(submitItems(route("a", 5, "/a/", "s"))).To(Succeed(), "it was accepted before its service was removed")
 		Expect(string(set.Items[config.ID{Class: config.RouteItem, Name: "a"}].Body)).To(ContainSubstring("r7"))
-		Expect(submitItems(route("a", 5, "/a/", "t"))).To(MatchError(ContainSubstring("r5")), "another content of the overtaken number")
+		Expect(submitItems(route("a", 5, "/a/", "t"))).To(MatchError(ContainSubstring("r5")), "different content under the superseded version")
 	})
 
-	It("has no effect under an old number that was never seen", func() {
+	It("has no effect under an older version that was never accepted", func() {
 		Expect(submitItems(route("a", 3, "/a/", "s"))).To(Succeed())
 		Expect(set.Items[config.ID{Class: config.RouteItem, Name: "a"}].Version).To(BeEquivalentTo(5))
 	})
 
-	It("leaves nothing behind where a part of it does not hold", func() {
+	It("has no effect if a part of it is rejected", func() {
 		before := set.Items.Digest()
 		Expect(submitItems(route("b", 1, "/b/", "s"), route("a", 5, "/a/", "t"))).NotTo(Succeed())
 		Expect(submitItems(route("b", 1, "/b/", "s"), route("c", 1, "/a/", "s"))).To(MatchError(ContainSubstring("share host and prefix")))
-		Expect(submitItems(route("b", 1, "/b/", "s"), route("b", 1, "/b/", "t"))).NotTo(Succeed(), "one number, two contents in one call")
+		Expect(submitItems(route("b", 1, "/b/", "s"), route("b", 1, "/b/", "t"))).NotTo(Succeed(), "one version with two contents in one proposal")
 		Expect(set.Items.Digest()).To(Equal(before))
 	})
 
-	It("is checked against the orders before it in the same change", func() {
+	It("is validated against the proposals before it in the same change", func() {
 		draft := set.Draft(check)
 		Expect(draft.Add([]config.Item{route("b", 1, "/b/", "s")})).To(Succeed())
 		Expect(draft.Add([]config.Item{route("c", 1, "/b/", "s")})).To(MatchError(ContainSubstring("share host and prefix")))
 		Expect(draft.Add([]config.Item{route("b", 1, "/b/", "t")})).NotTo(Succeed())
 		Expect(draft.Add([]config.Item{route("b", 4, "/b/", "t")})).To(Succeed())
-		Expect(draft.Add([]config.Item{route("b", 1, "/b/", "s")})).To(Succeed(), "accepted, and overtaken in the same change")
+		Expect(draft.Add([]config.Item{route("b", 1, "/b/", "s")})).To(Succeed(), "accepted and superseded in the same change")
 		change, _ := draft.Change()
 		Expect(replica.Learn(change)).To(BeTrue())
-		Expect(submitItems(route("b", 1, "/b/", "t"))).NotTo(Succeed(), "what was overtaken within a change is remembered")
+		Expect(submitItems(route("b", 1, "/b/", "t"))).NotTo(Succeed(), "a version superseded within a change is recorded")
 	})
 
-	It("does not tell white space and the order of fields apart", func() {
+	It("ignores differences in white space and in the order of fields", func() {
 		item := route("a", 5, "/a/", "s")
 		item.Body = []byte(`{ "Revision":"r5", "Name":"a","PathPrefix":"/a/","Timeout":"1s","RouteType":"safe","Service":"s"}`)
 		Expect(submitItems(item)).To(Succeed())
@@ -92,11 +92,11 @@
 })
 
 var _ = Describe("a round", func() {
-	It("decides one change for a number, and a later proposer finishes an earlier one's", func() {
+	It("decides one change per index, and a later proposer completes an earlier proposer's change", func() {
 		c := newCluster("a", "b", "c")
 		_, err := c.propose("a", membership.Number{Round: 1, Node: "a#1"}, service("s", 1))
 		Expect(err).NotTo(HaveOccurred())
-		// Only c accepts the change; the proposer is lost before anybody else does.
+		// Only c accepts the change; the proposer fails before another replica does.
 		unfinished := registry.Change{Index: 2, Items: []config.Item{route("x", 1, "/x/", "s")}}
 		_, _ = c.replicas["c"].Promise(registry.Prepare{Index: 2, Ballot: membership.Number{Round: 2, Node: "a#1"}})
 		acceptance, changed := c.replicas["c"].Accept("c", registry.Accept{Ballot: membership.Number{Round: 2, Node: "a#1"}, Change: unfinished})
@@ -106,7 +106,7 @@
 		Expect(outcome.Decided.Items[0].ID.Name).To(Equal("x"))
 		_, err = c.propose("b", membership.Number{Round: 4, Node: "b#1"}, route("y", 1, "/x/", "s"))
 		Expect(err).To(MatchError(ContainSubstring("share host and prefix")))
-		// The old proposer's late messages change nothing.
+		// Delayed messages of the old proposer have no effect.
 		late, _ := c.replicas["b"].Accept("b", registry.Accept{Ballot: membership.Number{Round: 1, Node: "a#1"}, Change: registry.Change{Index: 2}})
 		Expect(late.OK).To(BeFalse())
 	})
@@ -120,7 +120,7 @@
 		Expect(outcome.Responses).To(Equal(1))
 	})
 
-	It("is lost where a replica promised a higher ballot or knows the decision, and only there", func() {
+	It("is preempted only by a replica that promised a higher ballot or knows the decision", func() {
 		c := newCluster("a", "b", "c")
 		low, high := membership.Number{Round: 1, Node: "a#1"}, membership.Number{Round: 9, Node: "b#1"}
 		prepare := registry.Prepare{Index: 1, Ballot: low}
@@ -137,7 +137,7 @@
 		Expect([]bool{known.Preempted(prepare), behind.Preempted(registry.Prepare{Index: 2, Ballot: low})}).To(Equal([]bool{true, false}))
 	})
 
-	It("does not act on a promise that a replica has lost since", func() {
+	It("is not accepted by a replica that has lost its promise since", func() {
 		c := newCluster("a", "b", "c")
 		ballot := membership.Number{Round: 1, Node: "a#1"}
 		promise, _ := c.replicas["b"].Promise(registry.Prepare{Index: 1, Ballot: ballot})
@@ -149,8 +149,8 @@
 	})
 })
 
-var _ = Describe("a replica that was away", func() {
-	It("catches up by changes or by pages, while changes go on, to the same set", func() {
+var _ = Describe("a replica that was unreachable", func() {
+	It("catches up to the same set by changes or by pages during further changes", func() {
 		random := rand.New(rand.NewPCG(1, 2))
 		source := registry.NewReplica()
 		applyRandomChange := func() {
@@ -172,9 +172,9 @@
 		Expect(limited).To(Equal(changes[:len(limited)]))
 		_, retained, smaller = source.Since(source.Index-500, 1<<30)
 		Expect(retained).To(BeTrue())
-		Expect(smaller).To(BeFalse(), "500 changes cost more than the set")
+		Expect(smaller).To(BeFalse(), "500 changes are larger than the set")
 		_, retained, _ = source.Since(0, 1<<30)
-		Expect(retained).To(BeFalse(), "the changes kept are bounded")
+		Expect(retained).To(BeFalse(), "retained changes are bounded")
 
 		assembly, after, pages := registry.Assembly{}, (*config.ID)(nil), 0
 		first := source.Index
@@ -190,17 +190,17 @@
 		Expect(pages).To(BeNumerically(">", 5))
 		missed, _, _ := source.Since(first, 1<<30)
 		_, complete := assembly.Finish(missed[:len(missed)-2])
-		Expect(complete).To(BeFalse(), "the changes made while it was read must all be there")
+		Expect(complete).To(BeFalse(), "all changes applied while the pages were read are required")
 		set, finished := assembly.Finish(missed)
 		Expect(finished).To(BeTrue())
 		copied := registry.NewReplica()
 		Expect(copied.Install(set)).To(BeTrue())
 		Expect(copied.Index).To(Equal(source.Index))
 		Expect(copied.Items.Digest()).To(Equal(source.Items.Digest()))
-		Expect(copied.Install(registry.NewSet())).To(BeFalse(), "an older set takes nothing back")
+		Expect(copied.Install(registry.NewSet())).To(BeFalse(), "an older set is ignored")
 	})
 
-	It("takes over what a majority promised and accepted, and is not whole behind it", func() {
+	It("merges what a majority promised and accepted, and cannot be rebuilt while it lags", func() {
 		c := newCluster("a", "b", "c")
 		change := registry.Change{Index: 1, Items: []config.Item{service("s", 1)}}
 		ballot := membership.Number{Round: 4, Node: "a#1"}
@@ -216,8 +216,8 @@
 	})
 })
 
-var _ = Describe("the set of an older build", func() {
-	It("has the present names of the fields that older builds named otherwise", func() {
+var _ = Describe("the set stored by an older build", func() {
+	It("gets the present names of the fields that older builds named differently", func() {
 		former := route("a", 2, "/x/", "s")
 		present := former
 		former.Body = bytes.ReplaceAll(former.Body, []byte("RouteType"), []byte("LaneType"))
@@ -227,10 +227,10 @@
 		Expect(string(set.Items[plan.ID].Body)).To(MatchJSON(`{"Name":"p","Tiers":[{"Routes":["a"],"Order":1}]}`))
 	})
 
-	It("becomes the first change, whole and valid", func() {
+	It("becomes the first change, complete and valid", func() {
 		legacy := []config.Item{service("s", 1), route("a", 2, "/x/", "s"), route("b", 3, "/x/", "s"), route("c", 3, "/c/", "s"), route("c", 1, "/old/", "s")}
 		set, dropped := registry.MigrateLegacy(legacy)
-		Expect(dropped).To(Equal([]string{"a"}), "the higher version holds the place")
+		Expect(dropped).To(Equal([]string{"a"}), "the higher version keeps host and prefix")
 		Expect(set.Items.Check()).To(Succeed())
 		draft := set.Draft(check)
 		Expect(draft.Add([]config.Item{route("d", 1, "/d/", "s")})).To(Succeed())
--- a/internal/control/registry/replica.go
+++ b/internal/control/registry/replica.go
@@ -5,49 +5,37 @@
 )
 
 const (
-	// recentChanges and recentBytes bound the changes that a replica keeps for
-	// others that missed them; who missed more takes the set in pages.
+	// maxRecentChanges and maxRecentBytes bound the changes that a replica retains
+	// for replicas that missed them; a replica that lacks more fetches the set in pages.
 	maxRecentChanges = 512
 	maxRecentBytes   = 2 << 20
 )
 
-// Replica is one member's copy of the item set, with its part in deciding the
-// next change. It has one owner.
+// Replica is one member's copy of the item set, with its acceptor state for the next
+// change. It is not safe for concurrent use.
 type Replica struct {
 	*Set
 	Acceptor Acceptor
-	// Incarnation names the life of the replica's memory.
+	// Incarnation identifies the replica's acceptor state; a rebuild draws a new one.
 	Incarnation uint64
 	recent      []recentChange
 	recentBytes int
 }
 
-// recentChange is a decided change and about how much room it takes.
+// recentChange is a decided change and its approximate size in bytes.
 type recentChange struct {
 	change Change
 	size   int
 }
 
-// NewReplica makes a replica of the empty set.
-//
-// Example:
-//
-//	replica := registry.NewReplica()
+// NewReplica returns a replica of the empty set.
 func NewReplica() *Replica { return &Replica{Set: NewSet()} }
 
-// Next is the number of the change that follows the replica's set.
-//
-// Example:
-//
-//	slot := replica.Next()
+// Next returns the index of the change that follows the replica's set.
 func (r *Replica) Next() Index { return r.Index + 1 }
 
-// Promise answers a Prepare; isChanged tells whether the acceptor must be kept
-// on disk before the answer is sent.
-//
-// Example:
-//
-//	promise, isChanged := replica.Promise(prepare)
+// Promise handles a Prepare; changed reports whether the acceptor must be persisted
+// before the response is sent.
 func (r *Replica) Promise(prepare Prepare) (promise Promise, changed bool) {
 	promise = Promise{Incarnation: r.Incarnation, Index: r.Index, Acceptor: r.Acceptor}
 	if prepare.Index != r.Next() || prepare.Ballot.Below(r.Acceptor.Promised) {
@@ -62,12 +50,8 @@
 	return promise, changed
 }
 
-// Accept answers an Accept for the member of that name; isChanged tells whether
-// the acceptor must be kept on disk before the answer is sent.
-//
-// Example:
-//
-//	acceptance, isChanged := replica.Accept(self, accept)
+// Accept handles an Accept for the named member; changed reports whether the
+// acceptor must be persisted before the response is sent.
 func (r *Replica) Accept(member string, accept Accept) (acceptance Acceptance, changed bool) {
 	acceptance = Acceptance{Index: r.Index, Promised: r.Acceptor.Promised}
 	incarnation, promised := accept.Incarnations[member]
@@ -82,11 +66,8 @@
 	return acceptance, changed
 }
 
-// Learn takes a decided change, if it is the next one.
-//
-// Example:
-//
-//	if replica.Learn(change) { publish(change.Items) }
+// Learn applies a decided change and reports whether it was the next one; any other
+// change is ignored.
 func (r *Replica) Learn(change Change) bool {
 	if change.Index != r.Next() {
 		return false
@@ -111,13 +92,9 @@
 	}
 }
 
-// Since are the changes that follow an index, at most about so many bytes of them.
-// isKept is false where some are no longer kept; isCheaper, where the whole set
-// would take less than all that are missing.
-//
-// Example:
-//
-//	changes, isKept, isCheaper := replica.Since(request.From, pageBytes)
+// Since returns the changes that follow an index, up to about maxBytes. retained is
+// false if some of them are no longer retained; smaller is false if the whole set is
+// smaller than all missing changes.
 func (r *Replica) Since(from Index, maxBytes int) (changes []Change, retained, smaller bool) {
 	if from >= r.Index {
 		return nil, true, true
@@ -134,12 +111,8 @@
 	return changes, true, size <= r.size
 }
 
-// Latest is the last decided change that is kept, for telling a replica that it is
-// behind.
-//
-// Example:
-//
-//	change, isAny := replica.Latest()
+// Latest returns the last decided change that is retained; it shows another replica
+// that it lags.
 func (r *Replica) Latest() (change Change, ok bool) {
 	if len(r.recent) == 0 {
 		return Change{}, false
@@ -147,13 +120,9 @@
 	return r.recent[len(r.recent)-1].change, true
 }
 
-// Rebuilt begins a new life of the replica's memory: it takes from the others'
-// states what they promised and accepted for the change that follows its set.
-// It must not have been behind any of them.
-//
-// Example:
-//
-//	isDone := replica.Rebuilt(states, rand.Uint64())
+// Rebuild starts a new incarnation: it merges what the other replicas promised and
+// accepted for the change that follows this replica's set. It returns false if the
+// replica lags any of them.
 func (r *Replica) Rebuild(states []State, incarnation uint64) bool {
 	for _, state := range states {
 		if state.Index > r.Index {
@@ -169,12 +138,8 @@
 	return true
 }
 
-// MergeLegacy takes items that an older build of the program left on disk
-// without numbers; the higher version holds.
-//
-// Example:
-//
-//	replica.MergeLegacy(items)
+// MergeLegacy adds unnumbered items that an older build stored; of two versions of
+// an item the higher is kept.
 func (r *Replica) MergeLegacy(items []config.Item) {
 	if r.Index > 0 {
 		return
@@ -189,31 +154,19 @@
 	}
 }
 
-// Durable is what is kept of a replica beside its set.
+// DurableState is the state of a replica that is persisted besides its set.
 type DurableState struct {
 	Acceptor    Acceptor `cbor:"1,keyasint"`
 	Incarnation uint64   `cbor:"2,keyasint"`
 }
 
-// Durable is the acceptor and the incarnation, as they are kept on disk.
-//
-// Example:
-//
-//	record := replica.Durable()
+// DurableState returns the acceptor and the incarnation for persisting.
 func (r *Replica) DurableState() DurableState { return DurableState{r.Acceptor, r.Incarnation} }
 
-// Restore puts back what Durable gave.
-//
-// Example:
-//
-//	replica.Restore(record)
+// Restore sets the state that DurableState returned.
 func (r *Replica) Restore(state DurableState) {
 	r.Acceptor, r.Incarnation = state.Acceptor, state.Incarnation
 }
 
-// State is the replica's place, for a quorum read or a rebuild.
-//
-// Example:
-//
-//	state := replica.State()
+// State returns the replica's state for a quorum read or a rebuild.
 func (r *Replica) State() State { return State{Index: r.Index, Acceptor: r.Acceptor} }
--- a/internal/control/registry/set.go
+++ b/internal/control/registry/set.go
@@ -7,18 +7,18 @@
 	"ploverhitch/internal/config"
 )
 
-// historyLength is how many accepted versions of an item are remembered, the
-// highest ones, the one in force included.
+// maxHistoryLength is how many accepted versions of an item are recorded: the
+// highest ones, including the one in force.
 const maxHistoryLength = 8
 
-// AcceptedVersion is a version that was accepted: its number, and the fingerprint
-// of its content.
+// AcceptedVersion is an accepted version of an item with the fingerprint of its
+// content.
 type AcceptedVersion struct {
 	Version     config.Version `cbor:"1,keyasint"`
 	Fingerprint string         `cbor:"2,keyasint"`
 }
 
-// History is the highest versions of one item that were accepted, lowest first.
+// History lists the highest accepted versions of one item in ascending order.
 type History struct {
 	ID       config.ID         `cbor:"1,keyasint"`
 	Accepted []AcceptedVersion `cbor:"2,keyasint"`
@@ -32,12 +32,13 @@
 	size    int
 }
 
-// sizeOf is about how much room an item takes, on the wire and in memory.
+// approximateSize returns the approximate size of an item in bytes, on the wire and
+// in memory.
 func approximateSize(item config.Item) int {
 	return len(item.Body) + len(item.Host) + len(item.ID.Name) + 64
 }
 
-// put replaces the item of that id.
+// put adds an item or replaces the one with the same ID.
 func (s *Set) put(item config.Item) {
 	if current, ok := s.Items[item.ID]; ok {
 		s.size -= approximateSize(current)
@@ -46,17 +47,13 @@
 	s.size += approximateSize(item)
 }
 
-// NewSet makes the empty set.
-//
-// Example:
-//
-//	set := registry.NewSet()
+// NewSet returns an empty set.
 func NewSet() *Set {
 	return &Set{Items: config.Book{}, history: map[config.ID][]AcceptedVersion{}}
 }
 
-// apply makes the set that follows; the change must be the next one. A version
-// below the one held is remembered and has no other effect.
+// apply applies the next change. A version that is not higher than the current one
+// is recorded as accepted and has no other effect.
 func (s *Set) apply(change Change) {
 	if change.ReplacesAll {
 		s.Items, s.size = config.Book{}, 0
@@ -71,8 +68,8 @@
 	s.Index = change.Index
 }
 
-// remember notes that the item's version was accepted. What is remembered does
-// not depend on the order, so that applying a change twice leaves it the same.
+// recordAccepted records that the item's version was accepted. The result doesn't
+// depend on the order of calls, so applying a change twice has no further effect.
 func (s *Set) recordAccepted(item config.Item) {
 	accepted := AcceptedVersion{item.Version, item.Fingerprint()}
 	versions := slices.Clone(s.history[item.ID])
@@ -87,21 +84,18 @@
 
 func compareVersions(a, b AcceptedVersion) int { return cmp.Compare(a.Version, b.Version) }
 
-// isForgotten tells whether the version is below all that can be remembered of
-// the item: whether it was accepted, and with what content, is not known then.
+// precedesHistory reports whether the version is below the full history of the item:
+// whether it was accepted, and with what content, is then unknown.
 func (s *Set) precedesHistory(id config.ID, version config.Version) bool {
 	versions := s.history[id]
 	return len(versions) == maxHistoryLength && version < versions[0].Version
 }
 
-// Accepted are the versions of an item that are remembered, the oldest first.
-//
-// Example:
-//
-//	for _, accepted := range set.Accepted(id) { show(accepted) }
+// Accepted returns the recorded versions of an item in ascending order.
 func (s *Set) Accepted(id config.ID) []AcceptedVersion { return slices.Clone(s.history[id]) }
 
-// fingerprintOf is the content that was accepted under a version of the item.
+// acceptedFingerprint returns the fingerprint of the content that was accepted under
+// a version of the item.
 func (s *Set) acceptedFingerprint(id config.ID, version config.Version) (fingerprint string, ok bool) {
 	for _, accepted := range s.history[id] {
 		if accepted.Version == version {
