--- a/internal/control/leader_lease.go
+++ b/internal/control/leader_lease.go
@@ -141,7 +141,7 @@
 // first view has no earlier promises.
 func (n *node) waitForEarlierPromises(t *tables) {
 	if t.trusted && t.view.Epoch > 1 {
-		t.grantor.Wait(n.clock.Steady())
+		t.grantor.DenyClaims(n.clock.Steady())
 	}
 }
 
--- a/internal/control/lease/grantor.go
+++ b/internal/control/lease/grantor.go
@@ -17,7 +17,7 @@
 // forgets. The highest term that the member has seen is on its disk, and is passed
 // in as held.
 type Grantor struct {
-	span timetable.Steady
+	duration timetable.Steady
 	// promisedTo is empty while nobody's claim may be granted.
 	promisedTo string
 	until      timetable.Steady
@@ -25,35 +25,35 @@
 
 // NewGrantor returns a member that has promised nothing, as in a system that
 // never ran before.
-func NewGrantor(span time.Duration) *Grantor {
-	return &Grantor{span: timetable.Steady(span)}
+func NewGrantor(duration time.Duration) *Grantor {
+	return &Grantor{duration: timetable.Steady(duration)}
 }
 
 // Wait grants no claim for one span: for after a start, and for a member that is
 // new in the view, when promises that it doesn't know of may run.
-func (g *Grantor) Wait(now timetable.Steady) {
-	g.promisedTo, g.until = "", max(g.until, now+g.span)
+func (g *Grantor) DenyClaims(now timetable.Steady) {
+	g.promisedTo, g.until = "", max(g.until, now+g.duration)
 }
 
 // Claim decides on a claim of the duty under a new term, and promises it to the
 // claimant if it is granted. A claimant to whom the promise already runs need not
 // wait for its end.
-func (g *Grantor) Claim(held, wanted membership.Term, now timetable.Steady) bool {
-	if wanted.Number <= held.Number {
+func (g *Grantor) Claim(current, claimed membership.Term, now timetable.Steady) bool {
+	if claimed.Number <= current.Number {
 		return false
 	}
-	if now < g.until && g.promisedTo != wanted.Holder {
+	if now < g.until && g.promisedTo != claimed.Holder {
 		return false
 	}
-	g.promise(wanted.Holder, now)
+	g.promise(claimed.Holder, now)
 	return true
 }
 
 // Renew extends the promise to the holder of the term that the member holds. Only
 // a holder whose claim a majority granted renews, so that no promise to a holder of
 // a lower term can matter any longer.
-func (g *Grantor) Renew(held, term membership.Term, now timetable.Steady) bool {
-	if held != term {
+func (g *Grantor) Renew(current, term membership.Term, now timetable.Steady) bool {
+	if current != term {
 		return false
 	}
 	g.promise(term.Holder, now)
@@ -62,12 +62,12 @@
 
 // Release ends the promise to a holder that has given its lease up. It doesn't
 // touch a promise under another term.
-func (g *Grantor) Release(held, term membership.Term) {
-	if held == term && g.promisedTo == term.Holder {
+func (g *Grantor) Release(current, term membership.Term) {
+	if current == term && g.promisedTo == term.Holder {
 		g.promisedTo, g.until = "", 0
 	}
 }
 
 func (g *Grantor) promise(holder string, now timetable.Steady) {
-	g.promisedTo, g.until = holder, max(g.until, now+g.span)
+	g.promisedTo, g.until = holder, max(g.until, now+g.duration)
 }
--- a/internal/control/lease/holder.go
+++ b/internal/control/lease/holder.go
@@ -18,46 +18,46 @@
 // renewal another. The lease is valid until a span after the sending of the newest
 // round that a majority of the view acknowledged.
 type Holder struct {
-	span timetable.Steady
-	term uint64
+	duration timetable.Steady
+	term     uint64
 	// ended is the highest term that was given up.
-	ended  uint64
-	until  timetable.Steady
-	last   Round
-	rounds map[Round]*round
+	endedTerm uint64
+	until     timetable.Steady
+	lastRound Round
+	rounds    map[Round]*round
 }
 
 type round struct {
-	sent         timetable.Steady
+	sentAt       timetable.Steady
 	view         membership.View
 	acknowledged map[string]bool
 }
 
 // NewHolder returns a holder without a lease. The span is that of the grantors.
-func NewHolder(span time.Duration) *Holder {
-	counted := span - span/driftDivisor
-	return &Holder{span: timetable.Steady(counted), rounds: map[Round]*round{}}
+func NewHolder(duration time.Duration) *Holder {
+	shortened := duration - duration/driftDivisor
+	return &Holder{duration: timetable.Steady(shortened), rounds: map[Round]*round{}}
 }
 
 // Start begins a round at the members of the view; it must be called before the
 // first message is sent. A round of another term ends the lease that was. A round of
 // a term that was given up wins nothing: members may hear of its end after it.
 func (h *Holder) Start(term uint64, view membership.View, now timetable.Steady) Round {
-	if term <= h.ended {
+	if term <= h.endedTerm {
 		return 0
 	}
 	if term != h.term {
 		h.End()
 		h.term = term
 	}
-	for number, old := range h.rounds {
-		if old.sent+h.span <= now {
+	for number, earlier := range h.rounds {
+		if earlier.sentAt+h.duration <= now {
 			delete(h.rounds, number)
 		}
 	}
-	h.last++
-	h.rounds[h.last] = &round{sent: now, view: view, acknowledged: map[string]bool{}}
-	return h.last
+	h.lastRound++
+	h.rounds[h.lastRound] = &round{sentAt: now, view: view, acknowledged: map[string]bool{}}
+	return h.lastRound
 }
 
 // Acknowledge notes a member's consent to a round, and tells whether a majority has
@@ -71,7 +71,7 @@
 	if len(r.acknowledged) < r.view.Majority() {
 		return false
 	}
-	h.until = max(h.until, r.sent+h.span)
+	h.until = max(h.until, r.sentAt+h.duration)
 	return true
 }
 
@@ -85,7 +85,7 @@
 
 // End gives the lease up for good; what is acknowledged later counts for nothing.
 func (h *Holder) End() {
-	h.ended = max(h.ended, h.term)
+	h.endedTerm = max(h.endedTerm, h.term)
 	h.term, h.until = 0, 0
 	clear(h.rounds)
 }
--- a/internal/control/lease/simulation_steps_test.go
+++ b/internal/control/lease/simulation_steps_test.go
@@ -7,41 +7,41 @@
 	"ploverhitch/internal/membership"
 )
 
-func (w *world) tickLater(n *node) {
-	w.at(n, tickPeriod/2+time.Duration(w.random.Int64N(int64(tickPeriod))), func() {
-		w.tick(n)
-		w.tickLater(n)
+func (s *simulation) scheduleTick(n *node) {
+	s.scheduleAt(n, tickPeriod/2+time.Duration(s.random.Int64N(int64(tickPeriod))), func() {
+		s.tick(n)
+		s.scheduleTick(n)
 	})
 }
 
 // tick is a node's heartbeat: it gossips, and renews, gives up or claims the duty.
-func (w *world) tick(n *node) {
+func (s *simulation) tick(n *node) {
 	for range 2 {
-		w.gossip(n, w.nodes[w.random.IntN(len(w.nodes))].name)
+		s.gossip(n, s.nodes[s.random.IntN(len(s.nodes))].name)
 	}
 	if !n.view.Has(n.name) {
-		w.stepDown(n)
-		n.isTrusted = false
+		s.stepDown(n)
+		n.trusted = false
 		return
 	}
-	if !n.isTrusted {
-		w.rebuild(n)
+	if !n.trusted {
+		s.rebuild(n)
 		return
 	}
-	isMine := n.heldTerm > 0 && n.term == membership.Term{Number: n.heldTerm, Holder: n.name}
+	leading := n.heldTerm > 0 && n.term == membership.Term{Number: n.heldTerm, Holder: n.name}
 	switch {
-	case isMine && w.random.Float64() < 0.03:
-		w.stepDown(n)
-	case isMine:
-		w.renew(n)
-	case w.random.Float64() < 0.2:
-		w.claim(n)
+	case leading && s.random.Float64() < 0.03:
+		s.stepDown(n)
+	case leading:
+		s.renew(n)
+	case s.random.Float64() < 0.2:
+		s.claim(n)
 	}
 }
 
-func (w *world) gossip(n *node, to string) {
+func (s *simulation) gossip(n *node, to string) {
 	term, view := n.term, n.view
-	w.deliver(n.name, to, func(other *node) {
+	s.deliver(n.name, to, func(other *node) {
 		if term.Number > other.term.Number {
 			other.term = term
 		}
@@ -51,19 +51,19 @@
 	})
 }
 
-func (w *world) renew(n *node) {
+func (s *simulation) renew(n *node) {
 	term, view := n.term, n.view
-	round := n.holder.Start(term.Number, view, w.clock(n))
-	w.askAll(n, round, func(member *node) bool {
-		return member.votesIn(view.Epoch) && member.grantor.Renew(member.term, term, w.clock(member))
+	round := n.holder.Start(term.Number, view, s.clock(n))
+	s.requestAll(n, round, func(member *node) bool {
+		return member.votesIn(view.Epoch) && member.grantor.Renew(member.term, term, s.clock(member))
 	}, func() {})
 }
 
-func (w *world) claim(n *node) {
+func (s *simulation) claim(n *node) {
 	term, view := membership.Term{Number: n.term.Number + 1, Holder: n.name}, n.view
-	round := n.holder.Start(term.Number, view, w.clock(n))
-	w.askAll(n, round, func(member *node) bool {
-		if !member.votesIn(view.Epoch) || !member.grantor.Claim(member.term, term, w.clock(member)) {
+	round := n.holder.Start(term.Number, view, s.clock(n))
+	s.requestAll(n, round, func(member *node) bool {
+		if !member.votesIn(view.Epoch) || !member.grantor.Claim(member.term, term, s.clock(member)) {
 			return false
 		}
 		member.term = term
@@ -71,30 +71,30 @@
 	}, func() {
 		if n.heldTerm < term.Number && n.term.Number <= term.Number {
 			n.heldTerm = term.Number
-			w.wins++
+			s.wonClaims++
 		}
 	})
 }
 
 // askAll brings a round to every member, and calls won at each acknowledgement of
 // a round that a majority has acknowledged.
-func (w *world) askAll(n *node, round lease.Round, act func(member *node) bool, won func()) {
-	life := n.life
+func (s *simulation) requestAll(n *node, round lease.Round, request func(member *node) bool, onMajority func()) {
+	incarnation := n.incarnation
 	for _, name := range n.view.Members {
-		w.deliver(n.name, name, func(member *node) {
-			if !act(member) {
+		s.deliver(n.name, name, func(member *node) {
+			if !request(member) {
 				return
 			}
-			w.deliver(name, n.name, func(asker *node) {
-				if asker.life == life && asker.holder.Acknowledge(round, name) {
-					won()
+			s.deliver(name, n.name, func(requester *node) {
+				if requester.incarnation == incarnation && requester.holder.Acknowledge(round, name) {
+					onMajority()
 				}
 			})
 		})
 	}
 }
 
-func (w *world) stepDown(n *node) {
+func (s *simulation) stepDown(n *node) {
 	if n.heldTerm == 0 {
 		return
 	}
@@ -102,93 +102,93 @@
 	n.heldTerm = 0
 	n.holder.End()
 	for _, name := range n.view.Members {
-		w.deliver(n.name, name, func(member *node) { member.grantor.Release(member.term, term) })
+		s.deliver(n.name, name, func(member *node) { member.grantor.Release(member.term, term) })
 	}
 }
 
 // rebuild reads what the others hold, as a member does that is new or lost its disk.
-func (w *world) rebuild(n *node) {
-	view, life := n.view, n.life
-	if n.readFor != view.Epoch || n.read == nil {
-		n.read, n.readFor = map[string]membership.Term{}, view.Epoch
+func (s *simulation) rebuild(n *node) {
+	view, incarnation := n.view, n.incarnation
+	if n.readEpoch != view.Epoch || n.readTerms == nil {
+		n.readTerms, n.readEpoch = map[string]membership.Term{}, view.Epoch
 	}
 	for _, name := range view.Members {
 		if name == n.name {
 			continue
 		}
-		w.deliver(n.name, name, func(member *node) {
+		s.deliver(n.name, name, func(member *node) {
 			if member.view.Epoch < view.Epoch {
 				return
 			}
 			term := member.term
-			w.deliver(name, n.name, func(reader *node) { w.hearDump(reader, life, view, name, term) })
+			s.deliver(name, n.name, func(reader *node) { s.recordDump(reader, incarnation, view, name, term) })
 		})
 	}
 }
 
-func (w *world) hearDump(n *node, life int, view membership.View, from string, term membership.Term) {
-	if n.life != life || n.isTrusted || n.view.Epoch != view.Epoch {
+func (s *simulation) recordDump(n *node, incarnation int, view membership.View, from string, term membership.Term) {
+	if n.incarnation != incarnation || n.trusted || n.view.Epoch != view.Epoch {
 		return
 	}
-	n.read[from] = term
-	if len(n.read) < view.ReadSet() {
+	n.readTerms[from] = term
+	if len(n.readTerms) < view.ReadSet() {
 		return
 	}
-	for _, told := range n.read {
-		if told.Number > n.term.Number {
-			n.term = told
+	for _, reported := range n.readTerms {
+		if reported.Number > n.term.Number {
+			n.term = reported
 		}
 	}
-	n.isTrusted, n.read = true, nil
-	if !w.build.isTrustedAtOnce {
-		n.grantor.Wait(w.clock(n))
+	n.trusted, n.readTerms = true, nil
+	if !s.options.skipViewWait {
+		n.grantor.DenyClaims(s.clock(n))
 	}
 }
 
 // trouble strikes now and again.
-func (w *world) trouble() {
-	w.after(time.Duration(w.random.Int64N(int64(1500*time.Millisecond))), w.trouble)
-	n := w.nodes[w.random.IntN(len(w.nodes))]
-	span := time.Duration(w.random.Int64N(int64(4 * time.Second)))
-	switch w.random.IntN(6) {
+func (s *simulation) injectFault() {
+	s.schedule(time.Duration(s.random.Int64N(int64(1500*time.Millisecond))), s.injectFault)
+	n := s.nodes[s.random.IntN(len(s.nodes))]
+	duration := time.Duration(s.random.Int64N(int64(4 * time.Second)))
+	switch s.random.IntN(6) {
 	case 0:
-		n.frozenUntil = max(n.frozenUntil, w.now+span)
+		n.pausedUntil = max(n.pausedUntil, s.now+duration)
 	case 1:
-		w.restart(n, span/3, false)
+		s.restart(n, duration/3, false)
 	case 2:
-		w.restart(n, span/3, w.untrusted() == 0)
+		s.restart(n, duration/3, s.untrusted() == 0)
 	case 3:
-		for _, other := range w.nodes {
-			w.cut[[2]string{n.name, other.name}] = w.now + span
-			w.cut[[2]string{other.name, n.name}] = w.now + span
+		for _, other := range s.nodes {
+			s.linkDownUntil[[2]string{n.name, other.name}] = s.now + duration
+			s.linkDownUntil[[2]string{other.name, n.name}] = s.now + duration
 		}
 	case 4:
-		w.cut[[2]string{n.name, w.nodes[w.random.IntN(len(w.nodes))].name}] = w.now + span
+		s.linkDownUntil[[2]string{n.name, s.nodes[s.random.IntN(len(s.nodes))].name}] = s.now + duration
 	case 5:
-		w.changeView()
+		s.changeView()
 	}
 }
 
-func (w *world) restart(n *node, dark time.Duration, isDiskLost bool) {
-	if !n.isUp {
+func (s *simulation) restart(n *node, downtime time.Duration, diskLost bool) {
+	if !n.running {
 		return
 	}
-	n.life++
-	n.isUp, n.heldTerm, n.frozenUntil, n.read = false, 0, 0, nil
-	if isDiskLost {
-		n.term, n.isTrusted = membership.Term{}, false
+	n.incarnation++
+	n.running, n.heldTerm, n.pausedUntil, n.readTerms = false, 0, 0, nil
+	if diskLost {
+		n.term, n.trusted = membership.Term{}, false
 	}
-	w.after(dark, func() {
-		n.isUp, n.grantor, n.holder = true, w.build.grantor(), w.build.holder()
-		n.grantor.Wait(w.clock(n))
-		w.tickLater(n)
+	s.schedule(downtime, func() {
+		n.running, n.grantor, n.holder = true, s.options.grantor(), s.options.holder()
+		n.grantor.DenyClaims(s.clock(n))
+		s.scheduleTick(n)
 	})
 }
 
 // untrusted is how many members of the newest view have yet to rebuild.
-func (w *world) untrusted() (count int) {
-	for _, name := range w.newest.Members {
-		if n := w.node(name); !n.isTrusted || n.view.Epoch < w.newest.Epoch && !n.view.Has(name) {
+func (s *simulation) untrusted() (count int) {
+	for _, name := range s.newestView.Members {
+		if n := s.node(name); !n.trusted || n.view.Epoch < s.newestView.Epoch && !n.view.Has(name) {
 			count++
 		}
 	}
@@ -197,21 +197,21 @@
 
 // changeView gives a member up for a node that waits, if a majority of the newest
 // view can decide on that. One member hears of it at once, the others by gossip.
-func (w *world) changeView() {
-	var deciding []*node
-	for _, name := range w.newest.Members {
-		if n := w.node(name); n.isUp && n.frozenUntil <= w.now && n.votesIn(w.newest.Epoch) {
-			deciding = append(deciding, n)
+func (s *simulation) changeView() {
+	var voters []*node
+	for _, name := range s.newestView.Members {
+		if n := s.node(name); n.running && n.pausedUntil <= s.now && n.votesIn(s.newestView.Epoch) {
+			voters = append(voters, n)
 		}
 	}
-	if len(deciding) < w.newest.Majority() || w.untrusted() > 0 {
+	if len(voters) < s.newestView.Majority() || s.untrusted() > 0 {
 		return
 	}
-	for _, n := range w.nodes {
-		if !w.newest.Has(n.name) && !n.isTrusted && n.isUp {
-			out := w.newest.Members[w.random.IntN(len(w.newest.Members))]
-			w.newest = w.newest.Swap(out, n.name)
-			deciding[w.random.IntN(len(deciding))].view = w.newest
+	for _, n := range s.nodes {
+		if !s.newestView.Has(n.name) && !n.trusted && n.running {
+			removed := s.newestView.Members[s.random.IntN(len(s.newestView.Members))]
+			s.newestView = s.newestView.Swap(removed, n.name)
+			voters[s.random.IntN(len(voters))].view = s.newestView
 			return
 		}
 	}
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -151,7 +151,7 @@
 	n.store.self = n.self
 	n.store.tables.grantor = lease.NewGrantor(leaseDuration(t))
 	if newSystem := p.Bootstrap && n.store.tables.empty; !newSystem {
-		n.store.tables.grantor.Wait(n.clock.Steady())
+		n.store.tables.grantor.DenyClaims(n.clock.Steady())
 	}
 	return nil
 }
