--- a/internal/control/list_poller.go
+++ b/internal/control/list_poller.go
@@ -91,8 +91,8 @@
 // nextPageDue is the time after the end of a read within which the next page must be read,
 // by this node or by another leader in its place, at the leader's share of the rate limit.
 func (p *listPoller) nextPageDue() time.Duration {
-	pace := p.paceForShare(listing.HolderShare)
-	return time.Duration(pace.Next(p.lastRead.started, p.lastRead.ended, p.lastRead.calls)-p.lastRead.ended) + listing.PageDue
+	pace := p.paceForShare(listing.LeaderShare)
+	return time.Duration(pace.Next(p.lastRead.started, p.lastRead.ended, p.lastRead.calls)-p.lastRead.ended) + listing.PageInterval
 }
 
 // untilNextRead is how long this node waits before it reads again in its present role: a
@@ -109,21 +109,21 @@
 // list, and periodically tells the members that the read goes on.
 func (p *listPoller) handlePage(servers []feed.Server) {
 	p.publishLeaving(servers)
-	if now := p.clock.Steady(); time.Duration(now-p.progressSentAt) >= listing.ProgressPeriod {
+	if now := p.clock.Steady(); time.Duration(now-p.progressSentAt) >= listing.ProgressInterval {
 		p.progressSentAt = now
-		p.sendListProgress(messages.ListProgress{Next: timetable.Span(listing.PageDue)})
+		p.sendListProgress(messages.ListProgress{Next: timetable.Span(listing.PageInterval)})
 	}
 }
 
 // pace is how often this node may read the list. A leader whose lease has expired reads like
 // an isolated node, as it may have a successor that it doesn't know of.
 func (p *listPoller) pace(leading bool) listing.Pace {
-	share := listing.AloneShare
+	share := listing.IsolatedShare
 	switch {
 	case !leading:
 		share = max(share, p.standbyRateShare())
 	case p.holdsLease(p.ownTerm.Load()):
-		share = listing.HolderShare
+		share = listing.LeaderShare
 	}
 	return p.paceForShare(share)
 }
@@ -131,7 +131,7 @@
 // paceForShare is the pace of a reader with a share of the platform's rate limit.
 func (p *listPoller) paceForShare(share float64) listing.Pace {
 	current := p.settings.Load()
-	return listing.Pace{Period: current.Tuning.Poll.Std(), Rate: current.Platform.CloudApi.RatePerS * share}
+	return listing.Pace{MinInterval: current.Tuning.Poll.Std(), Rate: current.Platform.CloudApi.RatePerS * share}
 }
 
 // recordResult counts consecutive failures; after maxFailedReads this node is ineligible
--- a/internal/control/listing/pace.go
+++ b/internal/control/listing/pace.go
@@ -12,38 +12,38 @@
 	// at most, or who reads where nobody else does. What is left, besideShare, is for one
 	// that reads beside a holder, and AloneShare for one that may have others beside it
 	// of which it does not hear.
-	HolderShare = 0.6
-	besideShare = 0.4
-	AloneShare  = 0.2
+	LeaderShare     = 0.6
+	concurrentShare = 0.4
+	IsolatedShare   = 0.2
 	// burst is how many times the calls that its rate allows a second may see.
-	burst = 4.0 / 3
+	burstFactor = 4.0 / 3
 	// leastRest is the least time between two readings.
-	leastRest = 50 * time.Millisecond
+	minPause = 50 * time.Millisecond
 	// PageDue is within which span of a call or of another page a page is due. A call
 	// beside one that hangs comes earlier.
-	PageDue = 300 * time.Millisecond
+	PageInterval = 300 * time.Millisecond
 	// ProgressPeriod is how often a member tells at most that its reading goes on.
-	ProgressPeriod = 150 * time.Millisecond
+	ProgressInterval = 150 * time.Millisecond
 )
 
 // Pace is how often a member reads the list.
 type Pace struct {
 	// Period is how far the beginnings of two readings lie apart at least.
-	Period time.Duration
+	MinInterval time.Duration
 	// Rate is how many calls a second the member may make; 0 if there is no bound.
 	Rate float64
 }
 
 // Burst is how many calls a second may see: more than the rate for a moment, so that a
 // reading need not wait for the end of the second in which the last one was made.
-func (p Pace) Burst() float64 { return p.Rate * burst }
+func (p Pace) Burst() float64 { return p.Rate * burstFactor }
 
 // Next is when the reading after one of so many calls begins. The calls of a reading
 // come in a row, so the rate is kept from one beginning to the next.
-func (p Pace) Next(began, ended timetable.Steady, calls int) timetable.Steady {
-	apart := p.Period
+func (p Pace) Next(startedAt, endedAt timetable.Steady, calls int) timetable.Steady {
+	interval := p.MinInterval
 	if p.Rate > 0 {
-		apart = max(apart, time.Duration(float64(calls)/p.Rate*float64(time.Second)))
+		interval = max(interval, time.Duration(float64(calls)/p.Rate*float64(time.Second)))
 	}
-	return max(began+timetable.Steady(apart), ended+timetable.Steady(leastRest))
+	return max(startedAt+timetable.Steady(interval), endedAt+timetable.Steady(minPause))
 }
--- a/internal/control/listing/pace_test.go
+++ b/internal/control/listing/pace_test.go
@@ -13,10 +13,10 @@
 var _ = Describe("the pace of the readings of the list", func() {
 	const second = timetable.Steady(time.Second)
 	const period = 700 * time.Millisecond
-	pace := listing.Pace{Period: period, Rate: listing.HolderShare * 50}
+	pace := listing.Pace{MinInterval: period, Rate: listing.LeaderShare * 50}
 
 	It("is one reading a period, or as many as the rate allows, whichever is fewer, and waits for no more", func() {
-		Expect(listing.Pace{Period: period}.Next(0, second/10, 1000)).To(Equal(7 * second / 10))
+		Expect(listing.Pace{MinInterval: period}.Next(0, second/10, 1000)).To(Equal(7 * second / 10))
 		// 15 pages at 30 calls a second are 0.5 s apart: the period decides.
 		Expect(pace.Next(0, second/4, 15)).To(Equal(7 * second / 10))
 		// 27 pages are 0.9 s apart, however long the reading itself took.
@@ -25,8 +25,8 @@
 
 	It("keeps the rate from one beginning to the next", func() {
 		for _, calls := range []int{1, 8, 15, 22, 200} {
-			apart := time.Duration(pace.Next(0, second/4, calls)).Seconds()
-			Expect(float64(calls)/apart).To(BeNumerically("<=", 30.001), "%d calls", calls)
+			interval := time.Duration(pace.Next(0, second/4, calls)).Seconds()
+			Expect(float64(calls)/interval).To(BeNumerically("<=", 30.001), "%d calls", calls)
 		}
 	})
 
--- a/internal/control/listing/watch.go
+++ b/internal/control/listing/watch.go
@@ -11,57 +11,57 @@
 const (
 	// margin is how long after a page was due the first member in the order begins to
 	// read, and step how much longer each member after it waits.
-	margin = 150 * time.Millisecond
-	step   = 300 * time.Millisecond
+	standbyDelay = 150 * time.Millisecond
+	rankDelay    = 300 * time.Millisecond
 	// oldest is how old the newest whole reading may be: pages may come in time and
 	// the whole still take too long, where the reader's processor is short.
-	oldest = 2 * time.Second
+	maxListAge = 2 * time.Second
 	// grace is how long after a watch began the first page is due.
-	grace = 1500 * time.Millisecond
+	startupGrace = 1500 * time.Millisecond
 )
 
 // Watch keeps when each member's next page of the list is due.
-type Watch struct {
-	began timetable.Steady
-	due   map[string]timetable.Steady
+type ReadTracker struct {
+	startedAt timetable.Steady
+	pageDueAt map[string]timetable.Steady
 	// heard is when each member told of a page last.
-	heard map[string]timetable.Steady
+	reportedAt map[string]timetable.Steady
 	// readAt is when the newest complete reading that is known of began.
-	readAt timetable.Steady
-	isRead bool
+	listReadAt timetable.Steady
+	listRead   bool
 }
 
 // NewWatch makes a watch that begins at the given time.
-func NewWatch(now timetable.Steady) *Watch {
-	return &Watch{began: now, heard: map[string]timetable.Steady{}, due: map[string]timetable.Steady{}}
+func NewReadTracker(now timetable.Steady) *ReadTracker {
+	return &ReadTracker{startedAt: now, reportedAt: map[string]timetable.Steady{}, pageDueAt: map[string]timetable.Steady{}}
 }
 
 // Hear notes that a member has read a page, and within which span it is to read the
 // next.
-func (w *Watch) Hear(member string, next time.Duration, now timetable.Steady) {
+func (t *ReadTracker) RecordPage(member string, next time.Duration, now timetable.Steady) {
 	// What was told earlier may come later, over a line that was made anew.
-	w.due[member], w.heard[member] = max(w.due[member], now+timetable.Steady(next)), now
+	t.pageDueAt[member], t.reportedAt[member] = max(t.pageDueAt[member], now+timetable.Steady(next)), now
 }
 
 // Read notes a whole reading, which began so long ago.
-func (w *Watch) Read(age time.Duration, now timetable.Steady) {
-	if began := now - timetable.Steady(age); !w.isRead || began > w.readAt {
-		w.readAt, w.isRead = began, true
+func (t *ReadTracker) RecordList(age time.Duration, now timetable.Steady) {
+	if startedAt := now - timetable.Steady(age); !t.listRead || startedAt > t.listReadAt {
+		t.listReadAt, t.listRead = startedAt, true
 	}
 }
 
 // Age is how old the newest complete reading is, counted from when it began; ok is
 // false before the first.
-func (w *Watch) Age(now timetable.Steady) (age time.Duration, ok bool) {
-	return time.Duration(now - w.readAt), w.isRead
+func (t *ReadTracker) Age(now timetable.Steady) (age time.Duration, ok bool) {
+	return time.Duration(now - t.listReadAt), t.listRead
 }
 
 // Silence is for how long nothing was heard of the readings of others.
-func (w *Watch) Silence(self string, now timetable.Steady) time.Duration {
-	latest := w.began
-	for member, at := range w.heard {
+func (t *ReadTracker) SinceOtherReport(self string, now timetable.Steady) time.Duration {
+	latest := t.startedAt
+	for member, reportedAt := range t.reportedAt {
 		if member != self {
-			latest = max(latest, at)
+			latest = max(latest, reportedAt)
 		}
 	}
 	return time.Duration(now - latest)
@@ -69,11 +69,11 @@
 
 // Rank is a member's place in the order of those that read in the holder's stead, or
 // -1 if it has none.
-func Rank(view membership.View, holder, member string) int {
-	if holder == "" || member == holder || !view.Has(member) {
+func StandbyRank(view membership.View, leader, member string) int {
+	if leader == "" || member == leader || !view.Has(member) {
 		return -1
 	}
-	return slices.Index(membership.Watchers(view.Members, holder, len(view.Members)), member)
+	return slices.Index(membership.Watchers(view.Members, leader, len(view.Members)), member)
 }
 
 // Share is the part of the platform's rate with which a member is to read the list now in
@@ -81,32 +81,32 @@
 // time, nor has anybody before it in the order begun to: then nobody else uses the rate.
 // The first in the order also reads beside a holder whose pages come in time, while the
 // newest whole reading is too old.
-func (w *Watch) Share(view membership.View, holder, self string, now timetable.Steady) float64 {
-	rank := Rank(view, holder, self)
+func (t *ReadTracker) StandbyShare(view membership.View, leader, self string, now timetable.Steady) float64 {
+	rank := StandbyRank(view, leader, self)
 	if rank < 0 {
 		return 0
 	}
-	patience := timetable.Steady(margin + time.Duration(rank)*step)
+	wait := timetable.Steady(standbyDelay + time.Duration(rank)*rankDelay)
 	switch {
-	case now > w.dueFromOthers(self)+patience:
-		return HolderShare
-	case rank == 0 && w.isRead && now > w.readAt+timetable.Steady(oldest)+patience:
-		return besideShare
+	case now > t.othersDueAt(self)+wait:
+		return LeaderShare
+	case rank == 0 && t.listRead && now > t.listReadAt+timetable.Steady(maxListAge)+wait:
+		return concurrentShare
 	default:
 		return 0
 	}
 }
 
 // dueFromOthers is by when somebody other than the member was to read a page.
-func (w *Watch) dueFromOthers(self string) (latest timetable.Steady) {
-	isHeard := false
-	for member, due := range w.due {
-		if member != self && (!isHeard || due > latest) {
-			latest, isHeard = due, true
+func (t *ReadTracker) othersDueAt(self string) (latest timetable.Steady) {
+	reported := false
+	for member, due := range t.pageDueAt {
+		if member != self && (!reported || due > latest) {
+			latest, reported = due, true
 		}
 	}
-	if !isHeard {
-		return w.began + timetable.Steady(grace)
+	if !reported {
+		return t.startedAt + timetable.Steady(startupGrace)
 	}
 	return latest
 }
--- a/internal/control/listing/window_test.go
+++ b/internal/control/listing/window_test.go
@@ -27,14 +27,14 @@
 	It("never lets a second see more, whenever calls are asked for", func() {
 		random := rand.New(rand.NewPCG(1, 2))
 		window, now := &listing.Window{}, timetable.Steady(0)
-		var made []timetable.Steady
+		var callTimes []timetable.Steady
 		for range 3000 {
 			now += timetable.Steady(random.Int64N(int64(40 * time.Millisecond)))
-			made = append(made, now+timetable.Steady(window.Reserve(now, 20)))
+			callTimes = append(callTimes, now+timetable.Steady(window.Reserve(now, 20)))
 		}
-		slices.Sort(made)
-		for i := 20; i < len(made); i++ {
-			Expect(made[i] - made[i-20]).To(BeNumerically(">=", time.Second))
+		slices.Sort(callTimes)
+		for i := 20; i < len(callTimes); i++ {
+			Expect(callTimes[i] - callTimes[i-20]).To(BeNumerically(">=", time.Second))
 		}
 	})
 })
--- a/internal/control/standby.go
+++ b/internal/control/standby.go
@@ -20,19 +20,19 @@
 // by this node's poller and the handlers of incoming messages.
 type listTracker struct {
 	lock  sync.Mutex
-	watch *listing.Watch
+	watch *listing.ReadTracker
 }
 
 func newListTracker(now timetable.Steady) *listTracker {
-	return &listTracker{watch: listing.NewWatch(now)}
+	return &listTracker{watch: listing.NewReadTracker(now)}
 }
 
 func (t *listTracker) record(progress messages.ListProgress, now timetable.Steady) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
-	t.watch.Hear(progress.From, progress.Next.Std(), now)
+	t.watch.RecordPage(progress.From, progress.Next.Std(), now)
 	if progress.IsWhole {
-		t.watch.Read(progress.Age.Std(), now)
+		t.watch.RecordList(progress.Age.Std(), now)
 	}
 }
 
@@ -47,12 +47,12 @@
 func (t *listTracker) share(view membership.View, leader, self string, inContact bool, now timetable.Steady) float64 {
 	t.lock.Lock()
 	defer t.lock.Unlock()
-	share := t.watch.Share(view, leader, self, now)
+	share := t.watch.StandbyShare(view, leader, self, now)
 	switch {
 	case inContact:
 		return share
-	case t.watch.Silence(self, now) < isolatedReadLimit:
-		return min(share, listing.AloneShare)
+	case t.watch.SinceOtherReport(self, now) < isolatedReadLimit:
+		return min(share, listing.IsolatedShare)
 	default:
 		return 0
 	}
--- a/internal/control/standby_test.go
+++ b/internal/control/standby_test.go
@@ -92,7 +92,7 @@
 		n.hub.Publish(feed.News{View: &largeView, Fleet: fleet(3, leader, true)})
 		for _, member := range largeView.Members[1:] {
 			n.self = member
-			Expect(n.isStandbyReader()).To(Equal(listing.Rank(largeView, leader, member) == 0), member)
+			Expect(n.isStandbyReader()).To(Equal(listing.StandbyRank(largeView, leader, member) == 0), member)
 		}
 		n.self = "127.0.0.1:9"
 		Expect(n.isStandbyReader()).To(BeFalse())
--- a/internal/emulator/departure/member.go
+++ b/internal/emulator/departure/member.go
@@ -19,7 +19,7 @@
 	// life counts its starts: what an earlier one began comes to nothing.
 	life  int
 	board *feed.Board
-	watch *listing.Watch
+	watch *listing.ReadTracker
 	// window spreads the calls.
 	window listing.Window
 	// isHolder, term, last and listed are the duty's: what was published last, and the
@@ -44,7 +44,7 @@
 }
 
 func newMember(w *world, index int) *member {
-	return &member{world: w, index: index, name: "10.0.0." + strconv.Itoa(index+1) + ":7200", board: feed.NewBoard(), watch: listing.NewWatch(0)}
+	return &member{world: w, index: index, name: "10.0.0." + strconv.Itoa(index+1) + ":7200", board: feed.NewBoard(), watch: listing.NewReadTracker(0)}
 }
 
 func (w *world) view() (view membership.View) {
@@ -65,7 +65,7 @@
 	m.board.Merge(feed.News{Fleet: &fleet})
 	m.world.After(span, func() {
 		m.later(m.world.between(100*time.Millisecond, 500*time.Millisecond), m.catchUp)
-		m.watch = listing.NewWatch(m.world.steady())
+		m.watch = listing.NewReadTracker(m.world.steady())
 		m.turnLater(m.world.between(200*time.Millisecond, 700*time.Millisecond))
 	})
 }
--- a/internal/emulator/departure/reader.go
+++ b/internal/emulator/departure/reader.go
@@ -79,9 +79,9 @@
 	w := m.world
 	view, holder := w.view(), m.board.Fleet.Holder
 	if w.options.Guards.IsByReadings {
-		return m.watch.Share(view, holder, m.name, w.steady()) > 0
+		return m.watch.StandbyShare(view, holder, m.name, w.steady()) > 0
 	}
-	rank := listing.Rank(view, holder, m.name)
+	rank := listing.StandbyRank(view, holder, m.name)
 	if rank < 0 || rank >= watchers {
 		return false
 	}
@@ -160,8 +160,8 @@
 	if m.world.options.Guards.IsByPage {
 		m.tellLeaving(page)
 	}
-	if m.world.Now-m.toldAt >= listing.ProgressPeriod {
-		m.tellProgress(listing.PageDue)
+	if m.world.Now-m.toldAt >= listing.ProgressInterval {
+		m.tellProgress(listing.PageInterval)
 	}
 	if of.pages = of.pages[1:]; len(of.pages) > 0 {
 		m.askPage(r, of)
@@ -205,7 +205,7 @@
 	w.result.Readings.record(w.Now - r.first)
 	servers := feed.Settle(nil, r.servers)
 	m.endReading(r)
-	next := m.next() + listing.PageDue
+	next := m.next() + listing.PageInterval
 	if !w.options.Guards.IsByReadings {
 		next = m.restOf(!r.isHolder)
 	}
@@ -229,10 +229,10 @@
 // tellRead tells every member that this one has read the whole list.
 func (m *member) tellRead(began virtual.Time) {
 	age := m.world.Now - began
-	m.watch.Read(age, m.world.steady())
+	m.watch.RecordList(age, m.world.steady())
 	for _, to := range m.world.members {
 		if to != m {
-			m.deliver(to, func() { to.watch.Read(age, m.world.steady()) })
+			m.deliver(to, func() { to.watch.RecordList(age, m.world.steady()) })
 		}
 	}
 }
@@ -240,10 +240,10 @@
 // tellProgress tells every member that this one reads the list.
 func (m *member) tellProgress(next time.Duration) {
 	m.toldAt = m.world.Now
-	m.watch.Hear(m.name, next, m.world.steady())
+	m.watch.RecordPage(m.name, next, m.world.steady())
 	for _, to := range m.world.members {
 		if to != m {
-			m.deliver(to, func() { to.watch.Hear(m.name, next, m.world.steady()) })
+			m.deliver(to, func() { to.watch.RecordPage(m.name, next, m.world.steady()) })
 		}
 	}
 }
--- a/internal/emulator/departure/rest.go
+++ b/internal/emulator/departure/rest.go
@@ -8,9 +8,9 @@
 
 // rate is how many calls a second the member may make.
 func (m *member) rate(isStandby bool) float64 {
-	share := listing.HolderShare
+	share := listing.LeaderShare
 	if isStandby {
-		share = max(listing.AloneShare, m.watch.Share(m.world.view(), m.board.Fleet.Holder, m.name, m.world.steady()))
+		share = max(listing.IsolatedShare, m.watch.StandbyShare(m.world.view(), m.board.Fleet.Holder, m.name, m.world.steady()))
 	}
 	return m.world.options.Size.Rate * share
 }
@@ -26,12 +26,12 @@
 		rest := time.Duration(float64(m.calls) / (oldShare * w.options.Size.Rate) * float64(time.Second))
 		return max(m.began+pollPeriod, m.ended+rest) - w.Now
 	}
-	pace := listing.Pace{Period: pollPeriod, Rate: m.rate(isStandby)}
+	pace := listing.Pace{MinInterval: pollPeriod, Rate: m.rate(isStandby)}
 	return time.Duration(pace.Next(steadyOf(m.began), steadyOf(m.ended), m.calls) - w.steady())
 }
 
 // next is how long after a reading the next is due of whoever reads alone.
 func (m *member) next() time.Duration {
-	pace := listing.Pace{Period: pollPeriod, Rate: m.world.options.Size.Rate * listing.HolderShare}
+	pace := listing.Pace{MinInterval: pollPeriod, Rate: m.world.options.Size.Rate * listing.LeaderShare}
 	return time.Duration(pace.Next(steadyOf(m.began), steadyOf(m.ended), m.calls) - steadyOf(m.ended))
 }
