--- a/internal/control/lease/grantor.go
+++ b/internal/control/lease/grantor.go
@@ -1,8 +1,9 @@
-// Package lease keeps a duty with one holder at a time. A member of the core
-// promises for a span not to let another take the duty; the holder counts its lease
-// from the sending of what a majority acknowledged, so that it ends by itself
-// before any of these promises does. Times are readings of a steady clock that the
-// caller passes in: the package has no clock, network or disk.
+// Package lease implements the leader lease, which has at most one holder at a time.
+// A member of the control plane promises for the lease duration not to grant the
+// lease to another node. The holder counts its lease from the time at which it sent
+// the requests that a majority acknowledged, so that the lease expires before any of
+// these promises does. Times are readings of a monotonic clock that the caller passes
+// in: the package uses no clock, network or disk.
 package lease
 
 import (
@@ -12,32 +13,33 @@
 	"ploverhitch/internal/timetable"
 )
 
-// Grantor is a member's side of the lease: to whom it has promised the duty, and
-// until when. Promises aren't kept on disk; Wait stands in for those that a start
-// forgets. The highest term that the member has seen is on its disk, and is passed
-// in as held.
+// Grantor is a member's side of the lease: the holder to which it has promised the
+// lease, and until when. Promises aren't persisted; after a start, DenyClaims covers
+// those that were lost. The member persists the highest term that it has seen, and
+// passes it in as current.
 type Grantor struct {
 	duration timetable.Steady
-	// promisedTo is empty while nobody's claim may be granted.
+	// promisedTo is empty while no claim may be granted before until.
 	promisedTo string
 	until      timetable.Steady
 }
 
-// NewGrantor returns a member that has promised nothing, as in a system that
-// never ran before.
+// NewGrantor returns a grantor without promises, as in a system that has never run
+// before.
 func NewGrantor(duration time.Duration) *Grantor {
 	return &Grantor{duration: timetable.Steady(duration)}
 }
 
-// Wait grants no claim for one span: for after a start, and for a member that is
-// new in the view, when promises that it doesn't know of may run.
+// DenyClaims denies all claims for one lease duration. It is called after a start,
+// and by a member that is new in the view, when promises that the member doesn't know
+// of may still be valid.
 func (g *Grantor) DenyClaims(now timetable.Steady) {
 	g.promisedTo, g.until = "", max(g.until, now+g.duration)
 }
 
-// Claim decides on a claim of the duty under a new term, and promises it to the
-// claimant if it is granted. A claimant to whom the promise already runs need not
-// wait for its end.
+// Claim decides on a claim of the lease under a new term, and promises the lease to
+// the claimant if it grants the claim. A claimant that already has the promise need
+// not wait until it expires.
 func (g *Grantor) Claim(current, claimed membership.Term, now timetable.Steady) bool {
 	if claimed.Number <= current.Number {
 		return false
@@ -49,9 +51,9 @@
 	return true
 }
 
-// Renew extends the promise to the holder of the term that the member holds. Only
-// a holder whose claim a majority granted renews, so that no promise to a holder of
-// a lower term can matter any longer.
+// Renew extends the promise to the holder of the current term. Only a holder whose
+// claim a majority granted renews, so a promise to a holder of a lower term is no
+// longer relevant.
 func (g *Grantor) Renew(current, term membership.Term, now timetable.Steady) bool {
 	if current != term {
 		return false
@@ -60,8 +62,8 @@
 	return true
 }
 
-// Release ends the promise to a holder that has given its lease up. It doesn't
-// touch a promise under another term.
+// Release ends the promise to a holder that has given up its lease. It doesn't
+// affect a promise under another term.
 func (g *Grantor) Release(current, term membership.Term) {
 	if current == term && g.promisedTo == term.Holder {
 		g.promisedTo, g.until = "", 0
--- a/internal/control/lease/holder.go
+++ b/internal/control/lease/holder.go
@@ -7,20 +7,20 @@
 	"ploverhitch/internal/timetable"
 )
 
-// driftDivisor sets the margin for clocks that run at different rates: the holder
-// counts a span that is shorter by this part than the one that members promise.
+// driftDivisor sets the margin for clocks that run at different rates: the holder's
+// lease is shorter than the members' promises by this fraction.
 const driftDivisor = 20
 
-// Round numbers the rounds of messages in which a holder asks for its lease.
+// Round numbers the rounds of requests for the lease.
 type Round uint64
 
-// Holder is the holder's side of the lease. A claim is its first round, each
-// renewal another. The lease is valid until a span after the sending of the newest
-// round that a majority of the view acknowledged.
+// Holder is the holder's side of the lease. A claim is its first round, each renewal
+// another. The lease is valid for one duration after the sending of the newest round
+// that a majority of the view has acknowledged.
 type Holder struct {
 	duration timetable.Steady
 	term     uint64
-	// ended is the highest term that was given up.
+	// endedTerm is the highest term that was given up.
 	endedTerm uint64
 	until     timetable.Steady
 	lastRound Round
@@ -33,15 +33,16 @@
 	acknowledged map[string]bool
 }
 
-// NewHolder returns a holder without a lease. The span is that of the grantors.
+// NewHolder returns a holder without a lease. The duration is that of the grantors.
 func NewHolder(duration time.Duration) *Holder {
 	shortened := duration - duration/driftDivisor
 	return &Holder{duration: timetable.Steady(shortened), rounds: map[Round]*round{}}
 }
 
-// Start begins a round at the members of the view; it must be called before the
-// first message is sent. A round of another term ends the lease that was. A round of
-// a term that was given up wins nothing: members may hear of its end after it.
+// Start starts a round of requests to the members of the view; it must be called
+// before the first request is sent. A round of another term ends the previous lease.
+// For a term that was given up Start returns 0, as members may receive the release
+// after the request.
 func (h *Holder) Start(term uint64, view membership.View, now timetable.Steady) Round {
 	if term <= h.endedTerm {
 		return 0
@@ -60,8 +61,8 @@
 	return h.lastRound
 }
 
-// Acknowledge notes a member's consent to a round, and tells whether a majority has
-// consented.
+// Acknowledge records a member's acknowledgement of a round and reports whether a
+// majority has acknowledged it.
 func (h *Holder) Acknowledge(number Round, member string) bool {
 	r := h.rounds[number]
 	if r == nil || !r.view.Has(member) {
@@ -75,7 +76,7 @@
 	return true
 }
 
-// Remaining is how much longer the lease of that term is valid, 0 if it isn't.
+// Remaining returns how much longer the lease of the term is valid, or 0 if it isn't.
 func (h *Holder) Remaining(term uint64, now timetable.Steady) time.Duration {
 	if term == 0 || term != h.term || now >= h.until {
 		return 0
@@ -83,7 +84,7 @@
 	return time.Duration(h.until - now)
 }
 
-// End gives the lease up for good; what is acknowledged later counts for nothing.
+// End gives up the lease and its term; later acknowledgements have no effect.
 func (h *Holder) End() {
 	h.endedTerm = max(h.endedTerm, h.term)
 	h.term, h.until = 0, 0
--- a/internal/control/lease/lease_test.go
+++ b/internal/control/lease/lease_test.go
@@ -19,13 +19,13 @@
 
 const leaseDuration = 900 * time.Millisecond
 
-// at is a reading of a steady clock, in milliseconds.
+// atMillis returns a reading of a monotonic clock, given in milliseconds.
 func atMillis(ms int) timetable.Steady { return timetable.Steady(time.Duration(ms) * time.Millisecond) }
 
 var _ = Describe("a member's promises", func() {
 	old, next := membership.Term{Number: 4, Holder: "a"}, membership.Term{Number: 5, Holder: "b"}
 
-	It("keep the duty from another claimant until their span ends, and not from the same one", func() {
+	It("deny claims of other nodes until they expire, but not claims of the same node", func() {
 		grantor := lease.NewGrantor(leaseDuration)
 		Expect(grantor.Claim(membership.Term{}, old, atMillis(1000))).To(BeTrue())
 		Expect(grantor.Claim(old, next, atMillis(1899))).To(BeFalse())
@@ -34,7 +34,7 @@
 		Expect(grantor.Claim(old, next, atMillis(2000))).To(BeTrue())
 	})
 
-	It("are extended by a renewal under the term that the member holds, and by no other", func() {
+	It("are extended only by a renewal under the member's current term", func() {
 		grantor := lease.NewGrantor(leaseDuration)
 		Expect(grantor.Claim(membership.Term{}, old, atMillis(1000))).To(BeTrue())
 		Expect(grantor.Renew(old, old, atMillis(1500))).To(BeTrue())
@@ -44,7 +44,7 @@
 		Expect(grantor.Claim(old, next, atMillis(2400))).To(BeTrue())
 	})
 
-	It("end at once when their holder gives the lease up, but not by a release of another term", func() {
+	It("end at once when the holder releases the lease, but not by a release of another term", func() {
 		grantor := lease.NewGrantor(leaseDuration)
 		Expect(grantor.Claim(membership.Term{}, old, atMillis(1000))).To(BeTrue())
 		grantor.Release(old, membership.Term{Number: 3, Holder: "a"})
@@ -53,14 +53,14 @@
 		Expect(grantor.Claim(old, next, atMillis(1010))).To(BeTrue())
 	})
 
-	It("are stood in for by one span of waiting after a start, for every claimant", func() {
+	It("are covered after a start by denying all claims for one lease duration", func() {
 		grantor := lease.NewGrantor(leaseDuration)
 		grantor.DenyClaims(atMillis(1000))
 		Expect(grantor.Claim(old, membership.Term{Number: 5, Holder: "a"}, atMillis(1899))).To(BeFalse())
 		Expect(grantor.Claim(old, next, atMillis(1900))).To(BeTrue())
 	})
 
-	It("go to no claim whose term isn't higher than the one held", func() {
+	It("are not given to a claim whose term isn't higher than the current one", func() {
 		grantor := lease.NewGrantor(leaseDuration)
 		Expect(grantor.Claim(next, old, atMillis(1000))).To(BeFalse())
 		Expect(grantor.Claim(next, next, atMillis(1000))).To(BeFalse())
@@ -73,11 +73,11 @@
 
 	BeforeEach(func() { holder = lease.NewHolder(leaseDuration) })
 
-	It("counts from the sending of the newest round that a majority acknowledged, and ends before the promises", func() {
+	It("starts when the newest round that a majority acknowledged was sent, and ends before the promises", func() {
 		first := holder.Start(7, view, atMillis(1000))
 		Expect(holder.Acknowledge(first, "a")).To(BeFalse())
 		Expect(holder.Acknowledge(first, "a")).To(BeFalse(), "one member counts once")
-		Expect(holder.Acknowledge(first, "x")).To(BeFalse(), "it is no member")
+		Expect(holder.Acknowledge(first, "x")).To(BeFalse(), "x is not a member")
 		Expect(holder.Remaining(7, atMillis(1001))).To(BeZero())
 		Expect(holder.Acknowledge(first, "c")).To(BeTrue())
 		Expect(holder.Remaining(7, atMillis(1000))).To(And(BeNumerically(">", leaseDuration/2), BeNumerically("<", leaseDuration)))
@@ -99,7 +99,7 @@
 		Expect(holder.Remaining(7, atMillis(1400))).To(Equal(remaining))
 	})
 
-	It("is over for good once it was given up: neither late answers nor late renewals bring it back", func() {
+	It("is not restored by late acknowledgements or renewals after it was given up", func() {
 		round := holder.Start(7, view, atMillis(1000))
 		holder.Acknowledge(round, "a")
 		holder.Acknowledge(round, "b")
--- a/internal/control/lease/safety_test.go
+++ b/internal/control/lease/safety_test.go
@@ -17,14 +17,14 @@
 	seedCount     = 300
 )
 
-// forgetful grants whatever has a higher term, as a member without promises.
+// grantorWithoutPromises grants every claim with a higher term.
 type grantorWithoutPromises struct{ *lease.Grantor }
 
 func (g grantorWithoutPromises) Claim(current, claimed membership.Term, _ timetable.Steady) bool {
 	return claimed.Number > current.Number
 }
 
-// hasty doesn't wait for what it may have promised in an earlier life.
+// grantorWithoutWait doesn't wait until promises from before a restart have expired.
 type grantorWithoutWait struct{ *lease.Grantor }
 
 func (g grantorWithoutWait) DenyClaims(timetable.Steady) {}
@@ -37,7 +37,7 @@
 	}
 }
 
-// firstViolation plays worlds of a row of seeds until one breaks the rule.
+// firstViolation runs simulations with consecutive seeds until one has two holders.
 func firstViolation(from uint64, o options) string {
 	for seed := from; seed < from+seedCount; seed++ {
 		if violation := newSimulation(seed, o).run(simulatedTime); violation != "" {
@@ -47,13 +47,13 @@
 	return ""
 }
 
-var _ = Describe("the lease under delay, loss, cuts, freezes, restarts, lost disks and new views", func() {
-	It("never has two holders at one moment", func() {
+var _ = Describe("the lease under message delay and loss, link failures, pauses, restarts, disk losses and view changes", func() {
+	It("never has two holders at the same time", func() {
 		Expect(firstViolation(1, correctOptions())).To(BeEmpty())
 		Expect(firstViolation(uint64(GinkgoRandomSeed())<<16, correctOptions())).To(BeEmpty())
 	})
 
-	It("is won often, by several nodes, so that the check means something", func() {
+	It("is won often and by several nodes, so that the safety check covers changes of holder", func() {
 		wonClaims, holders, epochs := 0, 0, membership.Epoch(0)
 		for seed := uint64(1); seed <= 50; seed++ {
 			s := newSimulation(seed, correctOptions())
@@ -65,7 +65,7 @@
 		Expect(epochs).To(BeNumerically(">", 50*2))
 	})
 
-	It("has two holders at once if members promise nothing", func() {
+	It("has two holders at once if members make no promises", func() {
 		o := correctOptions()
 		o.grantor = func() leaseGrantor { return grantorWithoutPromises{lease.NewGrantor(leaseDuration)} }
 		Expect(firstViolation(1, o)).NotTo(BeEmpty())
@@ -83,13 +83,13 @@
 		Expect(firstViolation(1, o)).NotTo(BeEmpty())
 	})
 
-	It("has two holders at once if clocks' rates differ by more than the margin", func() {
+	It("has two holders at once if the clock rates differ by more than the margin", func() {
 		o := correctOptions()
 		o.maxDrift = 0.25
 		Expect(firstViolation(1, o)).NotTo(BeEmpty())
 	})
 
-	It("has two holders at once if the holder counts a longer span than members promise", func() {
+	It("has two holders at once if the holder's lease lasts longer than the members' promises", func() {
 		o := correctOptions()
 		o.holder = func() *lease.Holder { return lease.NewHolder(leaseDuration * 5 / 4) }
 		Expect(firstViolation(1, o)).NotTo(BeEmpty())
--- a/internal/control/lease/simulation_steps_test.go
+++ b/internal/control/lease/simulation_steps_test.go
@@ -14,7 +14,7 @@
 	})
 }
 
-// tick is a node's heartbeat: it gossips, and renews, gives up or claims the duty.
+// tick is a node's heartbeat: it gossips, and renews, releases or claims the lease.
 func (s *simulation) tick(n *node) {
 	for range 2 {
 		s.gossip(n, s.nodes[s.random.IntN(len(s.nodes))].name)
@@ -76,8 +76,8 @@
 	})
 }
 
-// askAll brings a round to every member, and calls won at each acknowledgement of
-// a round that a majority has acknowledged.
+// requestAll sends a round to every member, and calls onMajority at each
+// acknowledgement of a round that a majority has acknowledged.
 func (s *simulation) requestAll(n *node, round lease.Round, request func(member *node) bool, onMajority func()) {
 	incarnation := n.incarnation
 	for _, name := range n.view.Members {
@@ -106,7 +106,8 @@
 	}
 }
 
-// rebuild reads what the others hold, as a member does that is new or lost its disk.
+// rebuild reads the terms of the other members, as a member does that is new or has
+// lost its disk.
 func (s *simulation) rebuild(n *node) {
 	view, incarnation := n.view, n.incarnation
 	if n.readEpoch != view.Epoch || n.readTerms == nil {
@@ -145,7 +146,7 @@
 	}
 }
 
-// trouble strikes now and again.
+// injectFault causes a random fault and schedules the next one.
 func (s *simulation) injectFault() {
 	s.schedule(time.Duration(s.random.Int64N(int64(1500*time.Millisecond))), s.injectFault)
 	n := s.nodes[s.random.IntN(len(s.nodes))]
@@ -185,7 +186,7 @@
 	})
 }
 
-// untrusted is how many members of the newest view have yet to rebuild.
+// untrusted returns how many members of the newest view have not yet been rebuilt.
 func (s *simulation) untrusted() (count int) {
 	for _, name := range s.newestView.Members {
 		if n := s.node(name); !n.trusted || n.view.Epoch < s.newestView.Epoch && !n.view.Has(name) {
@@ -195,8 +196,8 @@
 	return count
 }
 
-// changeView gives a member up for a node that waits, if a majority of the newest
-// view can decide on that. One member hears of it at once, the others by gossip.
+// changeView replaces a member with a spare node, if a majority of the newest view
+// can decide on that. One member learns the new view at once, the others by gossip.
 func (s *simulation) changeView() {
 	var voters []*node
 	for _, name := range s.newestView.Members {
--- a/internal/control/lease/simulation_test.go
+++ b/internal/control/lease/simulation_test.go
@@ -12,8 +12,8 @@
 	"ploverhitch/internal/timetable"
 )
 
-// promiser is the member's side of the lease; a world may be built with one that is
-// broken on purpose.
+// leaseGrantor is the member's side of the lease; simulations may use deliberately
+// faulty implementations.
 type leaseGrantor interface {
 	DenyClaims(now timetable.Steady)
 	Claim(held, wanted membership.Term, now timetable.Steady) bool
@@ -21,24 +21,25 @@
 	Release(held, term membership.Term)
 }
 
-// build says how a world makes the two sides of the lease.
+// options are the implementations and the clock drift that a simulation uses.
 type options struct {
 	grantor func() leaseGrantor
 	holder  func() *lease.Holder
-	// isTrustedAtOnce leaves out the wait of a member that is new in the view.
+	// skipViewWait omits the wait of a member that is new in the view.
 	skipViewWait bool
-	// drift is how far the rates of the steady clocks may be off.
+	// maxDrift is the largest deviation of a clock's rate from 1.
 	maxDrift float64
 }
 
 const (
 	tickPeriod = 300 * time.Millisecond
-	// driftMost is the drift that the lease's margin must bear.
+	// toleratedDrift is the drift that the lease's margin must tolerate.
 	toleratedDrift = 0.02
 	nodeCount      = 6
 )
 
-// node is one machine. Its disk holds term, view and trust; the rest is of one life.
+// node is one machine. term, view and trusted are on its disk; the rest is lost at a
+// restart.
 type node struct {
 	name        string
 	clockOffset time.Duration
@@ -56,8 +57,8 @@
 	readEpoch   membership.Epoch
 }
 
-// world plays members of a core under random trouble, and checks after every step
-// that no two leases are valid at one moment.
+// simulation runs members of a control plane with random faults, and checks after
+// every event that no two leases are valid at the same time.
 type simulation struct {
 	options       options
 	random        *rand.Rand
@@ -69,7 +70,7 @@
 	linkDownUntil map[[2]string]time.Duration
 	wonClaims     int
 	holders       map[string]bool
-	// violation tells of two leases at once.
+	// violation describes two leases that were valid at the same time.
 	violation string
 }
 
@@ -95,7 +96,7 @@
 	return s
 }
 
-// play runs the world for a while and tells what was violated.
+// run runs the simulation for the duration and returns the violation, if any.
 func (s *simulation) run(duration time.Duration) string {
 	s.schedule(time.Second, s.injectFault)
 	for s.now < duration && s.violation == "" && len(s.queue) > 0 {
@@ -107,7 +108,7 @@
 	return s.violation
 }
 
-// check is the plain checker: at most one lease is valid, by its holder's clock.
+// check checks that at most one lease is valid by its holder's clock.
 func (s *simulation) check() {
 	valid := ""
 	for _, n := range s.nodes {
@@ -116,7 +117,7 @@
 		}
 		s.holders[n.name] = true
 		if valid != "" {
-			s.violation = fmt.Sprintf("at %v both %s and %s (term %d) hold the duty", s.now, valid, n.name, n.heldTerm)
+			s.violation = fmt.Sprintf("at %v both %s and %s (term %d) hold the lease", s.now, valid, n.name, n.heldTerm)
 		}
 		valid = n.name
 	}
@@ -131,7 +132,8 @@
 	heap.Push(&s.queue, event{s.now + delay, s.sequence, action})
 }
 
-// at runs act at a node, once it isn't frozen, if it still lives the same life.
+// scheduleAt runs an action at a node once it isn't paused, unless the node restarts
+// before then.
 func (s *simulation) scheduleAt(n *node, delay time.Duration, action func()) {
 	incarnation := n.incarnation
 	var run func()
@@ -147,7 +149,8 @@
 	s.schedule(delay, run)
 }
 
-// deliver runs act at a node that a message reaches, in whatever life it is.
+// deliver sends a message that runs an action at its receiver, even if the receiver
+// restarts before then. Messages may be lost, delayed or duplicated.
 func (s *simulation) deliver(from, to string, action func(n *node)) {
 	if s.random.Float64() < 0.08 || s.now < s.linkDownUntil[[2]string{from, to}] {
 		return
@@ -189,7 +192,8 @@
 	return n.trusted && n.view.Epoch == epoch && n.view.Has(n.name)
 }
 
-// event is something that happens at a moment; events of one moment keep their order.
+// event is an action at a point in time; simultaneous events run in the order in
+// which they were scheduled.
 type event struct {
 	at       time.Duration
 	sequence int
--- a/internal/control/listing/doc.go
+++ b/internal/control/listing/doc.go
@@ -1,8 +1,8 @@
-// Package listing has the rules by which the core reads the platform's list: when the
-// next reading begins, and which member reads in the stead of the holder of the duty.
-// That goes by readings that were completed, never by heartbeats: a holder may be alive
-// while its readings fail or stand still.
+// Package listing schedules how the control plane reads the platform's server list: when
+// the next read starts, and which member reads in place of the leader. The latter depends
+// on the pages that were read, never on heartbeats: a leader may be alive while its reads
+// fail or hang.
 //
-// Its state is a pure type without clock, network or disk. Package control owns it and
-// is, with the emulator, the only one to import it.
+// The types use no clock, network or disk. Only package control and the emulator import
+// the package.
 package listing
--- a/internal/control/listing/pace.go
+++ b/internal/control/listing/pace.go
@@ -6,40 +6,41 @@
 	"ploverhitch/internal/timetable"
 )
 
-// The shares of the platform's rate and the spans in which readings go on.
+// Shares of the platform's rate limit, and intervals of the reads.
 const (
-	// HolderShare is the part of the platform's rate that the holder of the duty takes
-	// at most, or who reads where nobody else does. What is left, besideShare, is for one
-	// that reads beside a holder, and AloneShare for one that may have others beside it
-	// of which it does not hear.
+	// LeaderShare is the largest share of the platform's rate limit for the leader, or
+	// for a member that reads while no other does. concurrentShare, the rest, is for a
+	// member that reads concurrently with a leader, and IsolatedShare for one that may
+	// not be told of concurrent reads by others.
 	LeaderShare     = 0.6
 	concurrentShare = 0.4
 	IsolatedShare   = 0.2
-	// burst is how many times the calls that its rate allows a second may see.
+	// burstFactor is the largest number of calls in one second, as a multiple of the rate.
 	burstFactor = 4.0 / 3
-	// leastRest is the least time between two readings.
+	// minPause is the minimum time between two reads.
 	minPause = 50 * time.Millisecond
-	// PageDue is within which span of a call or of another page a page is due. A call
-	// beside one that hangs comes earlier.
+	// PageInterval is the time after a call or after another page within which a page is
+	// due. A second call beside one that hangs is made earlier.
 	PageInterval = 300 * time.Millisecond
-	// ProgressPeriod is how often a member tells at most that its reading goes on.
+	// ProgressInterval is the minimum time between two progress reports of a read.
 	ProgressInterval = 150 * time.Millisecond
 )
 
-// Pace is how often a member reads the list.
+// Pace limits how often a member reads the list.
 type Pace struct {
-	// Period is how far the beginnings of two readings lie apart at least.
+	// MinInterval is the minimum time between the starts of two reads.
 	MinInterval time.Duration
-	// Rate is how many calls a second the member may make; 0 if there is no bound.
+	// Rate is how many calls per second the member may make; 0 means no limit.
 	Rate float64
 }
 
-// Burst is how many calls a second may see: more than the rate for a moment, so that a
-// reading need not wait for the end of the second in which the last one was made.
+// Burst returns the largest number of calls in one second. It exceeds the rate, so that a
+// read need not wait for the end of the second in which the previous one was made.
 func (p Pace) Burst() float64 { return p.Rate * burstFactor }
 
-// Next is when the reading after one of so many calls begins. The calls of a reading
-// come in a row, so the rate is kept from one beginning to the next.
+// Next returns when the read that follows one with the given number of calls starts. The
+// calls of a read come in quick succession, so the rate is an average from one start to
+// the next.
 func (p Pace) Next(startedAt, endedAt timetable.Steady, calls int) timetable.Steady {
 	interval := p.MinInterval
 	if p.Rate > 0 {
--- a/internal/control/listing/pace_test.go
+++ b/internal/control/listing/pace_test.go
@@ -10,27 +10,27 @@
 	"ploverhitch/internal/timetable"
 )
 
-var _ = Describe("the pace of the readings of the list", func() {
+var _ = Describe("the pace of list reads", func() {
 	const second = timetable.Steady(time.Second)
 	const period = 700 * time.Millisecond
 	pace := listing.Pace{MinInterval: period, Rate: listing.LeaderShare * 50}
 
-	It("is one reading a period, or as many as the rate allows, whichever is fewer, and waits for no more", func() {
+	It("is one read per interval, or as many as the rate allows, whichever is fewer", func() {
 		Expect(listing.Pace{MinInterval: period}.Next(0, second/10, 1000)).To(Equal(7 * second / 10))
-		// 15 pages at 30 calls a second are 0.5 s apart: the period decides.
+		// 15 pages at 30 calls per second take 0.5 s: the minimum interval applies.
 		Expect(pace.Next(0, second/4, 15)).To(Equal(7 * second / 10))
-		// 27 pages are 0.9 s apart, however long the reading itself took.
+		// 27 pages take 0.9 s, however long the read itself took.
 		Expect(pace.Next(0, second/4, 27)).To(BeNumerically("~", 9*second/10, second/1000))
 	})
 
-	It("keeps the rate from one beginning to the next", func() {
+	It("keeps to the rate from the start of one read to the next", func() {
 		for _, calls := range []int{1, 8, 15, 22, 200} {
 			interval := time.Duration(pace.Next(0, second/4, calls)).Seconds()
 			Expect(float64(calls)/interval).To(BeNumerically("<=", 30.001), "%d calls", calls)
 		}
 	})
 
-	It("rests a little after a reading that took longer than that", func() {
+	It("pauses after a read that took longer than the interval", func() {
 		Expect(pace.Next(0, 3*second, 15)).To(BeNumerically(">", 3*second))
 	})
 })
--- a/internal/control/listing/read_tracker_test.go
+++ b/internal/control/listing/read_tracker_test.go
@@ -17,11 +17,11 @@
 	RunSpecs(t, "listing")
 }
 
-var _ = Describe("the watch over readings of the list", func() {
+var _ = Describe("the tracker of list reads", func() {
 	const leader = "10.0.0.1:1"
 	view := membership.View{Epoch: 1, Members: []string{leader, "10.0.0.2:1", "10.0.0.3:1", "10.0.0.4:1"}}
 	start := timetable.Steady(time.Hour)
-	// ranked is the member with a rank.
+	// memberWithRank returns the member with a standby rank.
 	memberWithRank := func(rank int) string {
 		for _, member := range view.Members {
 			if listing.StandbyRank(view, leader, member) == rank {
@@ -40,7 +40,7 @@
 		return ranks
 	}
 
-	It("lets nobody read while the holder's readings come in time, and one after the other when they do not", func() {
+	It("selects no standby reader while the leader's pages arrive in time, and one after another otherwise", func() {
 		tracker := listing.NewReadTracker(start)
 		tracker.RecordPage(leader, 800*time.Millisecond, start)
 		Expect(standbyReaders(tracker, after(900*time.Millisecond))).To(BeEmpty())
@@ -49,7 +49,7 @@
 		Expect(standbyReaders(tracker, after(time.Minute))).To(ConsistOf(0, 1, 2))
 	})
 
-	It("holds the later ones back while an earlier one reads, and all once the holder is back", func() {
+	It("holds back standby readers while one with a lower rank reads, and all once the leader reads again", func() {
 		tracker := listing.NewReadTracker(start)
 		tracker.RecordPage(leader, 800*time.Millisecond, start)
 		tracker.RecordPage(memberWithRank(0), 800*time.Millisecond, after(1200*time.Millisecond))
@@ -58,7 +58,7 @@
 		Expect(standbyReaders(tracker, after(2100*time.Millisecond))).To(BeEmpty())
 	})
 
-	It("goes by the latest time that a member has told, whatever the order in which that comes", func() {
+	It("uses the latest due time that a member reported, in whatever order the reports arrive", func() {
 		tracker := listing.NewReadTracker(start)
 		tracker.RecordPage(leader, time.Second, start)
 		tracker.RecordPage(leader, 300*time.Millisecond, start)
@@ -66,7 +66,7 @@
 		Expect(standbyReaders(tracker, after(1200*time.Millisecond))).To(ConsistOf(0))
 	})
 
-	It("lets others read beside a holder whose pages come in time, but whose readings take too long", func() {
+	It("selects a standby reader beside a leader whose pages arrive in time but whose reads take too long", func() {
 		tracker := listing.NewReadTracker(start)
 		tracker.RecordList(200*time.Millisecond, start)
 		now := after(0)
@@ -81,27 +81,27 @@
 		}
 		Expect(standbyReaders(tracker, now)).To(ConsistOf(0))
 		concurrent := tracker.StandbyShare(view, leader, memberWithRank(0), now)
-		Expect(concurrent+listing.LeaderShare).To(BeNumerically("<=", 1), "the holder reads too")
+		Expect(concurrent+listing.LeaderShare).To(BeNumerically("<=", 1), "the leader reads too")
 		silent := tracker.StandbyShare(view, leader, memberWithRank(0), now+timetable.Steady(time.Second))
-		Expect(silent).To(Equal(listing.LeaderShare), "nobody else reads")
+		Expect(silent).To(Equal(listing.LeaderShare), "no other member reads")
 		tracker.RecordList(300*time.Millisecond, now)
 		Expect(standbyReaders(tracker, now)).To(BeEmpty())
 	})
 
-	It("counts the last holder's reading until the next is due, whoever holds the duty now", func() {
+	It("waits until the previous leader's next page is due, whichever member is the leader now", func() {
 		tracker := listing.NewReadTracker(start)
 		tracker.RecordPage(memberWithRank(2), 800*time.Millisecond, after(5*time.Second))
-		Expect(standbyReaders(tracker, after(5800*time.Millisecond))).To(ConsistOf(2), "it does not count its own")
+		Expect(standbyReaders(tracker, after(5800*time.Millisecond))).To(ConsistOf(2), "a member does not wait for its own pages")
 		Expect(standbyReaders(tracker, after(6*time.Second))).To(ConsistOf(0, 2))
 	})
 
-	It("gives a holder that was never heard of time for its first reading", func() {
+	It("gives a leader without reports time for its first read", func() {
 		tracker := listing.NewReadTracker(start)
 		Expect(standbyReaders(tracker, after(time.Second))).To(BeEmpty())
 		Expect(standbyReaders(tracker, after(2*time.Second))).To(ContainElement(0))
 	})
 
-	It("has no place for the holder, for one outside of the view, or where no holder is known", func() {
+	It("gives no share to the leader, to a node outside the view, or without a known leader", func() {
 		tracker := listing.NewReadTracker(start)
 		later := after(time.Minute)
 		Expect(tracker.StandbyShare(view, leader, leader, later)).To(BeZero())
@@ -109,19 +109,19 @@
 		Expect(tracker.StandbyShare(view, "", memberWithRank(0), later)).To(BeZero())
 	})
 
-	It("counts the age of the list from the beginning of the newest reading", func() {
+	It("measures the age of the list from the start of the newest read", func() {
 		tracker := listing.NewReadTracker(start)
 		_, ok := tracker.Age(start)
 		Expect(ok).To(BeFalse())
 		tracker.RecordPage(leader, time.Second, start)
 		tracker.RecordList(200*time.Millisecond, start)
-		// A reading that began earlier but is heard of later makes nothing younger.
+		// A read that started earlier but is reported later doesn't reduce the age.
 		tracker.RecordPage(memberWithRank(0), time.Second, after(100*time.Millisecond))
 		tracker.RecordList(900*time.Millisecond, after(100*time.Millisecond))
 		age, ok := tracker.Age(after(time.Second))
 		Expect(ok).To(BeTrue())
 		Expect(age).To(Equal(1200 * time.Millisecond))
 		Expect(tracker.SinceOtherReport(leader, after(time.Second))).To(Equal(900 * time.Millisecond))
-		Expect(tracker.SinceOtherReport(memberWithRank(0), after(time.Second))).To(Equal(time.Second), "its own reading is no word of another")
+		Expect(tracker.SinceOtherReport(memberWithRank(0), after(time.Second))).To(Equal(time.Second), "its own report does not count")
 	})
 })
--- a/internal/control/listing/window.go
+++ b/internal/control/listing/window.go
@@ -6,18 +6,18 @@
 	"ploverhitch/internal/timetable"
 )
 
-// windowSpan is the span in which the platform counts calls.
+// windowLength is the time over which the platform counts calls.
 const windowLength = timetable.Steady(time.Second)
 
-// Window spreads calls so that no second sees more of them than it allows. The zones are
-// read side by side, so the calls of a reading would come all at once.
+// Window is a sliding-window rate limiter for calls. The zones are read concurrently, so
+// without it the calls of a read would all be made at once.
 type Window struct {
-	// reserved are when the calls of the last second were made, or are to be.
+	// callTimes are the times of the calls of the last second, and of future calls.
 	callTimes []timetable.Steady
 }
 
-// Reserve takes the next place for a call, and tells after how long it comes. perSecond
-// is how many calls a second may see; 0 is no bound.
+// Reserve reserves the next time for a call and returns how long to wait until then.
+// perSecond is the largest number of calls in any second; 0 means no limit.
 func (w *Window) Reserve(now timetable.Steady, perSecond float64) (wait time.Duration) {
 	for len(w.callTimes) > 0 && w.callTimes[0]+windowLength <= now {
 		w.callTimes = w.callTimes[1:]
--- a/internal/control/listing/window_test.go
+++ b/internal/control/listing/window_test.go
@@ -12,8 +12,8 @@
 	"ploverhitch/internal/timetable"
 )
 
-var _ = Describe("the window of calls to the platform", func() {
-	It("lets calls through at once until a second has seen enough, and those after it one by one", func() {
+var _ = Describe("the rate limiter of calls to the platform", func() {
+	It("allows calls at once up to the limit per second, and delays the others", func() {
 		window := &listing.Window{}
 		for range 30 {
 			Expect(window.Reserve(0, 30)).To(BeZero())
@@ -24,7 +24,7 @@
 		Expect(window.Reserve(half, 0)).To(BeZero(), "without a bound there is no wait")
 	})
 
-	It("never lets a second see more, whenever calls are asked for", func() {
+	It("never allows more calls in a second than the limit, whenever they are requested", func() {
 		random := rand.New(rand.NewPCG(1, 2))
 		window, now := &listing.Window{}, timetable.Steady(0)
 		var callTimes []timetable.Steady
