--- a/internal/control/lease/simulation_test.go
+++ b/internal/control/lease/simulation_test.go
@@ -16,9 +16,9 @@
 // faulty implementations.
 type leaseGrantor interface {
 	DenyClaims(now timetable.Steady)
-	Claim(held, wanted membership.Term, now timetable.Steady) bool
-	Renew(held, term membership.Term, now timetable.Steady) bool
-	Release(held, term membership.Term)
+	Claim(current, claimed membership.Term, now timetable.Steady) bool
+	Renew(current, term membership.Term, now timetable.Steady) bool
+	Release(current, term membership.Term)
 }
 
 // options are the implementations and the clock drift that a simulation uses.
--- a/internal/control/listing/read_tracker_test.go
+++ b/internal/control/listing/read_tracker_test.go
@@ -69,23 +69,23 @@
 	It("selects a standby reader beside a leader whose pages arrive in time but whose reads take too long", func() {
 		tracker := listing.NewReadTracker(start)
 		tracker.RecordList(200*time.Millisecond, start)
-		now := after(0)
-		for now < after(1900*time.Millisecond) {
-			now += timetable.Steady(100 * time.Millisecond)
-			tracker.RecordPage(leader, 300*time.Millisecond, now)
+		reportedAt := after(0)
+		for reportedAt < after(1900*time.Millisecond) {
+			reportedAt += timetable.Steady(100 * time.Millisecond)
+			tracker.RecordPage(leader, 300*time.Millisecond, reportedAt)
 		}
-		Expect(standbyReaders(tracker, now)).To(BeEmpty())
-		for now < after(2100*time.Millisecond) {
-			now += timetable.Steady(100 * time.Millisecond)
-			tracker.RecordPage(leader, 300*time.Millisecond, now)
+		Expect(standbyReaders(tracker, reportedAt)).To(BeEmpty())
+		for reportedAt < after(2100*time.Millisecond) {
+			reportedAt += timetable.Steady(100 * time.Millisecond)
+			tracker.RecordPage(leader, 300*time.Millisecond, reportedAt)
 		}
-		Expect(standbyReaders(tracker, now)).To(ConsistOf(0))
-		concurrent := tracker.StandbyShare(view, leader, memberWithRank(0), now)
+		Expect(standbyReaders(tracker, reportedAt)).To(ConsistOf(0))
+		concurrent := tracker.StandbyShare(view, leader, memberWithRank(0), reportedAt)
 		Expect(concurrent+listing.LeaderShare).To(BeNumerically("<=", 1), "the leader reads too")
-		silent := tracker.StandbyShare(view, leader, memberWithRank(0), now+timetable.Steady(time.Second))
+		silent := tracker.StandbyShare(view, leader, memberWithRank(0), reportedAt+timetable.Steady(time.Second))
 		Expect(silent).To(Equal(listing.LeaderShare), "no other member reads")
-		tracker.RecordList(300*time.Millisecond, now)
-		Expect(standbyReaders(tracker, now)).To(BeEmpty())
+		tracker.RecordList(300*time.Millisecond, reportedAt)
+		Expect(standbyReaders(tracker, reportedAt)).To(BeEmpty())
 	})
 
 	It("waits until the previous leader's next page is due, whichever member is the leader now", func() {
--- a/internal/control/registry/registry_test.go
+++ b/internal/control/registry/registry_test.go
@@ -132,9 +132,9 @@
 		acceptance, _ := c.replicas["b"].Accept("b", accept)
 		Expect(acceptance.Preempted(accept)).To(BeTrue())
 		Expect(c.replicas["c"].Learn(registry.Change{Index: 1})).To(BeTrue())
-		known, _ := c.replicas["c"].Promise(prepare)
+		informed, _ := c.replicas["c"].Promise(prepare)
 		behind, _ := c.replicas["a"].Promise(registry.Prepare{Index: 2, Ballot: low})
-		Expect([]bool{known.Preempted(prepare), behind.Preempted(registry.Prepare{Index: 2, Ballot: low})}).To(Equal([]bool{true, false}))
+		Expect([]bool{informed.Preempted(prepare), behind.Preempted(registry.Prepare{Index: 2, Ballot: low})}).To(Equal([]bool{true, false}))
 	})
 
 	It("is not accepted by a replica that has lost its promise since", func() {
@@ -155,10 +155,10 @@
 		source := registry.NewReplica()
 		applyRandomChange := func() {
 			name := fmt.Sprint("r", random.IntN(300))
-			held := source.Items[config.ID{Class: config.RouteItem, Name: name}]
-			item := route(name, held.Version+1, "/"+name+"/", "s")
+			current := source.Items[config.ID{Class: config.RouteItem, Name: name}]
+			item := route(name, current.Version+1, "/"+name+"/", "s")
 			if random.IntN(9) == 0 {
-				item = removal(name, held.Version+1)
+				item = removal(name, current.Version+1)
 			}
 			Expect(source.Learn(registry.Change{Index: source.Next(), Items: []config.Item{item}})).To(BeTrue())
 		}
