--- a/internal/control/registry/initial_set.go
+++ b/internal/control/registry/initial_set.go
@@ -14,7 +14,7 @@
 	replica := NewReplica()
 	replica.MergeLegacy(legacy)
 	set = replica.Set
-	for _, item := range shadowedRoutes(set.Items) {
+	for _, item := range duplicateRoutes(set.Items) {
 		item.Dropped, item.Body, item.Host = true, nil, ""
 		set.put(item)
 		dropped = append(dropped, item.ID.Name)
@@ -22,9 +22,9 @@
 	return set, dropped
 }
 
-// shadowedRoutes returns the routes whose host and prefix belong to another route:
+// duplicateRoutes returns the routes whose host and prefix belong to another route:
 // the one with the higher version, then with the greater name, as in config.Compile.
-func shadowedRoutes(book config.Book) (shadowed []config.Item) {
+func duplicateRoutes(book config.Book) (duplicates []config.Item) {
 	owners := map[string]config.Item{}
 	for _, item := range book.Items() {
 		var route config.RouteSpec
@@ -37,13 +37,13 @@
 		case !taken:
 			owners[location] = item
 		case item.Version >= owner.Version:
-			shadowed = append(shadowed, owner)
+			duplicates = append(duplicates, owner)
 			owners[location] = item
 		default:
-			shadowed = append(shadowed, item)
+			duplicates = append(duplicates, item)
 		}
 	}
-	return shadowed
+	return duplicates
 }
 
 // replaceAll extends a change to a migrated set to one that contains the whole set.
