--- a/internal/control/registry/legacy.go
+++ b/internal/control/registry/legacy.go
@@ -7,14 +7,15 @@
 	"ploverhitch/internal/config"
 )
 
-// formerNames are the words that older builds wrote for fields of the operators'
-// interface, and the present ones.
+// formerNames maps the names that older builds stored for fields of the operator
+// API to the present names.
 var formerNames = map[string]string{
 	"LaneType": "RouteType", "Lane": "Route", "Lanes": "Routes", "Cell": "Zone", "Cells": "Zones",
 }
 
-// renamed is an item that an older build kept, with the present names of its fields.
-func renamed(item config.Item) config.Item {
+// migrateFieldNames returns an item stored by an older build with the present names
+// of its fields.
+func migrateFieldNames(item config.Item) config.Item {
 	decoder := json.NewDecoder(bytes.NewReader(item.Body))
 	decoder.UseNumber()
 	var body any
@@ -30,22 +31,22 @@
 	return item
 }
 
-// renameFields changes former names within a value, and tells whether there were any.
-func renameFields(value any) (isChanged bool) {
+// renameFields replaces former names within a value and reports whether there were any.
+func renameFields(value any) (changed bool) {
 	switch inner := value.(type) {
 	case []any:
 		for _, entry := range inner {
-			isChanged = renameFields(entry) || isChanged
+			changed = renameFields(entry) || changed
 		}
 	case map[string]any:
 		for name, entry := range inner {
-			isChanged = renameFields(entry) || isChanged
-			if present, isFormer := formerNames[name]; isFormer {
+			changed = renameFields(entry) || changed
+			if present, former := formerNames[name]; former {
 				delete(inner, name)
 				inner[present] = entry
-				isChanged = true
+				changed = true
 			}
 		}
 	}
-	return isChanged
+	return changed
 }
--- a/internal/control/registry/page.go
+++ b/internal/control/registry/page.go
@@ -6,40 +6,36 @@
 	"ploverhitch/internal/config"
 )
 
-// Page is a part of the item set, in the order of the ids. Pages are read one
-// after another while changes go on: they may be of different indexes, and the
-// changes that follow the first page's index bring them all to one.
+// Page is a part of the item set, ordered by ID. Pages are read one after another
+// while changes are applied, so their indexes may differ; applying the changes that
+// follow the first page's index brings all of them to the same index.
 type Page struct {
-	// Index is that of the set which the page was cut from.
+	// Index is the index of the set that the page was read from.
 	Index   Index         `cbor:"1,keyasint"`
 	Items   []config.Item `cbor:"2,keyasint,omitempty"`
 	History []History     `cbor:"3,keyasint,omitempty"`
-	// IsFirst and IsLast mark the ends.
-	IsFirst bool `cbor:"4,keyasint,omitempty"`
-	IsLast  bool `cbor:"5,keyasint,omitempty"`
+	// First and Last mark the first and the last page of the set.
+	First bool `cbor:"4,keyasint,omitempty"`
+	Last  bool `cbor:"5,keyasint,omitempty"`
 }
 
-func compareIDs(a, z config.ID) int {
-	if a.Class != z.Class {
-		return int(a.Class) - int(z.Class)
+func compareIDs(a, b config.ID) int {
+	if a.Class != b.Class {
+		return int(a.Class) - int(b.Class)
 	}
-	if a.Name < z.Name {
+	if a.Name < b.Name {
 		return -1
 	}
-	if a.Name > z.Name {
+	if a.Name > b.Name {
 		return 1
 	}
 	return 0
 }
 
-// PageAfter cuts the page that follows an item, of about so many bytes; nil asks
-// for the first.
-//
-// Example:
-//
-//	page := set.PageAfter(nil, 64<<10)
-func (s *Set) PageAfter(after *config.ID, bytes int) Page {
-	return s.pageOf(s.sortedIDs(), after, bytes)
+// PageAfter returns the page of about maxBytes that follows an item, or the first
+// page if after is nil.
+func (s *Set) PageAfter(after *config.ID, maxBytes int) Page {
+	return s.pageOf(s.sortedIDs(), after, maxBytes)
 }
 
 func (s *Set) sortedIDs() []config.ID {
@@ -51,38 +47,34 @@
 	return ids
 }
 
-func (s *Set) pageOf(ids []config.ID, after *config.ID, bytes int) Page {
-	page := Page{Index: s.Index, IsFirst: after == nil}
+func (s *Set) pageOf(ids []config.ID, after *config.ID, maxBytes int) Page {
+	page := Page{Index: s.Index, First: after == nil}
 	from := 0
 	if after != nil {
-		at, isThere := slices.BinarySearchFunc(ids, *after, compareIDs)
-		if from = at; isThere {
+		at, found := slices.BinarySearchFunc(ids, *after, compareIDs)
+		if from = at; found {
 			from++
 		}
 	}
-	sum, next := 0, from
-	for ; next < len(ids) && (sum < bytes || next == from); next++ {
+	size, next := 0, from
+	for ; next < len(ids) && (size < maxBytes || next == from); next++ {
 		item := s.Items[ids[next]]
 		page.Items = append(page.Items, item)
 		page.History = append(page.History, History{item.ID, s.history[item.ID]})
-		sum += sizeOf(item)
+		size += approximateSize(item)
 	}
-	page.IsLast = next == len(ids)
+	page.Last = next == len(ids)
 	return page
 }
 
-// Pages cuts the whole set.
-//
-// Example:
-//
-//	for page := range set.Pages(64 << 10) { keep(page) }
-func (s *Set) Pages(bytes int) func(yield func(Page) bool) {
+// Pages iterates over the pages of the whole set.
+func (s *Set) Pages(maxBytes int) func(yield func(Page) bool) {
 	return func(yield func(Page) bool) {
 		ids := s.sortedIDs()
 		var after *config.ID
 		for {
-			page := s.pageOf(ids, after, bytes)
-			if !yield(page) || page.IsLast {
+			page := s.pageOf(ids, after, maxBytes)
+			if !yield(page) || page.Last {
 				return
 			}
 			after = &page.Items[len(page.Items)-1].ID
@@ -90,25 +82,21 @@
 	}
 }
 
-// Assembly puts the pages of another replica's set together.
+// Assembly builds a set from the pages of another replica's set.
 type Assembly struct {
 	set   *Set
 	first Index
 	last  Index
-	// isBroken says that a page was cut from an older set than the one before.
-	isBroken bool
+	// inconsistent says that a page was read from an older set than the page before it.
+	inconsistent bool
 }
 
-// Add takes the next page.
-//
-// Example:
-//
-//	assembly.Add(page)
+// Add appends the next page; a first page starts the assembly again.
 func (a *Assembly) Add(page Page) {
-	if page.IsFirst || a.set == nil {
-		a.set, a.first, a.isBroken = NewSet(), page.Index, false
+	if page.First || a.set == nil {
+		a.set, a.first, a.inconsistent = NewSet(), page.Index, false
 	} else if page.Index < a.last {
-		a.isBroken = true
+		a.inconsistent = true
 	}
 	for _, item := range page.Items {
 		a.set.put(item)
@@ -119,27 +107,19 @@
 	a.last = page.Index
 }
 
-// After is the item that the next page follows.
-//
-// Example:
-//
-//	page := ask(assembly.After())
-func (page Page) After() *config.ID {
-	if len(page.Items) == 0 {
+// After returns the ID of the page's last item, which the next page follows.
+func (p Page) After() *config.ID {
+	if len(p.Items) == 0 {
 		return nil
 	}
-	return &page.Items[len(page.Items)-1].ID
+	return &p.Items[len(p.Items)-1].ID
 }
 
-// Finish brings the pages to one index by the changes that followed the first of
-// them, which must reach the last page's index at least; it tells whether they do.
-// Pages of a replica that lost its set between two of them never come to a whole.
-//
-// Example:
-//
-//	set, isWhole := assembly.Finish(changes)
-func (a *Assembly) Finish(changes []Change) (set *Set, isWhole bool) {
-	if a.set == nil || a.isBroken {
+// Finish brings the pages to one index by applying the changes that followed the
+// first page, and reports whether these reach at least the last page's index. Pages
+// of a replica that lost its set between two of them are never complete.
+func (a *Assembly) Finish(changes []Change) (set *Set, complete bool) {
+	if a.set == nil || a.inconsistent {
 		return nil, false
 	}
 	a.set.Index = a.first
@@ -151,12 +131,8 @@
 	return a.set, a.set.Index >= a.last
 }
 
-// Install replaces the replica's set by a newer one, as after catching up by
-// pages. What the acceptor holds concerned a change that is decided by then.
-//
-// Example:
-//
-//	if replica.Install(set) { publishAll() }
+// Install replaces the replica's set with a newer one, for example after catching up
+// by pages, and resets the acceptor: its change has been decided by then.
 func (r *Replica) Install(set *Set) bool {
 	if set.Index <= r.Index && !(set.Index == 0 && r.Index == 0) {
 		return false
--- a/internal/control/registry/proposer.go
+++ b/internal/control/registry/proposer.go
@@ -5,58 +5,56 @@
 	"ploverhitch/internal/membership"
 )
 
-// Peers carries a proposer's messages to all members of the view and returns the
-// answers that came while the round is still young enough to count them.
+// Peers sends a proposer's messages to all members of the view and returns the
+// responses that arrive before the round times out.
 type Peers interface {
 	Prepare(Prepare) []Promise
 	Accept(Accept) []Acceptance
 }
 
-// Round is one attempt to have the change of one number decided.
+// Round is one attempt to decide the change with a given index.
 type Round struct {
 	Epoch    membership.Epoch
 	Index    Index
 	Ballot   membership.Number
 	Majority int
-	// Draft is called once a majority has promised and none of them has accepted
-	// a change yet; legacy are unnumbered items that they hold.
-	Draft func(legacy []config.Item) (change Change, isAny bool)
+	// Draft is called once a majority has promised and none of its members has
+	// accepted a change yet; legacy are the unnumbered items that they hold.
+	Draft func(legacy []config.Item) (change Change, ok bool)
 }
 
-// Outcome is what a round came to.
+// Outcome is the result of a round.
 type Outcome struct {
-	// Decided is the change that the number has, whoever proposed it.
+	// Decided is the change decided for the index, whichever member proposed it.
 	Decided *Change
-	// IsQuiet says that a majority promised, held no change for the number, and
-	// there was none to propose.
-	IsQuiet bool
-	// Highest is the highest ballot met, Ahead the highest index of a member.
-	Highest membership.Number
-	Ahead   Index
-	// AheadOf is the member of that index.
-	AheadOf string
-	// Heard is how many members answered the Prepare, whatever they said.
-	Heard int
-	// View is a member's newer view.
+	// NothingToPropose says that a majority promised without having accepted a
+	// change for the index, and that there was no change to propose.
+	NothingToPropose bool
+	// HighestBallot is the highest ballot seen, HighestIndex the highest index of a
+	// member.
+	HighestBallot membership.Number
+	HighestIndex  Index
+	// HighestIndexMember is the member with that index.
+	HighestIndexMember string
+	// Responses is the number of members that responded to the Prepare, with a
+	// promise or a refusal.
+	Responses int
+	// View is a newer view reported by a member, if any.
 	View *membership.View
-	// Behind are the indexes of members whose set lacks changes before the number.
-	Behind map[string]Index
+	// Lagging has the indexes of the members whose sets lack changes before the index.
+	Lagging map[string]Index
 }
 
-// Run plays the round. Without a Decided change nothing is known: a change that
-// was sent may still be decided by a later round.
-//
-// Example:
-//
-//	outcome := registry.Round{...}.Run(peers)
+// Run executes the round. If the outcome has no Decided change, the result is
+// unknown: a change that was sent may still be decided by a later round.
 func (r Round) Run(peers Peers) (outcome Outcome) {
-	outcome.Highest = r.Ballot
+	outcome.HighestBallot = r.Ballot
 	promises := peers.Prepare(Prepare{Epoch: r.Epoch, Index: r.Index, Ballot: r.Ballot})
 	accept := Accept{Epoch: r.Epoch, Ballot: r.Ballot, Incarnations: map[string]uint64{}}
 	var accepted Acceptor
 	var legacy []config.Item
 	for _, promise := range promises {
-		outcome.hear(r.Index, promise)
+		outcome.record(r.Index, promise)
 		if !promise.OK {
 			continue
 		}
@@ -72,46 +70,46 @@
 	if accepted.Change != nil {
 		accept.Change = *accepted.Change
 	} else {
-		change, isAny := r.Draft(legacy)
-		if !isAny {
-			outcome.IsQuiet = true
+		change, ok := r.Draft(legacy)
+		if !ok {
+			outcome.NothingToPropose = true
 			return outcome
 		}
 		if change.Index != r.Index {
-			// The set moved on meanwhile: nothing was promised for that number.
+			// The set has advanced meanwhile: nothing was promised for the new index.
 			return outcome
 		}
 		accept.Change = change
 	}
-	count := 0
+	accepts := 0
 	for _, acceptance := range peers.Accept(accept) {
 		if acceptance.OK {
-			count++
+			accepts++
 		}
-		if outcome.Highest.Below(acceptance.Promised) {
-			outcome.Highest = acceptance.Promised
+		if outcome.HighestBallot.Below(acceptance.Promised) {
+			outcome.HighestBallot = acceptance.Promised
 		}
 	}
-	if count >= r.Majority {
+	if accepts >= r.Majority {
 		outcome.Decided = &accept.Change
 	}
 	return outcome
 }
 
-// hear notes what a promise, or its refusal, tells beside the promise itself.
-func (o *Outcome) hear(index Index, promise Promise) {
-	o.Heard++
-	if o.Highest.Below(promise.Acceptor.Promised) {
-		o.Highest = promise.Acceptor.Promised
+// record adds the ballot, index and view of a promise or refusal to the outcome.
+func (o *Outcome) record(index Index, promise Promise) {
+	o.Responses++
+	if o.HighestBallot.Below(promise.Acceptor.Promised) {
+		o.HighestBallot = promise.Acceptor.Promised
 	}
 	if promise.Index+1 < index && promise.Member != "" {
-		if o.Behind == nil {
-			o.Behind = map[string]Index{}
+		if o.Lagging == nil {
+			o.Lagging = map[string]Index{}
 		}
-		o.Behind[promise.Member] = promise.Index
+		o.Lagging[promise.Member] = promise.Index
 	}
-	if promise.Index > o.Ahead {
-		o.Ahead, o.AheadOf = promise.Index, promise.Member
+	if promise.Index > o.HighestIndex {
+		o.HighestIndex, o.HighestIndexMember = promise.Index, promise.Member
 	}
 	if promise.View != nil && (o.View == nil || promise.View.Epoch > o.View.Epoch) {
 		o.View = promise.View
