--- a/cmd/measure/measures.go
+++ b/cmd/measure/measures.go
@@ -8,13 +8,13 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"ploverhitch/internal/balancer"
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/idempotency"
 	"ploverhitch/internal/outlier"
 	"ploverhitch/internal/rpc"
 	"ploverhitch/internal/shedding"
-	"ploverhitch/internal/timetable"
 )
 
 func measures() []measure {
@@ -87,7 +87,7 @@
 	for at := range size {
 		name := fmt.Sprint("lane-", at)
 		body, _ := json.Marshal(config.RouteSpec{
-			Name: name, PathPrefix: "/" + name + "/", RouteType: config.Safe, Timeout: timetable.Span(time.Second), TargetLatency: timetable.Span(time.Second),
+			Name: name, PathPrefix: "/" + name + "/", RouteType: config.Safe, Timeout: clock.Span(time.Second), TargetLatency: clock.Span(time.Second),
 			Service: fmt.Sprint("service-", at%40), MaxAttempts: 2, Revision: 1,
 		})
 		items = append(items, config.Item{ID: config.ID{Class: config.RouteItem, Name: name}, Version: 1, Host: fmt.Sprint("h", at%400, ".example"), Body: body})
@@ -166,7 +166,7 @@
 }
 
 func reports(size int) result {
-	court, number := outlier.NewCourt(timetable.Real()), uint64(0)
+	court, number := outlier.NewCourt(clock.Real()), uint64(0)
 	bytes := 0
 	for proxy := range size {
 		bytes += written(reportOf(proxy, 1))
@@ -181,7 +181,7 @@
 }
 
 func cutoff(size int) result {
-	gauge := shedding.NewGauge(timetable.Real(), func() uint64 { return 1 })
+	gauge := shedding.NewGauge(clock.Real(), func() uint64 { return 1 })
 	loads := []shedding.Load{{Service: "a", Offered: 9, Sent: 9, Turned: 3}, {Service: "b", Tier: 1, Offered: 9, Sent: 9}}
 	return result{size * written(loads), repeated(func() {
 		for proxy := range size {
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -9,13 +9,13 @@
 
 	"github.com/juju/errors"
 
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/membership"
 	"ploverhitch/internal/messages"
 	"ploverhitch/internal/rpc"
 	"ploverhitch/internal/settings"
-	"ploverhitch/internal/timetable"
 )
 
 const (
@@ -37,9 +37,9 @@
 // desk owns what the agent knows.
 type desk struct {
 	set       *settings.Settings
-	clock     timetable.Clock
+	clock     clock.Clock
 	hub       *feed.Hub
-	loop      *timetable.Loop[told]
+	loop      *clock.Loop[told]
 	following map[string]context.CancelFunc
 	lines     map[string]*rpc.Line
 	followers map[string]*feed.Follower
@@ -47,7 +47,7 @@
 	gaps map[string]feed.Reading
 	// heard are the nodes that gave their checkpoint.
 	heard map[string]bool
-	began timetable.Steady
+	began clock.Steady
 	whole bool
 	note  Note
 	next  chan *settings.Settings
@@ -55,7 +55,7 @@
 	// chosen; wellAt is since when all of the chosen have told.
 	spareFor membership.Epoch
 	spares   int
-	wellAt   timetable.Steady
+	wellAt   clock.Steady
 }
 
 // LoopbackAddress is where the agent of a machine feeds its proxy.
@@ -74,7 +74,7 @@
 //	err := agent.Run(ctx, set, path, note)
 func Run(ctx context.Context, set *settings.Settings, path string, note Note) error {
 	d := &desk{
-		set: set, clock: timetable.Real(), hub: feed.NewHub(), loop: timetable.NewLoop[told](256),
+		set: set, clock: clock.Real(), hub: feed.NewHub(), loop: clock.NewLoop[told](256),
 		note: note, following: map[string]context.CancelFunc{}, lines: map[string]*rpc.Line{}, heard: map[string]bool{},
 		followers: map[string]*feed.Follower{}, gaps: map[string]feed.Reading{}, next: make(chan *settings.Settings, 1),
 	}
@@ -159,7 +159,7 @@
 	// A core without a majority can keep nothing new; after a while what one
 	// node tells is better than serving nobody.
 	// Without any items, though, every answer would be a wrong 404.
-	isLate := d.clock.Steady()-d.began > timetable.Steady(d.set.Platform.Bounds.Contact) && len(d.heard) > 0 && d.holdsItems()
+	isLate := d.clock.Steady()-d.began > clock.Steady(d.set.Platform.Bounds.Contact) && len(d.heard) > 0 && d.holdsItems()
 	if d.whole = isMajority || isLate; d.whole {
 		d.note("info", "the news is whole", "heard", count, "late", isLate)
 		d.hub.Publish(feed.News{IsWhole: true})
--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -9,8 +9,8 @@
 	. "github.com/onsi/gomega"
 
 	"ploverhitch/internal/balancer"
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/feed"
-	"ploverhitch/internal/timetable"
 )
 
 func TestBalancer(t *testing.T) {
@@ -29,7 +29,7 @@
 	It("never lets the tries of any window pass its share of what was asked", func() {
 		const ratio, floor, window = 0.2, 2.0, 10 * time.Second
 		random := rand.New(rand.NewPCG(6, 6))
-		hand := &timetable.Hand{}
+		hand := &clock.Hand{}
 		budget := balancer.NewBudget(ratio, window, func() float64 { return floor }, hand)
 		var asked, spent []time.Duration
 		within := func(times []time.Duration, from time.Duration) (count float64) {
@@ -75,7 +75,7 @@
 	return feed.Server{ID: id, Service: "s", Address: "127.0.0.1:1", Cell: cell, Capacity: 2, IsReady: true}
 }
 
-func chosen(yard *balancer.Yard, wish balancer.Wish, hand *timetable.Hand) map[string]int {
+func chosen(yard *balancer.Yard, wish balancer.Wish, hand *clock.Hand) map[string]int {
 	counts := map[string]int{}
 	for range 200 {
 		if siding := yard.Choose(wish, hand); siding != nil {
@@ -87,7 +87,7 @@
 
 var _ = Describe("the choice of a server", func() {
 	It("heeds draining, failures, full servers, strangers and cells", func() {
-		hand := &timetable.Hand{}
+		hand := &clock.Hand{}
 		wish := balancer.Wish{Service: "s", Crossing: 5 * time.Millisecond}
 		draining := server("d", "c1")
 		draining.IsReady = false
@@ -107,7 +107,7 @@
 	})
 
 	It("sends less to a server that is slow, warming or busy", func() {
-		hand := &timetable.Hand{}
+		hand := &clock.Hand{}
 		warming := server("w", "c1")
 		warming.WarmMs = hand.Wall().Add(time.Second).UnixMilli()
 		yard := here.Lay(fleet(server("a", "c1"), warming))
@@ -121,7 +121,7 @@
 	})
 
 	It("holds no more at a server than its part of the server's connections", func() {
-		hand := &timetable.Hand{}
+		hand := &clock.Hand{}
 		yard := here.Lay(fleet(server("a", "c1")))
 		wish := balancer.Wish{Service: "s", Limit: 2}
 		first := yard.Choose(wish, hand)
@@ -135,7 +135,7 @@
 	})
 
 	It("knows a fallen site by what is left of it, and by what fails, not by what is busy", func() {
-		hand := &timetable.Hand{}
+		hand := &clock.Hand{}
 		yard := here.Lay(fleet(server("a", "c1"), server("b", "c1"), server("z", "c2")))
 		wish := balancer.Wish{Service: "s"}
 		Expect(yard.IsFallen("s")).To(BeFalse())
@@ -154,7 +154,7 @@
 	})
 
 	It("keeps what it learnt of a server when the list says something new", func() {
-		hand := &timetable.Hand{}
+		hand := &clock.Hand{}
 		yard := here.Lay(fleet(server("a", "c1")))
 		yard.Choose(balancer.Wish{Service: "s"}, hand).End(balancer.Misdirected, 0, 0, 0)
 		changed := server("a", "c1")
--- a/internal/balancer/budget.go
+++ b/internal/balancer/budget.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"ploverhitch/internal/timetable"
+	"ploverhitch/internal/clock"
 )
 
 // Budget bounds one node's further tries at one service to a share of its own
@@ -15,12 +15,12 @@
 type Budget struct {
 	ratio  float64
 	floor  func() float64
-	step   timetable.Steady
+	step   clock.Steady
 	lock   sync.Mutex
 	at     int64
 	asked  [budgetSteps]float64
 	spent  [budgetSteps]float64
-	steady func() timetable.Steady
+	steady func() clock.Steady
 }
 
 const (
@@ -55,8 +55,8 @@
 // Example:
 //
 //	budget := balancer.NewBudget(0.2, 10*time.Second, func() float64 { return balancer.Floor(64, 12) }, clock)
-func NewBudget(ratio float64, window time.Duration, floor func() float64, clock timetable.Clock) *Budget {
-	return &Budget{ratio: ratio, floor: floor, step: timetable.Steady(window) / (budgetSteps - 1), steady: clock.Steady}
+func NewBudget(ratio float64, window time.Duration, floor func() float64, timeSource clock.Clock) *Budget {
+	return &Budget{ratio: ratio, floor: floor, step: clock.Steady(window) / (budgetSteps - 1), steady: timeSource.Steady}
 }
 
 // turn moves to the present step, emptying those that were passed.
--- a/internal/balancer/choose.go
+++ b/internal/balancer/choose.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"time"
 
-	"ploverhitch/internal/timetable"
+	"ploverhitch/internal/clock"
 )
 
 // Wish is what a choice has to heed.
@@ -46,7 +46,7 @@
 type choice struct {
 	wish        Wish
 	cell        string
-	now         timetable.Steady
+	now         clock.Steady
 	wall        time.Time
 	best, first *Siding
 	least       float64
@@ -84,7 +84,7 @@
 // Example:
 //
 //	siding := yard.Choose(balancer.Wish{Service: "paadam"}, clock)
-func (y *Yard) Choose(wish Wish, clock timetable.Clock) *Siding {
+func (y *Yard) Choose(wish Wish, clock clock.Clock) *Siding {
 	c := &choice{wish: wish, cell: y.home.Cell, now: clock.Steady(), wall: clock.Wall(), least: math.Inf(1)}
 	stand := y.stand(wish.Service)
 	if wish.IsTrial {
--- a/internal/balancer/leaving_test.go
+++ b/internal/balancer/leaving_test.go
@@ -7,13 +7,13 @@
 	. "github.com/onsi/gomega"
 
 	"ploverhitch/internal/balancer"
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/feed"
-	"ploverhitch/internal/timetable"
 )
 
 var _ = Describe("a server that is reported to leave", func() {
 	It("is never chosen again, on the ring or off it, whatever the fleet says and however long it takes", func() {
-		hand := &timetable.Hand{Now: time.Hour}
+		hand := &clock.Hand{Now: time.Hour}
 		fleet := feed.Fleet{Term: 1, Count: 1, Servers: []feed.Server{
 			{ID: "a", Service: "s", Cell: "z", Capacity: 2, IsReady: true}, {ID: "b", Service: "s", Cell: "z", Capacity: 2, IsReady: true},
 		}}
--- a/internal/balancer/paces_test.go
+++ b/internal/balancer/paces_test.go
@@ -9,8 +9,8 @@
 	. "github.com/onsi/gomega"
 
 	"ploverhitch/internal/balancer"
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/feed"
-	"ploverhitch/internal/timetable"
 )
 
 var _ = Describe("news of paces alone", func() {
@@ -36,7 +36,7 @@
 		yard.Hear(next)
 		slow, quick := 0, 0
 		for range 400 {
-			switch yard.Choose(balancer.Wish{Service: "s", Usual: 100 * time.Millisecond}, &timetable.Hand{}).ID {
+			switch yard.Choose(balancer.Wish{Service: "s", Usual: 100 * time.Millisecond}, &clock.Hand{}).ID {
 			case "i-07":
 				quick++
 			case "i-09":
--- a/internal/bandwidth/track.go
+++ b/internal/bandwidth/track.go
@@ -7,21 +7,21 @@
 	"sync"
 	"time"
 
-	"ploverhitch/internal/timetable"
+	"ploverhitch/internal/clock"
 )
 
 // Track is one direction of a machine's link. Short traffic is only noted; bulk
 // traffic waits for its turn, so that what the link holds at once stays small.
 type Track struct {
-	clock timetable.Clock
+	clock clock.Clock
 	// perByte is how long one byte keeps the link busy; 0 if the link is wide.
 	perByte float64
 	lock    sync.Mutex
 	// free is when all that was let onto the track has passed.
-	free timetable.Steady
+	free clock.Steady
 	// short is the short traffic of late, in bytes that fade, as of shortAt.
 	short   float64
-	shortAt timetable.Steady
+	shortAt clock.Steady
 }
 
 const (
@@ -31,7 +31,7 @@
 	bulkShare = 0.9
 	// ahead is how much of the link's time may be taken at once: as late as an alarm may
 	// ring, or the link stands idle between two pieces.
-	ahead = timetable.Steady(8 * time.Millisecond)
+	ahead = clock.Steady(8 * time.Millisecond)
 	// shortFade is how fast short traffic fades from memory, shortMost the part of
 	// the link that it is thought to take at most.
 	shortFade = float64(time.Second)
@@ -45,7 +45,7 @@
 // Example:
 //
 //	out := bandwidth.NewTrack(set.Platform.Limits.LinkMbps, clock)
-func NewTrack(mbps float64, clock timetable.Clock) *Track {
+func NewTrack(mbps float64, clock clock.Clock) *Track {
 	t := &Track{clock: clock}
 	if mbps > 0 && mbps < wideLink {
 		t.perByte = 8e3 / mbps
@@ -124,12 +124,12 @@
 //
 //	in.Burst(min(window, length))
 func (t *Track) Burst(bytes int) {
-	if wait := t.take(float64(bytes)) + timetable.Steady(float64(bytes)*t.perByte); wait > 0 {
+	if wait := t.take(float64(bytes)) + clock.Steady(float64(bytes)*t.perByte); wait > 0 {
 		t.clock.Sleep(time.Duration(wait))
 	}
 }
 
-func (t *Track) take(bytes float64) (wait timetable.Steady) {
+func (t *Track) take(bytes float64) (wait clock.Steady) {
 	if t == nil || t.perByte == 0 {
 		return 0
 	}
@@ -139,9 +139,9 @@
 }
 
 // hold takes the link for so many bytes; the lock is held.
-func (t *Track) hold(bytes float64) (wait timetable.Steady) {
+func (t *Track) hold(bytes float64) (wait clock.Steady) {
 	now := t.clock.Steady()
 	start := max(t.free, now)
-	t.free = start + timetable.Steady(bytes*t.perByte)
+	t.free = start + clock.Steady(bytes*t.perByte)
 	return start - now
 }
--- a/internal/branchline/office.go
+++ b/internal/branchline/office.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"ploverhitch/internal/timetable"
+	"ploverhitch/internal/clock"
 )
 
 // Use is what one node has under way at one site's servers of a service.
@@ -51,19 +51,19 @@
 
 type tenant struct {
 	site string
-	at   timetable.Steady
+	at   clock.Steady
 	uses map[Key]int
 	lots map[Key]int
-	due  timetable.Steady
+	due  clock.Steady
 }
 
 // Office gives out the room of the sites. It belongs to the holder of the duty
 // and has one owner. The sum of all lots that may still be used, and of what a
 // site's own callers have under way there, never exceeds the site's room.
 type Office struct {
-	clock    timetable.Clock
+	clock    clock.Clock
 	tree     *Tree
-	opens    timetable.Steady
+	opens    clock.Steady
 	capacity map[Key]int
 	tenants  map[string]*tenant
 }
@@ -74,9 +74,9 @@
 // Example:
 //
 //	office := branchline.NewOffice(tree, clock)
-func NewOffice(tree *Tree, clock timetable.Clock) *Office {
+func NewOffice(tree *Tree, timeSource clock.Clock) *Office {
 	return &Office{
-		clock: clock, tree: tree, opens: clock.Steady() + timetable.Steady(GrantSpan+spanMargin),
+		clock: timeSource, tree: tree, opens: timeSource.Steady() + clock.Steady(GrantSpan+spanMargin),
 		capacity: map[Key]int{}, tenants: map[string]*tenant{},
 	}
 }
@@ -123,7 +123,7 @@
 	if now < o.opens {
 		return nil
 	}
-	t.lots, t.due = map[Key]int{}, now+timetable.Steady(GrantSpan+spanMargin)
+	t.lots, t.due = map[Key]int{}, now+clock.Steady(GrantSpan+spanMargin)
 	services := map[string]bool{}
 	for key := range o.capacity {
 		services[key.Service] = true
@@ -153,7 +153,7 @@
 	now, own, taken := o.clock.Steady(), 0, 0
 	for name, t := range o.tenants {
 		switch {
-		case now-t.at > timetable.Steady(freshSpan):
+		case now-t.at > clock.Steady(freshSpan):
 			delete(o.tenants, name)
 		case t.site == key.Site:
 			own += t.uses[key]
--- a/internal/branchline/purse.go
+++ b/internal/branchline/purse.go
@@ -5,20 +5,20 @@
 	"sync"
 	"time"
 
-	"ploverhitch/internal/timetable"
+	"ploverhitch/internal/clock"
 )
 
 // Purse is a node's own side: the lots it was given, and what it has under way.
 type Purse struct {
-	clock timetable.Clock
+	clock clock.Clock
 	lock  sync.Mutex
 	lots  map[Key]int
-	due   timetable.Steady
+	due   clock.Steady
 	uses  map[Key]int
 	// turned sums, by service, for how long the inquiries that found no room
 	// would have been at work.
 	turned map[string]time.Duration
-	since  timetable.Steady
+	since  clock.Steady
 }
 
 // NewPurse makes an empty purse.
@@ -26,7 +26,7 @@
 // Example:
 //
 //	purse := branchline.NewPurse(clock)
-func NewPurse(clock timetable.Clock) *Purse {
+func NewPurse(clock clock.Clock) *Purse {
 	return &Purse{clock: clock, lots: map[Key]int{}, uses: map[Key]int{}, turned: map[string]time.Duration{}, since: clock.Steady()}
 }
 
@@ -35,10 +35,10 @@
 // Example:
 //
 //	purse.Take(lots, sentAt)
-func (p *Purse) Take(lots []Lot, sentAt timetable.Steady) {
+func (p *Purse) Take(lots []Lot, sentAt clock.Steady) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	due := sentAt + timetable.Steady(GrantSpan)
+	due := sentAt + clock.Steady(GrantSpan)
 	if due < p.due {
 		return
 	}
--- a/internal/branchline/rush_test.go
+++ b/internal/branchline/rush_test.go
@@ -6,13 +6,13 @@
 	"time"
 
 	"ploverhitch/internal/branchline"
-	"ploverhitch/internal/timetable"
+	"ploverhitch/internal/clock"
 )
 
 // rush is a slow plain model: sites with servers that count their own load, and
 // nodes whose reports and lots come late or not at all.
 type rush struct {
-	hand     *timetable.Hand
+	hand     *clock.Hand
 	random   *rand.Rand
 	tree     *branchline.Tree
 	office   *branchline.Office
@@ -51,7 +51,7 @@
 )
 
 func newRush(seed uint64, isOn bool) *rush {
-	r := &rush{hand: &timetable.Hand{Now: time.Hour}, random: rand.New(rand.NewPCG(seed, 7)), isOn: isOn}
+	r := &rush{hand: &clock.Hand{Now: time.Hour}, random: rand.New(rand.NewPCG(seed, 7)), isOn: isOn}
 	r.tree, _ = branchline.Build(cells, nil)
 	r.capacity = map[string]int{"a": 40, "b": 40, "c": 60}
 	r.load, r.worst, r.served, r.turned = map[string]int{}, map[string]int{}, map[bool]int{}, map[bool]int{}
--- a/internal/timetable/clock.go
+++ b/internal/clock/clock.go
@@ -1,7 +1,7 @@
-// Package timetable holds what the programs know of time: clocks that can be
+// Package clock holds what the programs know of time: clocks that can be
 // exchanged in tests, small types for spans, and the select loop that every
 // owner of a table runs.
-package timetable
+package clock
 
 import (
 	"strconv"
@@ -20,7 +20,7 @@
 // Example:
 //
 //	began := clock.Steady()
-//	isLate := clock.Steady()-began > timetable.Steady(time.Second)
+//	isLate := clock.Steady()-began > clock.Steady(time.Second)
 type Clock interface {
 	Steady() Steady
 	Wall() time.Time
@@ -33,7 +33,7 @@
 //
 // Example:
 //
-//	clock := timetable.Real()
+//	clock := clock.Real()
 func Real() Clock { return realClock{start: time.Now()} }
 
 func (c realClock) Steady() Steady        { return Steady(time.Since(c.start)) }
@@ -44,7 +44,7 @@
 //
 // Example:
 //
-//	hand := &timetable.Hand{}
+//	hand := &clock.Hand{}
 //	hand.Sleep(time.Second) // hand.Steady() is now one second
 type Hand struct{ Now time.Duration }
 
@@ -76,7 +76,7 @@
 //
 // Example:
 //
-//	span, err := timetable.ParseSpan("1.5s") // 1500 ms
+//	span, err := clock.ParseSpan("1.5s") // 1500 ms
 func ParseSpan(text string) (Span, error) {
 	units := []struct {
 		suffix string
--- a/internal/timetable/loop.go
+++ b/internal/clock/loop.go
@@ -1,4 +1,4 @@
-package timetable
+package clock
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 //
 // Example:
 //
-//	loop := timetable.NewLoop[command](256)
+//	loop := clock.NewLoop[command](256)
 //	go loop.Run(ctx, apply, 100*time.Millisecond, tick)
 //	loop.Put(command{})
 type Loop[T any] struct {
@@ -22,7 +22,7 @@
 //
 // Example:
 //
-//	loop := timetable.NewLoop[string](16)
+//	loop := clock.NewLoop[string](16)
 func NewLoop[T any](size int) *Loop[T] {
 	return &Loop[T]{inbox: make(chan T, size)}
 }
@@ -93,7 +93,7 @@
 //
 // Example:
 //
-//	go timetable.Each(ctx, inbox, send)
+//	go clock.Each(ctx, inbox, send)
 func Each[T any](ctx context.Context, inbox <-chan T, act func(T)) {
 	for {
 		select {
@@ -109,7 +109,7 @@
 //
 // Example:
 //
-//	go timetable.Every(ctx, time.Second, beat)
+//	go clock.Every(ctx, time.Second, beat)
 func Every(ctx context.Context, period time.Duration, act func()) {
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
--- a/internal/config/spec.go
+++ b/internal/config/spec.go
@@ -7,7 +7,7 @@
 	validation "github.com/go-ozzo/ozzo-validation/v4"
 
 	"ploverhitch/internal/apierror"
-	"ploverhitch/internal/timetable"
+	"ploverhitch/internal/clock"
 )
 
 // RouteKind says how often a request on a route may run.
@@ -29,16 +29,16 @@
 
 // RouteSpec is a route as the operator writes it.
 type RouteSpec struct {
-	Name          string         `json:"Name"`
-	PathPrefix    string         `json:"PathPrefix"`
-	RouteType     RouteKind      `json:"RouteType"`
-	Timeout       timetable.Span `json:"Timeout"`
-	TargetLatency timetable.Span `json:"TargetLatency"`
-	Priority      int            `json:"Priority"`
-	Service       string         `json:"Service"`
-	TrafficSplit  []Share        `json:"TrafficSplit"`
-	MaxAttempts   int            `json:"MaxAttempts"`
-	Revision      Version        `json:"Revision"`
+	Name          string     `json:"Name"`
+	PathPrefix    string     `json:"PathPrefix"`
+	RouteType     RouteKind  `json:"RouteType"`
+	Timeout       clock.Span `json:"Timeout"`
+	TargetLatency clock.Span `json:"TargetLatency"`
+	Priority      int        `json:"Priority"`
+	Service       string     `json:"Service"`
+	TrafficSplit  []Share    `json:"TrafficSplit"`
+	MaxAttempts   int        `json:"MaxAttempts"`
+	Revision      Version    `json:"Revision"`
 }
 
 // ServiceSpec is a service as the operator writes it.
@@ -52,11 +52,11 @@
 
 // LimitsSpec bounds what a client may send.
 type LimitsSpec struct {
-	MaxHeaderBytes int            `json:"MaxHeaderBytes"`
-	MaxBodyBytes   int64          `json:"MaxBodyBytes"`
-	HeaderTimeout  timetable.Span `json:"HeaderTimeout"`
-	IdleTimeout    timetable.Span `json:"IdleTimeout"`
-	Revision       Version        `json:"Revision"`
+	MaxHeaderBytes int        `json:"MaxHeaderBytes"`
+	MaxBodyBytes   int64      `json:"MaxBodyBytes"`
+	HeaderTimeout  clock.Span `json:"HeaderTimeout"`
+	IdleTimeout    clock.Span `json:"IdleTimeout"`
+	Revision       Version    `json:"Revision"`
 }
 
 func (l *RouteSpec) check() error {
--- a/internal/control/config_replicator.go
+++ b/internal/control/config_replicator.go
@@ -8,11 +8,11 @@
 	"time"
 
 	"ploverhitch/internal/apierror"
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/control/registry"
 	"ploverhitch/internal/membership"
 	"ploverhitch/internal/messages"
-	"ploverhitch/internal/timetable"
 )
 
 const (
@@ -38,7 +38,7 @@
 // proposal is a set of items that waits for a decision.
 type proposal struct {
 	items    []config.Item
-	deadline timetable.Steady
+	deadline clock.Steady
 	result   chan proposalResult
 }
 
@@ -61,7 +61,7 @@
 	// undecidedBallot is the ballot of the accepted change last seen without its
 	// decision, undecidedSince when it was first seen; only maintain accesses them.
 	undecidedBallot membership.Number
-	undecidedSince  timetable.Steady
+	undecidedSince  clock.Steady
 }
 
 func newConfigReplicator(n *node) *configReplicator {
@@ -74,8 +74,8 @@
 }
 
 func (r *configReplicator) run(ctx context.Context) {
-	go timetable.Every(ctx, maintainInterval, r.maintain)
-	timetable.Each(ctx, r.queue, func(first *proposal) { r.decide(r.batch(first)) })
+	go clock.Every(ctx, maintainInterval, r.maintain)
+	clock.Each(ctx, r.queue, func(first *proposal) { r.decide(r.batch(first)) })
 }
 
 // batch returns a proposal together with those that wait behind it.
@@ -99,7 +99,7 @@
 
 // submit queues a proposal at this node and waits for its result.
 func (r *configReplicator) submit(items []config.Item) (registry.Index, error) {
-	p := &proposal{items: items, deadline: r.node.clock.Steady() + timetable.Steady(proposeTimeout), result: make(chan proposalResult, 1)}
+	p := &proposal{items: items, deadline: r.node.clock.Steady() + clock.Steady(proposeTimeout), result: make(chan proposalResult, 1)}
 	select {
 	case r.queue <- p:
 	default:
--- a/internal/control/coordinator.go
+++ b/internal/control/coordinator.go
@@ -7,10 +7,10 @@
 
 	"ploverhitch/internal/apierror"
 	"ploverhitch/internal/branchline"
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/outlier"
 	"ploverhitch/internal/shedding"
-	"ploverhitch/internal/timetable"
 	"ploverhitch/internal/trial"
 )
 
@@ -18,7 +18,7 @@
 // hears the proxies' reports, and drives the trials. Its loop owns its tables.
 type coordinator struct {
 	*node
-	loop  *timetable.Loop[func()]
+	loop  *clock.Loop[func()]
 	court *outlier.Court
 	// term is the one for which states were read; 0 while the duty is not here.
 	term   uint64
@@ -28,16 +28,16 @@
 	written uint64
 	listed  []feed.Server
 	last    feed.Fleet
-	toldAt  timetable.Steady
+	toldAt  clock.Steady
 	// published are the last readings, for telling what has changed since them.
 	published []feed.Fleet
 	// paces are the servers' as last told, and when; termAt is when the term
 	// began here.
 	paces   map[string]int
-	pacedAt timetable.Steady
-	termAt  timetable.Steady
+	pacedAt clock.Steady
+	termAt  clock.Steady
 	// laidOutAt is when the fleet was laid out last.
-	laidOutAt timetable.Steady
+	laidOutAt clock.Steady
 	// cells are where the proxies are; tree is the sites, of the book with the
 	// digest treeOf; office gives out their room under officeTerm.
 	cells      map[string]string
@@ -46,7 +46,7 @@
 	office     *branchline.Office
 	officeTerm uint64
 	laid       feed.Reading
-	laidAt     timetable.Steady
+	laidAt     clock.Steady
 	// gauge measures the load and decides on cutoffs; copying are the mirrors in
 	// force, of which eras have begun.
 	gauge   *shedding.Gauge
@@ -61,7 +61,7 @@
 	number  uint64
 	phase   trial.Phase
 	wave    int
-	phaseAt timetable.Steady
+	phaseAt clock.Steady
 	// full is the first reading in which the new version had everything.
 	full    feed.Reading
 	finding outlier.Finding
@@ -86,7 +86,7 @@
 
 func newCoordinator(n *node) *coordinator {
 	return &coordinator{
-		node: n, loop: timetable.NewLoop[func()](1024), court: outlier.NewCourt(n.clock),
+		node: n, loop: clock.NewLoop[func()](1024), court: outlier.NewCourt(n.clock),
 		states: map[string]trial.State{}, drives: map[string]*drive{}, cells: map[string]string{},
 		copying: map[string]*copying{}, gauge: shedding.NewGauge(n.clock, rand.Uint64), repeats: map[string]repeat{},
 	}
--- a/internal/control/gauge.go
+++ b/internal/control/gauge.go
@@ -5,11 +5,11 @@
 	"math/rand/v2"
 	"time"
 
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/idempotency"
 	"ploverhitch/internal/settings"
 	"ploverhitch/internal/shedding"
-	"ploverhitch/internal/timetable"
 )
 
 func (n *node) isGauging() bool { return n.settings.Load().Tuning.Loadgauge == settings.GaugeOn }
@@ -54,7 +54,7 @@
 // sheds tells whether this member refuses its vote for a new intent, as the
 // service is overloaded. An intent that exists is never asked about: its replay,
 // its resuming and its record go on.
-func (t *tables) sheds(wanted idempotency.Intent, now timetable.Steady) bool {
+func (t *tables) sheds(wanted idempotency.Intent, now clock.Steady) bool {
 	if len(t.fleet.Cutoffs) == 0 || !t.fleetFresh(now, feed.GrantSpan) || t.voter.Find(wanted.Key) != nil {
 		return false
 	}
--- a/internal/control/leader_lease.go
+++ b/internal/control/leader_lease.go
@@ -4,13 +4,13 @@
 	"sync"
 	"time"
 
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/control/lease"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/membership"
 	"ploverhitch/internal/messages"
 	"ploverhitch/internal/rpc"
 	"ploverhitch/internal/settings"
-	"ploverhitch/internal/timetable"
 )
 
 const (
@@ -42,7 +42,7 @@
 	return &leaderLease{holder: lease.NewHolder(duration)}
 }
 
-func (l *leaderLease) startRound(term uint64, view membership.View, now timetable.Steady) lease.Round {
+func (l *leaderLease) startRound(term uint64, view membership.View, now clock.Steady) lease.Round {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	round := l.holder.Start(term, view, now)
@@ -58,7 +58,7 @@
 	return l.holder.Acknowledge(round, member)
 }
 
-func (l *leaderLease) remaining(term uint64, now timetable.Steady) time.Duration {
+func (l *leaderLease) remaining(term uint64, now clock.Steady) time.Duration {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	return l.holder.Remaining(term, now)
--- a/internal/control/leader_lease_test.go
+++ b/internal/control/leader_lease_test.go
@@ -8,6 +8,7 @@
 	. "github.com/onsi/gomega"
 
 	"ploverhitch/internal/apierror"
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/control/lease"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/idempotency"
@@ -16,22 +17,21 @@
 	"ploverhitch/internal/rpc"
 	"ploverhitch/internal/settings"
 	"ploverhitch/internal/storage"
-	"ploverhitch/internal/timetable"
 	"ploverhitch/internal/trial"
 )
 
 // newTestMember returns a trusted member "a" of a view. The other members are unreachable
 // unless the test listens on their addresses.
-func newTestMember(clock *timetable.Hand, view membership.View) *node {
+func newTestMember(manualClock *clock.Hand, view membership.View) *node {
 	n := &node{
-		self: "a", clock: clock, hub: feed.NewHub(), log: func(string, string, ...any) {}, connections: map[string]*rpc.Line{},
-		memberLoop: timetable.NewLoop[func()](256), livenessWatch: membership.NewWatch(clock, time.Second), lease: newLeaderLease(testLeaseDuration),
-		listWatch: newListTracker(clock.Steady()),
+		self: "a", clock: manualClock, hub: feed.NewHub(), log: func(string, string, ...any) {}, connections: map[string]*rpc.Line{},
+		memberLoop: clock.NewLoop[func()](256), livenessWatch: membership.NewWatch(manualClock, time.Second), lease: newLeaderLease(testLeaseDuration),
+		listWatch: newListTracker(manualClock.Steady()),
 	}
 	n.settings.Store(&settings.Settings{Tuning: settings.Defaults()})
 	disk, err := storage.Folder(GinkgoT().TempDir())
 	Expect(err).NotTo(HaveOccurred())
-	n.store, err = openStore(disk, idempotency.Policy{OpenLimit: 10, KeyWindow: time.Minute}, clock, func(err error) { Expect(err).NotTo(HaveOccurred()) })
+	n.store, err = openStore(disk, idempotency.Policy{OpenLimit: 10, KeyWindow: time.Minute}, manualClock, func(err error) { Expect(err).NotTo(HaveOccurred()) })
 	Expect(err).NotTo(HaveOccurred())
 	n.store.tables.grantor = lease.NewGrantor(testLeaseDuration)
 	n.callHandlers = n.newHandlers()
@@ -48,7 +48,7 @@
 
 var _ = Describe("the leader lease at a member", func() {
 	var n *node
-	var clock *timetable.Hand
+	var manualClock *clock.Hand
 	view := membership.View{Epoch: 1, Members: []string{"a", "b", "c"}}
 	termOf := func(holder string, number uint64) membership.Term {
 		return membership.Term{Number: number, Holder: holder}
@@ -66,18 +66,18 @@
 	}
 
 	BeforeEach(func() {
-		clock = &timetable.Hand{Now: time.Hour}
-		n = newTestMember(clock, view)
+		manualClock = &clock.Hand{Now: time.Hour}
+		n = newTestMember(manualClock, view)
 	})
 
 	It("is refused to another member while the leader renews it, and granted once the last promise has expired", func() {
 		Expect(claim(1, termOf("b", 1))).To(BeTrue())
-		clock.Now += testLeaseDuration - time.Millisecond
+		manualClock.Now += testLeaseDuration - time.Millisecond
 		Expect(claim(1, termOf("c", 2))).To(BeFalse())
 		Expect(renew(1, termOf("b", 1))).To(BeTrue())
-		clock.Now += testLeaseDuration - time.Millisecond
+		manualClock.Now += testLeaseDuration - time.Millisecond
 		Expect(claim(1, termOf("c", 2))).To(BeFalse())
-		clock.Now += time.Millisecond
+		manualClock.Now += time.Millisecond
 		Expect(claim(1, termOf("c", 2))).To(BeTrue())
 		Expect(renew(1, termOf("b", 1))).To(BeFalse(), "the former leader is not rejected")
 	})
@@ -88,7 +88,7 @@
 		Expect(renew(2, termOf("b", 1))).To(BeFalse())
 		n.distrust()
 		Expect(renew(1, termOf("b", 1))).To(BeFalse())
-		clock.Now += testLeaseDuration
+		manualClock.Now += testLeaseDuration
 		Expect(claim(1, termOf("c", 2))).To(BeFalse())
 	})
 
@@ -101,7 +101,7 @@
 	Describe("held by this node", func() {
 		// acquireLease acquires the lease with the votes of this member and one more.
 		acquireLease := func(number uint64) {
-			round := n.lease.startRound(number, view, clock.Steady())
+			round := n.lease.startRound(number, view, manualClock.Steady())
 			n.lease.acknowledge(round, "a")
 			Expect(n.lease.acknowledge(round, "b")).To(BeTrue())
 			n.ownTerm.Store(number)
@@ -123,7 +123,7 @@
 		})
 
 		It("stops publishing and writing when it expires by the monotonic clock, without any message", func() {
-			clock.Now += testLeaseDuration
+			manualClock.Now += testLeaseDuration
 			Expect(n.coordinator.isMaster()).To(BeFalse())
 			before := published()
 			n.coordinator.publish()
@@ -142,7 +142,7 @@
 		})
 
 		It("continues under the same term with the same state once a majority renews it", func() {
-			clock.Now += testLeaseDuration
+			manualClock.Now += testLeaseDuration
 			Expect(n.coordinator.isMaster()).To(BeFalse())
 			acquireLease(1)
 			Expect(n.coordinator.isMaster()).To(BeTrue())
@@ -152,13 +152,13 @@
 		It("ends when the node steps down, and a later round of the same term doesn't restore it", func() {
 			n.stepDown()
 			Eventually(func() bool { return n.holdsLease(1) }).Should(BeFalse())
-			Expect(n.lease.startRound(1, view, clock.Steady())).To(BeZero())
+			Expect(n.lease.startRound(1, view, manualClock.Steady())).To(BeZero())
 			Expect(n.coordinator.isMaster()).To(BeFalse())
 		})
 
 		It("does not depend on the wall clock", func() {
 			// The clock panics if the wall time is read.
-			n.clock = monotonicOnly{clock}
+			n.clock = monotonicOnly{manualClock}
 			Expect(n.holdsLease(1)).To(BeTrue())
 			Expect(renew(1, termOf("a", 1))).To(BeTrue())
 			n.refreshQuorumContact()
@@ -168,7 +168,7 @@
 })
 
 // monotonicOnly is a clock that panics if its wall time is read.
-type monotonicOnly struct{ timetable.Clock }
+type monotonicOnly struct{ clock.Clock }
 
 // Wall panics.
 func (monotonicOnly) Wall() time.Time { panic("the leader lease read the wall clock") }
@@ -178,24 +178,24 @@
 	granted := func(n *node) bool {
 		return n.store.tables.grantor.Claim(membership.Term{Number: 3, Holder: "b"}, membership.Term{Number: 4, Holder: "c"}, n.clock.Steady())
 	}
-	open := func(clock *timetable.Hand, folder string, isBootstrap bool) *node {
+	open := func(manualClock *clock.Hand, folder string, isBootstrap bool) *node {
 		set := &settings.Settings{Tuning: settings.Defaults()}
 		set.Platform.DataDir, set.Platform.Bootstrap = folder, isBootstrap
-		n := &node{self: "a", clock: clock, log: func(string, string, ...any) {}}
+		n := &node{self: "a", clock: manualClock, log: func(string, string, ...any) {}}
 		Expect(n.openDisk(set)).To(Succeed())
 		return n
 	}
 
 	It("are empty in a newly bootstrapped system, and unknown for one lease duration in any other", func() {
-		clock, folder := &timetable.Hand{Now: time.Hour}, GinkgoT().TempDir()
-		first := open(clock, folder, true)
+		manualClock, folder := &clock.Hand{Now: time.Hour}, GinkgoT().TempDir()
+		first := open(manualClock, folder, true)
 		Expect(granted(first)).To(BeTrue())
 		first.store.handle([]command{{apply: func(*tables) []record { return []record{{Term: &membership.Term{Number: 4, Holder: "c"}}} }}})
 		for _, folder := range []string{folder, GinkgoT().TempDir()} {
-			clock.Now += time.Hour
-			restarted := open(clock, folder, false)
+			manualClock.Now += time.Hour
+			restarted := open(manualClock, folder, false)
 			Expect(granted(restarted)).To(BeFalse())
-			clock.Now += leaseDuration(settings.Defaults())
+			manualClock.Now += leaseDuration(settings.Defaults())
 			Expect(granted(restarted)).To(BeTrue())
 		}
 	})
--- a/internal/control/leadership.go
+++ b/internal/control/leadership.go
@@ -3,11 +3,11 @@
 import (
 	"time"
 
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/control/registry"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/membership"
 	"ploverhitch/internal/messages"
-	"ploverhitch/internal/timetable"
 )
 
 const (
@@ -22,7 +22,7 @@
 }
 
 // runAndWait runs f in the loop and waits until it returns.
-func runAndWait(loop *timetable.Loop[func()], f func()) {
+func runAndWait(loop *clock.Loop[func()], f func()) {
 	done := make(chan struct{})
 	loop.Put(func() { f(); close(done) })
 	<-done
@@ -86,7 +86,7 @@
 		n.isLeader.Store(false)
 		// After a start, a node waits until it could have received heartbeats of
 		// the members before it in the order. The first member has none to wait for.
-		if view.Members[0] != n.self && n.clock.Steady()-n.startedAt < timetable.Steady(n.settings.Load().Tuning.SilentAfter) {
+		if view.Members[0] != n.self && n.clock.Steady()-n.startedAt < clock.Steady(n.settings.Load().Tuning.SilentAfter) {
 			return
 		}
 		go n.claimLeadership(view, membership.Term{Number: term.Number + 1, Holder: n.self})
--- a/internal/control/lease/holder.go
+++ b/internal/control/lease/holder.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/membership"
-	"ploverhitch/internal/timetable"
 )
 
 // driftDivisor sets the margin for clocks that run at different rates: the holder
@@ -18,17 +18,17 @@
 // renewal another. The lease is valid until a span after the sending of the newest
 // round that a majority of the view acknowledged.
 type Holder struct {
-	span timetable.Steady
+	span clock.Steady
 	term uint64
 	// ended is the highest term that was given up.
 	ended  uint64
-	until  timetable.Steady
+	until  clock.Steady
 	last   Round
 	rounds map[Round]*round
 }
 
 type round struct {
-	sent         timetable.Steady
+	sent         clock.Steady
 	view         membership.View
 	acknowledged map[string]bool
 }
@@ -40,7 +40,7 @@
 //	holder := lease.NewHolder(900 * time.Millisecond)
 func NewHolder(span time.Duration) *Holder {
 	counted := span - span/driftDivisor
-	return &Holder{span: timetable.Steady(counted), rounds: map[Round]*round{}}
+	return &Holder{span: clock.Steady(counted), rounds: map[Round]*round{}}
 }
 
 // Start begins a round at the members of the view; it must be called before the
@@ -50,7 +50,7 @@
 // Example:
 //
 //	round := holder.Start(term, view, clock.Steady())
-func (h *Holder) Start(term uint64, view membership.View, now timetable.Steady) Round {
+func (h *Holder) Start(term uint64, view membership.View, now clock.Steady) Round {
 	if term <= h.ended {
 		return 0
 	}
@@ -92,7 +92,7 @@
 // Example:
 //
 //	if holder.Remaining(term, clock.Steady()) == 0 { return }
-func (h *Holder) Remaining(term uint64, now timetable.Steady) time.Duration {
+func (h *Holder) Remaining(term uint64, now clock.Steady) time.Duration {
 	if term == 0 || term != h.term || now >= h.until {
 		return 0
 	}
--- a/internal/control/lease/model_test.go
+++ b/internal/control/lease/model_test.go
@@ -7,9 +7,9 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/control/lease"
 	"ploverhitch/internal/membership"
-	"ploverhitch/internal/timetable"
 )
 
 const (
@@ -20,14 +20,14 @@
 // forgetful grants whatever has a higher term, as a member without promises.
 type forgetful struct{ *lease.Grantor }
 
-func (f forgetful) Claim(held, wanted membership.Term, _ timetable.Steady) bool {
+func (f forgetful) Claim(held, wanted membership.Term, _ clock.Steady) bool {
 	return wanted.Number > held.Number
 }
 
 // hasty doesn't wait for what it may have promised in an earlier life.
 type hasty struct{ *lease.Grantor }
 
-func (h hasty) Wait(timetable.Steady) {}
+func (h hasty) Wait(clock.Steady) {}
 
 func sound() build {
 	return build{
--- a/internal/control/lease/world_test.go
+++ b/internal/control/lease/world_test.go
@@ -7,17 +7,17 @@
 	"slices"
 	"time"
 
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/control/lease"
 	"ploverhitch/internal/membership"
-	"ploverhitch/internal/timetable"
 )
 
 // promiser is the member's side of the lease; a world may be built with one that is
 // broken on purpose.
 type promiser interface {
-	Wait(now timetable.Steady)
-	Claim(held, wanted membership.Term, now timetable.Steady) bool
-	Renew(held, term membership.Term, now timetable.Steady) bool
+	Wait(now clock.Steady)
+	Claim(held, wanted membership.Term, now clock.Steady) bool
+	Renew(held, term membership.Term, now clock.Steady) bool
 	Release(held, term membership.Term)
 }
 
@@ -122,8 +122,8 @@
 	}
 }
 
-func (w *world) clock(n *node) timetable.Steady {
-	return timetable.Steady(n.offset + time.Duration(n.rate*float64(w.now)))
+func (w *world) clock(n *node) clock.Steady {
+	return clock.Steady(n.offset + time.Duration(n.rate*float64(w.now)))
 }
 
 func (w *world) after(span time.Duration, act func()) {
--- a/internal/control/list_poller.go
+++ b/internal/control/list_poller.go
@@ -4,10 +4,10 @@
 	"context"
 	"time"
 
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/control/listing"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/messages"
-	"ploverhitch/internal/timetable"
 )
 
 const (
@@ -31,11 +31,11 @@
 	failures int
 	// lastRead is when the last read started and ended, and the calls that it took.
 	lastRead struct {
-		started, ended timetable.Steady
+		started, ended clock.Steady
 		calls          int
 	}
 	// progressSentAt is when this node last told the members that a read goes on.
-	progressSentAt timetable.Steady
+	progressSentAt clock.Steady
 }
 
 // pollPlatform polls the platform's list until the context ends.
@@ -82,7 +82,7 @@
 			p.coordinator.loop.Offer(func() { p.coordinator.updateServers(read.servers) })
 		}
 		p.sendListProgress(messages.ListProgress{
-			IsWhole: true, Age: timetable.Span(p.lastRead.ended - read.started), Next: timetable.Span(p.nextPageDue()),
+			IsWhole: true, Age: clock.Span(p.lastRead.ended - read.started), Next: clock.Span(p.nextPageDue()),
 		})
 	}
 	return min(delay, readCheckInterval)
@@ -111,7 +111,7 @@
 	p.publishLeaving(servers)
 	if now := p.clock.Steady(); time.Duration(now-p.progressSentAt) >= listing.ProgressPeriod {
 		p.progressSentAt = now
-		p.sendListProgress(messages.ListProgress{Next: timetable.Span(listing.PageDue)})
+		p.sendListProgress(messages.ListProgress{Next: clock.Span(listing.PageDue)})
 	}
 }
 
--- a/internal/control/list_reader.go
+++ b/internal/control/list_reader.go
@@ -8,9 +8,9 @@
 
 	"github.com/juju/errors"
 
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/control/listing"
 	"ploverhitch/internal/feed"
-	"ploverhitch/internal/timetable"
 )
 
 const (
@@ -31,7 +31,7 @@
 	// calls is the number of calls made, without those of a read that this one resumes.
 	calls int
 	// started is when the first pages were requested.
-	started timetable.Steady
+	started clock.Steady
 }
 
 // zoneProgress is how far the pages of one zone, or of all zones, have been read.
@@ -53,7 +53,7 @@
 // sequence.
 type listReader struct {
 	client *pageClient
-	clock  timetable.Clock
+	clock  clock.Clock
 	// zones, if set, returns the zones to read concurrently, or none if all are read as
 	// one, and the number of known servers.
 	zones func() (zones []string, known int)
@@ -62,7 +62,7 @@
 	// resumable holds the zones of a failed read that can be resumed, and
 	// resumableStarted when that read started.
 	resumable        []*zoneProgress
-	resumableStarted timetable.Steady
+	resumableStarted clock.Steady
 	// callsPerSecond is the rate limit that window enforces, or 0 for none.
 	callsPerSecond float64
 	window         listing.Window
@@ -72,7 +72,7 @@
 	zonesUnknown bool
 }
 
-func newListReader(clock timetable.Clock, address func() string) *listReader {
+func newListReader(clock clock.Clock, address func() string) *listReader {
 	return &listReader{client: newPageClient(clock, address), clock: clock}
 }
 
@@ -165,7 +165,7 @@
 
 // saveForResume saves a failed read for the next one to resume, unless a page failed again
 // or no page was read.
-func (r *listReader) saveForResume(progress []*zoneProgress, started timetable.Steady) {
+func (r *listReader) saveForResume(progress []*zoneProgress, started clock.Steady) {
 	hasPages := false
 	for _, zone := range progress {
 		if !zone.complete && zone.failedBefore {
--- a/internal/control/list_reader_test.go
+++ b/internal/control/list_reader_test.go
@@ -12,8 +12,8 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/feed"
-	"ploverhitch/internal/timetable"
 )
 
 var _ = Describe("a read of the platform's server list", func() {
@@ -35,7 +35,7 @@
 			_, _ = fmt.Fprintf(w, `{"Instances":[{"InstanceId":"i-%d","Service":"fees","State":%q,"Capacity":2}],"NextToken":%s}`, page, state, next)
 		}))
 		DeferCleanup(server.Close)
-		return newListReader(timetable.Real(), func() string { return strings.TrimPrefix(server.URL, "http://") })
+		return newListReader(clock.Real(), func() string { return strings.TrimPrefix(server.URL, "http://") })
 	}
 	// expectWhole expects a read of all pages with the given number of calls.
 	expectWhole := func(reader *listReader, expectedCalls int) {
--- a/internal/control/list_zones_test.go
+++ b/internal/control/list_zones_test.go
@@ -13,8 +13,8 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/feed"
-	"ploverhitch/internal/timetable"
 )
 
 var _ = Describe("a read of the server list by zone", func() {
@@ -36,7 +36,7 @@
 			_, _ = fmt.Fprintf(w, `{"Instances":[{"InstanceId":"%s-%d","Zone":%q,"State":"ready"}],"NextToken":%s}`, zone, page, zone, next)
 		}))
 		DeferCleanup(server.Close)
-		reader := newListReader(timetable.Real(), func() string { return strings.TrimPrefix(server.URL, "http://") })
+		reader := newListReader(clock.Real(), func() string { return strings.TrimPrefix(server.URL, "http://") })
 		reader.zones = func() ([]string, int) { return zoneNames, pages * len(zoneNames) }
 		return reader
 	}
--- a/internal/control/listing/pace_test.go
+++ b/internal/control/listing/pace_test.go
@@ -6,12 +6,12 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/control/listing"
-	"ploverhitch/internal/timetable"
 )
 
 var _ = Describe("the pace of the readings of the list", func() {
-	const second = timetable.Steady(time.Second)
+	const second = clock.Steady(time.Second)
 	const period = 700 * time.Millisecond
 	pace := listing.Pace{Period: period, Rate: listing.HolderShare * 50}
 
--- a/internal/control/member_test.go
+++ b/internal/control/member_test.go
@@ -8,6 +8,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/control/lease"
 	"ploverhitch/internal/control/registry"
@@ -17,22 +18,21 @@
 	"ploverhitch/internal/messages"
 	"ploverhitch/internal/shedding"
 	"ploverhitch/internal/storage"
-	"ploverhitch/internal/timetable"
 	"ploverhitch/internal/trial"
 )
 
 var _ = Describe("requests that a control plane member refuses", func() {
 	var n *node
-	var clock *timetable.Hand
+	var manualClock *clock.Hand
 	const leaseDuration = 900 * time.Millisecond
 	view := membership.View{Epoch: 3, Members: []string{"a", "b", "c"}}
 
 	BeforeEach(func() {
-		clock = &timetable.Hand{Now: time.Hour}
-		n = &node{self: "a", clock: clock, hub: feed.NewHub(), log: func(string, string, ...any) {}, listWatch: newListTracker(clock.Steady())}
+		manualClock = &clock.Hand{Now: time.Hour}
+		n = &node{self: "a", clock: manualClock, hub: feed.NewHub(), log: func(string, string, ...any) {}, listWatch: newListTracker(manualClock.Steady())}
 		disk, err := storage.Folder(GinkgoT().TempDir())
 		Expect(err).NotTo(HaveOccurred())
-		n.store, err = openStore(disk, idempotency.Policy{OpenLimit: 10, KeyWindow: time.Minute}, clock, func(err error) { Expect(err).NotTo(HaveOccurred()) })
+		n.store, err = openStore(disk, idempotency.Policy{OpenLimit: 10, KeyWindow: time.Minute}, manualClock, func(err error) { Expect(err).NotTo(HaveOccurred()) })
 		Expect(err).NotTo(HaveOccurred())
 		ctx, cancel := context.WithCancel(context.Background())
 		DeferCleanup(cancel)
@@ -81,7 +81,7 @@
 		Expect(claim(7)).To(BeFalse(), "the member is not trusted yet")
 		n.trust()
 		Expect(claim(7)).To(BeFalse(), "the member is new in the view and doesn't know which promises of the leader lease still run")
-		clock.Now += leaseDuration
+		manualClock.Now += leaseDuration
 		Expect(claim(7)).To(BeTrue())
 		Expect(claim(7)).To(BeFalse())
 		Expect(claim(6)).To(BeFalse())
@@ -109,7 +109,7 @@
 		var held *idempotency.Intent
 		n.store.read(func(t *tables) { held = t.voter.Find(idempotency.Key{Tenant: "h", Key: "new"}) })
 		Expect(held).To(BeNil(), "a shed intent is not stored")
-		clock.Now += feed.GrantSpan + time.Millisecond
+		manualClock.Now += feed.GrantSpan + time.Millisecond
 		Expect(reserve(3, "new")).To(Equal(idempotency.Granted))
 	})
 })
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -10,6 +10,7 @@
 
 	"github.com/juju/errors"
 
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/control/lease"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/idempotency"
@@ -17,7 +18,6 @@
 	"ploverhitch/internal/rpc"
 	"ploverhitch/internal/settings"
 	"ploverhitch/internal/storage"
-	"ploverhitch/internal/timetable"
 )
 
 const (
@@ -31,7 +31,7 @@
 type node struct {
 	settings     atomic.Pointer[settings.Settings]
 	self         string
-	clock        timetable.Clock
+	clock        clock.Clock
 	log          func(level, text string, pairs ...any)
 	store        *store
 	hub          *feed.Hub
@@ -43,9 +43,9 @@
 	// livenessWatch and joining are accessed only by the membership loop; joining holds
 	// the time of the last request of each address that asked to join.
 	livenessWatch *membership.Watch
-	memberLoop    *timetable.Loop[func()]
-	joining       map[string]timetable.Steady
-	startedAt     timetable.Steady
+	memberLoop    *clock.Loop[func()]
+	joining       map[string]clock.Steady
+	startedAt     clock.Steady
 	// eligible is whether this node may become the leader.
 	eligible atomic.Bool
 	isLeader atomic.Bool
@@ -84,8 +84,8 @@
 	ctx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	n := &node{
-		self: set.InternalAddress(set.Platform.Ip, 0), clock: timetable.Real(), log: log, hub: feed.NewHub(),
-		connections: map[string]*rpc.Line{}, memberLoop: timetable.NewLoop[func()](256), joining: map[string]timetable.Steady{},
+		self: set.InternalAddress(set.Platform.Ip, 0), clock: clock.Real(), log: log, hub: feed.NewHub(),
+		connections: map[string]*rpc.Line{}, memberLoop: clock.NewLoop[func()](256), joining: map[string]clock.Steady{},
 	}
 	n.settings.Store(set)
 	n.proposerID = newProposerID(n.self)
@@ -112,7 +112,7 @@
 	go n.store.run(ctx)
 	n.publishState()
 	go rpc.Serve(internalListener, n.callHandlers, silenceTimeout)
-	go timetable.Every(ctx, set.Tuning.Beat.Std()/contactChecksPerHeartbeat, n.refreshQuorumContact)
+	go clock.Every(ctx, set.Tuning.Beat.Std()/contactChecksPerHeartbeat, n.refreshQuorumContact)
 	go n.memberLoop.Run(ctx, runAll, set.Tuning.Beat.Std(), n.heartbeat)
 	go n.recoverState(ctx)
 	go n.configReplicator.run(ctx)
--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -4,9 +4,9 @@
 	"time"
 
 	"ploverhitch/internal/apierror"
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/messages"
-	"ploverhitch/internal/timetable"
 	"ploverhitch/internal/trial"
 )
 
@@ -49,13 +49,13 @@
 		state.Subject = in.Service
 	}
 	switch {
-	case state.IsRepeat(in.Target, timetable.Span(in.Duration), c.sinceOrder(state), c.plan()):
+	case state.IsRepeat(in.Target, clock.Span(in.Duration), c.sinceOrder(state), c.plan()):
 		c.noteRepeat(state)
 		return apierror.None, ""
 	case state.Phase.IsActive():
 		return apierror.OtherOrder, "version " + state.Target + " is on trial"
 	}
-	next, isDone := state.Order(in.Target, timetable.Span(in.Duration))
+	next, isDone := state.Order(in.Target, clock.Span(in.Duration))
 	if !isDone {
 		return apierror.OtherOrder, ""
 	}
@@ -79,7 +79,7 @@
 // repeat is when an order that was taken last came again.
 type repeat struct {
 	number uint64
-	at     timetable.Steady
+	at     clock.Steady
 }
 
 // sinceOrder is how long ago the order of a trial came last. An operator whose
--- a/internal/control/orders_test.go
+++ b/internal/control/orders_test.go
@@ -6,19 +6,19 @@
 	"time"
 
 	"ploverhitch/internal/apierror"
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/messages"
 	"ploverhitch/internal/settings"
-	"ploverhitch/internal/timetable"
 	"ploverhitch/internal/trial"
 )
 
 // ordering is a holder that took an order long ago: the trial has ended.
-func ordering(state trial.State) (*coordinator, *timetable.Hand) {
-	hand := &timetable.Hand{Now: time.Hour}
+func ordering(state trial.State) (*coordinator, *clock.Hand) {
+	hand := &clock.Hand{Now: time.Hour}
 	b := &node{self: "self", clock: hand, log: func(string, string, ...any) {}}
 	set := &settings.Settings{}
-	set.Platform.Bounds.Ack = timetable.Span(10 * time.Second)
+	set.Platform.Bounds.Ack = clock.Span(10 * time.Second)
 	b.settings.Store(set)
 	b.coordinator = newCoordinator(b)
 	b.coordinator.states[state.Subject] = state
@@ -27,7 +27,7 @@
 }
 
 func TestOrderThatComesAgainAndAgainStartsNoSecondRollout(t *testing.T) {
-	duration := timetable.Span(9 * time.Second)
+	duration := clock.Span(9 * time.Second)
 	c, hand := ordering(trial.State{Subject: "s", Number: 1, Target: "v2", Duration: duration, Phase: trial.Reverted})
 	for range 5 {
 		hand.Now += 15 * time.Second
--- a/internal/control/page_client.go
+++ b/internal/control/page_client.go
@@ -10,20 +10,20 @@
 
 	"github.com/juju/errors"
 
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/feed"
-	"ploverhitch/internal/timetable"
 )
 
 // listedInstance is one server in the platform's list.
 type listedInstance struct {
-	InstanceId string         `json:"InstanceId"`
-	Service    string         `json:"Service"`
-	Address    string         `json:"Address"`
-	Zone       string         `json:"Zone"`
-	Revision   string         `json:"Revision"`
-	Capacity   int            `json:"Capacity"`
-	State      string         `json:"State"`
-	WarmupLeft timetable.Span `json:"WarmupLeft"`
+	InstanceId string     `json:"InstanceId"`
+	Service    string     `json:"Service"`
+	Address    string     `json:"Address"`
+	Zone       string     `json:"Zone"`
+	Revision   string     `json:"Revision"`
+	Capacity   int        `json:"Capacity"`
+	State      string     `json:"State"`
+	WarmupLeft clock.Span `json:"WarmupLeft"`
 }
 
 // listPage is one page of the platform's list.
@@ -69,12 +69,12 @@
 // pageClient requests pages of the platform's list.
 type pageClient struct {
 	http  *http.Client
-	clock timetable.Clock
+	clock clock.Clock
 	// address returns the host and port of the platform.
 	address func() string
 }
 
-func newPageClient(clock timetable.Clock, address func() string) *pageClient {
+func newPageClient(clock clock.Clock, address func() string) *pageClient {
 	transport := &http.Transport{DisableCompression: true, MaxIdleConns: maxIdleConns, MaxIdleConnsPerHost: maxIdleConns}
 	return &pageClient{http: &http.Client{Transport: transport}, clock: clock, address: address}
 }
--- a/internal/control/quorum_contact.go
+++ b/internal/control/quorum_contact.go
@@ -8,9 +8,9 @@
 	"github.com/go-kit/kit/endpoint"
 
 	"ploverhitch/internal/apierror"
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/messages"
-	"ploverhitch/internal/timetable"
 )
 
 const (
@@ -31,11 +31,11 @@
 type quorumContact struct {
 	lock   sync.Mutex
 	known  bool
-	sentAt timetable.Steady
+	sentAt clock.Steady
 	fleet  feed.Reading
 }
 
-func (c *quorumContact) record(sentAt timetable.Steady, fleet feed.Reading) {
+func (c *quorumContact) record(sentAt clock.Steady, fleet feed.Reading) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	if !c.known || sentAt > c.sentAt {
@@ -44,7 +44,7 @@
 }
 
 // age is the time since the last contact; ok is false before the first.
-func (c *quorumContact) age(now timetable.Steady) (age time.Duration, ok bool) {
+func (c *quorumContact) age(now clock.Steady) (age time.Duration, ok bool) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	return time.Duration(now - c.sentAt), c.known
--- a/internal/control/quorum_contact_test.go
+++ b/internal/control/quorum_contact_test.go
@@ -9,19 +9,19 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/membership"
 	"ploverhitch/internal/messages"
 	"ploverhitch/internal/rpc"
-	"ploverhitch/internal/timetable"
 )
 
 var _ = Describe("a read of a node's local state", func() {
 	view := membership.View{Epoch: 1, Members: []string{"a", "127.0.0.1:1", "127.0.0.1:2"}}
 
 	It("requires a quorum contact no older than maxContactAge, and the newest fleet; the status requires none", func() {
-		clock := &timetable.Hand{Now: time.Hour}
-		n := newTestMember(clock, view)
+		manualClock := &clock.Hand{Now: time.Hour}
+		n := newTestMember(manualClock, view)
 		go n.memberLoop.Run(GinkgoT().Context(), runAll, 0, nil)
 		go n.coordinator.loop.Run(GinkgoT().Context(), runAll, 0, nil)
 		get := func(path string) *httptest.ResponseRecorder {
@@ -36,39 +36,39 @@
 			Expect(out.Header().Get("Retry-After")).NotTo(BeEmpty())
 		}
 		Expect(get("/v1/status").Code).To(Equal(http.StatusOK))
-		n.contact.record(clock.Steady(), feed.Reading{})
-		clock.Now += maxContactAge
+		n.contact.record(manualClock.Steady(), feed.Reading{})
+		manualClock.Now += maxContactAge
 		for _, path := range local {
 			Expect(get(path).Code).To(Equal(http.StatusOK), path)
 		}
-		clock.Now += time.Millisecond
+		manualClock.Now += time.Millisecond
 		for _, path := range local {
 			Expect(get(path).Code).To(Equal(http.StatusServiceUnavailable), path)
 		}
 		// The node has quorum contact, but the majority has a fleet that this node lacks.
-		clock.Now += time.Millisecond
-		n.contact.record(clock.Steady(), feed.Reading{Term: 2, Count: 1})
+		manualClock.Now += time.Millisecond
+		n.contact.record(manualClock.Steady(), feed.Reading{Term: 2, Count: 1})
 		Expect(get("/v1/fleet").Code).To(Equal(http.StatusServiceUnavailable))
 		n.onFleet(feed.Fleet{Term: 2, Count: 1}, func(messages.Done) {})
 		Expect(get("/v1/fleet").Code).To(Equal(http.StatusOK))
 	})
 
 	It("doesn't make a node ready to lead while the majority has a newer fleet; a fleet that only a failed member had is not waited for", func() {
-		clock := &timetable.Hand{Now: time.Hour}
-		n := newTestMember(clock, view)
+		manualClock := &clock.Hand{Now: time.Hour}
+		n := newTestMember(manualClock, view)
 		newest := feed.Reading{Term: 2, Count: 5}
 		Expect(n.isReadyToLead(newest)).To(BeFalse(), "the node has had no quorum contact")
-		n.contact.record(clock.Steady(), newest)
+		n.contact.record(manualClock.Steady(), newest)
 		Expect(n.isReadyToLead(feed.Reading{Term: 2, Count: 4})).To(BeFalse())
 		Expect(n.isReadyToLead(newest)).To(BeTrue())
-		clock.Now += time.Millisecond
-		n.contact.record(clock.Steady(), feed.Reading{Term: 2, Count: 4})
+		manualClock.Now += time.Millisecond
+		n.contact.record(manualClock.Steady(), feed.Reading{Term: 2, Count: 4})
 		Expect(n.isReadyToLead(feed.Reading{Term: 2, Count: 4})).To(BeTrue())
 	})
 
 	It("counts only the members that answer in the same epoch", func() {
-		clock := &timetable.Hand{Now: time.Hour}
-		n := newTestMember(clock, membership.View{Epoch: 1, Members: []string{"a"}})
+		manualClock := &clock.Hand{Now: time.Hour}
+		n := newTestMember(manualClock, membership.View{Epoch: 1, Members: []string{"a"}})
 		other := httptest.NewUnstartedServer(nil)
 		address := other.Listener.Addr().String()
 		go rpc.Serve(other.Listener, rpc.Handlers{messages.KindContact: typedHandler(func(in messages.Contact, answer func(messages.ContactTold)) {
@@ -78,7 +78,7 @@
 		n.adoptView(membership.View{Epoch: 2, Members: []string{"a", address, "127.0.0.1:1"}})
 		n.refreshQuorumContact()
 		Expect(n.hasQuorumContact()).To(BeTrue())
-		clock.Now += 2 * maxContactAge
+		manualClock.Now += 2 * maxContactAge
 		n.adoptView(membership.View{Epoch: 3, Members: []string{"a", address, "127.0.0.1:1"}})
 		n.refreshQuorumContact()
 		Expect(n.hasQuorumContact()).To(BeFalse())
--- a/internal/control/record_test.go
+++ b/internal/control/record_test.go
@@ -9,12 +9,12 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/idempotency"
 	"ploverhitch/internal/membership"
 	"ploverhitch/internal/standin"
 	"ploverhitch/internal/storage"
-	"ploverhitch/internal/timetable"
 	"ploverhitch/internal/trial"
 )
 
@@ -65,7 +65,7 @@
 		}
 		Expect(log.Append(batch)).To(Succeed())
 		var reported []string
-		s, err := openStore(disk, idempotency.Policy{}, &timetable.Hand{}, func(err error) { reported = append(reported, err.Error()) })
+		s, err := openStore(disk, idempotency.Policy{}, &clock.Hand{}, func(err error) { reported = append(reported, err.Error()) })
 		Expect(err).NotTo(HaveOccurred())
 		Expect(s.tables.trusted).To(BeFalse())
 		Expect(s.tables.voter.Find(valid.Intent.Key)).NotTo(BeNil())
--- a/internal/control/repair_bench_test.go
+++ b/internal/control/repair_bench_test.go
@@ -6,13 +6,13 @@
 	"testing"
 	"time"
 
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/idempotency"
 	"ploverhitch/internal/membership"
 	"ploverhitch/internal/rpc"
 	"ploverhitch/internal/settings"
 	"ploverhitch/internal/storage"
-	"ploverhitch/internal/timetable"
 )
 
 // BenchmarkRepair repairs a member of three from a full key window: 37,000
@@ -50,7 +50,7 @@
 	}
 	b.Cleanup(func() { _ = listener.Close() })
 	m := &node{
-		self: listener.Addr().String(), clock: timetable.Real(), hub: feed.NewHub(), log: func(string, string, ...any) {},
+		self: listener.Addr().String(), clock: clock.Real(), hub: feed.NewHub(), log: func(string, string, ...any) {},
 		connections: map[string]*rpc.Line{}, store: benchKeeper(b),
 	}
 	m.settings.Store(&settings.Settings{Tuning: settings.Defaults()})
@@ -66,7 +66,7 @@
 		b.Fatal(err)
 	}
 	policy := idempotency.Policy{KeyWindow: time.Minute, Retention: time.Hour}
-	k, err := openStore(disk, policy, timetable.Real(), func(err error) { b.Error(err) })
+	k, err := openStore(disk, policy, clock.Real(), func(err error) { b.Error(err) })
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/control/repair_test.go
+++ b/internal/control/repair_test.go
@@ -10,13 +10,13 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/idempotency"
 	"ploverhitch/internal/membership"
 	"ploverhitch/internal/rpc"
 	"ploverhitch/internal/settings"
 	"ploverhitch/internal/storage"
-	"ploverhitch/internal/timetable"
 )
 
 // member is one core member of a test, with a real disk and a real listener.
@@ -33,8 +33,8 @@
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(func() { _ = listener.Close() })
 		m := &member{listener: listener, node: &node{
-			self: listener.Addr().String(), clock: timetable.Real(), hub: feed.NewHub(), log: func(string, string, ...any) {},
-			connections: map[string]*rpc.Line{}, memberLoop: timetable.NewLoop[func()](256), livenessWatch: membership.NewWatch(timetable.Real(), time.Second),
+			self: listener.Addr().String(), clock: clock.Real(), hub: feed.NewHub(), log: func(string, string, ...any) {},
+			connections: map[string]*rpc.Line{}, memberLoop: clock.NewLoop[func()](256), livenessWatch: membership.NewWatch(clock.Real(), time.Second),
 		}}
 		m.settings.Store(&settings.Settings{Tuning: settings.Defaults()})
 		m.configReplicator = newConfigReplicator(m.node)
--- a/internal/control/rollouts.go
+++ b/internal/control/rollouts.go
@@ -9,15 +9,15 @@
 	validation "github.com/go-ozzo/ozzo-validation/v4"
 
 	"ploverhitch/internal/apierror"
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/messages"
-	"ploverhitch/internal/timetable"
 )
 
 // rollout is an operator's order for a service's version.
 type rollout struct {
-	Service       string         `json:"Service"`
-	TargetVersion string         `json:"TargetVersion"`
-	Duration      timetable.Span `json:"Duration"`
+	Service       string     `json:"Service"`
+	TargetVersion string     `json:"TargetVersion"`
+	Duration      clock.Span `json:"Duration"`
 }
 
 const (
--- a/internal/control/round_transport.go
+++ b/internal/control/round_transport.go
@@ -5,11 +5,11 @@
 	"time"
 
 	"ploverhitch/internal/apierror"
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/control/registry"
 	"ploverhitch/internal/membership"
 	"ploverhitch/internal/messages"
 	"ploverhitch/internal/rpc"
-	"ploverhitch/internal/timetable"
 )
 
 // roundTransport sends the messages of one round to the members of a view. The time
@@ -18,7 +18,7 @@
 type roundTransport struct {
 	node      *node
 	view      membership.View
-	startedAt timetable.Steady
+	startedAt clock.Steady
 }
 
 // Prepare asks all members for a promise.
@@ -41,7 +41,7 @@
 func (n *node) voteTimeout() time.Duration { return n.settings.Load().Tuning.VoteSpan.Std() }
 
 // voteExpired reports whether votes requested at that time no longer count.
-func (n *node) voteExpired(startedAt timetable.Steady) bool {
+func (n *node) voteExpired(startedAt clock.Steady) bool {
 	return time.Duration(n.clock.Steady()-startedAt) > n.voteTimeout()
 }
 
@@ -51,7 +51,7 @@
 // startedAt, as a member that lost its disk waits twice that long before it votes
 // again. Answers that arrive later are returned without their agreement, since they
 // still show why the round can't succeed.
-func callRound[T any](n *node, view membership.View, kind rpc.Kind, request any, startedAt timetable.Steady, okField func(*T) *bool, lost func(T) bool) (answers []T) {
+func callRound[T any](n *node, view membership.View, kind rpc.Kind, request any, startedAt clock.Steady, okField func(*T) *bool, lost func(T) bool) (answers []T) {
 	count := 0
 	callAll(n, view.Members, kind, request, n.voteTimeout(), func(_ string, answer T) bool {
 		answers = append(answers, answer)
--- a/internal/control/round_transport_test.go
+++ b/internal/control/round_transport_test.go
@@ -7,9 +7,9 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/control/registry"
 	"ploverhitch/internal/membership"
-	"ploverhitch/internal/timetable"
 )
 
 // unresponsiveMember returns the address of a member that accepts connections but never
@@ -28,7 +28,7 @@
 
 	BeforeEach(func() {
 		view = membership.View{Epoch: 1, Members: []string{"a", unresponsiveMember(), unresponsiveMember()}}
-		n = newTestMember(&timetable.Hand{Now: time.Hour}, view)
+		n = newTestMember(&clock.Hand{Now: time.Hour}, view)
 	})
 
 	// withoutWaiting checks that run doesn't wait for the unresponsive members.
--- a/internal/control/staged.go
+++ b/internal/control/staged.go
@@ -8,10 +8,10 @@
 	validation "github.com/go-ozzo/ozzo-validation/v4"
 
 	"ploverhitch/internal/apierror"
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/messages"
 	"ploverhitch/internal/outlier"
-	"ploverhitch/internal/timetable"
 	"ploverhitch/internal/trial"
 )
 
@@ -19,7 +19,7 @@
 type staged struct {
 	Name     string          `json:"Name"`
 	First    string          `json:"First"`
-	Duration timetable.Span  `json:"Duration"`
+	Duration clock.Span      `json:"Duration"`
 	Change   json.RawMessage `json:"Change"`
 }
 
--- a/internal/control/stages.go
+++ b/internal/control/stages.go
@@ -6,10 +6,10 @@
 	"time"
 
 	"ploverhitch/internal/apierror"
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/messages"
-	"ploverhitch/internal/timetable"
 	"ploverhitch/internal/trial"
 )
 
@@ -67,7 +67,7 @@
 		return apierror.UnknownSubject, "node " + in.First + " is not known to be in touch"
 	}
 	state.Subject = subject
-	next, isDone := state.Order(in.Name, timetable.Span(in.Duration))
+	next, isDone := state.Order(in.Name, clock.Span(in.Duration))
 	if !isDone {
 		return apierror.OtherOrder, ""
 	}
--- a/internal/control/standby.go
+++ b/internal/control/standby.go
@@ -4,11 +4,11 @@
 	"sync"
 	"time"
 
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/control/listing"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/membership"
 	"ploverhitch/internal/messages"
-	"ploverhitch/internal/timetable"
 )
 
 // isolatedReadLimit is how long a node without quorum contact reads the list while it is
@@ -23,11 +23,11 @@
 	watch *listing.Watch
 }
 
-func newListTracker(now timetable.Steady) *listTracker {
+func newListTracker(now clock.Steady) *listTracker {
 	return &listTracker{watch: listing.NewWatch(now)}
 }
 
-func (t *listTracker) record(progress messages.ListProgress, now timetable.Steady) {
+func (t *listTracker) record(progress messages.ListProgress, now clock.Steady) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	t.watch.Hear(progress.From, progress.Next.Std(), now)
@@ -36,7 +36,7 @@
 	}
 }
 
-func (t *listTracker) age(now timetable.Steady) (age time.Duration, ok bool) {
+func (t *listTracker) age(now clock.Steady) (age time.Duration, ok bool) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	return t.watch.Age(now)
@@ -44,7 +44,7 @@
 
 // share is the fraction of the platform's rate limit that this node may use as a standby
 // reader, or 0 if it must not read.
-func (t *listTracker) share(view membership.View, leader, self string, inContact bool, now timetable.Steady) float64 {
+func (t *listTracker) share(view membership.View, leader, self string, inContact bool, now clock.Steady) float64 {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	share := t.watch.Share(view, leader, self, now)
--- a/internal/control/standby_test.go
+++ b/internal/control/standby_test.go
@@ -13,20 +13,20 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/control/listing"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/membership"
 	"ploverhitch/internal/messages"
 	"ploverhitch/internal/rpc"
 	"ploverhitch/internal/settings"
-	"ploverhitch/internal/timetable"
 )
 
 var _ = Describe("a standby read of the server list", func() {
 	const leader, self, other, silentAfter = "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", 1200 * time.Millisecond
 	const next = 800 * time.Millisecond
 	var n *node
-	var clock *timetable.Hand
+	var manualClock *clock.Hand
 	fleet := func(count uint64, publisher string, isReady bool) *feed.Fleet {
 		return &feed.Fleet{Term: 1, Count: count, Holder: publisher, Servers: []feed.Server{{ID: "a", IsReady: isReady}, {ID: "b", IsReady: true}}}
 	}
@@ -37,20 +37,20 @@
 	sendHeartbeat := func() { n.runInMemberLoop(func() { n.livenessWatch.Hear(membership.Beat{From: leader, IsFit: true}) }) }
 	// reportRead reports a complete read by the leader.
 	reportRead := func() {
-		n.onListProgress(messages.ListProgress{From: leader, IsWhole: true, Age: timetable.Span(100 * time.Millisecond), Next: timetable.Span(next)}, nil)
+		n.onListProgress(messages.ListProgress{From: leader, IsWhole: true, Age: clock.Span(100 * time.Millisecond), Next: clock.Span(next)}, nil)
 	}
 	// overdue is the time after which a read is overdue for the last member in the order.
 	const overdue = next + time.Second
 
 	BeforeEach(func() {
-		clock = &timetable.Hand{Now: time.Hour}
+		manualClock = &clock.Hand{Now: time.Hour}
 		n = &node{
-			self: self, clock: clock, hub: feed.NewHub(), log: func(string, string, ...any) {},
+			self: self, clock: manualClock, hub: feed.NewHub(), log: func(string, string, ...any) {},
 			connections: map[string]*rpc.Line{},
-			memberLoop:  timetable.NewLoop[func()](8), livenessWatch: membership.NewWatch(clock, silentAfter), startedAt: clock.Steady(),
-			listWatch: newListTracker(clock.Steady()), lease: newLeaderLease(testLeaseDuration),
+			memberLoop:  clock.NewLoop[func()](8), livenessWatch: membership.NewWatch(manualClock, silentAfter), startedAt: manualClock.Steady(),
+			listWatch: newListTracker(manualClock.Steady()), lease: newLeaderLease(testLeaseDuration),
 		}
-		n.settings.Store(&settings.Settings{Tuning: settings.Tuning{SilentAfter: timetable.Span(silentAfter)}})
+		n.settings.Store(&settings.Settings{Tuning: settings.Tuning{SilentAfter: clock.Span(silentAfter)}})
 		ctx, cancel := context.WithCancel(context.Background())
 		DeferCleanup(cancel)
 		go n.memberLoop.Run(ctx, runAll, 0, nil)
@@ -61,9 +61,9 @@
 	})
 
 	It("starts when a read is overdue, and ends when the leader reads again", func() {
-		clock.Sleep(next)
+		manualClock.Sleep(next)
 		Expect(n.isStandbyReader()).To(BeFalse())
-		clock.Sleep(overdue - next)
+		manualClock.Sleep(overdue - next)
 		Expect(n.isStandbyReader()).To(BeTrue())
 		reportRead()
 		Expect(n.isStandbyReader()).To(BeFalse())
@@ -71,21 +71,21 @@
 
 	It("starts if the leader sends heartbeats but does not read the list", func() {
 		for range 10 {
-			clock.Sleep(overdue / 10)
+			manualClock.Sleep(overdue / 10)
 			sendHeartbeat()
 		}
 		Expect(n.isStandbyReader()).To(BeTrue())
 	})
 
 	It("ends after isolatedReadLimit at a node without quorum contact that is told of no read", func() {
-		clock.Sleep(isolatedReadLimit + time.Millisecond)
+		manualClock.Sleep(isolatedReadLimit + time.Millisecond)
 		Expect(n.isStandbyReader()).To(BeFalse())
-		n.contact.record(clock.Steady(), feed.Reading{})
+		n.contact.record(manualClock.Steady(), feed.Reading{})
 		Expect(n.isStandbyReader()).To(BeTrue())
 	})
 
 	It("is made neither by the leader, nor by a node outside the view, nor by all members at once", func() {
-		clock.Sleep(next + 250*time.Millisecond)
+		manualClock.Sleep(next + 250*time.Millisecond)
 		n.hub.Publish(feed.News{Fleet: fleet(2, self, true)})
 		Expect(n.isStandbyReader()).To(BeFalse())
 		largeView := membership.View{Epoch: 2, Members: []string{leader, self, other, "127.0.0.1:4", "127.0.0.1:5", "127.0.0.1:6"}}
@@ -106,7 +106,7 @@
 		// The coordinator's loop does not run.
 		n.coordinator = newCoordinator(n)
 		n.isLeader.Store(true)
-		poller := &listPoller{node: n, reader: newListReader(clock, func() string { return platform.Listener.Addr().String() })}
+		poller := &listPoller{node: n, reader: newListReader(manualClock, func() string { return platform.Listener.Addr().String() })}
 		var published []string
 		ended := make(chan struct{})
 		body, err := cbor.Marshal(feed.Follow{})
@@ -120,7 +120,7 @@
 		Expect(leaving()).To(Equal(map[string]bool{"a": true}))
 		Expect(published).To(Equal([]string{"a"}))
 		n.hub.Publish(feed.News{Fleet: fleet(2, self, false)})
-		clock.Sleep(time.Second)
+		manualClock.Sleep(time.Second)
 		poller.poll(context.Background())
 		Expect(published).To(Equal([]string{"a"}), "published again though the fleet already shows the server draining")
 	})
@@ -131,18 +131,18 @@
 		set.Platform.CloudApi.RatePerS = 50
 		n.settings.Store(&set)
 		poller := &listPoller{node: n}
-		poller.lastRead.started, poller.lastRead.ended, poller.lastRead.calls = clock.Steady(), clock.Steady(), 30
+		poller.lastRead.started, poller.lastRead.ended, poller.lastRead.calls = manualClock.Steady(), manualClock.Steady(), 30
 		view, _ := n.viewAndLeader()
 		// An isolated node leaves part of the rate limit to nodes that it doesn't know of.
-		clock.Sleep(overdue)
-		poller.lastRead.started, poller.lastRead.ended = clock.Steady(), clock.Steady()
+		manualClock.Sleep(overdue)
+		poller.lastRead.started, poller.lastRead.ended = manualClock.Steady(), manualClock.Steady()
 		Expect(poller.untilNextRead(false)).To(BeNumerically("~", 3*time.Second, time.Millisecond))
-		n.contact.record(clock.Steady(), feed.Reading{})
+		n.contact.record(manualClock.Steady(), feed.Reading{})
 		Expect(poller.untilNextRead(false)).To(BeNumerically("~", time.Second, time.Millisecond))
 		// A leader whose lease has expired may have a successor that reads.
 		Expect(poller.untilNextRead(true)).To(BeNumerically("~", 3*time.Second, time.Millisecond))
 		n.ownTerm.Store(2)
-		round := n.lease.startRound(2, view, clock.Steady())
+		round := n.lease.startRound(2, view, manualClock.Steady())
 		n.lease.acknowledge(round, self)
 		Expect(n.lease.acknowledge(round, other)).To(BeTrue())
 		Expect(poller.untilNextRead(true)).To(BeNumerically("~", time.Second, time.Millisecond))
@@ -161,15 +161,15 @@
 		DeferCleanup(platform.Close)
 		n.coordinator = newCoordinator(n)
 		n.isLeader.Store(true)
-		clock.Sleep(time.Minute)
-		poller := &listPoller{node: n, reader: newListReader(clock, func() string { return platform.Listener.Addr().String() })}
+		manualClock.Sleep(time.Minute)
+		poller := &listPoller{node: n, reader: newListReader(manualClock, func() string { return platform.Listener.Addr().String() })}
 		poller.poll(context.Background())
-		age, _ := n.listWatch.age(clock.Steady())
+		age, _ := n.listWatch.age(manualClock.Steady())
 		Expect(age).To(BeNumerically(">=", time.Minute))
 		isFailing.Store(false)
-		clock.Sleep(time.Second)
+		manualClock.Sleep(time.Second)
 		poller.poll(context.Background())
-		age, _ = n.listWatch.age(clock.Steady())
+		age, _ = n.listWatch.age(manualClock.Steady())
 		Expect(age).To(BeNumerically("<", time.Second))
 	})
 
--- a/internal/control/store.go
+++ b/internal/control/store.go
@@ -12,9 +12,9 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/juju/errors"
 
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/idempotency"
 	"ploverhitch/internal/storage"
-	"ploverhitch/internal/timetable"
 )
 
 // command is an operation on the store. apply reads and changes the tables and returns
@@ -26,10 +26,10 @@
 
 // store owns the tables and the log. The commands of a batch share one disk sync.
 type store struct {
-	loop   *timetable.Loop[command]
+	loop   *clock.Loop[command]
 	tables *tables
 	log    *storage.Log
-	clock  timetable.Clock
+	clock  clock.Clock
 	// unwritten holds encoded records that are not in the log yet, for example because
 	// the disk fails; callbacks run only once all of them are written.
 	unwritten   [][]byte
@@ -41,8 +41,8 @@
 	self string
 }
 
-func openStore(disk storage.Disk, policy idempotency.Policy, clock timetable.Clock, reportError func(error)) (*store, error) {
-	s := &store{loop: timetable.NewLoop[command](4096), tables: newTables(policy), clock: clock, reportError: reportError}
+func openStore(disk storage.Disk, policy idempotency.Policy, timeSource clock.Clock, reportError func(error)) (*store, error) {
+	s := &store{loop: clock.NewLoop[command](4096), tables: newTables(policy), clock: timeSource, reportError: reportError}
 	log, err := storage.Open(disk, func(data []byte) error {
 		var r record
 		if err := cbor.Unmarshal(data, &r); err != nil {
--- a/internal/control/tables.go
+++ b/internal/control/tables.go
@@ -4,6 +4,7 @@
 	"iter"
 	"time"
 
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/control/lease"
 	"ploverhitch/internal/control/registry"
@@ -11,7 +12,6 @@
 	"ploverhitch/internal/idempotency"
 	"ploverhitch/internal/loopline"
 	"ploverhitch/internal/membership"
-	"ploverhitch/internal/timetable"
 	"ploverhitch/internal/trial"
 )
 
@@ -48,7 +48,7 @@
 	// power loss of all its members.
 	fleet feed.Fleet
 	// fleetReceivedAt is when the fleet was received, 0 if it was read from the disk.
-	fleetReceivedAt timetable.Steady
+	fleetReceivedAt clock.Steady
 	trials          map[string]trial.State
 	trusted         bool
 	empty           bool
@@ -118,7 +118,7 @@
 
 // fleetFresh reports whether the fleet was received within maxAge; a fleet that was
 // read from the disk is not fresh.
-func (t *tables) fleetFresh(now timetable.Steady, maxAge time.Duration) bool {
+func (t *tables) fleetFresh(now clock.Steady, maxAge time.Duration) bool {
 	return t.fleetReceivedAt > 0 && time.Duration(now-t.fleetReceivedAt) <= maxAge
 }
 
--- a/internal/control/takeover_test.go
+++ b/internal/control/takeover_test.go
@@ -11,12 +11,12 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/idempotency"
 	"ploverhitch/internal/membership"
 	"ploverhitch/internal/messages"
-	"ploverhitch/internal/timetable"
 	"ploverhitch/internal/trial"
 )
 
@@ -24,11 +24,11 @@
 	const drainingID = "i-1"
 	view := membership.View{Epoch: 1, Members: []string{"a"}}
 	var n *node
-	var clock *timetable.Hand
+	var manualClock *clock.Hand
 
 	// grant makes this member grant the leader lease.
 	grant := func(holder string, number uint64) {
-		clock.Now += testLeaseDuration
+		manualClock.Now += testLeaseDuration
 		granted := make(chan messages.Done, 1)
 		n.onClaim(messages.Claim{Epoch: 1, Term: membership.Term{Number: number, Holder: holder}}, func(done messages.Done) { granted <- done })
 		Expect((<-granted).OK).To(BeTrue())
@@ -36,7 +36,7 @@
 	// becomeLeader makes this node the leader under a new term.
 	becomeLeader := func(number uint64) {
 		grant("a", number)
-		round := n.lease.startRound(number, view, clock.Steady())
+		round := n.lease.startRound(number, view, manualClock.Steady())
 		Expect(n.lease.acknowledge(round, "a")).To(BeTrue())
 		n.ownTerm.Store(number)
 		n.isLeader.Store(true)
@@ -51,8 +51,8 @@
 	}
 
 	BeforeEach(func() {
-		clock = &timetable.Hand{Now: time.Hour}
-		n = newTestMember(clock, view)
+		manualClock = &clock.Hand{Now: time.Hour}
+		n = newTestMember(manualClock, view)
 	})
 
 	It("doesn't publish a server as ready that started draining under another leader", func() {
@@ -81,7 +81,7 @@
 			<-stored
 		}
 		staged := trial.State{
-			Subject: trial.StagePrefix + "change", Number: 1, Term: 1, Count: 1, Phase: trial.Trying, Duration: timetable.Span(time.Minute),
+			Subject: trial.StagePrefix + "change", Number: 1, Term: 1, Count: 1, Phase: trial.Trying, Duration: clock.Span(time.Minute),
 			Items: []config.Item{{ID: config.ID{Class: config.RouteItem, Name: "fee"}, Version: 1, Host: "h"}}, Waves: [][]string{{"edge-1"}},
 		}
 		written := make(chan messages.Done, 1)
@@ -112,11 +112,11 @@
 			_, _ = fmt.Fprint(w, `{"Instances":[{"InstanceId":"i-1","State":"draining"},{"InstanceId":"i-2","State":"ready"}],"NextToken":"2"}`)
 		}))
 		DeferCleanup(platform.Close)
-		clock := &timetable.Hand{Now: time.Hour}
-		n := newTestMember(clock, membership.View{Epoch: 1, Members: []string{"a"}})
+		manualClock := &clock.Hand{Now: time.Hour}
+		n := newTestMember(manualClock, membership.View{Epoch: 1, Members: []string{"a"}})
 		n.hub.Publish(feed.News{Fleet: &feed.Fleet{Term: 1, Count: 1, Holder: "a", Servers: []feed.Server{{ID: "i-1", IsReady: true}, {ID: "i-2", IsReady: true}}}})
 		n.isLeader.Store(true)
-		poller := &listPoller{node: n, reader: newListReader(clock, func() string { return platform.Listener.Addr().String() })}
+		poller := &listPoller{node: n, reader: newListReader(manualClock, func() string { return platform.Listener.Addr().String() })}
 		ctx, cancel := context.WithCancel(context.Background())
 		DeferCleanup(cancel)
 		go poller.poll(ctx)
--- a/internal/dispatcher/command.go
+++ b/internal/dispatcher/command.go
@@ -15,7 +15,7 @@
 	"github.com/alecthomas/kingpin/v2"
 	"github.com/juju/errors"
 
-	"ploverhitch/internal/timetable"
+	"ploverhitch/internal/clock"
 )
 
 // The exit statuses of a watched trial.
@@ -28,7 +28,7 @@
 type Command struct {
 	control, service, target, name *string
 	duration, limit                *time.Duration
-	clock                          timetable.Clock
+	clock                          clock.Clock
 	client                         *http.Client
 	out                            io.Writer
 }
@@ -44,7 +44,7 @@
 //
 //	trials := dispatcher.Register(app, os.Stdout)
 func Register(app *kingpin.Application, out io.Writer) *Command {
-	c := &Command{clock: timetable.Real(), client: &http.Client{Timeout: callSpan}, out: out}
+	c := &Command{clock: clock.Real(), client: &http.Client{Timeout: callSpan}, out: out}
 	rollout := app.Command("rollout", "Brings a new version of a service in under traffic.")
 	staged := app.Command("staged", "Follows or halts a staged change of lanes; ploverhitch apply --staged orders one.")
 	c.control = app.Flag("core", "Control address of a core node, for rollout and staged.").PlaceHolder("HOST:PORT").String()
@@ -103,7 +103,7 @@
 }
 
 func spanText(span time.Duration) string {
-	text, _ := timetable.Span(span).MarshalText()
+	text, _ := clock.Span(span).MarshalText()
 	return string(text)
 }
 
--- a/internal/emulator/departure/proxy.go
+++ b/internal/emulator/departure/proxy.go
@@ -1,12 +1,12 @@
 package departure
 
 import (
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/emulator/virtual"
 	"ploverhitch/internal/feed"
-	"ploverhitch/internal/timetable"
 )
 
-func steadyOf(at virtual.Time) timetable.Steady { return timetable.Steady(at) }
+func steadyOf(at virtual.Time) clock.Steady { return clock.Steady(at) }
 
 // proxy is one proxy with its agent: what it has heard, and of which servers that leave
 // it has seen that they do.
--- a/internal/feed/follower.go
+++ b/internal/feed/follower.go
@@ -7,8 +7,8 @@
 
 	"github.com/juju/errors"
 
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/rpc"
-	"ploverhitch/internal/timetable"
 )
 
 // Follower follows one node's feed, again and again, until its context ends.
@@ -21,7 +21,7 @@
 	// brokeAt is since when no feed came, in nanoseconds of the steady clock; 0
 	// while one does.
 	brokeAt atomic.Int64
-	clock   timetable.Clock
+	clock   clock.Clock
 	// afresh asks for a checkpoint, as news did not fit what is held.
 	afresh chan struct{}
 }
@@ -32,7 +32,7 @@
 //
 //	follower := feed.NewFollower(node, line, merge, 200*time.Millisecond)
 func NewFollower(name string, line *rpc.Line, take func(News), pause time.Duration) *Follower {
-	f := &Follower{Name: name, Line: line, Take: take, Pause: pause, afresh: make(chan struct{}, 1), clock: timetable.Real()}
+	f := &Follower{Name: name, Line: line, Take: take, Pause: pause, afresh: make(chan struct{}, 1), clock: clock.Real()}
 	f.brokeAt.Store(int64(f.clock.Steady()) + 1)
 	return f
 }
--- a/internal/idempotency/round.go
+++ b/internal/idempotency/round.go
@@ -1,6 +1,6 @@
 package idempotency
 
-import "ploverhitch/internal/timetable"
+import "ploverhitch/internal/clock"
 
 // Result is the result of a vote round so far.
 type Result uint8
@@ -30,8 +30,8 @@
 type Round struct {
 	RequestHash RequestHash
 	members     int
-	startedAt   timetable.Steady
-	timeout     timetable.Steady
+	startedAt   clock.Steady
+	timeout     clock.Steady
 
 	granted, keyInUse, overLimit, failed int
 	shed                                 int
@@ -41,7 +41,7 @@
 
 // NewRound starts a round among the given number of members. Grants count only until
 // the timeout.
-func NewRound(requestHash RequestHash, members int, startedAt, timeout timetable.Steady) *Round {
+func NewRound(requestHash RequestHash, members int, startedAt, timeout clock.Steady) *Round {
 	return &Round{RequestHash: requestHash, members: members, startedAt: startedAt, timeout: timeout}
 }
 
@@ -68,7 +68,7 @@
 }
 
 // Result evaluates the votes received so far.
-func (r *Round) Result(now timetable.Steady) Result {
+func (r *Round) Result(now clock.Steady) Result {
 	majority := r.members/2 + 1
 	inTime := now-r.startedAt <= r.timeout
 	switch {
--- a/internal/idempotency/voter_test.go
+++ b/internal/idempotency/voter_test.go
@@ -9,8 +9,8 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/idempotency"
-	"ploverhitch/internal/timetable"
 )
 
 func TestIdempotency(t *testing.T) {
@@ -65,7 +65,7 @@
 	)
 
 	It("counts no grants after the timeout of the round", func() {
-		round := idempotency.NewRound(idempotency.RequestHash{}, 3, 0, timetable.Steady(100))
+		round := idempotency.NewRound(idempotency.RequestHash{}, 3, 0, clock.Steady(100))
 		round.AddVote(&idempotency.Vote{Verdict: idempotency.Granted})
 		round.AddVote(&idempotency.Vote{Verdict: idempotency.Granted})
 		Expect(round.Result(100)).To(Equal(idempotency.Won))
--- a/internal/inspector/command.go
+++ b/internal/inspector/command.go
@@ -11,8 +11,8 @@
 	"github.com/alecthomas/kingpin/v2"
 
 	"ploverhitch/internal/balancer"
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/config"
-	"ploverhitch/internal/timetable"
 )
 
 // The exit statuses of the inspector.
@@ -130,7 +130,7 @@
 		return Unlooked, fmt.Errorf("no answer from %s", strings.Join(forecast.Unheard, ", "))
 	}
 	if *c.confirm > 0 {
-		surprises, err := forecast.Confirm(timetable.Real(), *c.confirm)
+		surprises, err := forecast.Confirm(clock.Real(), *c.confirm)
 		if err != nil {
 			return Unlooked, err
 		}
--- a/internal/inspector/moves.go
+++ b/internal/inspector/moves.go
@@ -9,9 +9,9 @@
 	"github.com/juju/errors"
 
 	"ploverhitch/internal/balancer"
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/messages"
-	"ploverhitch/internal/timetable"
 )
 
 // Forecast is what every proxy says of a change before it is made.
@@ -86,8 +86,8 @@
 // Example:
 //
 //	surprises, err := forecast.Confirm(clock, time.Minute)
-func (f *Forecast) Confirm(clock timetable.Clock, wait time.Duration) (out []Surprise, err error) {
-	end := clock.Steady() + timetable.Steady(wait)
+func (f *Forecast) Confirm(timeSource clock.Clock, wait time.Duration) (out []Surprise, err error) {
+	end := timeSource.Steady() + clock.Steady(wait)
 	for _, edge := range f.edges {
 		node, isKnown := messages.Moves{}, false
 		for _, one := range f.Nodes {
@@ -108,10 +108,10 @@
 			if err == nil && f.isMade(now.Ring) {
 				break
 			}
-			if clock.Steady() > end {
+			if timeSource.Steady() > end {
 				return nil, errors.Timeoutf("the change at %s", edge.name)
 			}
-			clock.Sleep(confirmPause)
+			timeSource.Sleep(confirmPause)
 		}
 		for i, run := range node.Runs {
 			if now.Homes[i] != run.To {
--- a/internal/membership/watch.go
+++ b/internal/membership/watch.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"ploverhitch/internal/timetable"
+	"ploverhitch/internal/clock"
 )
 
 // Term fences a duty: a holder's acts carry its term, and nobody goes below
@@ -32,9 +32,9 @@
 
 // Watch keeps when each member was last heard of. It has one owner.
 type Watch struct {
-	clock timetable.Clock
-	after timetable.Steady
-	heard map[string]timetable.Steady
+	clock clock.Clock
+	after clock.Steady
+	heard map[string]clock.Steady
 	fit   map[string]bool
 }
 
@@ -43,8 +43,8 @@
 // Example:
 //
 //	watch := membership.NewWatch(clock, 1200*time.Millisecond)
-func NewWatch(clock timetable.Clock, silentAfter time.Duration) *Watch {
-	return &Watch{clock: clock, after: timetable.Steady(silentAfter), heard: map[string]timetable.Steady{}, fit: map[string]bool{}}
+func NewWatch(timeSource clock.Clock, silentAfter time.Duration) *Watch {
+	return &Watch{clock: timeSource, after: clock.Steady(silentAfter), heard: map[string]clock.Steady{}, fit: map[string]bool{}}
 }
 
 // Hear notes a heartbeat. Who the sender heard counts as heard, a little less
@@ -93,7 +93,7 @@
 // Example:
 //
 //	isLost := watch.Silence(member, began) > span
-func (w *Watch) Silence(name string, began timetable.Steady) time.Duration {
+func (w *Watch) Silence(name string, began clock.Steady) time.Duration {
 	return time.Duration(w.clock.Steady() - max(w.heard[name], began))
 }
 
--- a/internal/objects/command.go
+++ b/internal/objects/command.go
@@ -13,7 +13,7 @@
 	"github.com/alecthomas/kingpin/v2"
 	"github.com/juju/errors"
 
-	"ploverhitch/internal/timetable"
+	"ploverhitch/internal/clock"
 )
 
 // Command is the subcommand that sends objects to a core node.
@@ -61,7 +61,7 @@
 	}
 	path := "/v1/config/modify"
 	if *c.staged != "" {
-		order := map[string]any{"Name": *c.staged, "First": *c.first, "Duration": timetable.Span(*c.duration), "Change": json.RawMessage(text)}
+		order := map[string]any{"Name": *c.staged, "First": *c.first, "Duration": clock.Span(*c.duration), "Change": json.RawMessage(text)}
 		if path = "/v1/staged/start"; len(own) > 0 {
 			return errors.NotSupportedf("an object for %s in a staged change", own[0].Path)
 		}
--- a/internal/objects/objects.go
+++ b/internal/objects/objects.go
@@ -15,8 +15,8 @@
 	"github.com/juju/errors"
 	"sigs.k8s.io/yaml"
 
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/config"
-	"ploverhitch/internal/timetable"
 )
 
 // APIVersion is the one that the objects must name.
@@ -38,8 +38,8 @@
 		Host          string           `json:"host"`
 		PathPrefix    string           `json:"pathPrefix"`
 		Type          config.RouteKind `json:"type"`
-		Timeout       timetable.Span   `json:"timeout"`
-		TargetLatency timetable.Span   `json:"targetLatency"`
+		Timeout       clock.Span       `json:"timeout"`
+		TargetLatency clock.Span       `json:"targetLatency"`
 		Priority      int              `json:"priority"`
 		MaxAttempts   int              `json:"maxAttempts"`
 		BackendRefs   []struct {
@@ -61,10 +61,10 @@
 type limitsObject struct {
 	header `json:",inline"`
 	Spec   struct {
-		MaxHeaderBytes int            `json:"maxHeaderBytes"`
-		MaxBodyBytes   int64          `json:"maxBodyBytes"`
-		HeaderTimeout  timetable.Span `json:"headerTimeout"`
-		IdleTimeout    timetable.Span `json:"idleTimeout"`
+		MaxHeaderBytes int        `json:"maxHeaderBytes"`
+		MaxBodyBytes   int64      `json:"maxBodyBytes"`
+		HeaderTimeout  clock.Span `json:"headerTimeout"`
+		IdleTimeout    clock.Span `json:"idleTimeout"`
 	} `json:"spec"`
 }
 
--- a/internal/outlier/bench.go
+++ b/internal/outlier/bench.go
@@ -4,7 +4,7 @@
 	"math"
 	"time"
 
-	"ploverhitch/internal/timetable"
+	"ploverhitch/internal/clock"
 )
 
 // stand is what is known of one server: counts that fade, and whether it is set
@@ -13,14 +13,14 @@
 	seen, bad float64
 	// tried and strained are the tries that ended, and those turned away or late.
 	tried, strained float64
-	at              timetable.Steady
+	at              clock.Steady
 	// paces and paced are the sum and the number of the paces; told is the pace
 	// last told, in eighths, and when.
 	paces, paced float64
 	told         int
-	toldAt       timetable.Steady
+	toldAt       clock.Steady
 	// asideAt is since when it is set aside, times how often.
-	asideAt timetable.Steady
+	asideAt clock.Steady
 	times   int
 	isAside bool
 }
@@ -43,7 +43,7 @@
 	benchOdds = 4
 )
 
-func (b *Bench) hear(rows []ServerRow, now timetable.Steady) {
+func (b *Bench) hear(rows []ServerRow, now clock.Steady) {
 	for _, row := range rows {
 		s := b.stands[row.ID]
 		if s == nil {
--- a/internal/outlier/court.go
+++ b/internal/outlier/court.go
@@ -4,25 +4,25 @@
 	"maps"
 	"time"
 
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/feed"
-	"ploverhitch/internal/timetable"
 )
 
 // witness is one life of one proxy, as it reported last.
 type witness struct {
 	report Report
-	at     timetable.Steady
+	at     clock.Steady
 }
 
 // moment is the sum of all rows at some time.
 type moment struct {
-	at   timetable.Steady
+	at   clock.Steady
 	rows map[Mark]Tally
 }
 
 // Court sums reports. It has one owner.
 type Court struct {
-	clock     timetable.Clock
+	clock     clock.Clock
 	witnesses map[string]*witness
 	// ended are the rows of lives that are over.
 	ended   map[Mark]Tally
@@ -46,7 +46,7 @@
 // Example:
 //
 //	court := outlier.NewCourt(clock)
-func NewCourt(clock timetable.Clock) *Court {
+func NewCourt(clock clock.Clock) *Court {
 	return &Court{clock: clock, witnesses: map[string]*witness{}, ended: map[Mark]Tally{}, bench: newBench()}
 }
 
@@ -81,15 +81,15 @@
 func (c *Court) Tend() {
 	now := c.clock.Steady()
 	for node, held := range c.witnesses {
-		if now-held.at > timetable.Steady(forgetSpan) {
+		if now-held.at > clock.Steady(forgetSpan) {
 			delete(c.witnesses, node)
 		}
 	}
-	if len(c.moments) > 0 && now-c.moments[len(c.moments)-1].at < timetable.Steady(momentStep) {
+	if len(c.moments) > 0 && now-c.moments[len(c.moments)-1].at < clock.Steady(momentStep) {
 		return
 	}
 	old := 0
-	for old+1 < len(c.moments) && now-c.moments[old+1].at >= timetable.Steady(window) {
+	for old+1 < len(c.moments) && now-c.moments[old+1].at >= clock.Steady(window) {
 		old++
 	}
 	c.moments = append(c.moments[old:], moment{now, c.sums()})
@@ -181,7 +181,7 @@
 func (c *Court) Touch(subject string, reading feed.Reading) (out Touch) {
 	now := c.clock.Steady()
 	for _, held := range c.witnesses {
-		if now-held.at > timetable.Steady(freshSpan) {
+		if now-held.at > clock.Steady(freshSpan) {
 			continue
 		}
 		out.Proxies++
--- a/internal/proxy/canary.go
+++ b/internal/proxy/canary.go
@@ -9,11 +9,11 @@
 	"github.com/juju/errors"
 
 	"ploverhitch/internal/balancer"
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/messages"
 	"ploverhitch/internal/outlier"
 	"ploverhitch/internal/settings"
-	"ploverhitch/internal/timetable"
 	"ploverhitch/internal/upstream"
 )
 
@@ -30,13 +30,13 @@
 )
 
 // grantsValid reports whether the grants in the last fleet state have not expired.
-func (s *snapshot) grantsValid(now timetable.Steady) bool {
+func (s *snapshot) grantsValid(now clock.Steady) bool {
 	return time.Duration(now-s.fleetReceivedAt) <= feed.GrantSpan
 }
 
 // canaryShare returns the traffic share of the service's canary version while its
 // grant is valid.
-func (s *snapshot) canaryShare(service string, now timetable.Steady) (share feed.Share, granted bool) {
+func (s *snapshot) canaryShare(service string, now clock.Steady) (share feed.Share, granted bool) {
 	if !s.grantsValid(now) {
 		return share, false
 	}
@@ -119,7 +119,7 @@
 // otherwise.
 func (p *proxy) reportPeriodically(ctx context.Context) {
 	periods := 0
-	timetable.Every(ctx, reportPeriod, func() {
+	clock.Every(ctx, reportPeriod, func() {
 		periods++
 		s := p.snapshot.Load()
 		overloaded := p.updateGauge()
--- a/internal/proxy/cancellation_test.go
+++ b/internal/proxy/cancellation_test.go
@@ -13,12 +13,12 @@
 
 	"ploverhitch/internal/apierror"
 	"ploverhitch/internal/balancer"
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/idempotency"
 	"ploverhitch/internal/settings"
 	"ploverhitch/internal/standin"
-	"ploverhitch/internal/timetable"
 	"ploverhitch/internal/upstream"
 )
 
@@ -29,8 +29,8 @@
 	conf.Tuning.BufferBytes = 1 << 20
 	conf.Platform.Bounds.RetryBudgetRatio = 1
 	conf.Platform.Bounds.RetrySlack = 100
-	conf.Platform.Bounds.RetryWindow = timetable.Span(10 * time.Second)
-	p := newProxy(conf, timetable.Real(), func(string, string, ...any) {})
+	conf.Platform.Bounds.RetryWindow = clock.Span(10 * time.Second)
+	p := newProxy(conf, clock.Real(), func(string, string, ...any) {})
 	serverSet := balancer.NewYard(balancer.Home{Node: "n", Set: 8})
 	fleet := feed.Fleet{Term: 1, Count: 1, Proxies: 1}
 	for _, server := range servers {
@@ -102,7 +102,7 @@
 		p, req := newTestRequest(config.Idempotent, server)
 		a := &keyedAttempt{proxy: p, request: req, ungranted: map[string]bool{}}
 		a.intent = idempotency.Intent{Key: idempotency.Key{Tenant: "h", Key: "k"}, State: idempotency.Reserved}
-		a.round = idempotency.NewRound(a.intent.RequestHash, 1, p.clock.Steady(), timetable.Steady(time.Second))
+		a.round = idempotency.NewRound(a.intent.RequestHash, 1, p.clock.Steady(), clock.Steady(time.Second))
 		partial := &upstream.Response{Status: 200, Header: http.Header{}, Body: []byte("part"), Remainder: io.NopCloser(strings.NewReader("rest"))}
 		reply, err := a.execute(context.Background(), func(context.Context, any) (any, error) { return partial, nil })
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/proxy/eligibility_test.go
+++ b/internal/proxy/eligibility_test.go
@@ -10,11 +10,11 @@
 	. "github.com/onsi/gomega"
 
 	"ploverhitch/internal/balancer"
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/settings"
 	"ploverhitch/internal/standin"
-	"ploverhitch/internal/timetable"
 	"ploverhitch/internal/upstream"
 )
 
@@ -64,7 +64,7 @@
 			DeferCleanup(server.Close)
 			servers[id] = server
 		}
-		p = newProxy(&settings.Settings{Tuning: settings.Tuning{BufferBytes: 1 << 20}}, timetable.Real(), func(string, string, ...any) {})
+		p = newProxy(&settings.Settings{Tuning: settings.Tuning{BufferBytes: 1 << 20}}, clock.Real(), func(string, string, ...any) {})
 		updateServers(listedServer("x-1"), listedServer("x-2"))
 	})
 
--- a/internal/proxy/idempotency.go
+++ b/internal/proxy/idempotency.go
@@ -9,10 +9,10 @@
 	"github.com/go-kit/kit/endpoint"
 
 	"ploverhitch/internal/apierror"
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/idempotency"
 	"ploverhitch/internal/messages"
-	"ploverhitch/internal/timetable"
 	"ploverhitch/internal/upstream"
 )
 
@@ -149,7 +149,7 @@
 // recordIntent sends the intent to every member, and waits until a majority has stored
 // it on disk or the timeout passes. A timeout of zero does not wait.
 func (a *keyedAttempt) recordIntent(intent idempotency.Intent, timeout time.Duration) {
-	a.recentIntents.add(intent, a.clock.Steady(), timetable.Steady(a.settings.Load().Platform.Bounds.Sync))
+	a.recentIntents.add(intent, a.clock.Steady(), clock.Steady(a.settings.Load().Platform.Bounds.Sync))
 	view := a.snapshot.Load().view
 	acknowledgements, cancel := notifyMembers[messages.Done](a.proxy, view, messages.KindRecord, messages.Record{Intent: intent})
 	defer cancel()
--- a/internal/proxy/idempotency_test.go
+++ b/internal/proxy/idempotency_test.go
@@ -10,11 +10,11 @@
 	. "github.com/onsi/gomega"
 
 	"ploverhitch/internal/apierror"
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/idempotency"
 	"ploverhitch/internal/settings"
 	"ploverhitch/internal/standin"
-	"ploverhitch/internal/timetable"
 	"ploverhitch/internal/upstream"
 )
 
@@ -26,21 +26,21 @@
 		defer server.Close()
 		pool := &upstream.Pool{Address: server.Address(), Instance: "i-1"}
 		defer pool.Close()
-		clock := &timetable.Hand{Now: time.Hour}
-		p := newProxy(&settings.Settings{}, clock, func(string, string, ...any) {})
+		manualClock := &clock.Hand{Now: time.Hour}
+		p := newProxy(&settings.Settings{}, manualClock, func(string, string, ...any) {})
 		req := &clientRequest{
 			Request: &upstream.Request{Method: "POST", Target: "/fee/", Host: "h", Header: http.Header{upstream.HeaderAttempt: {"t"}}, Attempt: "t"},
 			route:   &config.Route{}, snapshot: p.snapshot.Load(),
 		}
 		a := &keyedAttempt{proxy: p, request: req, ungranted: map[string]bool{}}
 		a.intent = idempotency.Intent{Key: idempotency.Key{Tenant: "h", Key: "k"}, State: idempotency.Reserved}
-		a.round = idempotency.NewRound(a.intent.RequestHash, 3, clock.Steady(), timetable.Steady(250*time.Millisecond))
+		a.round = idempotency.NewRound(a.intent.RequestHash, 3, manualClock.Steady(), clock.Steady(250*time.Millisecond))
 		for range 2 {
 			a.round.AddVote(&idempotency.Vote{Verdict: idempotency.Granted})
 		}
-		Expect(a.round.Result(clock.Steady())).To(Equal(idempotency.Won))
+		Expect(a.round.Result(manualClock.Steady())).To(Equal(idempotency.Won))
 		_, err = a.execute(context.Background(), func(context.Context, any) (any, error) {
-			clock.Now += pause
+			manualClock.Now += pause
 			deadline := time.Now().Add(5 * time.Second)
 			response, err := pool.Deliver(upstream.Delivery{Request: req.Request, Deadline: deadline, ResponseDeadline: deadline, ConnectTimeout: time.Second, BufferLimit: 1 << 20, MaySend: req.maySend})
 			if errors.Is(err, upstream.ErrNotSent) {
--- a/internal/proxy/leaving_server_test.go
+++ b/internal/proxy/leaving_server_test.go
@@ -7,14 +7,14 @@
 	. "github.com/onsi/gomega"
 
 	"ploverhitch/internal/balancer"
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/settings"
-	"ploverhitch/internal/timetable"
 )
 
 var _ = Describe("a proxy that knows a server to be leaving", func() {
 	var p *proxy
-	var clock *timetable.Hand
+	var manualClock *clock.Hand
 	fleet := func(term, count uint64, isReady bool) *feed.Fleet {
 		return &feed.Fleet{Term: term, Count: count, Servers: []feed.Server{
 			{ID: "i-1", Service: "s", Address: "127.0.0.1:1", Capacity: 1, IsReady: isReady}, {ID: "i-2", Service: "s", Address: "127.0.0.1:2", Capacity: 1, IsReady: true},
@@ -24,7 +24,7 @@
 	chosenServers := func() map[string]bool {
 		servers := map[string]bool{}
 		for range 100 {
-			servers[p.snapshot.Load().balancer.Choose(balancer.Wish{Service: "s"}, clock).ID] = true
+			servers[p.snapshot.Load().balancer.Choose(balancer.Wish{Service: "s"}, manualClock).ID] = true
 		}
 		return servers
 	}
@@ -34,8 +34,8 @@
 	}
 
 	BeforeEach(func() {
-		clock = &timetable.Hand{Now: time.Hour}
-		p = newProxy(&settings.Settings{}, clock, func(string, string, ...any) {})
+		manualClock = &clock.Hand{Now: time.Hour}
+		p = newProxy(&settings.Settings{}, manualClock, func(string, string, ...any) {})
 		learn(feed.News{Fleet: fleet(1, 1, true)})
 		Expect(chosenServers()).To(HaveKey("i-1"))
 	})
@@ -51,7 +51,7 @@
 	It("sends it no requests, however long no fleet state shows it as leaving", func() {
 		learn(feed.News{Leaving: []string{"i-1"}})
 		Expect(chosenServers()).To(Equal(map[string]bool{"i-2": true}))
-		clock.Sleep(time.Minute)
+		manualClock.Sleep(time.Minute)
 		Expect(chosenServers()).To(Equal(map[string]bool{"i-2": true}))
 		Expect(isServing()).To(BeFalse())
 	})
--- a/internal/proxy/members_test.go
+++ b/internal/proxy/members_test.go
@@ -8,13 +8,13 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/idempotency"
 	"ploverhitch/internal/membership"
 	"ploverhitch/internal/messages"
 	"ploverhitch/internal/rpc"
 	"ploverhitch/internal/settings"
-	"ploverhitch/internal/timetable"
 	"ploverhitch/internal/upstream"
 )
 
@@ -29,9 +29,9 @@
 	// newAttempt returns an attempt with an idempotency key and the given members.
 	newAttempt := func(members ...net.Listener) *keyedAttempt {
 		conf := &settings.Settings{}
-		conf.Tuning.VoteSpan = timetable.Span(150 * time.Millisecond)
-		conf.Platform.Bounds.Sync = timetable.Span(10 * time.Second)
-		p := newProxy(conf, timetable.Real(), func(string, string, ...any) {})
+		conf.Tuning.VoteSpan = clock.Span(150 * time.Millisecond)
+		conf.Platform.Bounds.Sync = clock.Span(10 * time.Second)
+		p := newProxy(conf, clock.Real(), func(string, string, ...any) {})
 		view := membership.View{Epoch: 1}
 		for _, listener := range members {
 			view.Members = append(view.Members, listener.Addr().String())
--- a/internal/proxy/mirror_send.go
+++ b/internal/proxy/mirror_send.go
@@ -9,9 +9,9 @@
 	"github.com/juju/errors"
 
 	"ploverhitch/internal/balancer"
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/loopline"
-	"ploverhitch/internal/timetable"
 	"ploverhitch/internal/upstream"
 )
 
@@ -19,7 +19,7 @@
 // ends.
 func (p *proxy) startMirrorWorkers(ctx context.Context) {
 	for range mirrorWorkers {
-		go timetable.Each(ctx, p.trafficMirror.queue, p.sendMirrored)
+		go clock.Each(ctx, p.trafficMirror.queue, p.sendMirrored)
 	}
 }
 
--- a/internal/proxy/mirror_test.go
+++ b/internal/proxy/mirror_test.go
@@ -9,11 +9,11 @@
 	. "github.com/onsi/gomega"
 
 	"ploverhitch/internal/balancer"
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/loopline"
 	"ploverhitch/internal/settings"
-	"ploverhitch/internal/timetable"
 )
 
 func TestProxy(t *testing.T) {
@@ -50,14 +50,14 @@
 		items.Merge([]config.Item{{ID: config.ID{Class: config.RouteItem, Name: "fee"}, Version: 1, Host: "h", Body: body}})
 		fleet := feed.Fleet{Term: 1, Count: 1, Servers: []feed.Server{{ID: "x-1", Service: service, Address: address, Capacity: 2, IsReady: isReady}}}
 		return &snapshot{
-			manifest: items.Compile(), balancer: balancer.NewYard(balancer.Home{Node: "n"}).Lay(fleet), fleetReceivedAt: timetable.Steady(time.Hour),
+			manifest: items.Compile(), balancer: balancer.NewYard(balancer.Home{Node: "n"}).Lay(fleet), fleetReceivedAt: clock.Steady(time.Hour),
 			mirrorGrants: []loopline.Grant{{Name: "build", Version: version, Share: 1}},
 		}
 	}
 
 	It("allows only a listed server of a shadow that no route delivers to, under a valid grant", func() {
-		clock := &timetable.Hand{Now: time.Hour}
-		p := newProxy(&settings.Settings{}, clock, func(string, string, ...any) {})
+		manualClock := &clock.Hand{Now: time.Hour}
+		p := newProxy(&settings.Settings{}, manualClock, func(string, string, ...any) {})
 		mirror := &config.Mirror{Mirror: loopline.Mirror{Name: "build", Shadow: "next"}, Version: 3}
 		server := &balancer.Siding{Server: feed.Server{ID: "x-1", Service: "next", Address: "a:1", IsReady: true}}
 		maySend := func(s *snapshot) bool { p.snapshot.Store(s); return p.maySendMirrored(mirror, server) }
@@ -70,7 +70,7 @@
 		server.ID = "x-2"
 		Expect(maySend(stateWith("a:1", "next", true, 3, "fees"))).To(BeFalse(), "the server is not listed")
 		server.ID = "x-1"
-		clock.Now += feed.GrantSpan + time.Millisecond
+		manualClock.Now += feed.GrantSpan + time.Millisecond
 		Expect(maySend(stateWith("a:1", "next", true, 3, "fees"))).To(BeFalse(), "the grant has expired")
 	})
 })
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -18,6 +18,7 @@
 	"ploverhitch/internal/balancer"
 	"ploverhitch/internal/bandwidth"
 	"ploverhitch/internal/branchline"
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/loopline"
@@ -26,7 +27,6 @@
 	"ploverhitch/internal/rpc"
 	"ploverhitch/internal/settings"
 	"ploverhitch/internal/shedding"
-	"ploverhitch/internal/timetable"
 )
 
 // LogFunc writes a log line of the given level with key-value pairs.
@@ -49,7 +49,7 @@
 	trialShares     []feed.Share
 	holder          string
 	fleetVersion    feed.Reading
-	fleetReceivedAt timetable.Steady
+	fleetReceivedAt clock.Steady
 	// stagedChanges are the staged changes in progress.
 	stagedChanges []stagedChange
 	// complete is set once the whole configuration has been received.
@@ -63,10 +63,10 @@
 // proxy is the state of one proxy process.
 type proxy struct {
 	settings   atomic.Pointer[settings.Settings]
-	clock      timetable.Clock
+	clock      clock.Clock
 	log        LogFunc
 	snapshot   atomic.Pointer[snapshot]
-	updateLoop *timetable.Loop[feed.News]
+	updateLoop *clock.Loop[feed.News]
 	replica    *feed.Board
 	follower   *feed.Follower
 	// draining is set on SIGTERM.
@@ -109,7 +109,7 @@
 // Run runs a proxy until ctx ends and then drains it. It reloads the settings on SIGHUP
 // or when the file at settingsPath changes.
 func Run(ctx context.Context, cfg *settings.Settings, settingsPath string, log LogFunc) error {
-	p := newProxy(cfg, timetable.Real(), log)
+	p := newProxy(cfg, clock.Real(), log)
 	tcpListener, err := net.Listen("tcp4", cfg.Platform.Bind.ClientHttp)
 	if err != nil {
 		return errors.Annotate(err, "listen on the client address")
@@ -151,16 +151,16 @@
 	return p.shutDown(server)
 }
 
-func newProxy(cfg *settings.Settings, clock timetable.Clock, log LogFunc) *proxy {
+func newProxy(cfg *settings.Settings, timeSource clock.Clock, log LogFunc) *proxy {
 	p := &proxy{
-		clock: clock, log: log, updateLoop: timetable.NewLoop[feed.News](256), replica: feed.NewBoard(),
-		connections: map[string]*rpc.Line{}, retryBudgets: map[string]*balancer.Budget{}, incarnation: newIncarnation(), outcomes: outlier.NewBox(), siteCapacity: branchline.NewPurse(clock),
-		shedder: newLoadShedder(clock), trafficMirror: newMirrorSender(),
+		clock: timeSource, log: log, updateLoop: clock.NewLoop[feed.News](256), replica: feed.NewBoard(),
+		connections: map[string]*rpc.Line{}, retryBudgets: map[string]*balancer.Budget{}, incarnation: newIncarnation(), outcomes: outlier.NewBox(), siteCapacity: branchline.NewPurse(timeSource),
+		shedder: newLoadShedder(timeSource), trafficMirror: newMirrorSender(),
 	}
 	p.settings.Store(cfg)
 	locality := balancer.Home{Node: cfg.Platform.NodeName, Cell: cfg.Platform.Cell, Set: cfg.Tuning.WorkingSet}
-	p.inbound = bandwidth.NewTrack(cfg.Platform.Limits.LinkMbps, clock)
-	p.outbound = bandwidth.NewTrack(cfg.Platform.Limits.LinkMbps, clock)
+	p.inbound = bandwidth.NewTrack(cfg.Platform.Limits.LinkMbps, timeSource)
+	p.outbound = bandwidth.NewTrack(cfg.Platform.Limits.LinkMbps, timeSource)
 	p.downloads = bandwidth.NewPassing(p.outbound)
 	p.snapshot.Store(&snapshot{manifest: config.Book{}.Compile(), balancer: balancer.NewYard(locality)})
 	p.serve = endpoint.Chain(p.admissionMiddleware, p.limitingDownloads, p.idempotencyMiddleware)(p.forward)
--- a/internal/proxy/resend.go
+++ b/internal/proxy/resend.go
@@ -3,10 +3,10 @@
 import (
 	"sync"
 
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/idempotency"
 	"ploverhitch/internal/messages"
 	"ploverhitch/internal/rpc"
-	"ploverhitch/internal/timetable"
 )
 
 // recentIntents holds the intents that this proxy recently sent to the control plane.
@@ -16,12 +16,12 @@
 }
 
 type sentIntent struct {
-	sentAt timetable.Steady
+	sentAt clock.Steady
 	intent idempotency.Intent
 }
 
 // add appends an intent and drops those older than the retention.
-func (r *recentIntents) add(intent idempotency.Intent, now, retention timetable.Steady) {
+func (r *recentIntents) add(intent idempotency.Intent, now, retention clock.Steady) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	expired := 0
--- a/internal/proxy/shed.go
+++ b/internal/proxy/shed.go
@@ -8,10 +8,10 @@
 
 	"ploverhitch/internal/apierror"
 	"ploverhitch/internal/balancer"
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/settings"
 	"ploverhitch/internal/shedding"
-	"ploverhitch/internal/timetable"
 	"ploverhitch/internal/upstream"
 )
 
@@ -28,10 +28,10 @@
 	localGauge *shedding.Gauge
 	pending    []shedding.Load
 	// lastReportAnswer is when the term holder last answered a report.
-	lastReportAnswer timetable.Steady
+	lastReportAnswer clock.Steady
 }
 
-func newLoadShedder(clock timetable.Clock) *loadShedder {
+func newLoadShedder(clock clock.Clock) *loadShedder {
 	// All nodes use the same seed, so nodes that apply their local gauges differ
 	// in how much they reject, but hardly in which clients.
 	return &loadShedder{counter: shedding.NewCounter(), localGauge: shedding.NewGauge(clock, func() uint64 { return 0 })}
--- a/internal/proxy/snapshot.go
+++ b/internal/proxy/snapshot.go
@@ -3,12 +3,12 @@
 import (
 	"slices"
 
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/feed"
-	"ploverhitch/internal/timetable"
 )
 
 // applyFleet updates the snapshot to a new state of the fleet, received at now.
-func (s *snapshot) applyFleet(fleet feed.Fleet, now timetable.Steady) {
+func (s *snapshot) applyFleet(fleet feed.Fleet, now clock.Steady) {
 	switch {
 	case slices.Equal(s.servers, fleet.Servers):
 	case feed.IsKeptAs(s.servers, fleet.Servers):
--- a/internal/proxy/staged.go
+++ b/internal/proxy/staged.go
@@ -8,10 +8,10 @@
 	"github.com/juju/errors"
 
 	"ploverhitch/internal/apierror"
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/outlier"
-	"ploverhitch/internal/timetable"
 	"ploverhitch/internal/upstream"
 )
 
@@ -54,7 +54,7 @@
 
 // findRoute finds the route of a request: that of the configuration, or that of a
 // staged change which applies to this node and whose grant is valid.
-func (s *snapshot) findRoute(req *clientRequest, host, path string, hasKey bool, now timetable.Steady) {
+func (s *snapshot) findRoute(req *clientRequest, host, path string, hasKey bool, now clock.Steady) {
 	req.route = s.manifest.Find(host, path)
 	if len(s.stagedChanges) == 0 || !s.grantsValid(now) {
 		return
--- a/internal/proxy/vote.go
+++ b/internal/proxy/vote.go
@@ -3,10 +3,10 @@
 import (
 	"time"
 
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/idempotency"
 	"ploverhitch/internal/messages"
-	"ploverhitch/internal/timetable"
 )
 
 // reserve requests the votes of all control-plane members in parallel, and returns the
@@ -14,7 +14,7 @@
 func (a *keyedAttempt) reserve() idempotency.Result {
 	view := a.snapshot.Load().view
 	start, voteSpan := a.clock.Steady(), a.settings.Load().Tuning.VoteSpan
-	a.round = idempotency.NewRound(a.intent.RequestHash, max(1, len(view.Members)), start, timetable.Steady(voteSpan))
+	a.round = idempotency.NewRound(a.intent.RequestHash, max(1, len(view.Members)), start, clock.Steady(voteSpan))
 	votes, cancel := callMembers[messages.Vote](a.proxy, view, messages.KindReserve, messages.Reserve{Epoch: view.Epoch, Intent: a.intent})
 	defer cancel()
 	timer := time.NewTimer(min(voteSpan.Std(), time.Until(a.request.deadline), a.voteTimeout()))
@@ -24,13 +24,13 @@
 		case vote := <-votes:
 			a.addVote(vote)
 		case <-timer.C:
-			return a.round.Result(start + timetable.Steady(voteSpan) + 1)
+			return a.round.Result(start + clock.Steady(voteSpan) + 1)
 		}
 		if standing := a.round.Result(a.clock.Steady()); standing != idempotency.Undecided {
 			return standing
 		}
 	}
-	return a.round.Result(start + timetable.Steady(voteSpan) + 1)
+	return a.round.Result(start + clock.Steady(voteSpan) + 1)
 }
 
 const (
@@ -75,7 +75,7 @@
 	a.intent.State = idempotency.Released
 	view := a.snapshot.Load().view
 	if len(a.ungranted) < len(view.Members) {
-		a.recentIntents.add(a.intent, a.clock.Steady(), timetable.Steady(a.settings.Load().Platform.Bounds.Sync))
+		a.recentIntents.add(a.intent, a.clock.Steady(), clock.Steady(a.settings.Load().Platform.Bounds.Sync))
 	}
 	for _, member := range view.Members {
 		if !a.ungranted[member] {
--- a/internal/shedding/clients_test.go
+++ b/internal/shedding/clients_test.go
@@ -4,9 +4,9 @@
 	"fmt"
 	"time"
 
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/idempotency"
 	"ploverhitch/internal/shedding"
-	"ploverhitch/internal/timetable"
 )
 
 // verdict is what a node says of an inquiry that bears no key.
@@ -71,7 +71,7 @@
 // secure asks the members for their votes, as a proxy does.
 func (w *world) secure(c *client) bool {
 	c.intent = idempotency.Intent{Key: idempotency.Key{Tenant: "h", Key: c.key}, Attempt: idempotency.Attempt(fmt.Sprint(c.key, "-", c.tries)), Route: c.lane, Reservation: fmt.Sprint(c.key, "-", c.tries)}
-	round := idempotency.NewRound(c.intent.RequestHash, len(w.members), w.hand.Steady(), timetable.Steady(time.Second))
+	round := idempotency.NewRound(c.intent.RequestHash, len(w.members), w.hand.Steady(), clock.Steady(time.Second))
 	c.winners = nil
 	for _, m := range w.members {
 		ballot := idempotency.Vote{Verdict: idempotency.Shed}
--- a/internal/shedding/column.go
+++ b/internal/shedding/column.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"ploverhitch/internal/timetable"
+	"ploverhitch/internal/clock"
 )
 
 // column is what is known of one service.
@@ -13,7 +13,7 @@
 	isOn   bool
 	// since is when the cutoff changed last, calmAt since when the service has been
 	// calm, calm how long it must be so.
-	since, calmAt timetable.Steady
+	since, calmAt clock.Steady
 	// changed is the step in which it did.
 	changed   int64
 	calm      time.Duration
@@ -21,7 +21,7 @@
 	// capacity is what the servers carried a second as the cutoff was raised last,
 	// at raisedAt.
 	capacity float64
-	raisedAt timetable.Steady
+	raisedAt clock.Steady
 }
 
 // flow is what came in of one tier, and what of it went on to the servers.
--- a/internal/shedding/gauge.go
+++ b/internal/shedding/gauge.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"ploverhitch/internal/timetable"
+	"ploverhitch/internal/clock"
 )
 
 // Load is what one node counted of a service and a tier since it last told.
@@ -76,7 +76,7 @@
 // Gauge sums the loads of one node or of all, and decides on the cutoffs. It has
 // one owner.
 type Gauge struct {
-	clock   timetable.Clock
+	clock   clock.Clock
 	columns map[string]*column
 	step    int64
 	number  uint64
@@ -88,7 +88,7 @@
 // Example:
 //
 //	gauge := shedding.NewGauge(clock, rand.Uint64)
-func NewGauge(clock timetable.Clock, seed func() uint64) *Gauge {
+func NewGauge(clock clock.Clock, seed func() uint64) *Gauge {
 	return &Gauge{clock: clock, columns: map[string]*column{}, seed: seed}
 }
 
@@ -134,7 +134,7 @@
 
 // turn moves to the present step of the window, and empties those passed.
 func (g *Gauge) turn() {
-	now := int64(g.clock.Steady() / timetable.Steady(window/steps))
+	now := int64(g.clock.Steady() / clock.Steady(window/steps))
 	for passed := 0; g.step < now && passed < steps; passed++ {
 		g.step++
 		for _, c := range g.columns {
--- a/internal/shedding/world_test.go
+++ b/internal/shedding/world_test.go
@@ -5,9 +5,9 @@
 	"math/rand/v2"
 	"time"
 
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/idempotency"
 	"ploverhitch/internal/shedding"
-	"ploverhitch/internal/timetable"
 )
 
 const (
@@ -21,7 +21,7 @@
 // The world is a slow plain model of a cluster: nodes that hear late, members
 // that vote, servers that count what they run, and clients that come back.
 type world struct {
-	hand    *timetable.Hand
+	hand    *clock.Hand
 	random  *rand.Rand
 	order   *shedding.Order
 	nodes   []*node
@@ -92,7 +92,7 @@
 
 func newWorld(seed uint64, nodes int) *world {
 	w := &world{
-		hand: &timetable.Hand{Now: time.Hour}, random: rand.New(rand.NewPCG(seed, 9)), order: shedding.Arrange(shedding.Plan{}, lanes),
+		hand: &clock.Hand{Now: time.Hour}, random: rand.New(rand.NewPCG(seed, 9)), order: shedding.Arrange(shedding.Plan{}, lanes),
 		ran: map[string]int{}, kept: map[string]bool{}, counts: map[string]*count{},
 	}
 	for range nodes {
--- a/internal/standin/moves_test.go
+++ b/internal/standin/moves_test.go
@@ -11,9 +11,9 @@
 	. "github.com/onsi/gomega"
 
 	"ploverhitch/internal/balancer"
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/inspector"
 	"ploverhitch/internal/standin"
-	"ploverhitch/internal/timetable"
 )
 
 var _ = Describe("retiring a server", Ordered, func() {
@@ -76,7 +76,7 @@
 		Expect(again.Nodes).To(Equal(forecast.Nodes))
 
 		s.town.List(map[string]string{"f-1": "draining", "n-1": "gone", "n-2": "gone"})
-		surprises, err := forecast.Confirm(timetable.Real(), 10*time.Second)
+		surprises, err := forecast.Confirm(clock.Real(), 10*time.Second)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(surprises).To(BeEmpty())
 
