--- a/cmd/measure/agreement.go
+++ b/cmd/measure/agreement.go
@@ -74,7 +74,7 @@
 			Epoch: 1, Index: m.replicas[0].Next(), Majority: size/2 + 1,
 			Ballot: membership.Number{Round: uint64(revision), Node: "10.1.0.1:7200#1a2b3c4d5e6f7"},
 			Draft: func([]config.Item) (registry.Change, bool) {
-				draft := m.replicas[0].Draft(func(config.Book, []config.Item, []config.Item) error { return nil })
+				draft := m.replicas[0].Draft(func(config.ItemSet, []config.Item, []config.Item) error { return nil })
 				if err := draft.Add([]config.Item{item}); err != nil {
 					panic(err)
 				}
@@ -99,7 +99,7 @@
 		items = append(items, config.Item{ID: id, Version: 1, Body: []byte(`{}`)})
 	}
 	replica.Learn(registry.Change{Index: 1, Items: items})
-	check := func(whole config.Book, _, unseen []config.Item) error {
+	check := func(whole config.ItemSet, _, unseen []config.Item) error {
 		if err := whole.Check(); err != nil {
 			return err
 		}
--- a/cmd/measure/measures.go
+++ b/cmd/measure/measures.go
@@ -82,7 +82,7 @@
 	return result{0, repeated(func() { laid.Hear(next) })}
 }
 
-func bookOf(size int) config.Book {
+func bookOf(size int) config.ItemSet {
 	var items []config.Item
 	for at := range size {
 		name := fmt.Sprint("lane-", at)
@@ -92,7 +92,7 @@
 		})
 		items = append(items, config.Item{ID: config.ID{Class: config.RouteItem, Name: name}, Version: 1, Host: fmt.Sprint("h", at%400, ".example"), Body: body})
 	}
-	book := config.Book{}
+	book := config.ItemSet{}
 	book.Merge(items)
 	return book
 }
@@ -104,7 +104,7 @@
 }
 
 func book(size int) result {
-	bytes, kept := held(func() config.Book { return bookOf(size) })
+	bytes, kept := held(func() config.ItemSet { return bookOf(size) })
 	return result{bytes, repeated(func() { kept.Digest() })}
 }
 
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -112,7 +112,7 @@
 // retell brings a core node the items that it lacks and this agent holds,
 // as after a loss that was larger than the core can mend by itself.
 func (d *desk) retell(t told) {
-	lacking := config.Book{}
+	lacking := config.ItemSet{}
 	lacking.Merge(t.news.Items)
 	var items []config.Item
 	d.hub.Read(func(board *feed.Board) { items = lacking.Newer(board.Book.Items()) })
--- a/internal/config/item.go
+++ b/internal/config/item.go
@@ -70,13 +70,13 @@
 type Item struct {
 	ID      ID              `cbor:"1,keyasint"`
 	Version Version         `cbor:"2,keyasint"`
-	Dropped bool            `cbor:"3,keyasint,omitempty"`
+	Removed bool            `cbor:"3,keyasint,omitempty"`
 	Host    string          `cbor:"4,keyasint,omitempty"`
 	Body    json.RawMessage `cbor:"5,keyasint,omitempty"`
 }
 
-func (i Item) content() string {
-	sum := sha256.Sum256(append([]byte(i.Host+"\x00"+strconv.FormatBool(i.Dropped)+"\x00"), i.Body...))
+func (i Item) contentHash() string {
+	sum := sha256.Sum256(append([]byte(i.Host+"\x00"+strconv.FormatBool(i.Removed)+"\x00"), i.Body...))
 	return string(sum[:])
 }
 
@@ -99,7 +99,7 @@
 			i.Body = text
 		}
 	}
-	return hex.EncodeToString([]byte(i.content())[:fingerprintBytes])
+	return hex.EncodeToString([]byte(i.contentHash())[:fingerprintBytes])
 }
 
 // Outranks tells whether the item holds against the other: the higher version
@@ -109,25 +109,25 @@
 // Example:
 //
 //	if incoming.Outranks(held) { book[id] = incoming }
-func (i Item) Outranks(other Item) bool {
+func (i Item) Supersedes(other Item) bool {
 	if i.Version != other.Version {
 		return i.Version > other.Version
 	}
-	return i.content() > other.content()
+	return i.contentHash() > other.contentHash()
 }
 
 // Book is a copy of all items. It has one owner; readers take a Clone.
-type Book map[ID]Item
+type ItemSet map[ID]Item
 
 // Merge takes the items that outrank what is held and returns them.
 //
 // Example:
 //
 //	news := book.Merge(items)
-func (b Book) Merge(items []Item) (news []Item) {
+func (b ItemSet) Merge(items []Item) (news []Item) {
 	for _, item := range items {
 		held, isHeld := b[item.ID]
-		if !isHeld || item.Outranks(held) {
+		if !isHeld || item.Supersedes(held) {
 			b[item.ID] = item
 			news = append(news, item)
 		}
@@ -141,7 +141,7 @@
 // Example:
 //
 //	changes := book.Newer(call.Items)
-func (b Book) Newer(items []Item) (newer []Item) {
+func (b ItemSet) Newer(items []Item) (newer []Item) {
 	for _, item := range items {
 		if held, isHeld := b[item.ID]; !isHeld || item.Version > held.Version {
 			newer = append(newer, item)
@@ -155,8 +155,8 @@
 // Example:
 //
 //	trial := book.Clone()
-func (b Book) Clone() Book {
-	out := make(Book, len(b))
+func (b ItemSet) Clone() ItemSet {
+	out := make(ItemSet, len(b))
 	for id, item := range b {
 		out[id] = item
 	}
@@ -168,7 +168,7 @@
 // Example:
 //
 //	for _, item := range book.Items() { send(item) }
-func (b Book) Items() []Item {
+func (b ItemSet) Items() []Item {
 	out := make([]Item, 0, len(b))
 	for _, item := range b {
 		out = append(out, item)
@@ -185,11 +185,11 @@
 // Example:
 //
 //	isSame := ours.Digest() == theirs
-func (b Book) Digest() string {
+func (b ItemSet) Digest() string {
 	sum := sha256.New()
 	for _, item := range b.Items() {
 		sum.Write([]byte(strconv.Itoa(int(item.ID.Class)) + item.ID.Name + "\x00" + strconv.FormatUint(uint64(item.Version), 10)))
-		sum.Write([]byte(item.content()))
+		sum.Write([]byte(item.contentHash()))
 	}
 	return hex.EncodeToString(sum.Sum(nil)[:16])
 }
--- a/internal/config/manifest_test.go
+++ b/internal/config/manifest_test.go
@@ -29,12 +29,12 @@
 }
 
 // accept is what a node does with a call, short of keeping it.
-func accept(book config.Book, text []byte) error {
+func accept(book config.ItemSet, text []byte) error {
 	items, err := config.ParseModify(text)
 	if err != nil {
 		return err
 	}
-	newer, _, err := book.Accept(items)
+	newer, _, err := book.ValidateUpdate(items)
 	if err == nil {
 		book.Merge(newer)
 	}
@@ -43,7 +43,7 @@
 
 var _ = Describe("an operator's call", func() {
 	DescribeTable("that is invalid has no part in force", func(text []byte, reason string) {
-		book := config.Book{}
+		book := config.ItemSet{}
 		Expect(accept(book, call(lane("a", "/a/", "s", 2, "")))).To(Succeed())
 		before := book.Digest()
 		Expect(accept(book, text)).To(MatchError(ContainSubstring(reason)))
@@ -61,7 +61,7 @@
 	)
 
 	It("of an old or equal version has no effect, whatever it holds", func() {
-		book := config.Book{}
+		book := config.ItemSet{}
 		Expect(accept(book, call(lane("a", "/a/", "s", 5, "")))).To(Succeed())
 		before := book.Digest()
 		for _, version := range []int{4, 5} {
@@ -71,7 +71,7 @@
 	})
 
 	It("may move a place from one lane to another in one call", func() {
-		book := config.Book{}
+		book := config.ItemSet{}
 		Expect(accept(book, call(lane("a", "/a/", "s", 2, "")))).To(Succeed())
 		text := strings.Replace(string(call(lane("b", "/a/", "s", 3, ""))), `"Routes":[]`, `"Routes":[{"Name":"a","Revision":"r3"}]`, 1)
 		Expect(accept(book, []byte(text))).To(Succeed())
@@ -81,7 +81,7 @@
 	})
 
 	It("is read back as it was sent", func() {
-		book := config.Book{}
+		book := config.ItemSet{}
 		Expect(accept(book, call(lane("a", "/a/", "s", 2, `,"NotKnownHere":[1,2]`)))).To(Succeed())
 		text, err := book.Render()
 		Expect(err).NotTo(HaveOccurred())
@@ -101,10 +101,10 @@
 			for range 30 {
 				sent = append(sent, config.Item{
 					ID: config.ID{Class: config.RouteItem, Name: fmt.Sprint(random.IntN(4))}, Version: config.Version(1 + random.IntN(6)),
-					Dropped: random.IntN(4) == 0, Host: fmt.Sprint(random.IntN(3)),
+					Removed: random.IntN(4) == 0, Host: fmt.Sprint(random.IntN(3)),
 				})
 			}
-			one, two := config.Book{}, config.Book{}
+			one, two := config.ItemSet{}, config.ItemSet{}
 			one.Merge(sent)
 			for _, at := range random.Perm(len(sent)) {
 				two.Merge(sent[at : at+1])
@@ -134,7 +134,7 @@
 			return out
 		}
 		for range 100 {
-			book, prefixes := config.Book{}, map[string]bool{}
+			book, prefixes := config.ItemSet{}, map[string]bool{}
 			for i := range 6 {
 				prefix := path() + "/"
 				if accept(book, call(lane(fmt.Sprint("l", i), prefix, "s", 2, ""))) == nil {
@@ -159,7 +159,7 @@
 	})
 
 	It("splits by weight", func() {
-		book := config.Book{}
+		book := config.ItemSet{}
 		Expect(accept(book, call(lane("a", "/a/", "s", 2, `,"TrafficSplit":[{"Service":"s","Weight":1},{"Service":"none","Weight":0}]`)))).NotTo(Succeed())
 		text := strings.Replace(string(call(lane("a", "/a/", "", 2, `,"TrafficSplit":[{"Service":"s","Weight":1},{"Service":"t","Weight":3}]`))),
 			`"Services":[`, `"Services":[{"Name":"t","Revision":"r1"},`, 1)
--- a/internal/config/own.go
+++ b/internal/config/own.go
@@ -12,7 +12,7 @@
 
 // ownItems are the kinds of items of the project's own, apart from the protocol's
 // calls: the word for one, and how it is checked by itself.
-var ownItems = map[Class]struct {
+var extensions = map[Class]struct {
 	word  string
 	check func(body json.RawMessage) error
 }{
@@ -33,26 +33,26 @@
 // Example:
 //
 //	items, err := config.Parser(config.SiteItem)(body)
-func Parser(class Class) func(text []byte) ([]Item, error) {
-	own := ownItems[class]
+func ModifyParser(class Class) func(text []byte) ([]Item, error) {
+	own := extensions[class]
 	return func(text []byte) (items []Item, err error) {
 		var call struct {
 			Upsert []json.RawMessage `json:"Upsert"`
-			Remove []mark            `json:"Remove"`
+			Remove []itemVersion     `json:"Remove"`
 		}
 		if err := json.Unmarshal(text, &call); err != nil {
-			return nil, bad("the call cannot be read", err)
+			return nil, invalid("the call cannot be read", err)
 		}
 		for _, body := range call.Upsert {
-			var head mark
+			var head itemVersion
 			if err := json.Unmarshal(body, &head); err != nil {
-				return nil, bad(own.word+" "+head.Name, err)
+				return nil, invalid(own.word+" "+head.Name, err)
 			}
 			if head.Name == "" || head.Revision == 0 {
 				return nil, apierror.New(apierror.BadManifest, "a "+own.word+" lacks its name or version")
 			}
 			if err := own.check(body); err != nil {
-				return nil, bad(own.word+" "+head.Name, err)
+				return nil, invalid(own.word+" "+head.Name, err)
 			}
 			items = append(items, Item{ID: ID{class, head.Name}, Version: head.Revision, Body: body})
 		}
@@ -60,17 +60,17 @@
 			if m.Name == "" || m.Revision == 0 {
 				return nil, apierror.New(apierror.BadManifest, "a removal lacks its name or version")
 			}
-			items = append(items, Item{ID: ID{class, m.Name}, Version: m.Revision, Dropped: true})
+			items = append(items, Item{ID: ID{class, m.Name}, Version: m.Revision, Removed: true})
 		}
 		return items, nil
 	}
 }
 
 // own reads the book's items of one class; what cannot be read was never kept.
-func own[T any](b Book, class Class) (out []T, versions []Version) {
+func decodeClass[T any](b ItemSet, class Class) (out []T, versions []Version) {
 	for _, item := range b.Items() {
 		var one T
-		if item.ID.Class == class && !item.Dropped && json.Unmarshal(item.Body, &one) == nil {
+		if item.ID.Class == class && !item.Removed && json.Unmarshal(item.Body, &one) == nil {
 			out, versions = append(out, one), append(versions, item.Version)
 		}
 	}
@@ -82,8 +82,8 @@
 // Example:
 //
 //	tree, err := book.Tree(map[string]string{"tvm-a": "tvm"})
-func (b Book) Tree(cells map[string]string) (*branchline.Tree, error) {
-	sites, _ := own[branchline.Site](b, SiteItem)
+func (b ItemSet) Tree(cells map[string]string) (*branchline.Tree, error) {
+	sites, _ := decodeClass[branchline.Site](b, SiteItem)
 	return branchline.Build(cells, sites)
 }
 
@@ -92,39 +92,39 @@
 // Example:
 //
 //	order := shedding.Arrange(book.Plan(), routes)
-func (b Book) Plan() (plan shedding.Plan) {
-	if plans, _ := own[shedding.Plan](b, PlanItem); len(plans) > 0 {
+func (b ItemSet) Plan() (plan shedding.Plan) {
+	if plans, _ := decodeClass[shedding.Plan](b, PlanItem); len(plans) > 0 {
 		plan = plans[0]
 	}
 	return plan
 }
 
 // gaugeKinds is the table from a route's type to its kind in the order of tiers.
-var gaugeKinds = map[RouteKind]shedding.Kind{
+var overloadKinds = map[RouteType]shedding.Kind{
 	Idempotent: shedding.Keyed, Unsafe: shedding.Once, Safe: shedding.Read, Download: shedding.Bulk,
 }
 
 // gaugeLane is what the order of tiers knows of a route.
-func (l *RouteSpec) gaugeLane(host string) shedding.Lane {
-	return shedding.Lane{Name: l.Name, Host: host, Priority: l.Priority, Kind: gaugeKinds[l.RouteType]}
+func (l *RouteSpec) sheddingRoute(host string) shedding.Lane {
+	return shedding.Lane{Name: l.Name, Host: host, Priority: l.Priority, Kind: overloadKinds[l.RouteType]}
 }
 
-func (b Book) gaugeLanes() (out []shedding.Lane) {
-	b.eachLane(func(lane RouteSpec, host string) { out = append(out, lane.gaugeLane(host)) })
+func (b ItemSet) sheddingRoutes() (out []shedding.Lane) {
+	b.eachRoute(func(lane RouteSpec, host string) { out = append(out, lane.sheddingRoute(host)) })
 	return out
 }
 
-func (b Book) mirrorLanes() (out []loopline.Lane) {
-	b.eachLane(func(lane RouteSpec, host string) {
+func (b ItemSet) mirrorRoutes() (out []loopline.Lane) {
+	b.eachRoute(func(lane RouteSpec, host string) {
 		out = append(out, loopline.Lane{Name: lane.Name, Host: host, Services: lane.Services()})
 	})
 	return out
 }
 
-func (b Book) eachLane(visit func(lane RouteSpec, host string)) {
+func (b ItemSet) eachRoute(visit func(lane RouteSpec, host string)) {
 	for _, item := range b.Items() {
 		var lane RouteSpec
-		if item.ID.Class == RouteItem && !item.Dropped && json.Unmarshal(item.Body, &lane) == nil {
+		if item.ID.Class == RouteItem && !item.Removed && json.Unmarshal(item.Body, &lane) == nil {
 			visit(lane, item.Host)
 		}
 	}
@@ -135,7 +135,9 @@
 // Example:
 //
 //	mirrors, versions := book.Mirrors()
-func (b Book) Mirrors() ([]loopline.Mirror, []Version) { return own[loopline.Mirror](b, MirrorItem) }
+func (b ItemSet) Mirrors() ([]loopline.Mirror, []Version) {
+	return decodeClass[loopline.Mirror](b, MirrorItem)
+}
 
 // CheckOwn holds a changed book's own items against its routes and services: the
 // mirrors always, as no route may come to deliver to a shadow; plans and names of
@@ -144,15 +146,15 @@
 // Example:
 //
 //	err := whole.CheckOwn(newer, time.Now())
-func (b Book) CheckOwn(newer []Item, now time.Time) error {
+func (b ItemSet) CheckExtensions(newer []Item, now time.Time) error {
 	isService := func(name string) bool {
 		item, isThere := b[ID{ServiceItem, name}]
-		return isThere && !item.Dropped
+		return isThere && !item.Removed
 	}
 	mirrors, _ := b.Mirrors()
 	var lanes []loopline.Lane
 	if len(mirrors) > 0 {
-		lanes = b.mirrorLanes()
+		lanes = b.mirrorRoutes()
 		if err := loopline.CheckAll(mirrors, lanes, isService, now); err != nil {
 			return apierror.New(apierror.BadManifest, err.Error())
 		}
@@ -160,7 +162,7 @@
 	for _, item := range newer {
 		var err error
 		switch {
-		case item.Dropped:
+		case item.Removed:
 		case item.ID.Class == PlanItem:
 			err = b.checkPlan(item)
 		case item.ID.Class == MirrorItem:
@@ -176,13 +178,13 @@
 	return nil
 }
 
-func (b Book) checkPlan(item Item) error {
+func (b ItemSet) checkPlan(item Item) error {
 	var plan shedding.Plan
 	if err := json.Unmarshal(item.Body, &plan); err != nil {
 		return err
 	}
-	if plans, _ := own[shedding.Plan](b, PlanItem); len(plans) > 1 {
+	if plans, _ := decodeClass[shedding.Plan](b, PlanItem); len(plans) > 1 {
 		return apierror.New(apierror.BadManifest, "plan "+plans[0].Name+" stands beside plan "+plans[1].Name+"; there is one")
 	}
-	return plan.Check(b.gaugeLanes())
+	return plan.Check(b.sheddingRoutes())
 }
--- a/internal/config/sheet.go
+++ b/internal/config/sheet.go
@@ -12,8 +12,8 @@
 // Route is a route made ready for the path of a request.
 type Route struct {
 	RouteSpec
-	Host    string
-	weights float64
+	Host        string
+	totalWeight float64
 	// Tier is the route's place in the order of what is turned away.
 	Tier shedding.Tier
 	// Mirror is the order by which its conversations are copied, if there is one.
@@ -31,7 +31,7 @@
 // Example:
 //
 //	if route.IsRepeatable() { tryAgain() }
-func (l *Route) IsRepeatable() bool { return l.RouteType == Safe || l.RouteType == Download }
+func (l *Route) Repeatable() bool { return l.RouteType == Safe || l.RouteType == Download }
 
 // Pick chooses the route's service for a draw between 0 and 1.
 //
@@ -42,7 +42,7 @@
 	if len(l.TrafficSplit) == 0 {
 		return l.Service
 	}
-	left := draw * l.weights
+	left := draw * l.totalWeight
 	for _, share := range l.TrafficSplit {
 		if left -= share.Weight; left < 0 && share.Weight > 0 {
 			return share.Service
@@ -58,13 +58,13 @@
 
 // Sheet is a book made ready for reading on the path of a request; it never
 // changes.
-type Sheet struct {
+type RoutingTable struct {
 	Services map[string]ServiceSpec
 	Limits   LimitsSpec
-	hosts    map[string]map[string]*Route
+	routes   map[string]map[string]*Route
 	// ranks are the highest ranks of the routes that lead to each service.
-	ranks map[string]int
-	Lanes int
+	priorities map[string]int
+	RouteCount int
 	// Plan is the operator's plan, Order the order that follows from it.
 	Plan  shedding.Plan
 	Order *shedding.Order
@@ -78,13 +78,13 @@
 //
 //	sheet := book.Compile()
 //	route := sheet.Find("jepu9.example", "/lepu270/2f")
-func (b Book) Compile() *Sheet {
-	sheet := &Sheet{Services: map[string]ServiceSpec{}, hosts: map[string]map[string]*Route{}, ranks: map[string]int{}, Plan: b.Plan()}
+func (b ItemSet) Compile() *RoutingTable {
+	sheet := &RoutingTable{Services: map[string]ServiceSpec{}, routes: map[string]map[string]*Route{}, priorities: map[string]int{}, Plan: b.Plan()}
 	sheet.Limits = LimitsSpec{MaxHeaderBytes: 16 << 10, MaxBodyBytes: 64 << 20}
 	items := b.Items()
 	sort.SliceStable(items, func(i, j int) bool { return items[i].Version < items[j].Version })
 	for _, item := range items {
-		if item.Dropped {
+		if item.Removed {
 			continue
 		}
 		switch item.ID.Class {
@@ -96,27 +96,27 @@
 		case LimitsItem:
 			_ = json.Unmarshal(item.Body, &sheet.Limits)
 		case RouteItem:
-			sheet.lay(item)
+			sheet.addRoute(item)
 		}
 	}
-	sheet.layTiers()
-	sheet.layMirrors(b)
+	sheet.assignTiers()
+	sheet.assignMirrors(b)
 	return sheet
 }
 
 // layTiers gives every route its place in the order of what is turned away.
-func (s *Sheet) layTiers() {
+func (s *RoutingTable) assignTiers() {
 	var lanes []shedding.Lane
-	s.each(func(lane *Route) { lanes = append(lanes, lane.gaugeLane(lane.Host)) })
+	s.eachRoute(func(lane *Route) { lanes = append(lanes, lane.sheddingRoute(lane.Host)) })
 	s.Order = shedding.Arrange(s.Plan, lanes)
-	s.each(func(lane *Route) { lane.Tier = s.Order.TierOf(lane.Name) })
+	s.eachRoute(func(lane *Route) { lane.Tier = s.Order.TierOf(lane.Name) })
 }
 
-func (s *Sheet) layMirrors(b Book) {
+func (s *RoutingTable) assignMirrors(b ItemSet) {
 	mirrors, versions := b.Mirrors()
 	for i, mirror := range mirrors {
 		laid := &Mirror{mirror, versions[i]}
-		s.each(func(lane *Route) {
+		s.eachRoute(func(lane *Route) {
 			if mirror.Covers(loopline.Lane{Name: lane.Name, Host: lane.Host}) {
 				lane.Mirror = laid
 			}
@@ -129,40 +129,40 @@
 // Example:
 //
 //	if sheet.IsLive(mirror.Shadow) { copyNothing() }
-func (s *Sheet) IsLive(service string) bool {
-	_, isKnown := s.ranks[service]
+func (s *RoutingTable) HasRouteTo(service string) bool {
+	_, isKnown := s.priorities[service]
 	return isKnown
 }
 
-func (s *Sheet) each(visit func(*Route)) {
-	for _, lanes := range s.hosts {
+func (s *RoutingTable) eachRoute(visit func(*Route)) {
+	for _, lanes := range s.routes {
 		for _, lane := range lanes {
 			visit(lane)
 		}
 	}
 }
 
-func (s *Sheet) lay(item Item) {
+func (s *RoutingTable) addRoute(item Item) {
 	lane := &Route{Host: strings.ToLower(item.Host)}
 	if json.Unmarshal(item.Body, &lane.RouteSpec) != nil {
 		return
 	}
 	for _, share := range lane.TrafficSplit {
-		lane.weights += share.Weight
+		lane.totalWeight += share.Weight
 	}
 	if lane.MaxAttempts < 1 {
 		lane.MaxAttempts = 1
 	}
 	for _, service := range lane.Services() {
-		if rank, isKnown := s.ranks[service]; !isKnown || lane.Priority < rank {
-			s.ranks[service] = lane.Priority
+		if rank, isKnown := s.priorities[service]; !isKnown || lane.Priority < rank {
+			s.priorities[service] = lane.Priority
 		}
 	}
-	if s.hosts[lane.Host] == nil {
-		s.hosts[lane.Host] = map[string]*Route{}
+	if s.routes[lane.Host] == nil {
+		s.routes[lane.Host] = map[string]*Route{}
 	}
-	s.hosts[lane.Host][lane.PathPrefix] = lane
-	s.Lanes++
+	s.routes[lane.Host][lane.PathPrefix] = lane
+	s.RouteCount++
 }
 
 // HighestRank is the highest rank (the least number) of the routes that lead to
@@ -171,7 +171,7 @@
 // Example:
 //
 //	isUrgent := route.Priority <= sheet.HighestRank(service)
-func (s *Sheet) HighestRank(service string) int { return s.ranks[service] }
+func (s *RoutingTable) HighestPriority(service string) int { return s.priorities[service] }
 
 // Find returns the route of a host with the longest prefix that begins the
 // path, or nil.
@@ -179,11 +179,11 @@
 // Example:
 //
 //	if sheet.Find(r.Host, r.URL.EscapedPath()) == nil { notFound() }
-func (s *Sheet) Find(host, path string) *Route {
-	lanes := s.hosts[strings.ToLower(host)]
+func (s *RoutingTable) Find(host, path string) *Route {
+	lanes := s.routes[strings.ToLower(host)]
 	if lanes == nil {
 		if bare, _, hasPort := strings.Cut(host, ":"); hasPort {
-			lanes = s.hosts[strings.ToLower(bare)]
+			lanes = s.routes[strings.ToLower(bare)]
 		}
 	}
 	for end := strings.LastIndexByte(path, '/'); end >= 0; end = strings.LastIndexByte(path[:end], '/') {
--- a/internal/config/spec.go
+++ b/internal/config/spec.go
@@ -11,34 +11,34 @@
 )
 
 // RouteKind says how often a request on a route may run.
-type RouteKind string
+type RouteType string
 
 // The kinds of routes.
 const (
-	Safe       RouteKind = "safe"
-	Unsafe     RouteKind = "unsafe"
-	Idempotent RouteKind = "idempotent"
-	Download   RouteKind = "download"
+	Safe       RouteType = "safe"
+	Unsafe     RouteType = "unsafe"
+	Idempotent RouteType = "idempotent"
+	Download   RouteType = "download"
 )
 
 // Share is one service's part of a split.
-type Share struct {
+type WeightedService struct {
 	Service string  `json:"Service"`
 	Weight  float64 `json:"Weight"`
 }
 
 // RouteSpec is a route as the operator writes it.
 type RouteSpec struct {
-	Name          string     `json:"Name"`
-	PathPrefix    string     `json:"PathPrefix"`
-	RouteType     RouteKind  `json:"RouteType"`
-	Timeout       clock.Span `json:"Timeout"`
-	TargetLatency clock.Span `json:"TargetLatency"`
-	Priority      int        `json:"Priority"`
-	Service       string     `json:"Service"`
-	TrafficSplit  []Share    `json:"TrafficSplit"`
-	MaxAttempts   int        `json:"MaxAttempts"`
-	Revision      Version    `json:"Revision"`
+	Name          string            `json:"Name"`
+	PathPrefix    string            `json:"PathPrefix"`
+	RouteType     RouteType         `json:"RouteType"`
+	Timeout       clock.Span        `json:"Timeout"`
+	TargetLatency clock.Span        `json:"TargetLatency"`
+	Priority      int               `json:"Priority"`
+	Service       string            `json:"Service"`
+	TrafficSplit  []WeightedService `json:"TrafficSplit"`
+	MaxAttempts   int               `json:"MaxAttempts"`
+	Revision      Version           `json:"Revision"`
 }
 
 // ServiceSpec is a service as the operator writes it.
@@ -126,7 +126,7 @@
 // Example:
 //
 //	err := trial.Check()
-func (b Book) Check() error { return b.CheckRoutes(b.Items()) }
+func (b ItemSet) Check() error { return b.CheckRoutes(b.Items()) }
 
 // CheckRoutes checks the routes among the items against the book's services and
 // against each other.
@@ -134,10 +134,10 @@
 // Example:
 //
 //	err := book.CheckRoutes(call.Items)
-func (b Book) CheckRoutes(items []Item) error {
+func (b ItemSet) CheckRoutes(items []Item) error {
 	places := map[string]string{}
 	for _, item := range items {
-		if item.ID.Class != RouteItem || item.Dropped {
+		if item.ID.Class != RouteItem || item.Removed {
 			continue
 		}
 		var lane RouteSpec
@@ -145,7 +145,7 @@
 			return apierror.New(apierror.BadManifest, "lane "+item.ID.Name+": "+err.Error())
 		}
 		for _, name := range lane.Services() {
-			if service, isKnown := b[ID{ServiceItem, name}]; !isKnown || service.Dropped {
+			if service, isKnown := b[ID{ServiceItem, name}]; !isKnown || service.Removed {
 				return apierror.New(apierror.BadManifest, "lane "+lane.Name+" names the unknown service "+name)
 			}
 		}
@@ -165,7 +165,7 @@
 // Example:
 //
 //	newer, whole, err := book.Accept(items)
-func (b Book) Accept(items []Item) (newer []Item, whole Book, err error) {
+func (b ItemSet) ValidateUpdate(items []Item) (newer []Item, whole ItemSet, err error) {
 	newer, whole = b.Newer(items), b.Clone()
 	whole.Merge(newer)
 	if err = whole.Check(); err == nil {
--- a/internal/config/wire.go
+++ b/internal/config/wire.go
@@ -8,7 +8,7 @@
 	"ploverhitch/internal/apierror"
 )
 
-type set struct {
+type upsert struct {
 	Services     []json.RawMessage `json:"Services,omitempty"`
 	Limits       json.RawMessage   `json:"Limits,omitempty"`
 	VirtualHosts []virtualHost     `json:"VirtualHosts,omitempty"`
@@ -19,20 +19,20 @@
 	PathTable []json.RawMessage `json:"PathTable"`
 }
 
-type mark struct {
+type itemVersion struct {
 	Name     string  `json:"Name"`
 	Revision Version `json:"Revision"`
 }
 
-type modify struct {
-	Upsert *set `json:"Upsert"`
+type modifyRequest struct {
+	Upsert *upsert `json:"Upsert"`
 	Remove struct {
-		Lanes    []mark `json:"Routes"`
-		Services []mark `json:"Services"`
+		Lanes    []itemVersion `json:"Routes"`
+		Services []itemVersion `json:"Services"`
 	} `json:"Remove"`
 }
 
-func bad(what string, err error) error {
+func invalid(what string, err error) error {
 	return apierror.New(apierror.BadManifest, what+": "+err.Error())
 }
 
@@ -42,10 +42,10 @@
 //
 //	items, err := config.ParseModify(body)
 func ParseModify(text []byte) ([]Item, error) {
-	var call modify
+	var call modifyRequest
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	if err := decoder.Decode(&call); err != nil {
-		return nil, bad("the call cannot be read", err)
+		return nil, invalid("the call cannot be read", err)
 	}
 	if _, err := decoder.Token(); err != io.EOF {
 		return nil, apierror.New(apierror.BadManifest, "the call does not end where it should")
@@ -57,26 +57,26 @@
 			return nil, err
 		}
 	}
-	for class, marks := range map[Class][]mark{RouteItem: call.Remove.Lanes, ServiceItem: call.Remove.Services} {
+	for class, marks := range map[Class][]itemVersion{RouteItem: call.Remove.Lanes, ServiceItem: call.Remove.Services} {
 		for _, m := range marks {
 			if m.Name == "" || m.Revision == 0 {
 				return nil, apierror.New(apierror.BadManifest, "a removal lacks its name or version")
 			}
-			items = append(items, Item{ID: ID{class, m.Name}, Version: m.Revision, Dropped: true})
+			items = append(items, Item{ID: ID{class, m.Name}, Version: m.Revision, Removed: true})
 		}
 	}
 	return items, nil
 }
 
-type spec interface{ check() error }
+type checker interface{ check() error }
 
-func (s *set) items() (items []Item, err error) {
-	read := func(what string, text json.RawMessage, out spec) (err error) {
+func (s *upsert) items() (items []Item, err error) {
+	read := func(what string, text json.RawMessage, out checker) (err error) {
 		if err = json.Unmarshal(text, out); err == nil {
 			err = out.check()
 		}
 		if err != nil {
-			err = bad(what, err)
+			err = invalid(what, err)
 		}
 		return err
 	}
@@ -111,12 +111,12 @@
 // Example:
 //
 //	text, err := book.Render()
-func (b Book) Render() ([]byte, error) {
-	out := set{Services: []json.RawMessage{}, VirtualHosts: []virtualHost{}}
+func (b ItemSet) Render() ([]byte, error) {
+	out := upsert{Services: []json.RawMessage{}, VirtualHosts: []virtualHost{}}
 	at := map[string]int{}
 	for _, item := range b.Items() {
 		switch {
-		case item.Dropped:
+		case item.Removed:
 		case item.ID.Class == ServiceItem:
 			out.Services = append(out.Services, item.Body)
 		case item.ID.Class == LimitsItem:
--- a/internal/control/legacy_test.go
+++ b/internal/control/legacy_test.go
@@ -44,7 +44,7 @@
 		n.store.read(func(t *tables) {
 			Expect(t.registry.Index).To(BeEquivalentTo(1))
 			Expect(t.book().Check()).To(Succeed())
-			Expect(t.book()[route("left", 1).ID].Dropped).To(BeTrue())
+			Expect(t.book()[route("left", 1).ID].Removed).To(BeTrue())
 			Expect(string(t.book()[route("right", 2).ID].Body)).To(ContainSubstring(`"RouteType":"safe"`))
 		})
 		// A second proposal makes no further change.
--- a/internal/control/mirrors.go
+++ b/internal/control/mirrors.go
@@ -39,7 +39,7 @@
 func (c *coordinator) mirrors() (out []loopline.Grant) {
 	var mirrors []loopline.Mirror
 	var versions []config.Version
-	var sheet *config.Sheet
+	var sheet *config.RoutingTable
 	c.store.read(func(t *tables) {
 		if mirrors, versions = t.currentMirrors(); len(mirrors) > 0 {
 			sheet = t.compiledBook()
@@ -52,7 +52,7 @@
 	lives := c.court.Lives(livesSpan, loopline.LifeOf)
 	known := map[string]bool{}
 	for i, m := range mirrors {
-		if !m.Until.After(c.clock.Wall()) || sheet.IsLive(m.Shadow) {
+		if !m.Until.After(c.clock.Wall()) || sheet.HasRouteTo(m.Shadow) {
 			continue
 		}
 		known[m.Name] = true
--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -41,7 +41,7 @@
 		isService := false
 		c.store.read(func(t *tables) {
 			item, isThere := t.book()[config.ID{Class: config.ServiceItem, Name: in.Service}]
-			isService = isThere && !item.Dropped
+			isService = isThere && !item.Removed
 		})
 		if !isService {
 			return apierror.UnknownSubject, in.Service
--- a/internal/control/read_config.go
+++ b/internal/control/read_config.go
@@ -18,7 +18,7 @@
 
 // readConfig is a linearizable read of the configuration: the result has every change that
 // was acknowledged before the call, as confirmed by a majority of the view.
-func (n *node) readConfig() (book config.Book, err error) {
+func (n *node) readConfig() (book config.ItemSet, err error) {
 	for range readAttempts {
 		if book, err = n.readConfigOnce(); err == nil {
 			return book, nil
@@ -28,7 +28,7 @@
 }
 
 // readConfigOnce makes one attempt at a linearizable read.
-func (n *node) readConfigOnce() (config.Book, error) {
+func (n *node) readConfigOnce() (config.ItemSet, error) {
 	view, count := n.view(), 0
 	highest, source := registry.State{}, ""
 	var newer *membership.View
@@ -67,7 +67,7 @@
 // bookAt returns a copy of the configuration once this node has reached the index. It
 // fetches missing changes from the given member first, then from the others: the first may
 // lack a change that was decided during the read.
-func (n *node) bookAt(index registry.Index, member string) (book config.Book, err error) {
+func (n *node) bookAt(index registry.Index, member string) (book config.ItemSet, err error) {
 	sources := append([]string{member}, n.view().Members...)
 	for _, source := range sources {
 		held := registry.Index(0)
--- a/internal/control/registry/cluster_test.go
+++ b/internal/control/registry/cluster_test.go
@@ -18,11 +18,11 @@
 }
 
 func removal(name string, version config.Version) config.Item {
-	return config.Item{ID: config.ID{Class: config.RouteItem, Name: name}, Version: version, Dropped: true}
+	return config.Item{ID: config.ID{Class: config.RouteItem, Name: name}, Version: version, Removed: true}
 }
 
 // check is the part of the program's check that needs no more than the items.
-func check(whole config.Book, _, unseen []config.Item) error {
+func check(whole config.ItemSet, _, unseen []config.Item) error {
 	if err := whole.Check(); err != nil {
 		return err
 	}
--- a/internal/control/registry/draft.go
+++ b/internal/control/registry/draft.go
@@ -9,7 +9,7 @@
 
 // Check looks at the set that an order would make; newer are the items of the
 // order that have an effect, unseen those that were not accepted before.
-type Check func(whole config.Book, newer, unseen []config.Item) error
+type Check func(whole config.ItemSet, newer, unseen []config.Item) error
 
 // ConflictError says that another content was accepted under the number that an
 // order gives to an item.
@@ -33,7 +33,7 @@
 // hold leave nothing behind.
 type Draft struct {
 	set   *Set
-	whole config.Book
+	whole config.ItemSet
 	// items are what the orders taken so far bring, in their order; an item may
 	// stand there under several versions, and under versions with no effect.
 	items    []config.Item
--- a/internal/control/registry/genesis.go
+++ b/internal/control/registry/genesis.go
@@ -19,7 +19,7 @@
 	replica.MergeLegacy(legacy)
 	set = replica.Set
 	for _, loser := range losers(set.Items) {
-		loser.Dropped, loser.Body, loser.Host = true, nil, ""
+		loser.Removed, loser.Body, loser.Host = true, nil, ""
 		set.put(loser)
 		dropped = append(dropped, loser.ID.Name)
 	}
@@ -28,11 +28,11 @@
 
 // losers are the routes whose host and prefix another route holds: the one of
 // the higher version, then of the greater name, as config.Compile has it.
-func losers(book config.Book) (out []config.Item) {
+func losers(book config.ItemSet) (out []config.Item) {
 	holders := map[string]config.Item{}
 	for _, item := range book.Items() {
 		var route config.RouteSpec
-		if item.ID.Class != config.RouteItem || item.Dropped || json.Unmarshal(item.Body, &route) != nil {
+		if item.ID.Class != config.RouteItem || item.Removed || json.Unmarshal(item.Body, &route) != nil {
 			continue
 		}
 		place := item.Host + route.PathPrefix
--- a/internal/control/registry/history_test.go
+++ b/internal/control/registry/history_test.go
@@ -18,7 +18,7 @@
 	return config.Item{ID: config.ID{Class: config.RouteItem, Name: "route"}, Version: version, Body: body}
 }
 
-func acceptAll(config.Book, []config.Item, []config.Item) error { return nil }
+func acceptAll(config.ItemSet, []config.Item, []config.Item) error { return nil }
 
 // submit has the replica take an order as the next change.
 func submit(replica *registry.Replica, items ...config.Item) error {
--- a/internal/control/registry/registry_test.go
+++ b/internal/control/registry/registry_test.go
@@ -53,7 +53,7 @@
 
 	It("is known again after newer ones overtook it, even where it could not be made any more", func() {
 		Expect(take(route("a", 7, "/a/", "t"))).To(Succeed())
-		Expect(take(config.Item{ID: config.ID{Class: config.ServiceItem, Name: "s"}, Version: 9, Dropped: true})).To(Succeed())
+		Expect(take(config.Item{ID: config.ID{Class: config.ServiceItem, Name: "s"}, Version: 9, Removed: true})).To(Succeed())
 		Expect(take(route("a", 5, "/a/", "s"))).To(Succeed(), "its service is gone, yet it was accepted")
 		Expect(string(set.Items[config.ID{Class: config.RouteItem, Name: "a"}].Body)).To(ContainSubstring("r7"))
 		Expect(take(route("a", 5, "/a/", "t"))).To(MatchError(ContainSubstring("r5")), "another content of the overtaken number")
--- a/internal/control/registry/replica.go
+++ b/internal/control/registry/replica.go
@@ -182,7 +182,7 @@
 	for _, item := range items {
 		item = renamed(item)
 		held, isHeld := r.Items[item.ID]
-		if !isHeld || item.Outranks(held) {
+		if !isHeld || item.Supersedes(held) {
 			r.put(item)
 			r.remember(item)
 		}
--- a/internal/control/registry/set.go
+++ b/internal/control/registry/set.go
@@ -27,7 +27,7 @@
 // Set is the item set after the change numbered Index.
 type Set struct {
 	Index   Index
-	Items   config.Book
+	Items   config.ItemSet
 	history map[config.ID][]AcceptedVersion
 	bytes   int
 }
@@ -52,14 +52,14 @@
 //
 //	set := registry.NewSet()
 func NewSet() *Set {
-	return &Set{Items: config.Book{}, history: map[config.ID][]AcceptedVersion{}}
+	return &Set{Items: config.ItemSet{}, history: map[config.ID][]AcceptedVersion{}}
 }
 
 // apply makes the set that follows; the change must be the next one. A version
 // below the one held is remembered and has no other effect.
 func (s *Set) apply(change Change) {
 	if change.IsWhole {
-		s.Items, s.bytes = config.Book{}, 0
+		s.Items, s.bytes = config.ItemSet{}, 0
 		s.history = map[config.ID][]AcceptedVersion{}
 	}
 	for _, item := range change.Items {
--- a/internal/control/round_draft.go
+++ b/internal/control/round_draft.go
@@ -72,7 +72,7 @@
 
 // checkProposal validates the configuration that a proposal would produce, and the
 // proposal's own items.
-func (n *node) checkProposal(book config.Book, newer, unseen []config.Item) error {
+func (n *node) checkProposal(book config.ItemSet, newer, unseen []config.Item) error {
 	if err := book.Check(); err != nil {
 		return err
 	}
@@ -82,5 +82,5 @@
 	if err := n.checkSites(book); err != nil {
 		return err
 	}
-	return book.CheckOwn(newer, n.clock.Wall())
+	return book.CheckExtensions(newer, n.clock.Wall())
 }
--- a/internal/control/sites.go
+++ b/internal/control/sites.go
@@ -100,7 +100,7 @@
 }
 
 // checkSites refuses a book whose sites make no tree.
-func (n *node) checkSites(book config.Book) error {
+func (n *node) checkSites(book config.ItemSet) error {
 	_, err := book.Tree(n.settings.Load().Platform.Cells)
 	if err != nil {
 		return apierror.New(apierror.BadManifest, errors.Cause(err).Error())
--- a/internal/control/stages.go
+++ b/internal/control/stages.go
@@ -52,7 +52,7 @@
 	if err != nil {
 		return apierror.Gone, ""
 	}
-	newer, whole, err := book.Accept(in.Items)
+	newer, whole, err := book.ValidateUpdate(in.Items)
 	if err == nil {
 		err = c.checkSites(whole)
 	}
@@ -101,7 +101,7 @@
 
 func sameItems(a, z []config.Item) bool {
 	return slices.EqualFunc(a, z, func(x, y config.Item) bool {
-		return x.ID == y.ID && x.Version == y.Version && string(x.Body) == string(y.Body) && x.Host == y.Host && x.Dropped == y.Dropped
+		return x.ID == y.ID && x.Version == y.Version && string(x.Body) == string(y.Body) && x.Host == y.Host && x.Removed == y.Removed
 	})
 }
 
--- a/internal/control/tables.go
+++ b/internal/control/tables.go
@@ -55,7 +55,7 @@
 	digest          string
 	// compiled is the compiled form of the book with the digest compiledDigest. mirrors
 	// and versions are the mirroring rules of the book with the digest mirrorsDigest.
-	compiled       *config.Sheet
+	compiled       *config.RoutingTable
 	compiledDigest string
 	mirrors        []loopline.Mirror
 	versions       []config.Version
@@ -114,7 +114,7 @@
 }
 
 // book returns the item set; callers must neither modify nor retain it.
-func (t *tables) book() config.Book { return t.registry.Items }
+func (t *tables) book() config.ItemSet { return t.registry.Items }
 
 // fleetFresh reports whether the fleet was received within maxAge; a fleet that was
 // read from the disk is not fresh.
@@ -124,7 +124,7 @@
 
 // compiledBook returns the book compiled for lookups. It is compiled again only after
 // an item has changed.
-func (t *tables) compiledBook() *config.Sheet {
+func (t *tables) compiledBook() *config.RoutingTable {
 	if digest := t.bookDigest(); t.compiled == nil || t.compiledDigest != digest {
 		t.compiled, t.compiledDigest = t.book().Compile(), digest
 	}
--- a/internal/emulator/simulation/checks.go
+++ b/internal/emulator/simulation/checks.go
@@ -183,7 +183,7 @@
 	for _, name := range c.newest.Members {
 		m := c.world.members[name]
 		for key := range c.contents {
-			other := config.Item{ID: key.id, Version: key.version, Dropped: true}
+			other := config.Item{ID: key.id, Version: key.version, Removed: true}
 			var conflict *registry.ConflictError
 			if m.isTrusted && !errors.As(m.replica.Draft(checkRoutes).Add([]config.Item{other}), &conflict) {
 				c.fail(Durability, "%s does not know of %s r%d", name, key.id.Name, key.version)
--- a/internal/emulator/simulation/models.go
+++ b/internal/emulator/simulation/models.go
@@ -37,7 +37,7 @@
 	return route, uint8(1 + place*2 + body.Content)
 }
 
-func contentsOf(book config.Book) (out contents) {
+func contentsOf(book config.ItemSet) (out contents) {
 	for _, item := range book {
 		route, content := encode(item)
 		out[route] = inForce{item.Version, content}
--- a/internal/emulator/simulation/reading.go
+++ b/internal/emulator/simulation/reading.go
@@ -11,7 +11,7 @@
 // reading is the answer to an operator that reads the configuration.
 type reading struct {
 	isOK bool
-	book config.Book
+	book config.ItemSet
 }
 
 func (m *member) onRead(_ struct{}, answer func(reading)) {
--- a/internal/emulator/simulation/routes.go
+++ b/internal/emulator/simulation/routes.go
@@ -26,14 +26,14 @@
 // placeOf is the host and prefix that a route holds; a dropped one holds none.
 func placeOf(item config.Item) (place string, holds bool) {
 	var body routeBody
-	if item.Dropped || json.Unmarshal(item.Body, &body) != nil {
+	if item.Removed || json.Unmarshal(item.Body, &body) != nil {
 		return "", false
 	}
 	return item.Host + body.PathPrefix, true
 }
 
 // checkRoutes refuses a set in which two routes share host and prefix.
-func checkRoutes(whole config.Book, _, _ []config.Item) error {
+func checkRoutes(whole config.ItemSet, _, _ []config.Item) error {
 	holders := map[string]bool{}
 	for _, item := range whole {
 		place, holds := placeOf(item)
--- a/internal/feed/board.go
+++ b/internal/feed/board.go
@@ -64,7 +64,7 @@
 
 // Board is all that a node knows from news. It has one owner.
 type Board struct {
-	Book    config.Book
+	Book    config.ItemSet
 	Fleet   Fleet
 	View    membership.View
 	IsWhole bool
@@ -82,7 +82,7 @@
 // Example:
 //
 //	board := feed.NewBoard()
-func NewBoard() *Board { return &Board{Book: config.Book{}, Leaving: map[string]bool{}} }
+func NewBoard() *Board { return &Board{Book: config.ItemSet{}, Leaving: map[string]bool{}} }
 
 // Merge takes what is newer in the news and returns just that, and whether
 // there was any.
--- a/internal/inspector/check.go
+++ b/internal/inspector/check.go
@@ -37,7 +37,7 @@
 // Example:
 //
 //	findings := inspector.Check(book, sent, fleet)
-func Check(book config.Book, sent []config.Item, fleet Fleet) (out []Finding) {
+func Check(book config.ItemSet, sent []config.Item, fleet Fleet) (out []Finding) {
 	find := func(what, where, format string, args ...any) {
 		out = append(out, Finding{what, where, fmt.Sprintf(format, args...)})
 	}
@@ -48,7 +48,7 @@
 			find("superseded", item.ID.Name, "version %s has no effect: %s is in force", mine, theirs)
 		}
 	}
-	_, trial, err := book.Accept(sent)
+	_, trial, err := book.ValidateUpdate(sent)
 	if err != nil {
 		find("invalid", "manifest", "%s", err)
 	}
@@ -60,7 +60,7 @@
 		}
 	}
 	for _, item := range trial.Items() {
-		if !item.Dropped {
+		if !item.Removed {
 			checkItem(item, ready, slots, len(fleet.Edges), find)
 		}
 	}
--- a/internal/inspector/inspector_test.go
+++ b/internal/inspector/inspector_test.go
@@ -33,8 +33,8 @@
 const inForce = `{"Upsert":{"Services":[{"Name":"fees","MaxConnections":9,"Revision":"r4"},{"Name":"packs","MaxConnections":9,"Revision":"r4"}],
 "VirtualHosts":[{"Hostname":"h","PathTable":[{"Name":"fee","PathPrefix":"/fee/","RouteType":"idempotent","Timeout":"1s","MaxAttempts":2,"Service":"fees","Revision":"r4"}]}]}}`
 
-func healthy() (config.Book, inspector.Fleet) {
-	book := config.Book{}
+func healthy() (config.ItemSet, inspector.Fleet) {
+	book := config.ItemSet{}
 	book.Merge(items(inForce))
 	return book, inspector.Fleet{
 		Servers: []feed.Server{{ID: "i-1", Service: "fees", Capacity: 2, IsReady: true}, {ID: "i-2", Service: "packs", Capacity: 2}},
--- a/internal/inspector/look.go
+++ b/internal/inspector/look.go
@@ -64,7 +64,7 @@
 // Example:
 //
 //	book, err := control.Book()
-func (c *Control) Book() (config.Book, error) {
+func (c *Control) Book() (config.ItemSet, error) {
 	text, err := c.get("/v1/config/read")
 	if err != nil {
 		return nil, err
@@ -73,7 +73,7 @@
 	if err != nil {
 		return nil, errors.Annotatef(err, "manifest of %s", c.Address)
 	}
-	book := config.Book{}
+	book := config.ItemSet{}
 	book.Merge(items)
 	return book, nil
 }
--- a/internal/objects/objects.go
+++ b/internal/objects/objects.go
@@ -37,7 +37,7 @@
 	Spec   struct {
 		Host          string           `json:"host"`
 		PathPrefix    string           `json:"pathPrefix"`
-		Type          config.RouteKind `json:"type"`
+		Type          config.RouteType `json:"type"`
 		Timeout       clock.Span       `json:"timeout"`
 		TargetLatency clock.Span       `json:"targetLatency"`
 		Priority      int              `json:"priority"`
@@ -132,7 +132,7 @@
 			body, err = json.Marshal(map[string]any{"Upsert": out.own[path]})
 		}
 		if err == nil {
-			_, err = config.Parser(ownPaths[path])(body)
+			_, err = config.ModifyParser(ownPaths[path])(body)
 		}
 		own = append(own, Own{path, body})
 	}
@@ -167,7 +167,7 @@
 		lane.Service = o.Spec.BackendRefs[0].Name
 	} else {
 		for _, backend := range o.Spec.BackendRefs {
-			lane.TrafficSplit = append(lane.TrafficSplit, config.Share{Service: backend.Name, Weight: backend.Weight})
+			lane.TrafficSplit = append(lane.TrafficSplit, config.WeightedService{Service: backend.Name, Weight: backend.Weight})
 		}
 	}
 	for i := range c.Upsert.VirtualHosts {
--- a/internal/objects/objects_test.go
+++ b/internal/objects/objects_test.go
@@ -45,7 +45,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		items, err := config.ParseModify(text)
 		Expect(err).NotTo(HaveOccurred())
-		book := config.Book{}
+		book := config.ItemSet{}
 		book.Merge(items)
 		Expect(book).To(HaveLen(3))
 		sheet := book.Compile()
--- a/internal/proxy/cancellation.go
+++ b/internal/proxy/cancellation.go
@@ -25,7 +25,7 @@
 // abortContext returns the context that closes the connection of an attempt when it
 // ends, or nil: only repeatable requests are aborted after they were sent.
 func (d *forwarder) abortContext() context.Context {
-	if d.request.route.IsRepeatable() {
+	if d.request.route.Repeatable() {
 		return d.clientCtx
 	}
 	return nil
@@ -33,5 +33,5 @@
 
 // abortedByClient reports whether an attempt failed because its client had gone.
 func (d *forwarder) abortedByClient(err error) bool {
-	return err != nil && d.request.route.IsRepeatable() && d.clientCtx.Err() != nil
+	return err != nil && d.request.route.Repeatable() && d.clientCtx.Err() != nil
 }
--- a/internal/proxy/cancellation_test.go
+++ b/internal/proxy/cancellation_test.go
@@ -24,7 +24,7 @@
 
 // newTestRequest returns a request on a route of the given type whose service has the
 // given servers, and its proxy.
-func newTestRequest(routeType config.RouteKind, servers ...*standin.Server) (*proxy, *clientRequest) {
+func newTestRequest(routeType config.RouteType, servers ...*standin.Server) (*proxy, *clientRequest) {
 	conf := &settings.Settings{}
 	conf.Tuning.BufferBytes = 1 << 20
 	conf.Platform.Bounds.RetryBudgetRatio = 1
@@ -53,7 +53,7 @@
 		DeferCleanup(server.Close)
 	})
 	It("ends when its client disconnects, except for a request with an idempotency key", func() {
-		for routeType, canceled := range map[config.RouteKind]bool{config.Safe: true, config.Unsafe: true, config.Idempotent: false} {
+		for routeType, canceled := range map[config.RouteType]bool{config.Safe: true, config.Unsafe: true, config.Idempotent: false} {
 			server.Next(standin.Silent)
 			p, req := newTestRequest(routeType, server)
 			ctx, cancel := context.WithCancel(context.Background())
--- a/internal/proxy/eligibility_test.go
+++ b/internal/proxy/eligibility_test.go
@@ -38,7 +38,7 @@
 		return server
 	}
 	// newForwarder returns a forwarder for a route that allows one attempt.
-	newForwarder := func(routeType config.RouteKind) *forwarder {
+	newForwarder := func(routeType config.RouteType) *forwarder {
 		req := &clientRequest{
 			Request: &upstream.Request{Method: http.MethodGet, Target: "/a", Host: "h", Header: http.Header{upstream.HeaderAttempt: {"try-1"}}, Attempt: "try-1"},
 			route:   &config.Route{RouteSpec: config.RouteSpec{Name: "fee", RouteType: routeType, MaxAttempts: 1}}, service: service,
@@ -88,7 +88,7 @@
 		"is reported to be leaving": func() { p.snapshot.Load().balancer.Leave([]string{"x-1"}) },
 	}
 	for condition, removeServer := range departures {
-		for _, routeType := range []config.RouteKind{config.Safe, config.Unsafe, config.Idempotent} {
+		for _, routeType := range []config.RouteType{config.Safe, config.Unsafe, config.Idempotent} {
 			It("sends a "+string(routeType)+" request to another server, without charging an attempt, when the first "+condition, func() {
 				fwd := newForwarder(routeType)
 				server := findServer("x-1")
--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -99,7 +99,7 @@
 	deadlineTimer := time.NewTimer(time.Until(req.deadline))
 	defer deadlineTimer.Stop()
 	var hedge <-chan time.Time
-	if req.route.IsRepeatable() && req.route.MaxAttempts > 1 {
+	if req.route.Repeatable() && req.route.MaxAttempts > 1 {
 		hedgeTimer := time.NewTimer(d.stats.hedgeDelay(req.route.TargetLatency.Std()))
 		defer hedgeTimer.Stop()
 		hedge = hedgeTimer.C
@@ -125,7 +125,7 @@
 // handleResult evaluates the result of one attempt. done reports that it ends the
 // request; otherwise another attempt was started or is still in flight.
 func (d *forwarder) handleResult(result attemptResult) (response any, err error, done bool) {
-	repeatable := d.request.route.IsRepeatable()
+	repeatable := d.request.route.Repeatable()
 	kind := apierror.Broken
 	switch {
 	case result.err != nil && errors.Is(result.err, upstream.ErrNotServing):
@@ -217,7 +217,7 @@
 // runAttempt runs one attempt to its end, even if the client no longer waits.
 func (d *forwarder) runAttempt(server *balancer.Siding, mark outlier.Mark) {
 	lateWait, bufferLimit := repeatableLateWait, int64(d.settings.Load().Tuning.BufferBytes)
-	if !d.request.route.IsRepeatable() {
+	if !d.request.route.Repeatable() {
 		lateWait, bufferLimit = unrepeatableLateWait, max(bufferLimit, d.request.snapshot.manifest.Limits.MaxBodyBytes)
 	}
 	if d.request.route.RouteType == config.Idempotent {
--- a/internal/proxy/late_result.go
+++ b/internal/proxy/late_result.go
@@ -20,7 +20,7 @@
 // request is still in flight, the returned error carries a channel with its late
 // result.
 func (d *forwarder) deadlineExceeded() error {
-	if d.request.route.IsRepeatable() || d.inFlight == 0 {
+	if d.request.route.Repeatable() || d.inFlight == 0 {
 		return apierror.New(apierror.Late, "")
 	}
 	unknown := &unresolvedError{kind: apierror.Late, lateResult: make(chan lateResult, 1)}
--- a/internal/proxy/mirror_send.go
+++ b/internal/proxy/mirror_send.go
@@ -72,7 +72,7 @@
 		return false
 	}
 	_, granted := s.mirrorGrant(m)
-	return granted && s.grantsValid(p.clock.Steady()) && !s.manifest.IsLive(m.Shadow)
+	return granted && s.grantsValid(p.clock.Steady()) && !s.manifest.HasRouteTo(m.Shadow)
 }
 
 // compare classifies the result of a mirrored request against the original.
--- a/internal/proxy/mirror_test.go
+++ b/internal/proxy/mirror_test.go
@@ -46,7 +46,7 @@
 	stateWith := func(address, service string, isReady bool, version uint64, liveService string) *snapshot {
 		body, err := json.Marshal(config.RouteSpec{Name: "fee", PathPrefix: "/fee/", RouteType: config.Safe, Service: liveService, MaxAttempts: 1, Revision: 1})
 		Expect(err).NotTo(HaveOccurred())
-		items := config.Book{}
+		items := config.ItemSet{}
 		items.Merge([]config.Item{{ID: config.ID{Class: config.RouteItem, Name: "fee"}, Version: 1, Host: "h", Body: body}})
 		fleet := feed.Fleet{Term: 1, Count: 1, Servers: []feed.Server{{ID: "x-1", Service: service, Address: address, Capacity: 2, IsReady: isReady}}}
 		return &snapshot{
--- a/internal/proxy/once_test.go
+++ b/internal/proxy/once_test.go
@@ -39,7 +39,7 @@
 
 	It("is sent to no second server once its first byte was sent, however the attempt ends", func() {
 		for _, behavior := range []standin.Act{standin.CutBefore, standin.CutWithin, standin.Garbage, standin.NoSeal, standin.Fail500, standin.Silent, standin.SilentCut} {
-			for _, routeType := range []config.RouteKind{config.Unsafe, config.Idempotent} {
+			for _, routeType := range []config.RouteType{config.Unsafe, config.Idempotent} {
 				setBehavior(behavior)
 				p, req := newTestRequest(routeType, servers...)
 				before := requestCount()
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -35,7 +35,7 @@
 // snapshot is the configuration and fleet state that a request is handled with. It is
 // replaced as a whole.
 type snapshot struct {
-	manifest *config.Sheet
+	manifest *config.RoutingTable
 	balancer *balancer.Yard
 	// localSite is this node's site.
 	sites          *branchline.Tree
@@ -162,7 +162,7 @@
 	p.inbound = bandwidth.NewTrack(cfg.Platform.Limits.LinkMbps, timeSource)
 	p.outbound = bandwidth.NewTrack(cfg.Platform.Limits.LinkMbps, timeSource)
 	p.downloads = bandwidth.NewPassing(p.outbound)
-	p.snapshot.Store(&snapshot{manifest: config.Book{}.Compile(), balancer: balancer.NewYard(locality)})
+	p.snapshot.Store(&snapshot{manifest: config.ItemSet{}.Compile(), balancer: balancer.NewYard(locality)})
 	p.serve = endpoint.Chain(p.admissionMiddleware, p.limitingDownloads, p.idempotencyMiddleware)(p.forward)
 	return p
 }
@@ -211,7 +211,7 @@
 	wasReady := p.isReady()
 	p.snapshot.Store(&next)
 	if !wasReady && p.isReady() {
-		p.log("info", "proxy is ready", "routes", next.manifest.Lanes, "servers", next.balancer.Size())
+		p.log("info", "proxy is ready", "routes", next.manifest.RouteCount, "servers", next.balancer.Size())
 	}
 }
 
@@ -219,7 +219,7 @@
 // server, and is not draining.
 func (p *proxy) isReady() bool {
 	s := p.snapshot.Load()
-	return s.complete && s.manifest.Lanes > 0 && s.balancer.Size() > 0 && !p.draining.Load()
+	return s.complete && s.manifest.RouteCount > 0 && s.balancer.Size() > 0 && !p.draining.Load()
 }
 
 // connection returns the connection to a control node, created on first use.
--- a/internal/proxy/selection.go
+++ b/internal/proxy/selection.go
@@ -46,7 +46,7 @@
 
 // slotShare is the share of the slots at another site that the request may use.
 func (s *snapshot) slotShare(req *clientRequest) float64 {
-	if req.route.Priority <= s.manifest.HighestRank(req.service) {
+	if req.route.Priority <= s.manifest.HighestPriority(req.service) {
 		return 1
 	}
 	return lowPriorityShare
--- a/internal/proxy/staged.go
+++ b/internal/proxy/staged.go
@@ -19,13 +19,13 @@
 // applies tells whether this node serves by it.
 type stagedChange struct {
 	feed.Stage
-	compiled *config.Sheet
+	compiled *config.RoutingTable
 	applies  bool
 }
 
 // updateStaged compiles the published staged changes. A change that is only renewed
 // keeps its compiled configuration, unless the items have changed.
-func (s *snapshot) updateStaged(published []feed.Stage, items config.Book, configChanged bool, node string) {
+func (s *snapshot) updateStaged(published []feed.Stage, items config.ItemSet, configChanged bool, node string) {
 	previous := s.stagedChanges
 	s.stagedChanges = nil
 	for _, change := range published {
