--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -13,23 +13,23 @@
 	"ploverhitch/internal/config"
 )
 
-func TestManifest(t *testing.T) {
+func TestConfig(t *testing.T) {
 	RegisterFailHandler(Fail)
 	RunSpecs(t, "manifest")
 }
 
-func lane(name, prefix, service string, version int, more string) string {
+func routeJSON(name, prefix, service string, version int, extra string) string {
 	return fmt.Sprintf(`{"Name":%q,"PathPrefix":%q,"RouteType":"safe","Timeout":"600ms","TargetLatency":"250ms","MaxAttempts":2,"Revision":"r%d","Service":%q%s}`,
-		name, prefix, version, service, more)
+		name, prefix, version, service, extra)
 }
 
-func call(lanes ...string) []byte {
+func requestJSON(routes ...string) []byte {
 	return []byte(`{"Upsert":{"Services":[{"Name":"s","MaxConnections":9,"Revision":"r1"}],"VirtualHosts":[{"Hostname":"h","PathTable":[` +
-		strings.Join(lanes, ",") + `]}]},"Remove":{"Routes":[]}}`)
+		strings.Join(routes, ",") + `]}]},"Remove":{"Routes":[]}}`)
 }
 
 // accept is what a node does with a call, short of keeping it.
-func accept(book config.ItemSet, text []byte) error {
+func applyRequest(book config.ItemSet, text []byte) error {
 	items, err := config.ParseModify(text)
 	if err != nil {
 		return err
@@ -44,52 +44,52 @@
 var _ = Describe("an operator's call", func() {
 	DescribeTable("that is invalid has no part in force", func(text []byte, reason string) {
 		book := config.ItemSet{}
-		Expect(accept(book, call(lane("a", "/a/", "s", 2, "")))).To(Succeed())
+		Expect(applyRequest(book, requestJSON(routeJSON("a", "/a/", "s", 2, "")))).To(Succeed())
 		before := book.Digest()
-		Expect(accept(book, text)).To(MatchError(ContainSubstring(reason)))
+		Expect(applyRequest(book, text)).To(MatchError(ContainSubstring(reason)))
 		Expect(book.Digest()).To(Equal(before))
 	},
-		Entry("cut short", call(lane("b", "/b/", "s", 3, ""))[:90], "cannot be read"),
-		Entry("an unknown service", call(lane("b", "/b/", "s", 3, ""), lane("c", "/c/", "other", 3, "")), "unknown service other"),
-		Entry("an unknown service, under an old version", call(lane("a", "/a/", "other", 2, "")), "unknown service other"),
-		Entry("the same place twice in the call", call(lane("a", "/q/", "s", 1, ""), lane("b", "/q/", "s", 1, "")), "share host and prefix"),
-		Entry("the same place", call(lane("b", "/a/", "s", 3, "")), "share host and prefix"),
-		Entry("no timeout", []byte(strings.Replace(string(call(lane("b", "/b/", "s", 3, ""))), "600ms", "0ms", 1)), "Timeout"),
-		Entry("no weight", call(lane("b", "/b/", "s", 3, `,"TrafficSplit":[{"Service":"s","Weight":0}]`)), "sum to 0"),
-		Entry("a weight below zero", call(lane("b", "/b/", "s", 3, `,"TrafficSplit":[{"Service":"s","Weight":-1},{"Service":"s","Weight":9}]`)), "below 0"),
-		Entry("more after its end", append(call(lane("b", "/b/", "s", 3, "")), '{'), "does not end"),
+		Entry("cut short", requestJSON(routeJSON("b", "/b/", "s", 3, ""))[:90], "cannot be read"),
+		Entry("an unknown service", requestJSON(routeJSON("b", "/b/", "s", 3, ""), routeJSON("c", "/c/", "other", 3, "")), "unknown service other"),
+		Entry("an unknown service, under an old version", requestJSON(routeJSON("a", "/a/", "other", 2, "")), "unknown service other"),
+		Entry("the same place twice in the call", requestJSON(routeJSON("a", "/q/", "s", 1, ""), routeJSON("b", "/q/", "s", 1, "")), "share host and prefix"),
+		Entry("the same place", requestJSON(routeJSON("b", "/a/", "s", 3, "")), "share host and prefix"),
+		Entry("no timeout", []byte(strings.Replace(string(requestJSON(routeJSON("b", "/b/", "s", 3, ""))), "600ms", "0ms", 1)), "Timeout"),
+		Entry("no weight", requestJSON(routeJSON("b", "/b/", "s", 3, `,"TrafficSplit":[{"Service":"s","Weight":0}]`)), "sum to 0"),
+		Entry("a weight below zero", requestJSON(routeJSON("b", "/b/", "s", 3, `,"TrafficSplit":[{"Service":"s","Weight":-1},{"Service":"s","Weight":9}]`)), "below 0"),
+		Entry("more after its end", append(requestJSON(routeJSON("b", "/b/", "s", 3, "")), '{'), "does not end"),
 	)
 
 	It("of an old or equal version has no effect, whatever it holds", func() {
 		book := config.ItemSet{}
-		Expect(accept(book, call(lane("a", "/a/", "s", 5, "")))).To(Succeed())
+		Expect(applyRequest(book, requestJSON(routeJSON("a", "/a/", "s", 5, "")))).To(Succeed())
 		before := book.Digest()
 		for _, version := range []int{4, 5} {
-			Expect(accept(book, call(lane("a", "/zzz/", "s", version, `,"Priority":7`)))).To(Succeed())
+			Expect(applyRequest(book, requestJSON(routeJSON("a", "/zzz/", "s", version, `,"Priority":7`)))).To(Succeed())
 			Expect(book.Digest()).To(Equal(before))
 		}
 	})
 
 	It("may move a place from one lane to another in one call", func() {
 		book := config.ItemSet{}
-		Expect(accept(book, call(lane("a", "/a/", "s", 2, "")))).To(Succeed())
-		text := strings.Replace(string(call(lane("b", "/a/", "s", 3, ""))), `"Routes":[]`, `"Routes":[{"Name":"a","Revision":"r3"}]`, 1)
-		Expect(accept(book, []byte(text))).To(Succeed())
+		Expect(applyRequest(book, requestJSON(routeJSON("a", "/a/", "s", 2, "")))).To(Succeed())
+		text := strings.Replace(string(requestJSON(routeJSON("b", "/a/", "s", 3, ""))), `"Routes":[]`, `"Routes":[{"Name":"a","Revision":"r3"}]`, 1)
+		Expect(applyRequest(book, []byte(text))).To(Succeed())
 		Expect(book.Compile().Find("h", "/a/x").Name).To(Equal("b"))
-		Expect(accept(book, call(lane("a", "/q/", "s", 2, "")))).To(Succeed())
+		Expect(applyRequest(book, requestJSON(routeJSON("a", "/q/", "s", 2, "")))).To(Succeed())
 		Expect(book.Compile().Find("h", "/q/x")).To(BeNil())
 	})
 
 	It("is read back as it was sent", func() {
 		book := config.ItemSet{}
-		Expect(accept(book, call(lane("a", "/a/", "s", 2, `,"NotKnownHere":[1,2]`)))).To(Succeed())
+		Expect(applyRequest(book, requestJSON(routeJSON("a", "/a/", "s", 2, `,"NotKnownHere":[1,2]`)))).To(Succeed())
 		text, err := book.Render()
 		Expect(err).NotTo(HaveOccurred())
 		var out struct {
 			VirtualHosts []struct{ PathTable []json.RawMessage }
 		}
 		Expect(json.Unmarshal(text, &out)).To(Succeed())
-		Expect(string(out.VirtualHosts[0].PathTable[0])).To(MatchJSON(lane("a", "/a/", "s", 2, `,"NotKnownHere":[1,2]`)))
+		Expect(string(out.VirtualHosts[0].PathTable[0])).To(MatchJSON(routeJSON("a", "/a/", "s", 2, `,"NotKnownHere":[1,2]`)))
 	})
 })
 
@@ -137,7 +137,7 @@
 			book, prefixes := config.ItemSet{}, map[string]bool{}
 			for i := range 6 {
 				prefix := path() + "/"
-				if accept(book, call(lane(fmt.Sprint("l", i), prefix, "s", 2, ""))) == nil {
+				if applyRequest(book, requestJSON(routeJSON(fmt.Sprint("l", i), prefix, "s", 2, ""))) == nil {
 					prefixes[prefix] = true
 				}
 			}
@@ -160,10 +160,10 @@
 
 	It("splits by weight", func() {
 		book := config.ItemSet{}
-		Expect(accept(book, call(lane("a", "/a/", "s", 2, `,"TrafficSplit":[{"Service":"s","Weight":1},{"Service":"none","Weight":0}]`)))).NotTo(Succeed())
-		text := strings.Replace(string(call(lane("a", "/a/", "", 2, `,"TrafficSplit":[{"Service":"s","Weight":1},{"Service":"t","Weight":3}]`))),
+		Expect(applyRequest(book, requestJSON(routeJSON("a", "/a/", "s", 2, `,"TrafficSplit":[{"Service":"s","Weight":1},{"Service":"none","Weight":0}]`)))).NotTo(Succeed())
+		text := strings.Replace(string(requestJSON(routeJSON("a", "/a/", "", 2, `,"TrafficSplit":[{"Service":"s","Weight":1},{"Service":"t","Weight":3}]`))),
 			`"Services":[`, `"Services":[{"Name":"t","Revision":"r1"},`, 1)
-		Expect(accept(book, []byte(text))).To(Succeed())
+		Expect(applyRequest(book, []byte(text))).To(Succeed())
 		found := book.Compile().Find("h", "/a/")
 		Expect([]string{found.Pick(0), found.Pick(0.2), found.Pick(0.3), found.Pick(0.99)}).To(Equal([]string{"s", "s", "t", "t"}))
 	})
--- a/internal/config/extensions.go
+++ b/internal/config/extensions.go
@@ -13,7 +13,7 @@
 // ownItems are the kinds of items of the project's own, apart from the protocol's
 // calls: the word for one, and how it is checked by itself.
 var extensions = map[Class]struct {
-	word  string
+	label string
 	check func(body json.RawMessage) error
 }{
 	SiteItem: {"site", func(body json.RawMessage) error { return json.Unmarshal(body, &branchline.Site{}) }},
@@ -34,44 +34,44 @@
 //
 //	items, err := config.Parser(config.SiteItem)(body)
 func ModifyParser(class Class) func(text []byte) ([]Item, error) {
-	own := extensions[class]
+	extension := extensions[class]
 	return func(text []byte) (items []Item, err error) {
-		var call struct {
+		var request struct {
 			Upsert []json.RawMessage `json:"Upsert"`
 			Remove []itemVersion     `json:"Remove"`
 		}
-		if err := json.Unmarshal(text, &call); err != nil {
+		if err := json.Unmarshal(text, &request); err != nil {
 			return nil, invalid("the call cannot be read", err)
 		}
-		for _, body := range call.Upsert {
-			var head itemVersion
-			if err := json.Unmarshal(body, &head); err != nil {
-				return nil, invalid(own.word+" "+head.Name, err)
+		for _, body := range request.Upsert {
+			var version itemVersion
+			if err := json.Unmarshal(body, &version); err != nil {
+				return nil, invalid(extension.label+" "+version.Name, err)
 			}
-			if head.Name == "" || head.Revision == 0 {
-				return nil, apierror.New(apierror.BadManifest, "a "+own.word+" lacks its name or version")
+			if version.Name == "" || version.Revision == 0 {
+				return nil, apierror.New(apierror.BadManifest, "a "+extension.label+" lacks its name or version")
 			}
-			if err := own.check(body); err != nil {
-				return nil, invalid(own.word+" "+head.Name, err)
+			if err := extension.check(body); err != nil {
+				return nil, invalid(extension.label+" "+version.Name, err)
 			}
-			items = append(items, Item{ID: ID{class, head.Name}, Version: head.Revision, Body: body})
+			items = append(items, Item{ID: ID{class, version.Name}, Version: version.Revision, Body: body})
 		}
-		for _, m := range call.Remove {
-			if m.Name == "" || m.Revision == 0 {
+		for _, removal := range request.Remove {
+			if removal.Name == "" || removal.Revision == 0 {
 				return nil, apierror.New(apierror.BadManifest, "a removal lacks its name or version")
 			}
-			items = append(items, Item{ID: ID{class, m.Name}, Version: m.Revision, Removed: true})
+			items = append(items, Item{ID: ID{class, removal.Name}, Version: removal.Revision, Removed: true})
 		}
 		return items, nil
 	}
 }
 
 // own reads the book's items of one class; what cannot be read was never kept.
-func decodeClass[T any](b ItemSet, class Class) (out []T, versions []Version) {
-	for _, item := range b.Items() {
-		var one T
-		if item.ID.Class == class && !item.Removed && json.Unmarshal(item.Body, &one) == nil {
-			out, versions = append(out, one), append(versions, item.Version)
+func decodeClass[T any](s ItemSet, class Class) (out []T, versions []Version) {
+	for _, item := range s.Items() {
+		var value T
+		if item.ID.Class == class && !item.Removed && json.Unmarshal(item.Body, &value) == nil {
+			out, versions = append(out, value), append(versions, item.Version)
 		}
 	}
 	return out, versions
@@ -82,9 +82,9 @@
 // Example:
 //
 //	tree, err := book.Tree(map[string]string{"tvm-a": "tvm"})
-func (b ItemSet) Tree(cells map[string]string) (*branchline.Tree, error) {
-	sites, _ := decodeClass[branchline.Site](b, SiteItem)
-	return branchline.Build(cells, sites)
+func (s ItemSet) Tree(zones map[string]string) (*branchline.Tree, error) {
+	sites, _ := decodeClass[branchline.Site](s, SiteItem)
+	return branchline.Build(zones, sites)
 }
 
 // Plan is the operator's plan tiers, or the empty plan.
@@ -92,8 +92,8 @@
 // Example:
 //
 //	order := shedding.Arrange(book.Plan(), routes)
-func (b ItemSet) Plan() (plan shedding.Plan) {
-	if plans, _ := decodeClass[shedding.Plan](b, PlanItem); len(plans) > 0 {
+func (s ItemSet) Plan() (plan shedding.Plan) {
+	if plans, _ := decodeClass[shedding.Plan](s, PlanItem); len(plans) > 0 {
 		plan = plans[0]
 	}
 	return plan
@@ -105,27 +105,27 @@
 }
 
 // gaugeLane is what the order of tiers knows of a route.
-func (l *RouteSpec) sheddingRoute(host string) shedding.Lane {
-	return shedding.Lane{Name: l.Name, Host: host, Priority: l.Priority, Kind: overloadKinds[l.RouteType]}
+func (r *RouteSpec) sheddingRoute(host string) shedding.Lane {
+	return shedding.Lane{Name: r.Name, Host: host, Priority: r.Priority, Kind: overloadKinds[r.RouteType]}
 }
 
-func (b ItemSet) sheddingRoutes() (out []shedding.Lane) {
-	b.eachRoute(func(lane RouteSpec, host string) { out = append(out, lane.sheddingRoute(host)) })
+func (s ItemSet) sheddingRoutes() (out []shedding.Lane) {
+	s.eachRoute(func(route RouteSpec, host string) { out = append(out, route.sheddingRoute(host)) })
 	return out
 }
 
-func (b ItemSet) mirrorRoutes() (out []loopline.Lane) {
-	b.eachRoute(func(lane RouteSpec, host string) {
-		out = append(out, loopline.Lane{Name: lane.Name, Host: host, Services: lane.Services()})
+func (s ItemSet) mirrorRoutes() (out []loopline.Lane) {
+	s.eachRoute(func(route RouteSpec, host string) {
+		out = append(out, loopline.Lane{Name: route.Name, Host: host, Services: route.Services()})
 	})
 	return out
 }
 
-func (b ItemSet) eachRoute(visit func(lane RouteSpec, host string)) {
-	for _, item := range b.Items() {
-		var lane RouteSpec
-		if item.ID.Class == RouteItem && !item.Removed && json.Unmarshal(item.Body, &lane) == nil {
-			visit(lane, item.Host)
+func (s ItemSet) eachRoute(visit func(route RouteSpec, host string)) {
+	for _, item := range s.Items() {
+		var route RouteSpec
+		if item.ID.Class == RouteItem && !item.Removed && json.Unmarshal(item.Body, &route) == nil {
+			visit(route, item.Host)
 		}
 	}
 }
@@ -135,8 +135,8 @@
 // Example:
 //
 //	mirrors, versions := book.Mirrors()
-func (b ItemSet) Mirrors() ([]loopline.Mirror, []Version) {
-	return decodeClass[loopline.Mirror](b, MirrorItem)
+func (s ItemSet) Mirrors() ([]loopline.Mirror, []Version) {
+	return decodeClass[loopline.Mirror](s, MirrorItem)
 }
 
 // CheckOwn holds a changed book's own items against its routes and services: the
@@ -146,16 +146,16 @@
 // Example:
 //
 //	err := whole.CheckOwn(newer, time.Now())
-func (b ItemSet) CheckExtensions(newer []Item, now time.Time) error {
-	isService := func(name string) bool {
-		item, isThere := b[ID{ServiceItem, name}]
-		return isThere && !item.Removed
+func (s ItemSet) CheckExtensions(newer []Item, now time.Time) error {
+	serviceExists := func(name string) bool {
+		item, found := s[ID{ServiceItem, name}]
+		return found && !item.Removed
 	}
-	mirrors, _ := b.Mirrors()
-	var lanes []loopline.Lane
+	mirrors, _ := s.Mirrors()
+	var routes []loopline.Lane
 	if len(mirrors) > 0 {
-		lanes = b.mirrorRoutes()
-		if err := loopline.CheckAll(mirrors, lanes, isService, now); err != nil {
+		routes = s.mirrorRoutes()
+		if err := loopline.CheckAll(mirrors, routes, serviceExists, now); err != nil {
 			return apierror.New(apierror.BadManifest, err.Error())
 		}
 	}
@@ -164,11 +164,11 @@
 		switch {
 		case item.Removed:
 		case item.ID.Class == PlanItem:
-			err = b.checkPlan(item)
+			err = s.checkPlan(item)
 		case item.ID.Class == MirrorItem:
 			var mirror loopline.Mirror
 			if err = json.Unmarshal(item.Body, &mirror); err == nil {
-				err = mirror.CheckNamed(lanes)
+				err = mirror.CheckNamed(routes)
 			}
 		}
 		if err != nil {
@@ -178,13 +178,13 @@
 	return nil
 }
 
-func (b ItemSet) checkPlan(item Item) error {
+func (s ItemSet) checkPlan(item Item) error {
 	var plan shedding.Plan
 	if err := json.Unmarshal(item.Body, &plan); err != nil {
 		return err
 	}
-	if plans, _ := decodeClass[shedding.Plan](b, PlanItem); len(plans) > 1 {
+	if plans, _ := decodeClass[shedding.Plan](s, PlanItem); len(plans) > 1 {
 		return apierror.New(apierror.BadManifest, "plan "+plans[0].Name+" stands beside plan "+plans[1].Name+"; there is one")
 	}
-	return plan.Check(b.sheddingRoutes())
+	return plan.Check(s.sheddingRoutes())
 }
--- a/internal/config/item.go
+++ b/internal/config/item.go
@@ -124,15 +124,15 @@
 // Example:
 //
 //	news := book.Merge(items)
-func (b ItemSet) Merge(items []Item) (news []Item) {
+func (s ItemSet) Merge(items []Item) (changed []Item) {
 	for _, item := range items {
-		held, isHeld := b[item.ID]
-		if !isHeld || item.Supersedes(held) {
-			b[item.ID] = item
-			news = append(news, item)
+		held, found := s[item.ID]
+		if !found || item.Supersedes(held) {
+			s[item.ID] = item
+			changed = append(changed, item)
 		}
 	}
-	return news
+	return changed
 }
 
 // Newer returns the items whose version is above the held one: of a call, these
@@ -141,9 +141,9 @@
 // Example:
 //
 //	changes := book.Newer(call.Items)
-func (b ItemSet) Newer(items []Item) (newer []Item) {
+func (s ItemSet) Newer(items []Item) (newer []Item) {
 	for _, item := range items {
-		if held, isHeld := b[item.ID]; !isHeld || item.Version > held.Version {
+		if held, found := s[item.ID]; !found || item.Version > held.Version {
 			newer = append(newer, item)
 		}
 	}
@@ -155,9 +155,9 @@
 // Example:
 //
 //	trial := book.Clone()
-func (b ItemSet) Clone() ItemSet {
-	out := make(ItemSet, len(b))
-	for id, item := range b {
+func (s ItemSet) Clone() ItemSet {
+	out := make(ItemSet, len(s))
+	for id, item := range s {
 		out[id] = item
 	}
 	return out
@@ -168,14 +168,14 @@
 // Example:
 //
 //	for _, item := range book.Items() { send(item) }
-func (b ItemSet) Items() []Item {
-	out := make([]Item, 0, len(b))
-	for _, item := range b {
+func (s ItemSet) Items() []Item {
+	out := make([]Item, 0, len(s))
+	for _, item := range s {
 		out = append(out, item)
 	}
 	sort.Slice(out, func(i, j int) bool {
-		a, z := out[i].ID, out[j].ID
-		return a.Class < z.Class || a.Class == z.Class && a.Name < z.Name
+		a, b := out[i].ID, out[j].ID
+		return a.Class < b.Class || a.Class == b.Class && a.Name < b.Name
 	})
 	return out
 }
@@ -185,11 +185,11 @@
 // Example:
 //
 //	isSame := ours.Digest() == theirs
-func (b ItemSet) Digest() string {
-	sum := sha256.New()
-	for _, item := range b.Items() {
-		sum.Write([]byte(strconv.Itoa(int(item.ID.Class)) + item.ID.Name + "\x00" + strconv.FormatUint(uint64(item.Version), 10)))
-		sum.Write([]byte(item.contentHash()))
+func (s ItemSet) Digest() string {
+	hash := sha256.New()
+	for _, item := range s.Items() {
+		hash.Write([]byte(strconv.Itoa(int(item.ID.Class)) + item.ID.Name + "\x00" + strconv.FormatUint(uint64(item.Version), 10)))
+		hash.Write([]byte(item.contentHash()))
 	}
-	return hex.EncodeToString(sum.Sum(nil)[:16])
+	return hex.EncodeToString(hash.Sum(nil)[:16])
 }
--- a/internal/config/modify.go
+++ b/internal/config/modify.go
@@ -27,7 +27,7 @@
 type modifyRequest struct {
 	Upsert *upsert `json:"Upsert"`
 	Remove struct {
-		Lanes    []itemVersion `json:"Routes"`
+		Routes   []itemVersion `json:"Routes"`
 		Services []itemVersion `json:"Services"`
 	} `json:"Remove"`
 }
@@ -42,27 +42,27 @@
 //
 //	items, err := config.ParseModify(body)
 func ParseModify(text []byte) ([]Item, error) {
-	var call modifyRequest
+	var request modifyRequest
 	decoder := json.NewDecoder(bytes.NewReader(text))
-	if err := decoder.Decode(&call); err != nil {
+	if err := decoder.Decode(&request); err != nil {
 		return nil, invalid("the call cannot be read", err)
 	}
 	if _, err := decoder.Token(); err != io.EOF {
 		return nil, apierror.New(apierror.BadManifest, "the call does not end where it should")
 	}
 	var items []Item
-	if call.Upsert != nil {
+	if request.Upsert != nil {
 		var err error
-		if items, err = call.Upsert.items(); err != nil {
+		if items, err = request.Upsert.items(); err != nil {
 			return nil, err
 		}
 	}
-	for class, marks := range map[Class][]itemVersion{RouteItem: call.Remove.Lanes, ServiceItem: call.Remove.Services} {
-		for _, m := range marks {
-			if m.Name == "" || m.Revision == 0 {
+	for class, removals := range map[Class][]itemVersion{RouteItem: request.Remove.Routes, ServiceItem: request.Remove.Services} {
+		for _, removal := range removals {
+			if removal.Name == "" || removal.Revision == 0 {
 				return nil, apierror.New(apierror.BadManifest, "a removal lacks its name or version")
 			}
-			items = append(items, Item{ID: ID{class, m.Name}, Version: m.Revision, Removed: true})
+			items = append(items, Item{ID: ID{class, removal.Name}, Version: removal.Revision, Removed: true})
 		}
 	}
 	return items, nil
@@ -70,7 +70,7 @@
 
 type checker interface{ check() error }
 
-func (s *upsert) items() (items []Item, err error) {
+func (u *upsert) items() (items []Item, err error) {
 	read := func(what string, text json.RawMessage, out checker) (err error) {
 		if err = json.Unmarshal(text, out); err == nil {
 			err = out.check()
@@ -80,27 +80,27 @@
 		}
 		return err
 	}
-	for _, text := range s.Services {
+	for _, text := range u.Services {
 		var service ServiceSpec
 		if err = read("service "+service.Name, text, &service); err != nil {
 			return nil, err
 		}
 		items = append(items, Item{ID: ID{ServiceItem, service.Name}, Version: service.Revision, Body: text})
 	}
-	if len(s.Limits) > 0 && string(s.Limits) != "null" {
+	if len(u.Limits) > 0 && string(u.Limits) != "null" {
 		var limits LimitsSpec
-		if err = read("limits", s.Limits, &limits); err != nil {
+		if err = read("limits", u.Limits, &limits); err != nil {
 			return nil, err
 		}
-		items = append(items, Item{ID: ID{Class: LimitsItem}, Version: limits.Revision, Body: s.Limits})
+		items = append(items, Item{ID: ID{Class: LimitsItem}, Version: limits.Revision, Body: u.Limits})
 	}
-	for _, host := range s.VirtualHosts {
+	for _, host := range u.VirtualHosts {
 		for _, text := range host.PathTable {
-			var lane RouteSpec
-			if err = read("lane at "+host.Hostname, text, &lane); err != nil {
+			var route RouteSpec
+			if err = read("lane at "+host.Hostname, text, &route); err != nil {
 				return nil, err
 			}
-			items = append(items, Item{ID: ID{RouteItem, lane.Name}, Version: lane.Revision, Host: host.Hostname, Body: text})
+			items = append(items, Item{ID: ID{RouteItem, route.Name}, Version: route.Revision, Host: host.Hostname, Body: text})
 		}
 	}
 	return items, nil
@@ -111,10 +111,10 @@
 // Example:
 //
 //	text, err := book.Render()
-func (b ItemSet) Render() ([]byte, error) {
+func (s ItemSet) Render() ([]byte, error) {
 	out := upsert{Services: []json.RawMessage{}, VirtualHosts: []virtualHost{}}
-	at := map[string]int{}
-	for _, item := range b.Items() {
+	hostIndexes := map[string]int{}
+	for _, item := range s.Items() {
 		switch {
 		case item.Removed:
 		case item.ID.Class == ServiceItem:
@@ -122,10 +122,10 @@
 		case item.ID.Class == LimitsItem:
 			out.Limits = item.Body
 		case item.ID.Class == RouteItem:
-			index, isThere := at[item.Host]
-			if !isThere {
+			index, found := hostIndexes[item.Host]
+			if !found {
 				index = len(out.VirtualHosts)
-				at[item.Host] = index
+				hostIndexes[item.Host] = index
 				out.VirtualHosts = append(out.VirtualHosts, virtualHost{Hostname: item.Host})
 			}
 			table := &out.VirtualHosts[index].PathTable
--- a/internal/config/routing_table.go
+++ b/internal/config/routing_table.go
@@ -31,24 +31,24 @@
 // Example:
 //
 //	if route.IsRepeatable() { tryAgain() }
-func (l *Route) Repeatable() bool { return l.RouteType == Safe || l.RouteType == Download }
+func (r *Route) Repeatable() bool { return r.RouteType == Safe || r.RouteType == Download }
 
 // Pick chooses the route's service for a draw between 0 and 1.
 //
 // Example:
 //
 //	service := route.Pick(rand.Float64())
-func (l *Route) Pick(draw float64) string {
-	if len(l.TrafficSplit) == 0 {
-		return l.Service
+func (r *Route) Pick(draw float64) string {
+	if len(r.TrafficSplit) == 0 {
+		return r.Service
 	}
-	left := draw * l.totalWeight
-	for _, share := range l.TrafficSplit {
-		if left -= share.Weight; left < 0 && share.Weight > 0 {
+	remaining := draw * r.totalWeight
+	for _, share := range r.TrafficSplit {
+		if remaining -= share.Weight; remaining < 0 && share.Weight > 0 {
 			return share.Service
 		}
 	}
-	for _, share := range l.TrafficSplit {
+	for _, share := range r.TrafficSplit {
 		if share.Weight > 0 {
 			return share.Service
 		}
@@ -78,10 +78,10 @@
 //
 //	sheet := book.Compile()
 //	route := sheet.Find("jepu9.example", "/lepu270/2f")
-func (b ItemSet) Compile() *RoutingTable {
-	sheet := &RoutingTable{Services: map[string]ServiceSpec{}, routes: map[string]map[string]*Route{}, priorities: map[string]int{}, Plan: b.Plan()}
-	sheet.Limits = LimitsSpec{MaxHeaderBytes: 16 << 10, MaxBodyBytes: 64 << 20}
-	items := b.Items()
+func (s ItemSet) Compile() *RoutingTable {
+	table := &RoutingTable{Services: map[string]ServiceSpec{}, routes: map[string]map[string]*Route{}, priorities: map[string]int{}, Plan: s.Plan()}
+	table.Limits = LimitsSpec{MaxHeaderBytes: 16 << 10, MaxBodyBytes: 64 << 20}
+	items := s.Items()
 	sort.SliceStable(items, func(i, j int) bool { return items[i].Version < items[j].Version })
 	for _, item := range items {
 		if item.Removed {
@@ -91,34 +91,34 @@
 		case ServiceItem:
 			var service ServiceSpec
 			if json.Unmarshal(item.Body, &service) == nil {
-				sheet.Services[service.Name] = service
+				table.Services[service.Name] = service
 			}
 		case LimitsItem:
-			_ = json.Unmarshal(item.Body, &sheet.Limits)
+			_ = json.Unmarshal(item.Body, &table.Limits)
 		case RouteItem:
-			sheet.addRoute(item)
+			table.addRoute(item)
 		}
 	}
-	sheet.assignTiers()
-	sheet.assignMirrors(b)
-	return sheet
+	table.assignTiers()
+	table.assignMirrors(s)
+	return table
 }
 
 // layTiers gives every route its place in the order of what is turned away.
-func (s *RoutingTable) assignTiers() {
-	var lanes []shedding.Lane
-	s.eachRoute(func(lane *Route) { lanes = append(lanes, lane.sheddingRoute(lane.Host)) })
-	s.Order = shedding.Arrange(s.Plan, lanes)
-	s.eachRoute(func(lane *Route) { lane.Tier = s.Order.TierOf(lane.Name) })
+func (t *RoutingTable) assignTiers() {
+	var routes []shedding.Lane
+	t.eachRoute(func(route *Route) { routes = append(routes, route.sheddingRoute(route.Host)) })
+	t.Order = shedding.Arrange(t.Plan, routes)
+	t.eachRoute(func(route *Route) { route.Tier = t.Order.TierOf(route.Name) })
 }
 
-func (s *RoutingTable) assignMirrors(b ItemSet) {
-	mirrors, versions := b.Mirrors()
+func (t *RoutingTable) assignMirrors(items ItemSet) {
+	mirrors, versions := items.Mirrors()
 	for i, mirror := range mirrors {
-		laid := &Mirror{mirror, versions[i]}
-		s.eachRoute(func(lane *Route) {
-			if mirror.Covers(loopline.Lane{Name: lane.Name, Host: lane.Host}) {
-				lane.Mirror = laid
+		versioned := &Mirror{mirror, versions[i]}
+		t.eachRoute(func(route *Route) {
+			if mirror.Covers(loopline.Lane{Name: route.Name, Host: route.Host}) {
+				route.Mirror = versioned
 			}
 		})
 	}
@@ -129,40 +129,40 @@
 // Example:
 //
 //	if sheet.IsLive(mirror.Shadow) { copyNothing() }
-func (s *RoutingTable) HasRouteTo(service string) bool {
-	_, isKnown := s.priorities[service]
-	return isKnown
+func (t *RoutingTable) HasRouteTo(service string) bool {
+	_, found := t.priorities[service]
+	return found
 }
 
-func (s *RoutingTable) eachRoute(visit func(*Route)) {
-	for _, lanes := range s.routes {
-		for _, lane := range lanes {
-			visit(lane)
+func (t *RoutingTable) eachRoute(visit func(*Route)) {
+	for _, routes := range t.routes {
+		for _, route := range routes {
+			visit(route)
 		}
 	}
 }
 
-func (s *RoutingTable) addRoute(item Item) {
-	lane := &Route{Host: strings.ToLower(item.Host)}
-	if json.Unmarshal(item.Body, &lane.RouteSpec) != nil {
+func (t *RoutingTable) addRoute(item Item) {
+	route := &Route{Host: strings.ToLower(item.Host)}
+	if json.Unmarshal(item.Body, &route.RouteSpec) != nil {
 		return
 	}
-	for _, share := range lane.TrafficSplit {
-		lane.totalWeight += share.Weight
+	for _, share := range route.TrafficSplit {
+		route.totalWeight += share.Weight
 	}
-	if lane.MaxAttempts < 1 {
-		lane.MaxAttempts = 1
+	if route.MaxAttempts < 1 {
+		route.MaxAttempts = 1
 	}
-	for _, service := range lane.Services() {
-		if rank, isKnown := s.priorities[service]; !isKnown || lane.Priority < rank {
-			s.priorities[service] = lane.Priority
+	for _, service := range route.Services() {
+		if priority, found := t.priorities[service]; !found || route.Priority < priority {
+			t.priorities[service] = route.Priority
 		}
 	}
-	if s.routes[lane.Host] == nil {
-		s.routes[lane.Host] = map[string]*Route{}
+	if t.routes[route.Host] == nil {
+		t.routes[route.Host] = map[string]*Route{}
 	}
-	s.routes[lane.Host][lane.PathPrefix] = lane
-	s.RouteCount++
+	t.routes[route.Host][route.PathPrefix] = route
+	t.RouteCount++
 }
 
 // HighestRank is the highest rank (the least number) of the routes that lead to
@@ -171,7 +171,7 @@
 // Example:
 //
 //	isUrgent := route.Priority <= sheet.HighestRank(service)
-func (s *RoutingTable) HighestPriority(service string) int { return s.priorities[service] }
+func (t *RoutingTable) HighestPriority(service string) int { return t.priorities[service] }
 
 // Find returns the route of a host with the longest prefix that begins the
 // path, or nil.
@@ -179,16 +179,16 @@
 // Example:
 //
 //	if sheet.Find(r.Host, r.URL.EscapedPath()) == nil { notFound() }
-func (s *RoutingTable) Find(host, path string) *Route {
-	lanes := s.routes[strings.ToLower(host)]
-	if lanes == nil {
-		if bare, _, hasPort := strings.Cut(host, ":"); hasPort {
-			lanes = s.routes[strings.ToLower(bare)]
+func (t *RoutingTable) Find(host, path string) *Route {
+	routes := t.routes[strings.ToLower(host)]
+	if routes == nil {
+		if hostname, _, hasPort := strings.Cut(host, ":"); hasPort {
+			routes = t.routes[strings.ToLower(hostname)]
 		}
 	}
 	for end := strings.LastIndexByte(path, '/'); end >= 0; end = strings.LastIndexByte(path[:end], '/') {
-		if lane := lanes[path[:end+1]]; lane != nil {
-			return lane
+		if route := routes[path[:end+1]]; route != nil {
+			return route
 		}
 	}
 	return nil
--- a/internal/config/spec.go
+++ b/internal/config/spec.go
@@ -59,30 +59,30 @@
 	Revision       Version    `json:"Revision"`
 }
 
-func (l *RouteSpec) check() error {
+func (r *RouteSpec) check() error {
 	weights := 0.0
-	for _, share := range l.TrafficSplit {
+	for _, share := range r.TrafficSplit {
 		if share.Weight < 0 {
 			return validation.NewError("weight", "a weight is below 0")
 		}
 		weights += share.Weight
 	}
-	if len(l.TrafficSplit) > 0 && weights <= 0 {
+	if len(r.TrafficSplit) > 0 && weights <= 0 {
 		return validation.NewError("weight", "the weights sum to 0")
 	}
-	return validation.ValidateStruct(l,
-		validation.Field(&l.Name, validation.Required),
-		validation.Field(&l.PathPrefix, validation.Required, validation.By(isPrefix)),
-		validation.Field(&l.RouteType, validation.Required, validation.In(Safe, Unsafe, Idempotent, Download)),
-		validation.Field(&l.Timeout, validation.Required),
-		validation.Field(&l.MaxAttempts, validation.Min(0)),
-		validation.Field(&l.Service, validation.When(len(l.TrafficSplit) == 0, validation.Required)),
-		validation.Field(&l.Revision, validation.Required),
+	return validation.ValidateStruct(r,
+		validation.Field(&r.Name, validation.Required),
+		validation.Field(&r.PathPrefix, validation.Required, validation.By(validPrefix)),
+		validation.Field(&r.RouteType, validation.Required, validation.In(Safe, Unsafe, Idempotent, Download)),
+		validation.Field(&r.Timeout, validation.Required),
+		validation.Field(&r.MaxAttempts, validation.Min(0)),
+		validation.Field(&r.Service, validation.When(len(r.TrafficSplit) == 0, validation.Required)),
+		validation.Field(&r.Revision, validation.Required),
 	)
 }
 
-func isPrefix(value any) error {
-	if p := value.(string); !strings.HasPrefix(p, "/") || !strings.HasSuffix(p, "/") {
+func validPrefix(value any) error {
+	if prefix := value.(string); !strings.HasPrefix(prefix, "/") || !strings.HasSuffix(prefix, "/") {
 		return validation.NewError("prefix", "must begin and end with a slash")
 	}
 	return nil
@@ -109,12 +109,12 @@
 // Example:
 //
 //	for _, name := range route.Services() { look(name) }
-func (l *RouteSpec) Services() []string {
-	if len(l.TrafficSplit) == 0 {
-		return []string{l.Service}
+func (r *RouteSpec) Services() []string {
+	if len(r.TrafficSplit) == 0 {
+		return []string{r.Service}
 	}
-	out := make([]string, 0, len(l.TrafficSplit))
-	for _, share := range l.TrafficSplit {
+	out := make([]string, 0, len(r.TrafficSplit))
+	for _, share := range r.TrafficSplit {
 		out = append(out, share.Service)
 	}
 	return out
@@ -126,7 +126,7 @@
 // Example:
 //
 //	err := trial.Check()
-func (b ItemSet) Check() error { return b.CheckRoutes(b.Items()) }
+func (s ItemSet) Check() error { return s.CheckRoutes(s.Items()) }
 
 // CheckRoutes checks the routes among the items against the book's services and
 // against each other.
@@ -134,26 +134,26 @@
 // Example:
 //
 //	err := book.CheckRoutes(call.Items)
-func (b ItemSet) CheckRoutes(items []Item) error {
-	places := map[string]string{}
+func (s ItemSet) CheckRoutes(items []Item) error {
+	names := map[string]string{}
 	for _, item := range items {
 		if item.ID.Class != RouteItem || item.Removed {
 			continue
 		}
-		var lane RouteSpec
-		if err := json.Unmarshal(item.Body, &lane); err != nil {
+		var route RouteSpec
+		if err := json.Unmarshal(item.Body, &route); err != nil {
 			return apierror.New(apierror.BadManifest, "lane "+item.ID.Name+": "+err.Error())
 		}
-		for _, name := range lane.Services() {
-			if service, isKnown := b[ID{ServiceItem, name}]; !isKnown || service.Removed {
-				return apierror.New(apierror.BadManifest, "lane "+lane.Name+" names the unknown service "+name)
+		for _, name := range route.Services() {
+			if service, found := s[ID{ServiceItem, name}]; !found || service.Removed {
+				return apierror.New(apierror.BadManifest, "lane "+route.Name+" names the unknown service "+name)
 			}
 		}
-		place := item.Host + lane.PathPrefix
-		if other, isTaken := places[place]; isTaken {
-			return apierror.New(apierror.BadManifest, "lanes "+other+" and "+lane.Name+" share host and prefix")
+		location := item.Host + route.PathPrefix
+		if other, taken := names[location]; taken {
+			return apierror.New(apierror.BadManifest, "lanes "+other+" and "+route.Name+" share host and prefix")
 		}
-		places[place] = lane.Name
+		names[location] = route.Name
 	}
 	return nil
 }
@@ -165,11 +165,11 @@
 // Example:
 //
 //	newer, whole, err := book.Accept(items)
-func (b ItemSet) ValidateUpdate(items []Item) (newer []Item, whole ItemSet, err error) {
-	newer, whole = b.Newer(items), b.Clone()
-	whole.Merge(newer)
-	if err = whole.Check(); err == nil {
-		err = whole.CheckRoutes(items)
+func (s ItemSet) ValidateUpdate(items []Item) (newer []Item, merged ItemSet, err error) {
+	newer, merged = s.Newer(items), s.Clone()
+	merged.Merge(newer)
+	if err = merged.Check(); err == nil {
+		err = merged.CheckRoutes(items)
 	}
-	return newer, whole, err
+	return newer, merged, err
 }
