--- a/cmd/measure/measures.go
+++ b/cmd/measure/measures.go
@@ -36,11 +36,11 @@
 }
 
 func fleetOf(count int, reading uint64, pace int) feed.Fleet {
-	fleet := feed.Fleet{Term: 1, Count: reading, Holder: "10.1.0.42:7200", Proxies: 100}
+	fleet := feed.Fleet{Term: 1, Count: reading, Leader: "10.1.0.42:7200", Proxies: 100}
 	for id := range count {
 		fleet.Servers = append(fleet.Servers, feed.Server{
 			ID: fmt.Sprintf("i-%010x", id), Service: fmt.Sprint("service-", id%(count/32)), Address: fmt.Sprintf("10.%d.%d.%d:8080", id>>16&255, id>>8&255, id&255),
-			Cell: fmt.Sprint("cell-", id%20), Capacity: 2, IsReady: true, Revision: "v1", Pace: pace,
+			Zone: fmt.Sprint("cell-", id%20), Capacity: 2, IsReady: true, Revision: "v1", RelativeLatency: pace,
 		})
 	}
 	return fleet
@@ -61,7 +61,7 @@
 
 func paces(size int) result {
 	old, next := fleetOf(size, 1, 8), fleetOf(size, 2, 9)
-	return result{written(next.ChangeOf(old)), repeated(func() { old.With(next.ChangeOf(old)) })}
+	return result{written(next.DiffFrom(old)), repeated(func() { old.Apply(next.DiffFrom(old)) })}
 }
 
 func yard(size int) result {
@@ -136,24 +136,24 @@
 func followers(size int) result {
 	fleet := fleetOf(1000, 1, 8)
 	hub := feed.NewHub()
-	hub.Publish(feed.News{Fleet: &fleet})
+	hub.Publish(feed.Update{Fleet: &fleet})
 	bytes := 0
-	follow, _ := cbor.Marshal(feed.Follow{Name: "edge"})
+	follow, _ := cbor.Marshal(feed.FollowRequest{Name: "edge"})
 	for range size {
 		hub.Handle(rpc.Call{Body: follow, Ended: make(chan struct{}), Reply: func(news any) bool {
-			bytes += len(news.(feed.News).Packed())
+			bytes += len(news.(feed.Update).Encoded())
 			return true
 		}})
 	}
 	bytes = 0
 	next := fleetOf(1000, 2, 9)
-	hub.Publish(feed.News{Fleet: &next})
+	hub.Publish(feed.Update{Fleet: &next})
 	sent := bytes
 	reading, pace := uint64(2), 8
 	return result{sent, repeated(func() {
 		reading, pace = reading+1, 17-pace
 		fleet := fleetOf(1000, reading, pace)
-		hub.Publish(feed.News{Fleet: &fleet})
+		hub.Publish(feed.Update{Fleet: &fleet})
 	})}
 }
 
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -31,7 +31,7 @@
 // told is one piece of news and the core node that told it.
 type told struct {
 	from string
-	news feed.News
+	news feed.Update
 }
 
 // desk owns what the agent knows.
@@ -44,7 +44,7 @@
 	lines     map[string]*rpc.Line
 	followers map[string]*feed.Follower
 	// gaps are the readings that a node told changes of, and that did not fit.
-	gaps map[string]feed.Reading
+	gaps map[string]feed.FleetVersion
 	// heard are the nodes that gave their checkpoint.
 	heard map[string]bool
 	began clock.Steady
@@ -76,7 +76,7 @@
 	d := &desk{
 		set: set, clock: clock.Real(), hub: feed.NewHub(), loop: clock.NewLoop[told](256),
 		note: note, following: map[string]context.CancelFunc{}, lines: map[string]*rpc.Line{}, heard: map[string]bool{},
-		followers: map[string]*feed.Follower{}, gaps: map[string]feed.Reading{}, next: make(chan *settings.Settings, 1),
+		followers: map[string]*feed.Follower{}, gaps: map[string]feed.FleetVersion{}, next: make(chan *settings.Settings, 1),
 	}
 	d.began = d.clock.Steady()
 	listener, err := net.Listen("tcp4", LoopbackAddress(set))
@@ -95,13 +95,13 @@
 // make what is published whole.
 func (d *desk) merge(batch []told) {
 	for _, t := range batch {
-		t.news.IsWhole = false
+		t.news.Complete = false
 		isFitting := true
-		if d.hub.Read(func(board *feed.Board) { isFitting = board.Fits(t.news) }); !isFitting {
-			d.gaps[t.from] = t.news.Fleet.Reading()
+		if d.hub.Read(func(board *feed.Replica) { isFitting = board.CanApply(t.news) }); !isFitting {
+			d.gaps[t.from] = t.news.Fleet.Version()
 		}
 		d.hub.Publish(t.news)
-		if t.news.IsCheckpoint {
+		if t.news.Snapshot {
 			d.heard[t.from] = true
 			d.retell(t)
 		}
@@ -115,7 +115,7 @@
 	lacking := config.ItemSet{}
 	lacking.Merge(t.news.Items)
 	var items []config.Item
-	d.hub.Read(func(board *feed.Board) { items = lacking.Newer(board.Book.Items()) })
+	d.hub.Read(func(board *feed.Replica) { items = lacking.Newer(board.Items.Items()) })
 	if line := d.lines[t.from]; line != nil && len(items) > 0 {
 		d.note("info", "retelling items", "to", t.from, "items", len(items))
 		line.Send(messages.KindOffer, messages.Offer{Items: items}, nil)
@@ -125,23 +125,23 @@
 // fill asks for a checkpoint where a change did not fit and nobody else has
 // brought what it led to by now.
 func (d *desk) fill() {
-	var held feed.Reading
-	d.hub.Read(func(board *feed.Board) { held = board.Fleet.Reading() })
+	var held feed.FleetVersion
+	d.hub.Read(func(board *feed.Replica) { held = board.Fleet.Version() })
 	for address, reading := range d.gaps {
-		if follower := d.followers[address]; follower != nil && reading.Outranks(held) {
-			follower.Again()
+		if follower := d.followers[address]; follower != nil && reading.NewerThan(held) {
+			follower.RequestSnapshot()
 		}
 		delete(d.gaps, address)
 	}
 }
 
 func (d *desk) view() (view membership.View) {
-	d.hub.Read(func(board *feed.Board) { view = board.View })
+	d.hub.Read(func(board *feed.Replica) { view = board.View })
 	return view
 }
 
 func (d *desk) holdsItems() (isHeld bool) {
-	d.hub.Read(func(board *feed.Board) { isHeld = len(board.Book) > 0 })
+	d.hub.Read(func(board *feed.Replica) { isHeld = len(board.Items) > 0 })
 	return isHeld
 }
 
@@ -162,7 +162,7 @@
 	isLate := d.clock.Steady()-d.began > clock.Steady(d.set.Platform.Bounds.Contact) && len(d.heard) > 0 && d.holdsItems()
 	if d.whole = isMajority || isLate; d.whole {
 		d.note("info", "the news is whole", "heard", count, "late", isLate)
-		d.hub.Publish(feed.News{IsWhole: true})
+		d.hub.Publish(feed.Update{Complete: true})
 	}
 }
 
@@ -198,7 +198,7 @@
 	line := rpc.NewLine(address, connectSpan, silenceSpan)
 	d.lines[address] = line
 	name := d.set.Platform.NodeName + "@" + d.set.InternalAddress(d.set.Platform.Ip, 1)
-	follower := feed.NewFollower(name, line, func(news feed.News) { d.loop.Put(told{address, news}) }, followPause)
+	follower := feed.NewFollower(name, line, func(news feed.Update) { d.loop.Put(told{address, news}) }, followPause)
 	d.followers[address] = follower
 	go follower.Run(follow)
 }
--- a/internal/agent/choose.go
+++ b/internal/agent/choose.go
@@ -29,7 +29,7 @@
 	chosen := min(len(order), max(followedLeast, view.Majority()))
 	ailing := 0
 	for _, member := range order[:chosen] {
-		if follower := d.followers[member]; follower != nil && follower.Broken() > ailingSpan {
+		if follower := d.followers[member]; follower != nil && follower.DisconnectedFor() > ailingSpan {
 			ailing++
 		}
 	}
--- a/internal/agent/choose_test.go
+++ b/internal/agent/choose_test.go
@@ -33,7 +33,7 @@
 	set := &settings.Settings{Platform: settings.Platform{NodeName: node, SeedNodes: []string{"10.0.9.1:8382"}, InternalPorts: []int{7200, 7215}}}
 	d := &desk{set: set, clock: hand, hub: feed.NewHub(), followers: map[string]*feed.Follower{}}
 	if view.Epoch > 0 {
-		d.hub.Publish(feed.News{View: &view})
+		d.hub.Publish(feed.Update{View: &view})
 	}
 	return d, hand
 }
@@ -68,7 +68,7 @@
 		d, hand := newDesk("edge-1", view)
 		order := membership.Followed(view.Members, "edge-1")
 		for _, member := range order[:3] {
-			d.followers[member] = feed.NewFollower("edge-1", rpc.NewLine(member, time.Second, time.Second), func(feed.News) {}, time.Second)
+			d.followers[member] = feed.NewFollower("edge-1", rpc.NewLine(member, time.Second, time.Second), func(feed.Update) {}, time.Second)
 		}
 		// Just begun, none of them counts as ailing yet.
 		Expect(d.wanted()).To(HaveLen(3))
@@ -109,7 +109,7 @@
 		view := membership.View{Epoch: 1, Members: members(5)}
 		d, _ := newDesk("edge-1", view)
 		dead := membership.Followed(view.Members, "edge-1")[0]
-		d.followers[dead] = feed.NewFollower("edge-1", rpc.NewLine(dead, time.Second, time.Second), func(feed.News) {}, time.Second)
+		d.followers[dead] = feed.NewFollower("edge-1", rpc.NewLine(dead, time.Second, time.Second), func(feed.Update) {}, time.Second)
 		Eventually(func() int { return len(d.wanted()) }, ailingSpan+lookPeriod).Should(Equal(4))
 		// It is seen at the next look, and connected within the bound of a call.
 		Expect(ailingSpan + lookPeriod + connectSpan).To(BeNumerically("<", changeSpan))
--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -72,7 +72,7 @@
 var here = balancer.NewYard(balancer.Home{Node: "n", Cell: "c1"})
 
 func server(id, cell string) feed.Server {
-	return feed.Server{ID: id, Service: "s", Address: "127.0.0.1:1", Cell: cell, Capacity: 2, IsReady: true}
+	return feed.Server{ID: id, Service: "s", Address: "127.0.0.1:1", Zone: cell, Capacity: 2, IsReady: true}
 }
 
 func chosen(yard *balancer.Yard, wish balancer.Wish, hand *clock.Hand) map[string]int {
@@ -109,7 +109,7 @@
 	It("sends less to a server that is slow, warming or busy", func() {
 		hand := &clock.Hand{}
 		warming := server("w", "c1")
-		warming.WarmMs = hand.Wall().Add(time.Second).UnixMilli()
+		warming.WarmupEndMs = hand.Wall().Add(time.Second).UnixMilli()
 		yard := here.Lay(fleet(server("a", "c1"), warming))
 		wish := balancer.Wish{Service: "s"}
 		Expect(chosen(yard, wish, hand)).To(Equal(map[string]int{"a": 200}))
--- a/internal/balancer/choose.go
+++ b/internal/balancer/choose.go
@@ -69,7 +69,7 @@
 	}
 	switch {
 	case cost >= float64(time.Minute):
-	case siding.Cell == c.cell:
+	case siding.Zone == c.cell:
 		c.near++
 	default:
 		c.far++
--- a/internal/balancer/paces_test.go
+++ b/internal/balancer/paces_test.go
@@ -17,7 +17,7 @@
 	It("change nothing of the yard but what a choice weighs", func() {
 		fleet := feed.Fleet{Term: 1, Count: 1}
 		for id := range 40 {
-			fleet.Servers = append(fleet.Servers, feed.Server{ID: fmt.Sprintf("i-%02d", id), Service: "s", Cell: "a", Capacity: 2, IsReady: true, Pace: 8})
+			fleet.Servers = append(fleet.Servers, feed.Server{ID: fmt.Sprintf("i-%02d", id), Service: "s", Zone: "a", Capacity: 2, IsReady: true, RelativeLatency: 8})
 		}
 		yard := balancer.NewYard(balancer.Home{Node: "n", Cell: "a"}).Lay(fleet)
 		homes := map[string]*balancer.Siding{}
@@ -26,9 +26,9 @@
 		}
 		next := feed.Fleet{Term: 1, Count: 2, Servers: slices.Clone(fleet.Servers)}
 		for i := range next.Servers {
-			next.Servers[i].Pace = 40
+			next.Servers[i].RelativeLatency = 40
 		}
-		next.Servers[7].Pace, next.Servers[9].IsAside = 1, true
+		next.Servers[7].RelativeLatency, next.Servers[9].Ejected = 1, true
 		laid := yard.Lay(next)
 		for id, home := range homes {
 			Expect(laid.Home("s", balancer.PlaceOf(id))).To(BeIdenticalTo(home))
--- a/internal/balancer/ring.go
+++ b/internal/balancer/ring.go
@@ -129,7 +129,7 @@
 	coming := map[string]bool{}
 	for _, text := range change.Add {
 		added := &Siding{learnt: &learnt{}}
-		added.ID, added.Cell, _ = strings.Cut(text, "@")
+		added.ID, added.Zone, _ = strings.Cut(text, "@")
 		list, coming[added.ID] = append(list, added), true
 	}
 	for _, siding := range y.stand(change.Service).list {
--- a/internal/balancer/siding.go
+++ b/internal/balancer/siding.go
@@ -62,14 +62,14 @@
 
 // hear takes what the news say of the server that is no part of its identity.
 func (s *Siding) hear(server feed.Server) {
-	s.told.Store(int64(server.Pace))
-	s.isAside.Store(server.IsAside)
+	s.told.Store(int64(server.RelativeLatency))
+	s.isAside.Store(server.Ejected)
 }
 
 // isSame tells whether the list says the same of the server but for what hear
 // takes.
 func (s *Siding) isSame(server feed.Server) bool {
-	server.Pace, server.IsAside = s.Pace, s.IsAside
+	server.RelativeLatency, server.Ejected = s.RelativeLatency, s.Ejected
 	return s.Server == server
 }
 
@@ -142,10 +142,10 @@
 func (s *Siding) cost(now clock.Steady, wall time.Time, cell string, wish Wish) float64 {
 	pace := s.beside() * float64(max(wish.Usual, paceLeast))
 	cost := pace * (1 + float64(s.atWork.Load())/float64(max(1, s.Capacity)))
-	if s.WarmLeft(wall) > 0 {
+	if s.WarmupRemaining(wall) > 0 {
 		cost += pace * warmingCost
 	}
-	if s.Cell != cell {
+	if s.Zone != cell {
 		cost += float64(wish.Crossing)
 	}
 	isAside := s.isAside.Load()
--- a/internal/balancer/stand.go
+++ b/internal/balancer/stand.go
@@ -33,7 +33,7 @@
 	rank := map[string]Place{}
 	for _, siding := range list {
 		rank[siding.ID] = PlaceOf(home.Node, siding.ID)
-		if siding.Cell == home.Cell {
+		if siding.Zone == home.Cell {
 			next.near = append(next.near, siding)
 		} else {
 			next.far = append(next.far, siding)
--- a/internal/balancer/yard.go
+++ b/internal/balancer/yard.go
@@ -46,8 +46,8 @@
 		siding.hear(server)
 		next.byID[server.ID] = siding
 		switch {
-		case !server.IsReady || server.Grade == feed.Shut:
-		case server.Grade == feed.OnTrial:
+		case !server.IsReady || server.Admission == feed.Blocked:
+		case server.Admission == feed.OnTrial:
 			lists[trialName(server.Service)] = append(lists[trialName(server.Service)], siding)
 		default:
 			lists[server.Service] = append(lists[server.Service], siding)
--- a/internal/control/catchup.go
+++ b/internal/control/catchup.go
@@ -39,7 +39,7 @@
 		return records
 	}, func() {
 		if len(items) > 0 {
-			n.hub.Publish(feed.News{Items: items})
+			n.hub.Publish(feed.Update{Items: items})
 		}
 		done(gap)
 	})
--- a/internal/control/coordinator.go
+++ b/internal/control/coordinator.go
@@ -45,7 +45,7 @@
 	treeOf     string
 	office     *branchline.Office
 	officeTerm uint64
-	laid       feed.Reading
+	laid       feed.FleetVersion
 	laidAt     clock.Steady
 	// gauge measures the load and decides on cutoffs; copying are the mirrors in
 	// force, of which eras have begun.
@@ -63,7 +63,7 @@
 	wave    int
 	phaseAt clock.Steady
 	// full is the first reading in which the new version had everything.
-	full    feed.Reading
+	full    feed.FleetVersion
 	finding outlier.Finding
 	// doubled is how many keys with two runs were known here as the drive began: what
 	// this node counted in an earlier term says nothing of the trial.
@@ -116,7 +116,7 @@
 	}
 	isChanged, now := c.measure(), c.clock.Steady()
 	switch {
-	case isChanged, c.last.HoldsGrants(), time.Duration(now-c.laidOutAt) >= publishPeriod:
+	case isChanged, c.last.HasGrants(), time.Duration(now-c.laidOutAt) >= publishPeriod:
 		c.publish()
 	case c.last.Term == c.term:
 		c.sendFleet(c.last)
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -13,7 +13,7 @@
 	if !c.isMaster() {
 		return
 	}
-	c.listed = feed.Settle(c.listed, servers)
+	c.listed = feed.Normalize(c.listed, servers)
 	known := map[string]bool{}
 	for _, server := range c.listed {
 		known[server.ID] = true
@@ -64,17 +64,17 @@
 	}
 	now := c.clock.Steady()
 	c.laidOutAt = now
-	next := feed.Fleet{Term: c.term, Count: c.last.Count, Servers: slices.Clone(c.serversWithoutLeaving()), Holder: c.self}
+	next := feed.Fleet{Term: c.term, Count: c.last.Count, Servers: slices.Clone(c.serversWithoutLeaving()), Leader: c.self}
 	if next.Servers == nil {
 		return
 	}
 	next.Proxies = c.proxyCount()
 	c.grade(&next)
 	next.Stages, next.Cutoffs, next.Mirrors = c.stages(), c.cutoffs(), c.mirrors()
-	unchanged := c.last.Term == c.term && c.last.Proxies == next.Proxies && c.last.Holder == next.Holder &&
+	unchanged := c.last.Term == c.term && c.last.Proxies == next.Proxies && c.last.Leader == next.Leader &&
 		slices.Equal(c.last.Shares, next.Shares) && sameStages(c.last.Stages, next.Stages) && slices.Equal(c.last.Servers, next.Servers) &&
 		slices.Equal(c.last.Cutoffs, next.Cutoffs) && slices.Equal(c.last.Mirrors, next.Mirrors)
-	renewal := next.HoldsGrants() && time.Duration(now-c.toldAt) >= renewPeriod
+	renewal := next.HasGrants() && time.Duration(now-c.toldAt) >= renewPeriod
 	if !unchanged || renewal {
 		next.Count++
 		c.last, c.toldAt = next, now
@@ -82,8 +82,8 @@
 			c.published = slices.Clone(c.published[1:])
 		}
 		for _, share := range next.Shares {
-			if d := c.drives[share.Service]; d != nil && share.Part >= 1 && d.full.Term == 0 {
-				d.full = next.Reading()
+			if d := c.drives[share.Service]; d != nil && share.Fraction >= 1 && d.full.Term == 0 {
+				d.full = next.Version()
 			}
 		}
 	}
@@ -93,7 +93,7 @@
 // serversWithoutLeaving is the server list, corrected by the draining servers that this
 // node's feed knows of: another member may have read the list later than this node.
 func (c *coordinator) serversWithoutLeaving() (servers []feed.Server) {
-	c.hub.Read(func(board *feed.Board) { servers = board.WithoutLeaving(c.listed) })
+	c.hub.Read(func(board *feed.Replica) { servers = board.MarkLeaving(c.listed) })
 	return servers
 }
 
@@ -114,8 +114,8 @@
 func (c *coordinator) sendFleet(fleet feed.Fleet) {
 	for _, member := range c.view().Members {
 		value, _ := c.memberReadings.Load(member)
-		confirmed, known := value.(feed.Reading)
-		if known && !fleet.Reading().Outranks(confirmed) {
+		confirmed, known := value.(feed.FleetVersion)
+		if known && !fleet.Version().NewerThan(confirmed) {
 			continue
 		}
 		if _, sending := c.sendingReadings.LoadOrStore(member, true); sending {
@@ -123,8 +123,8 @@
 		}
 		message := fleet
 		for _, previous := range c.published {
-			if known && previous.Reading() == confirmed {
-				message = fleet.ChangeOf(previous)
+			if known && previous.Version() == confirmed {
+				message = fleet.DiffFrom(previous)
 			}
 		}
 		go func() {
@@ -135,7 +135,7 @@
 			var done messages.Done
 			switch err := c.call(member, messages.KindFleet, message, &done, callTimeout); {
 			case err == nil && done.OK:
-				c.memberReadings.Store(member, fleet.Reading())
+				c.memberReadings.Store(member, fleet.Version())
 			case err == nil:
 				// The member does not have the assumed fleet; send the complete one next time.
 				c.memberReadings.Delete(member)
--- a/internal/control/gauge.go
+++ b/internal/control/gauge.go
@@ -55,7 +55,7 @@
 // service is overloaded. An intent that exists is never asked about: its replay,
 // its resuming and its record go on.
 func (t *tables) sheds(wanted idempotency.Intent, now clock.Steady) bool {
-	if len(t.fleet.Cutoffs) == 0 || !t.fleetFresh(now, feed.GrantSpan) || t.voter.Find(wanted.Key) != nil {
+	if len(t.fleet.Cutoffs) == 0 || !t.fleetFresh(now, feed.GrantDuration) || t.voter.Find(wanted.Key) != nil {
 		return false
 	}
 	for _, cutoff := range t.fleet.Cutoffs {
@@ -87,7 +87,7 @@
 	})
 	n.store.read(func(t *tables) {
 		page.Order = append(page.Order, t.compiledBook().Order.Rungs()...)
-		if t.fleetFresh(n.clock.Steady(), feed.GrantSpan) {
+		if t.fleetFresh(n.clock.Steady(), feed.GrantDuration) {
 			page.Cutoffs = append(page.Cutoffs, t.fleet.Cutoffs...)
 		}
 	})
--- a/internal/control/grading.go
+++ b/internal/control/grading.go
@@ -17,9 +17,9 @@
 		state, isKnown := c.states[server.Service]
 		switch {
 		case !c.tracksVersions() || !isKnown || state.InForce == "" || server.Revision == state.InForce:
-			fleet.Servers[i].Grade = feed.Open
+			fleet.Servers[i].Admission = feed.Open
 		default:
-			fleet.Servers[i].Grade = feed.Shut
+			fleet.Servers[i].Admission = feed.Blocked
 		}
 		if server.IsReady {
 			group := server.Service + " " + server.Revision
@@ -39,8 +39,8 @@
 		}
 	}
 	for i := range fleet.Servers {
-		fleet.Servers[i].IsAside = aside[fleet.Servers[i].ID]
-		fleet.Servers[i].Pace = c.paces[fleet.Servers[i].ID]
+		fleet.Servers[i].Ejected = aside[fleet.Servers[i].ID]
+		fleet.Servers[i].RelativeLatency = c.paces[fleet.Servers[i].ID]
 	}
 	for subject, state := range c.states {
 		if d := c.drives[subject]; state.Phase.IsActive() && !state.IsStaged() && d != nil && d.number == state.Number {
@@ -55,14 +55,14 @@
 func (c *coordinator) share(fleet *feed.Fleet, state trial.State, d *drive) {
 	inPhase := time.Duration(c.clock.Steady() - d.phaseAt)
 	part := state.Share(c.plan(), trial.Facts{InPhase: inPhase, Finding: d.finding})
-	fleet.Shares = append(fleet.Shares, feed.Share{Service: state.Subject, Number: state.Number, Part: part})
+	fleet.Shares = append(fleet.Shares, feed.CanaryShare{Service: state.Subject, Number: state.Number, Fraction: part})
 	old, fresh := sides(fleet.Servers, state)
 	wanted := max(2, int(math.Ceil(part*float64(len(old))*busyPart)))
 	if part >= allPart {
 		wanted = len(fresh)
 	}
 	for _, i := range spread(fleet.Servers, fresh)[:min(wanted, len(fresh))] {
-		fleet.Servers[i].Grade = feed.OnTrial
+		fleet.Servers[i].Admission = feed.OnTrial
 	}
 }
 
@@ -99,7 +99,7 @@
 func spread(servers []feed.Server, at []int) (out []int) {
 	cells := map[string][]int{}
 	for _, i := range at {
-		cells[servers[i].Cell] = append(cells[servers[i].Cell], i)
+		cells[servers[i].Zone] = append(cells[servers[i].Zone], i)
 	}
 	names := make([]string, 0, len(cells))
 	for cell, list := range cells {
--- a/internal/control/handlers.go
+++ b/internal/control/handlers.go
@@ -124,24 +124,24 @@
 func (n *node) onFleet(in feed.Fleet, reply func(messages.Done)) {
 	accepted := false
 	n.store.enqueue(func(t *tables) []record {
-		if accepted = in.Term >= t.term.Number; !accepted || !in.Reading().Outranks(t.fleet.Reading()) {
+		if accepted = in.Term >= t.term.Number; !accepted || !in.Version().NewerThan(t.fleet.Version()) {
 			return nil
 		}
-		if in.Since != nil {
+		if in.Base != nil {
 			// A delta applies only to the reading that it is based on.
-			if accepted = *in.Since == t.fleet.Reading(); !accepted {
+			if accepted = *in.Base == t.fleet.Version(); !accepted {
 				return nil
 			}
-			in = t.fleet.With(in)
+			in = t.fleet.Apply(in)
 		}
-		unchanged := feed.IsKeptAs(in.Servers, t.fleet.Servers)
+		unchanged := feed.EqualIgnoringHealth(in.Servers, t.fleet.Servers)
 		if t.fleet, t.fleetReceivedAt = in, n.clock.Steady(); unchanged {
 			return nil
 		}
 		return []record{{Fleet: &in}}
 	}, func() {
 		if accepted {
-			n.hub.Publish(feed.News{Fleet: &in})
+			n.hub.Publish(feed.Update{Fleet: &in})
 		}
 		reply(messages.Done{OK: accepted})
 	})
--- a/internal/control/leader_lease.go
+++ b/internal/control/leader_lease.go
@@ -97,7 +97,7 @@
 		return held
 	})
 	if held {
-		n.contact.record(sent, feed.Reading{})
+		n.contact.record(sent, feed.FleetVersion{})
 	}
 	return held
 }
--- a/internal/control/leader_lease_test.go
+++ b/internal/control/leader_lease_test.go
@@ -108,7 +108,9 @@
 			n.isLeader.Store(true)
 			n.coordinator.term = number
 		}
-		published := func() []feed.Reading { return []feed.Reading{n.coordinator.last.Reading(), n.fleet().Reading()} }
+		published := func() []feed.FleetVersion {
+			return []feed.FleetVersion{n.coordinator.last.Version(), n.fleet().Version()}
+		}
 
 		BeforeEach(func() {
 			Expect(claim(1, termOf("a", 1))).To(BeTrue())
@@ -129,7 +131,7 @@
 			n.coordinator.publish()
 			n.coordinator.updateServers([]feed.Server{{ID: "i-2", Service: "fees", IsReady: true}})
 			n.coordinator.sendFleet(feed.Fleet{Term: 1, Count: 9})
-			Consistently(func() []feed.Reading { return published() }, "100ms").Should(Equal(before))
+			Consistently(func() []feed.FleetVersion { return published() }, "100ms").Should(Equal(before))
 			Expect(n.coordinator.write(trial.State{Subject: "fees"})).NotTo(Succeed())
 			Expect(n.coordinator.states).To(BeEmpty())
 			var stored int
--- a/internal/control/leadership.go
+++ b/internal/control/leadership.go
@@ -44,12 +44,12 @@
 	var index registry.Index
 	var trusted bool
 	directlySeen := n.livenessWatch.Direct()
-	var heldFleet feed.Reading
+	var heldFleet feed.FleetVersion
 	eligible := n.eligible.Load()
 	candidate := ""
 	n.store.enqueue(func(t *tables) []record {
 		view, term, index, trusted = t.view, t.term, t.registry.Index, t.trusted
-		heldFleet = t.fleet.Reading()
+		heldFleet = t.fleet.Version()
 		return nil
 	}, func() {
 		eligible = eligible && trusted && n.isReadyToLead(heldFleet)
@@ -114,7 +114,7 @@
 // newer. If the member's configuration is ahead, this node fetches the changes from it.
 func (n *node) onHeartbeat(beat membership.Beat, _ func(messages.Done)) {
 	n.memberLoop.Offer(func() { n.livenessWatch.Hear(beat) })
-	n.memberReadings.Store(beat.From, feed.Reading{Term: beat.FleetTerm, Count: beat.FleetCount})
+	n.memberReadings.Store(beat.From, feed.FleetVersion{Term: beat.FleetTerm, Count: beat.FleetCount})
 	behind := false
 	n.store.enqueue(func(t *tables) (out []record) {
 		behind = registry.Index(beat.Index) > t.registry.Index
@@ -123,7 +123,7 @@
 			r := record{View: &view}
 			t.apply(r)
 			out = append(out, r)
-			n.hub.Publish(feed.News{View: &view})
+			n.hub.Publish(feed.Update{View: &view})
 		}
 		if beat.Term.Number > t.term.Number {
 			term := beat.Term
--- a/internal/control/list_poller.go
+++ b/internal/control/list_poller.go
@@ -152,6 +152,6 @@
 
 // fleet returns the fleet that this node's feed last published.
 func (n *node) fleet() (fleet feed.Fleet) {
-	n.hub.Read(func(board *feed.Board) { fleet = board.Fleet })
+	n.hub.Read(func(board *feed.Replica) { fleet = board.Fleet })
 	return fleet
 }
--- a/internal/control/list_reader.go
+++ b/internal/control/list_reader.go
@@ -84,7 +84,7 @@
 		names[zone] = true
 	}
 	for _, server := range servers {
-		names[server.Cell] = true
+		names[server.Zone] = true
 	}
 	delete(names, "")
 	if len(names) < 2 || len(servers) < minServersPerZone*len(names) {
--- a/internal/control/list_zones_test.go
+++ b/internal/control/list_zones_test.go
@@ -109,13 +109,13 @@
 		configured := map[string]string{"a": "r", "b": "r"}
 		var servers []feed.Server
 		for range 2*minServersPerZone - 1 {
-			servers = append(servers, feed.Server{Cell: "a"})
+			servers = append(servers, feed.Server{Zone: "a"})
 		}
 		Expect(zonesOf(configured, servers)).To(BeEmpty())
-		servers = append(servers, feed.Server{Cell: "a"})
+		servers = append(servers, feed.Server{Zone: "a"})
 		Expect(zonesOf(configured, servers)).To(Equal([]string{"a", "b"}))
 		for range minServersPerZone {
-			servers = append(servers, feed.Server{Cell: "c"})
+			servers = append(servers, feed.Server{Zone: "c"})
 		}
 		Expect(zonesOf(configured, servers)).To(Equal([]string{"a", "b", "c"}))
 		Expect(zonesOf(map[string]string{"a": "r"}, servers[:2*minServersPerZone])).To(BeEmpty(), "a single zone needs no read by zone")
--- a/internal/control/member_test.go
+++ b/internal/control/member_test.go
@@ -85,12 +85,12 @@
 		Expect(claim(7)).To(BeTrue())
 		Expect(claim(7)).To(BeFalse())
 		Expect(claim(6)).To(BeFalse())
-		Expect(sendFleet(feed.Fleet{Term: 6, Count: 9, Holder: "old"})).To(BeFalse())
-		Expect(sendFleet(feed.Fleet{Term: 7, Count: 1, Holder: "new"})).To(BeTrue())
-		Expect(n.fleet().Holder).To(Equal("new"))
+		Expect(sendFleet(feed.Fleet{Term: 6, Count: 9, Leader: "old"})).To(BeFalse())
+		Expect(sendFleet(feed.Fleet{Term: 7, Count: 1, Leader: "new"})).To(BeTrue())
+		Expect(n.fleet().Leader).To(Equal("new"))
 		// A delta to a reading that the member doesn't have can't be applied.
-		Expect(sendFleet(feed.Fleet{Term: 7, Count: 5, Holder: "later", Since: &feed.Reading{Term: 7, Count: 4}})).To(BeFalse())
-		Expect(n.fleet().Holder).To(Equal("new"))
+		Expect(sendFleet(feed.Fleet{Term: 7, Count: 5, Leader: "later", Base: &feed.FleetVersion{Term: 7, Count: 4}})).To(BeFalse())
+		Expect(n.fleet().Leader).To(Equal("new"))
 		Expect(writeTrial(6, 3)).To(BeFalse())
 		Expect(writeTrial(7, 2)).To(BeFalse())
 		Expect(writeTrial(7, 3)).To(BeTrue())
@@ -109,7 +109,7 @@
 		var held *idempotency.Intent
 		n.store.read(func(t *tables) { held = t.voter.Find(idempotency.Key{Tenant: "h", Key: "new"}) })
 		Expect(held).To(BeNil(), "a shed intent is not stored")
-		manualClock.Now += feed.GrantSpan + time.Millisecond
+		manualClock.Now += feed.GrantDuration + time.Millisecond
 		Expect(reserve(3, "new")).To(Equal(idempotency.Granted))
 	})
 })
--- a/internal/control/mirrors.go
+++ b/internal/control/mirrors.go
@@ -28,7 +28,7 @@
 type copying struct {
 	grant loopline.Grant
 	// begun is the first reading of the era.
-	begun feed.Reading
+	begun feed.FleetVersion
 	// copied and lost are counted since the share was lowered last, at loweredAt.
 	copied, lost uint64
 	loweredAt    time.Duration
@@ -77,7 +77,7 @@
 		// The reading that is being laid is the next one.
 		c.eras++
 		held.grant.Era, held.grant.Lives, held.grant.IsSettled = c.term<<32|c.eras, lives, false
-		held.begun = feed.Reading{Term: c.term, Count: c.last.Count + 1}
+		held.begun = feed.FleetVersion{Term: c.term, Count: c.last.Count + 1}
 	}
 	if touch := c.court.Touch("", held.begun); !held.grant.IsSettled && touch.Proxies > 0 && touch.Behind == 0 {
 		held.grant.IsSettled = true
@@ -115,7 +115,7 @@
 	mirrors, _ := book.Mirrors()
 	page.Mirrors = append(page.Mirrors, mirrors...)
 	n.store.read(func(t *tables) {
-		if t.fleetFresh(n.clock.Steady(), feed.GrantSpan) {
+		if t.fleetFresh(n.clock.Steady(), feed.GrantDuration) {
 			page.Grants = append(page.Grants, t.fleet.Mirrors...)
 		}
 	})
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -170,7 +170,7 @@
 func (n *node) publishState() {
 	n.store.read(func(t *tables) {
 		view, fleet := t.view, t.fleet
-		n.hub.Publish(feed.News{Items: t.book().Items(), View: &view, Fleet: &fleet})
+		n.hub.Publish(feed.Update{Items: t.book().Items(), View: &view, Fleet: &fleet})
 	})
 }
 
@@ -187,7 +187,7 @@
 		}
 		r := record{View: &view}
 		t.apply(r)
-		n.hub.Publish(feed.News{View: &view})
+		n.hub.Publish(feed.Update{View: &view})
 		return []record{r}
 	}, 2*time.Second)
 }
--- a/internal/control/page_client.go
+++ b/internal/control/page_client.go
@@ -82,11 +82,11 @@
 // server converts the entry to the form in which the feed carries it.
 func (i listedInstance) server(now time.Time) feed.Server {
 	out := feed.Server{
-		ID: i.InstanceId, Service: i.Service, Address: i.Address, Cell: i.Zone, Capacity: i.Capacity,
+		ID: i.InstanceId, Service: i.Service, Address: i.Address, Zone: i.Zone, Capacity: i.Capacity,
 		IsReady: i.State == "ready", Revision: i.Revision,
 	}
 	if i.WarmupLeft > 0 {
-		out.WarmMs = now.Add(i.WarmupLeft.Std()).UnixMilli()
+		out.WarmupEndMs = now.Add(i.WarmupLeft.Std()).UnixMilli()
 	}
 	return out
 }
--- a/internal/control/quorum_contact.go
+++ b/internal/control/quorum_contact.go
@@ -32,10 +32,10 @@
 	lock   sync.Mutex
 	known  bool
 	sentAt clock.Steady
-	fleet  feed.Reading
+	fleet  feed.FleetVersion
 }
 
-func (c *quorumContact) record(sentAt clock.Steady, fleet feed.Reading) {
+func (c *quorumContact) record(sentAt clock.Steady, fleet feed.FleetVersion) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	if !c.known || sentAt > c.sentAt {
@@ -51,10 +51,10 @@
 }
 
 // isBehind reports whether a majority had a newer fleet than the given one.
-func (c *quorumContact) isBehind(held feed.Reading) bool {
+func (c *quorumContact) isBehind(held feed.FleetVersion) bool {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	return c.fleet.Outranks(held)
+	return c.fleet.NewerThan(held)
 }
 
 func (n *node) hasQuorumContact() bool {
@@ -65,7 +65,7 @@
 // isReadyToLead reports whether this node may become or stay the leader: it holds the lease,
 // or has quorum contact and the newest fleet of a majority, with the grants that the next
 // leader continues from.
-func (n *node) isReadyToLead(held feed.Reading) bool {
+func (n *node) isReadyToLead(held feed.FleetVersion) bool {
 	if n.holdsLease(n.ownTerm.Load()) {
 		return true
 	}
@@ -79,12 +79,12 @@
 		return
 	}
 	view, sentAt, count := n.view(), n.clock.Steady(), 0
-	var newest feed.Reading
+	var newest feed.FleetVersion
 	callAll(n, view.Members, messages.KindContact, messages.Contact{Epoch: view.Epoch}, callTimeout, func(_ string, answer messages.ContactTold) bool {
 		if !answer.OK {
 			return false
 		}
-		if count++; answer.Fleet.Outranks(newest) {
+		if count++; answer.Fleet.NewerThan(newest) {
 			newest = answer.Fleet
 		}
 		return count >= view.Majority()
@@ -104,7 +104,7 @@
 func (n *node) onContact(in messages.Contact, answer func(messages.ContactTold)) {
 	var out messages.ContactTold
 	n.store.enqueue(func(t *tables) []record {
-		out.OK, out.Fleet = n.canVote(t, in.Epoch), t.fleet.Reading()
+		out.OK, out.Fleet = n.canVote(t, in.Epoch), t.fleet.Version()
 		return nil
 	}, func() { answer(out) })
 }
@@ -128,8 +128,8 @@
 func (n *node) waitForNewestFleet() bool {
 	started := n.clock.Steady()
 	for {
-		var held feed.Reading
-		n.store.read(func(t *tables) { held = t.fleet.Reading() })
+		var held feed.FleetVersion
+		n.store.read(func(t *tables) { held = t.fleet.Version() })
 		if !n.contact.isBehind(held) {
 			return true
 		}
--- a/internal/control/quorum_contact_test.go
+++ b/internal/control/quorum_contact_test.go
@@ -36,7 +36,7 @@
 			Expect(out.Header().Get("Retry-After")).NotTo(BeEmpty())
 		}
 		Expect(get("/v1/status").Code).To(Equal(http.StatusOK))
-		n.contact.record(manualClock.Steady(), feed.Reading{})
+		n.contact.record(manualClock.Steady(), feed.FleetVersion{})
 		manualClock.Now += maxContactAge
 		for _, path := range local {
 			Expect(get(path).Code).To(Equal(http.StatusOK), path)
@@ -47,7 +47,7 @@
 		}
 		// The node has quorum contact, but the majority has a fleet that this node lacks.
 		manualClock.Now += time.Millisecond
-		n.contact.record(manualClock.Steady(), feed.Reading{Term: 2, Count: 1})
+		n.contact.record(manualClock.Steady(), feed.FleetVersion{Term: 2, Count: 1})
 		Expect(get("/v1/fleet").Code).To(Equal(http.StatusServiceUnavailable))
 		n.onFleet(feed.Fleet{Term: 2, Count: 1}, func(messages.Done) {})
 		Expect(get("/v1/fleet").Code).To(Equal(http.StatusOK))
@@ -56,14 +56,14 @@
 	It("doesn't make a node ready to lead while the majority has a newer fleet; a fleet that only a failed member had is not waited for", func() {
 		manualClock := &clock.Hand{Now: time.Hour}
 		n := newTestMember(manualClock, view)
-		newest := feed.Reading{Term: 2, Count: 5}
+		newest := feed.FleetVersion{Term: 2, Count: 5}
 		Expect(n.isReadyToLead(newest)).To(BeFalse(), "the node has had no quorum contact")
 		n.contact.record(manualClock.Steady(), newest)
-		Expect(n.isReadyToLead(feed.Reading{Term: 2, Count: 4})).To(BeFalse())
+		Expect(n.isReadyToLead(feed.FleetVersion{Term: 2, Count: 4})).To(BeFalse())
 		Expect(n.isReadyToLead(newest)).To(BeTrue())
 		manualClock.Now += time.Millisecond
-		n.contact.record(manualClock.Steady(), feed.Reading{Term: 2, Count: 4})
-		Expect(n.isReadyToLead(feed.Reading{Term: 2, Count: 4})).To(BeTrue())
+		n.contact.record(manualClock.Steady(), feed.FleetVersion{Term: 2, Count: 4})
+		Expect(n.isReadyToLead(feed.FleetVersion{Term: 2, Count: 4})).To(BeTrue())
 	})
 
 	It("counts only the members that answer in the same epoch", func() {
--- a/internal/control/sites.go
+++ b/internal/control/sites.go
@@ -38,7 +38,7 @@
 	c.store.read(func(t *tables) {
 		digest := t.bookDigest()
 		// What is warming gets ready with no news.
-		isSame = digest == c.treeOf && c.officeTerm == c.term && c.laid == c.last.Reading() && time.Duration(now-c.laidAt) < layPeriod
+		isSame = digest == c.treeOf && c.officeTerm == c.term && c.laid == c.last.Version() && time.Duration(now-c.laidAt) < layPeriod
 		if digest != c.treeOf {
 			// What was kept was checked; if cells have gone since, the old
 			// tree goes on.
@@ -51,14 +51,14 @@
 	if tree == nil || isSame {
 		return
 	}
-	c.tree, c.laid, c.laidAt = tree, c.last.Reading(), now
+	c.tree, c.laid, c.laidAt = tree, c.last.Version(), now
 	declared := map[branchline.Key]int{}
 	wall := c.clock.Wall()
 	for _, server := range c.last.Servers {
-		if !server.IsReady || server.Grade != feed.Open || server.IsAside || server.WarmLeft(wall) > 0 {
+		if !server.IsReady || server.Admission != feed.Open || server.Ejected || server.WarmupRemaining(wall) > 0 {
 			continue
 		}
-		declared[branchline.Key{Service: server.Service, Site: tree.SiteOf(server.ID, server.Cell)}] += server.Capacity
+		declared[branchline.Key{Service: server.Service, Site: tree.SiteOf(server.ID, server.Zone)}] += server.Capacity
 	}
 	if c.office == nil || c.officeTerm != c.term {
 		c.office, c.officeTerm = branchline.NewOffice(tree, c.clock), c.term
--- a/internal/control/stages.go
+++ b/internal/control/stages.go
@@ -167,11 +167,11 @@
 }
 
 // stageOf is how a staged change is told to the proxies: a grant like a share.
-func stageOf(state trial.State) feed.Stage {
-	return feed.Stage{Subject: state.Subject, Number: state.Number, Wave: state.Wave, Nodes: state.Reached(), Items: state.Items}
+func stageOf(state trial.State) feed.StagedChange {
+	return feed.StagedChange{Subject: state.Subject, Number: state.Number, Wave: state.Wave, Nodes: state.Reached(), Items: state.Items}
 }
 
-func (c *coordinator) stages() (out []feed.Stage) {
+func (c *coordinator) stages() (out []feed.StagedChange) {
 	for _, state := range c.states {
 		if state.IsStaged() && state.Phase.IsActive() {
 			out = append(out, stageOf(state))
@@ -180,8 +180,8 @@
 	return out
 }
 
-func sameStages(a, z []feed.Stage) bool {
-	return slices.EqualFunc(a, z, func(x, y feed.Stage) bool {
+func sameStages(a, z []feed.StagedChange) bool {
+	return slices.EqualFunc(a, z, func(x, y feed.StagedChange) bool {
 		return x.Subject == y.Subject && x.Number == y.Number && x.Wave == y.Wave && len(x.Nodes) == len(y.Nodes)
 	})
 }
--- a/internal/control/standby.go
+++ b/internal/control/standby.go
@@ -60,7 +60,7 @@
 
 // viewAndLeader returns the view and the leader that this node's feed last published.
 func (n *node) viewAndLeader() (view membership.View, leader string) {
-	n.hub.Read(func(board *feed.Board) { view, leader = board.View, board.Fleet.Holder })
+	n.hub.Read(func(board *feed.Replica) { view, leader = board.View, board.Fleet.Leader })
 	return view, leader
 }
 
@@ -81,19 +81,19 @@
 func (n *node) publishLeaving(servers []feed.Server) {
 	var view membership.View
 	var leaving messages.Leaving
-	n.hub.Read(func(board *feed.Board) { view, leaving.IDs = board.View, board.Untold(servers) })
+	n.hub.Read(func(board *feed.Replica) { view, leaving.IDs = board.View, board.UnreportedLeaving(servers) })
 	if len(leaving.IDs) == 0 {
 		return
 	}
 	for _, member := range view.Others(n.self) {
 		n.connection(member).Send(messages.KindLeaving, leaving, nil)
 	}
-	n.hub.Publish(feed.News{Leaving: leaving.IDs})
+	n.hub.Publish(feed.Update{Leaving: leaving.IDs})
 }
 
 // onLeaving publishes draining servers that another member found to this node's followers.
 func (n *node) onLeaving(in messages.Leaving, _ func(messages.Done)) {
-	n.hub.Publish(feed.News{Leaving: in.IDs})
+	n.hub.Publish(feed.Update{Leaving: in.IDs})
 }
 
 // sendListProgress tells the other members how far this node has read the list.
--- a/internal/control/standby_test.go
+++ b/internal/control/standby_test.go
@@ -28,10 +28,10 @@
 	var n *node
 	var manualClock *clock.Hand
 	fleet := func(count uint64, publisher string, isReady bool) *feed.Fleet {
-		return &feed.Fleet{Term: 1, Count: count, Holder: publisher, Servers: []feed.Server{{ID: "a", IsReady: isReady}, {ID: "b", IsReady: true}}}
+		return &feed.Fleet{Term: 1, Count: count, Leader: publisher, Servers: []feed.Server{{ID: "a", IsReady: isReady}, {ID: "b", IsReady: true}}}
 	}
 	leaving := func() (out map[string]bool) {
-		n.hub.Read(func(board *feed.Board) { out = maps.Clone(board.Leaving) })
+		n.hub.Read(func(board *feed.Replica) { out = maps.Clone(board.Leaving) })
 		return out
 	}
 	sendHeartbeat := func() { n.runInMemberLoop(func() { n.livenessWatch.Hear(membership.Beat{From: leader, IsFit: true}) }) }
@@ -55,7 +55,7 @@
 		DeferCleanup(cancel)
 		go n.memberLoop.Run(ctx, runAll, 0, nil)
 		view := membership.View{Epoch: 1, Members: []string{leader, self, other}}
-		n.hub.Publish(feed.News{View: &view, Fleet: fleet(1, leader, true)})
+		n.hub.Publish(feed.Update{View: &view, Fleet: fleet(1, leader, true)})
 		sendHeartbeat()
 		reportRead()
 	})
@@ -80,16 +80,16 @@
 	It("ends after isolatedReadLimit at a node without quorum contact that is told of no read", func() {
 		manualClock.Sleep(isolatedReadLimit + time.Millisecond)
 		Expect(n.isStandbyReader()).To(BeFalse())
-		n.contact.record(manualClock.Steady(), feed.Reading{})
+		n.contact.record(manualClock.Steady(), feed.FleetVersion{})
 		Expect(n.isStandbyReader()).To(BeTrue())
 	})
 
 	It("is made neither by the leader, nor by a node outside the view, nor by all members at once", func() {
 		manualClock.Sleep(next + 250*time.Millisecond)
-		n.hub.Publish(feed.News{Fleet: fleet(2, self, true)})
+		n.hub.Publish(feed.Update{Fleet: fleet(2, self, true)})
 		Expect(n.isStandbyReader()).To(BeFalse())
 		largeView := membership.View{Epoch: 2, Members: []string{leader, self, other, "127.0.0.1:4", "127.0.0.1:5", "127.0.0.1:6"}}
-		n.hub.Publish(feed.News{View: &largeView, Fleet: fleet(3, leader, true)})
+		n.hub.Publish(feed.Update{View: &largeView, Fleet: fleet(3, leader, true)})
 		for _, member := range largeView.Members[1:] {
 			n.self = member
 			Expect(n.isStandbyReader()).To(Equal(listing.Rank(largeView, leader, member) == 0), member)
@@ -109,17 +109,17 @@
 		poller := &listPoller{node: n, reader: newListReader(manualClock, func() string { return platform.Listener.Addr().String() })}
 		var published []string
 		ended := make(chan struct{})
-		body, err := cbor.Marshal(feed.Follow{})
+		body, err := cbor.Marshal(feed.FollowRequest{})
 		Expect(err).NotTo(HaveOccurred())
 		n.hub.Handle(rpc.Call{Body: body, Ended: ended, Reply: func(body any) bool {
-			published = append(published, body.(feed.News).Leaving...)
+			published = append(published, body.(feed.Update).Leaving...)
 			return true
 		}})
 		DeferCleanup(func() { close(ended) })
 		poller.poll(context.Background())
 		Expect(leaving()).To(Equal(map[string]bool{"a": true}))
 		Expect(published).To(Equal([]string{"a"}))
-		n.hub.Publish(feed.News{Fleet: fleet(2, self, false)})
+		n.hub.Publish(feed.Update{Fleet: fleet(2, self, false)})
 		manualClock.Sleep(time.Second)
 		poller.poll(context.Background())
 		Expect(published).To(Equal([]string{"a"}), "published again though the fleet already shows the server draining")
@@ -137,7 +137,7 @@
 		manualClock.Sleep(overdue)
 		poller.lastRead.started, poller.lastRead.ended = manualClock.Steady(), manualClock.Steady()
 		Expect(poller.untilNextRead(false)).To(BeNumerically("~", 3*time.Second, time.Millisecond))
-		n.contact.record(manualClock.Steady(), feed.Reading{})
+		n.contact.record(manualClock.Steady(), feed.FleetVersion{})
 		Expect(poller.untilNextRead(false)).To(BeNumerically("~", time.Second, time.Millisecond))
 		// A leader whose lease has expired may have a successor that reads.
 		Expect(poller.untilNextRead(true)).To(BeNumerically("~", 3*time.Second, time.Millisecond))
--- a/internal/control/takeover_test.go
+++ b/internal/control/takeover_test.go
@@ -64,7 +64,7 @@
 		n.coordinator.isMaster()
 		grant("b", 2)
 		told := make(chan messages.Done, 1)
-		n.onFleet(feed.Fleet{Term: 2, Count: 9, Holder: "b", Servers: []feed.Server{{ID: drainingID, Service: "s"}, {ID: "i-2", Service: "s", IsReady: true}}},
+		n.onFleet(feed.Fleet{Term: 2, Count: 9, Leader: "b", Servers: []feed.Server{{ID: drainingID, Service: "s"}, {ID: "i-2", Service: "s", IsReady: true}}},
 			func(done messages.Done) { told <- done })
 		Expect((<-told).OK).To(BeTrue())
 		becomeLeader(3)
@@ -114,14 +114,14 @@
 		DeferCleanup(platform.Close)
 		manualClock := &clock.Hand{Now: time.Hour}
 		n := newTestMember(manualClock, membership.View{Epoch: 1, Members: []string{"a"}})
-		n.hub.Publish(feed.News{Fleet: &feed.Fleet{Term: 1, Count: 1, Holder: "a", Servers: []feed.Server{{ID: "i-1", IsReady: true}, {ID: "i-2", IsReady: true}}}})
+		n.hub.Publish(feed.Update{Fleet: &feed.Fleet{Term: 1, Count: 1, Leader: "a", Servers: []feed.Server{{ID: "i-1", IsReady: true}, {ID: "i-2", IsReady: true}}}})
 		n.isLeader.Store(true)
 		poller := &listPoller{node: n, reader: newListReader(manualClock, func() string { return platform.Listener.Addr().String() })}
 		ctx, cancel := context.WithCancel(context.Background())
 		DeferCleanup(cancel)
 		go poller.poll(ctx)
 		Eventually(func() (out map[string]bool) {
-			n.hub.Read(func(board *feed.Board) { out = maps.Clone(board.Leaving) })
+			n.hub.Read(func(board *feed.Replica) { out = maps.Clone(board.Leaving) })
 			return out
 		}, pageTimeout/2).Should(HaveKey("i-1"))
 	})
--- a/internal/emulator/departure/member.go
+++ b/internal/emulator/departure/member.go
@@ -18,7 +18,7 @@
 	name  string
 	// life counts its starts: what an earlier one began comes to nothing.
 	life  int
-	board *feed.Board
+	board *feed.Replica
 	watch *listing.Watch
 	// window spreads the calls.
 	window listing.Window
@@ -44,7 +44,7 @@
 }
 
 func newMember(w *world, index int) *member {
-	return &member{world: w, index: index, name: "10.0.0." + strconv.Itoa(index+1) + ":7200", board: feed.NewBoard(), watch: listing.NewWatch(0)}
+	return &member{world: w, index: index, name: "10.0.0." + strconv.Itoa(index+1) + ":7200", board: feed.NewReplica(), watch: listing.NewWatch(0)}
 }
 
 func (w *world) view() (view membership.View) {
@@ -61,8 +61,8 @@
 	m.deadUntil, m.isHolder, m.listed, m.reading, m.rest = m.world.Now+span, false, nil, nil, nil
 	// The fleet is on the disk; what was told beside it is not.
 	fleet := m.board.Fleet
-	m.board = feed.NewBoard()
-	m.board.Merge(feed.News{Fleet: &fleet})
+	m.board = feed.NewReplica()
+	m.board.Merge(feed.Update{Fleet: &fleet})
 	m.world.After(span, func() {
 		m.later(m.world.between(100*time.Millisecond, 500*time.Millisecond), m.catchUp)
 		m.watch = listing.NewWatch(m.world.steady())
@@ -73,7 +73,7 @@
 // catchUp brings a member that has started what the holder tells it.
 func (m *member) catchUp() {
 	if holder := m.world.holder; holder >= 0 && holder != m.index {
-		m.keep(m.world.members[holder].board.Checkpoint())
+		m.keep(m.world.members[holder].board.Snapshot())
 	}
 }
 
@@ -105,9 +105,9 @@
 	if !m.isHolder || w.Now < m.coordinatorUntil || w.Now < m.frozenUntil || len(m.listed) == 0 {
 		return
 	}
-	next := feed.Fleet{Term: m.term, Count: m.last.Count, Servers: m.listed, Holder: m.name}
+	next := feed.Fleet{Term: m.term, Count: m.last.Count, Servers: m.listed, Leader: m.name}
 	if w.options.Guards.IsFinal {
-		next.Servers = m.board.WithoutLeaving(next.Servers)
+		next.Servers = m.board.MarkLeaving(next.Servers)
 	}
 	if m.last.Term == m.term && slices.Equal(m.last.Servers, next.Servers) {
 		return
@@ -115,18 +115,18 @@
 	next.Count++
 	m.last = next
 	for _, to := range w.members {
-		m.deliver(to, func() { to.keep(feed.News{Fleet: &next}) })
+		m.deliver(to, func() { to.keep(feed.Update{Fleet: &next}) })
 	}
 }
 
 // keep takes a fleet once the member's disk has it.
-func (m *member) keep(news feed.News) {
+func (m *member) keep(news feed.Update) {
 	sync := m.world.between(5*time.Millisecond, 30*time.Millisecond) + max(0, m.diskUntil-m.world.Now)
 	m.later(sync, func() { m.take(news) })
 }
 
 // take merges news and passes on what was newer.
-func (m *member) take(news feed.News) {
+func (m *member) take(news feed.Update) {
 	fresh, isNew := m.board.Merge(news)
 	if !isNew {
 		return
@@ -142,10 +142,10 @@
 // untold are the servers that the read list shows leaving and that are to be told.
 func (m *member) untold(read []feed.Server) (ids []string) {
 	if m.world.options.Guards.IsFinal {
-		return m.board.Untold(read)
+		return m.board.UnreportedLeaving(read)
 	}
 	for _, server := range read {
-		if !server.IsReady && m.board.Fleet.CallsReady(server.ID) {
+		if !server.IsReady && m.board.Fleet.ListsReady(server.ID) {
 			ids = append(ids, server.ID)
 		}
 	}
@@ -158,7 +158,7 @@
 	if len(ids) == 0 {
 		return
 	}
-	news := feed.News{Leaving: ids}
+	news := feed.Update{Leaving: ids}
 	for _, to := range m.world.members {
 		if to != m {
 			m.deliver(to, func() { to.take(news) })
--- a/internal/emulator/departure/proxy.go
+++ b/internal/emulator/departure/proxy.go
@@ -12,7 +12,7 @@
 // it has seen that they do.
 type proxy struct {
 	world *world
-	board *feed.Board
+	board *feed.Replica
 	// from are the members that it follows, with when their last news arrive.
 	from map[int]virtual.Time
 	// marks are, without the guard, until when a report that a server leaves holds.
@@ -22,7 +22,7 @@
 }
 
 func newProxy(w *world, index int) *proxy {
-	p := &proxy{world: w, board: feed.NewBoard(), from: map[int]virtual.Time{}, marks: map[string]virtual.Time{}, since: map[string]virtual.Time{}}
+	p := &proxy{world: w, board: feed.NewReplica(), from: map[int]virtual.Time{}, marks: map[string]virtual.Time{}, since: map[string]virtual.Time{}}
 	for i := range min(followed, len(w.members)) {
 		p.from[(index+i*(1+index%2))%len(w.members)] = 0
 	}
@@ -35,14 +35,14 @@
 }
 
 // hear brings news of a member to the proxy, in their order.
-func (p *proxy) hear(m *member, news feed.News) {
+func (p *proxy) hear(m *member, news feed.Update) {
 	w := p.world
 	at := max(p.from[m.index], w.Now+w.newsDelay())
 	p.from[m.index] = at
 	w.After(at-w.Now, func() { p.take(news) })
 }
 
-func (p *proxy) take(news feed.News) {
+func (p *proxy) take(news feed.Update) {
 	fresh, isNew := p.board.Merge(news)
 	if !isNew {
 		return
@@ -61,7 +61,7 @@
 // dropMarks forgets what the fleet itself says.
 func (p *proxy) dropMarks() {
 	for id := range p.marks {
-		if !p.board.Fleet.CallsReady(id) {
+		if !p.board.Fleet.ListsReady(id) {
 			delete(p.marks, id)
 		}
 	}
@@ -84,7 +84,7 @@
 
 func (p *proxy) isServing(id string) bool {
 	if p.world.options.Guards.IsFinal {
-		return p.board.Fleet.CallsReady(id) && !p.board.Leaving[id]
+		return p.board.Fleet.ListsReady(id) && !p.board.Leaving[id]
 	}
-	return p.board.Fleet.CallsReady(id) && p.world.Now >= p.marks[id]
+	return p.board.Fleet.ListsReady(id) && p.world.Now >= p.marks[id]
 }
--- a/internal/emulator/departure/reader.go
+++ b/internal/emulator/departure/reader.go
@@ -77,7 +77,7 @@
 // standsBy tells whether the member is to read in the holder's stead.
 func (m *member) standsBy() bool {
 	w := m.world
-	view, holder := w.view(), m.board.Fleet.Holder
+	view, holder := w.view(), m.board.Fleet.Leader
 	if w.options.Guards.IsByReadings {
 		return m.watch.Share(view, holder, m.name, w.steady()) > 0
 	}
@@ -203,7 +203,7 @@
 	w := m.world
 	m.reading, m.failures = nil, 0
 	w.result.Readings.record(w.Now - r.first)
-	servers := feed.Settle(nil, r.servers)
+	servers := feed.Normalize(nil, r.servers)
 	m.endReading(r)
 	next := m.next() + listing.PageDue
 	if !w.options.Guards.IsByReadings {
--- a/internal/emulator/departure/rest.go
+++ b/internal/emulator/departure/rest.go
@@ -10,7 +10,7 @@
 func (m *member) rate(isStandby bool) float64 {
 	share := listing.HolderShare
 	if isStandby {
-		share = max(listing.AloneShare, m.watch.Share(m.world.view(), m.board.Fleet.Holder, m.name, m.world.steady()))
+		share = max(listing.AloneShare, m.watch.Share(m.world.view(), m.board.Fleet.Leader, m.name, m.world.steady()))
 	}
 	return m.world.options.Size.Rate * share
 }
--- a/internal/emulator/departure/result.go
+++ b/internal/emulator/departure/result.go
@@ -109,7 +109,7 @@
 }
 
 // noteTold notes what a member's board has come to know.
-func (w *world) noteTold(board *feed.Board) {
+func (w *world) noteTold(board *feed.Replica) {
 	for id, leaver := range w.leaving {
 		if !leaver.isTold && board.Leaving[id] {
 			leaver.isTold = true
--- a/internal/feed/board.go
+++ b/internal/feed/board.go
@@ -14,36 +14,36 @@
 
 // News is one entry of a feed. Every part of it is merged by its own order, so
 // news from several nodes, late or twice, does no harm.
-type News struct {
-	Life  uint64           `cbor:"1,keyasint"`
-	Place uint64           `cbor:"2,keyasint"`
-	Items []config.Item    `cbor:"3,keyasint,omitempty"`
-	Fleet *Fleet           `cbor:"4,keyasint,omitempty"`
-	View  *membership.View `cbor:"5,keyasint,omitempty"`
+type Update struct {
+	Incarnation uint64           `cbor:"1,keyasint"`
+	Sequence    uint64           `cbor:"2,keyasint"`
+	Items       []config.Item    `cbor:"3,keyasint,omitempty"`
+	Fleet       *Fleet           `cbor:"4,keyasint,omitempty"`
+	View        *membership.View `cbor:"5,keyasint,omitempty"`
 	// IsCheckpoint marks the whole of what the sender holds.
-	IsCheckpoint bool `cbor:"6,keyasint,omitempty"`
+	Snapshot bool `cbor:"6,keyasint,omitempty"`
 	// IsWhole says that the sender speaks for a majority of the core.
-	IsWhole bool `cbor:"7,keyasint,omitempty"`
+	Complete bool `cbor:"7,keyasint,omitempty"`
 	// Leaving are servers that the platform's list showed leaving, told by whoever
 	// read it, page by page; see Board.Leaving.
 	Leaving []string `cbor:"8,keyasint,omitempty"`
 	// packed is the news as a frame carries it, written once for all followers.
-	packed []byte
+	encoded []byte
 }
 
 // plainNews is news without the means to write itself.
-type plainNews News
+type plainUpdate Update
 
 // MarshalCBOR writes the news, or gives what was written before.
 //
 // Example:
 //
 //	text, err := cbor.Marshal(news)
-func (n News) MarshalCBOR() ([]byte, error) {
-	if n.packed != nil {
-		return n.packed, nil
+func (n Update) MarshalCBOR() ([]byte, error) {
+	if n.encoded != nil {
+		return n.encoded, nil
 	}
-	return cbor.Marshal(plainNews(n))
+	return cbor.Marshal(plainUpdate(n))
 }
 
 // Packed is the news as it was written for all followers, or nil.
@@ -51,23 +51,23 @@
 // Example:
 //
 //	frame := append(head, news.Packed()...)
-func (n News) Packed() []byte { return n.packed }
+func (n Update) Encoded() []byte { return n.encoded }
 
 // pack writes the news once, so that each follower costs a copy only.
-func (n News) pack() News {
-	n.packed = nil
+func (n Update) encode() Update {
+	n.encoded = nil
 	if text, err := n.MarshalCBOR(); err == nil {
-		n.packed = text
+		n.encoded = text
 	}
 	return n
 }
 
 // Board is all that a node knows from news. It has one owner.
-type Board struct {
-	Book    config.ItemSet
-	Fleet   Fleet
-	View    membership.View
-	IsWhole bool
+type Replica struct {
+	Items    config.ItemSet
+	Fleet    Fleet
+	View     membership.View
+	Complete bool
 	// Leaving are the ids of the servers that were seen leaving, in a fleet or by the
 	// word of any node that read the list. A server that leaves never becomes ready
 	// again, so this may be told under no term, and no later fleet undoes it: the
@@ -82,7 +82,7 @@
 // Example:
 //
 //	board := feed.NewBoard()
-func NewBoard() *Board { return &Board{Book: config.ItemSet{}, Leaving: map[string]bool{}} }
+func NewReplica() *Replica { return &Replica{Items: config.ItemSet{}, Leaving: map[string]bool{}} }
 
 // Merge takes what is newer in the news and returns just that, and whether
 // there was any.
@@ -90,26 +90,26 @@
 // Example:
 //
 //	if fresh, isNew := board.Merge(news); isNew { hub.Publish(fresh) }
-func (b *Board) Merge(news News) (fresh News, isNew bool) {
-	if fresh.Items = b.Book.Merge(news.Items); len(fresh.Items) > 0 {
+func (b *Replica) Merge(news Update) (fresh Update, isNew bool) {
+	if fresh.Items = b.Items.Merge(news.Items); len(fresh.Items) > 0 {
 		isNew = true
 	}
-	if news.Fleet != nil && b.Fits(news) && news.Fleet.Reading().Outranks(b.Fleet.Reading()) {
+	if news.Fleet != nil && b.CanApply(news) && news.Fleet.Version().NewerThan(b.Fleet.Version()) {
 		whole := *news.Fleet
-		if whole.Since != nil {
-			whole = b.Fleet.With(whole)
+		if whole.Base != nil {
+			whole = b.Fleet.Apply(whole)
 		}
 		b.Fleet, fresh.Fleet, isNew = whole, &whole, true
-		b.noteLeaving(whole.Servers)
+		b.addLeavingFrom(whole.Servers)
 	}
-	if fresh.Leaving = b.mergeLeaving(news.Leaving); len(fresh.Leaving) > 0 {
+	if fresh.Leaving = b.addLeaving(news.Leaving); len(fresh.Leaving) > 0 {
 		isNew = true
 	}
 	if news.View != nil && news.View.Epoch > b.View.Epoch {
 		b.View, fresh.View, isNew = *news.View, news.View, true
 	}
-	if news.IsWhole && !b.IsWhole {
-		b.IsWhole, fresh.IsWhole, isNew = true, true, true
+	if news.Complete && !b.Complete {
+		b.Complete, fresh.Complete, isNew = true, true, true
 	}
 	return fresh, isNew
 }
@@ -120,9 +120,9 @@
 // Example:
 //
 //	if !board.Fits(news) { follower.Again() }
-func (b *Board) Fits(news News) bool {
+func (b *Replica) CanApply(news Update) bool {
 	f := news.Fleet
-	return f == nil || f.Since == nil || *f.Since == b.Fleet.Reading() || !f.Reading().Outranks(b.Fleet.Reading())
+	return f == nil || f.Base == nil || *f.Base == b.Fleet.Version() || !f.Version().NewerThan(b.Fleet.Version())
 }
 
 // Checkpoint is the whole board as news.
@@ -130,7 +130,7 @@
 // Example:
 //
 //	hub := feed.NewHub(board.Checkpoint)
-func (b *Board) Checkpoint() News {
+func (b *Replica) Snapshot() Update {
 	fleet, view := b.Fleet, b.View
-	return News{Items: b.Book.Items(), Fleet: &fleet, View: &view, IsCheckpoint: true, IsWhole: b.IsWhole, Leaving: slices.Clone(b.leavingOrder)}
+	return Update{Items: b.Items.Items(), Fleet: &fleet, View: &view, Snapshot: true, Complete: b.Complete, Leaving: slices.Clone(b.leavingOrder)}
 }
--- a/internal/feed/change.go
+++ b/internal/feed/change.go
@@ -8,14 +8,14 @@
 // Example:
 //
 //	hub.send(fleet.ChangeOf(old))
-func (f Fleet) ChangeOf(old Fleet) Fleet {
-	change, since := f, old.Reading()
-	change.Servers, change.Since = nil, &since
+func (f Fleet) DiffFrom(old Fleet) Fleet {
+	change, since := f, old.Version()
+	change.Servers, change.Base = nil, &since
 	had, at := old.Servers, uint32(0)
 	next := func() { had, at = had[1:], at+1 }
 	for _, server := range f.Servers {
 		for len(had) > 0 && had[0].ID < server.ID {
-			change.Gone = append(change.Gone, had[0].ID)
+			change.Removed = append(change.Removed, had[0].ID)
 			next()
 		}
 		if len(had) == 0 || had[0].ID != server.ID {
@@ -23,18 +23,18 @@
 			continue
 		}
 		paced := had[0]
-		paced.Pace = server.Pace
+		paced.RelativeLatency = server.RelativeLatency
 		switch {
 		case had[0] == server:
-		case paced == server && server.Pace >= 0:
-			change.Paces = append(change.Paces, at, uint32(server.Pace))
+		case paced == server && server.RelativeLatency >= 0:
+			change.RelativeLatencies = append(change.RelativeLatencies, at, uint32(server.RelativeLatency))
 		default:
 			change.Servers = append(change.Servers, server)
 		}
 		next()
 	}
 	for _, server := range had {
-		change.Gone = append(change.Gone, server.ID)
+		change.Removed = append(change.Removed, server.ID)
 	}
 	return change
 }
@@ -44,24 +44,24 @@
 // Example:
 //
 //	board.Fleet = board.Fleet.With(change)
-func (f Fleet) With(change Fleet) Fleet {
+func (f Fleet) Apply(change Fleet) Fleet {
 	next, changed, old := change, change.Servers, f.Servers
-	next.Since, next.Gone, next.Paces, next.Servers = nil, nil, nil, old
-	if len(change.Paces) > 0 {
+	next.Base, next.Removed, next.RelativeLatencies, next.Servers = nil, nil, nil, old
+	if len(change.RelativeLatencies) > 0 {
 		old = slices.Clone(old)
-		for i := 0; i+1 < len(change.Paces); i += 2 {
-			if at := int(change.Paces[i]); at < len(old) {
-				old[at].Pace = int(change.Paces[i+1])
+		for i := 0; i+1 < len(change.RelativeLatencies); i += 2 {
+			if at := int(change.RelativeLatencies[i]); at < len(old) {
+				old[at].RelativeLatency = int(change.RelativeLatencies[i+1])
 			}
 		}
 		next.Servers = old
 	}
-	if len(changed) == 0 && len(change.Gone) == 0 {
+	if len(changed) == 0 && len(change.Removed) == 0 {
 		return next
 	}
 	next.Servers = make([]Server, 0, len(old)+len(changed))
 	gone := map[string]bool{}
-	for _, id := range change.Gone {
+	for _, id := range change.Removed {
 		gone[id] = true
 	}
 	for _, server := range old {
@@ -85,9 +85,9 @@
 // Example:
 //
 //	if !feed.IsKeptAs(fleet.Servers, held.Servers) { write(fleet) }
-func IsKeptAs(a, z []Server) bool {
+func EqualIgnoringHealth(a, z []Server) bool {
 	return slices.EqualFunc(a, z, func(x, y Server) bool {
-		x.Pace, x.IsAside = y.Pace, y.IsAside
+		x.RelativeLatency, x.Ejected = y.RelativeLatency, y.Ejected
 		return x == y
 	})
 }
--- a/internal/feed/change_test.go
+++ b/internal/feed/change_test.go
@@ -20,15 +20,15 @@
 				next := feed.Fleet{Term: 1, Count: step + 2}
 				for id := range 30 {
 					if random.IntN(15) > 0 {
-						next.Servers = append(next.Servers, feed.Server{ID: fmt.Sprintf("i-%02d", id), Capacity: 1 + random.IntN(20)/19, Pace: random.IntN(12), IsAside: random.IntN(9) == 0})
+						next.Servers = append(next.Servers, feed.Server{ID: fmt.Sprintf("i-%02d", id), Capacity: 1 + random.IntN(20)/19, RelativeLatency: random.IntN(12), Ejected: random.IntN(9) == 0})
 					}
 				}
-				change := next.ChangeOf(held)
+				change := next.DiffFrom(held)
 				text, err := cbor.Marshal(change)
 				Expect(err).NotTo(HaveOccurred())
 				var told feed.Fleet
 				Expect(cbor.Unmarshal(text, &told)).To(Succeed())
-				Expect(held.With(told).Servers).To(Equal(next.Servers), "seed %d", seed)
+				Expect(held.Apply(told).Servers).To(Equal(next.Servers), "seed %d", seed)
 				held = next
 			}
 		}
@@ -37,39 +37,39 @@
 	It("says little where only paces are new", func() {
 		old := feed.Fleet{Term: 1, Count: 1}
 		for id := range 600 {
-			old.Servers = append(old.Servers, feed.Server{ID: fmt.Sprintf("i-%03d", id), Service: "lessons", Address: "10.128.0.9:8080", Cell: "tvm-a", Capacity: 2, IsReady: true, Revision: "v1", Pace: 8})
+			old.Servers = append(old.Servers, feed.Server{ID: fmt.Sprintf("i-%03d", id), Service: "lessons", Address: "10.128.0.9:8080", Zone: "tvm-a", Capacity: 2, IsReady: true, Revision: "v1", RelativeLatency: 8})
 		}
 		next := feed.Fleet{Term: 1, Count: 2}
 		for i, server := range old.Servers {
 			if i%2 == 0 {
-				server.Pace = 9
+				server.RelativeLatency = 9
 			}
 			next.Servers = append(next.Servers, server)
 		}
-		text, err := cbor.Marshal(next.ChangeOf(old))
+		text, err := cbor.Marshal(next.DiffFrom(old))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(len(text)).To(BeNumerically("<", 300*5))
-		Expect(feed.IsKeptAs(old.Servers, next.Servers)).To(BeTrue())
+		Expect(feed.EqualIgnoringHealth(old.Servers, next.Servers)).To(BeTrue())
 		next.Servers[3].IsReady = false
-		Expect(feed.IsKeptAs(old.Servers, next.Servers)).To(BeFalse())
+		Expect(feed.EqualIgnoringHealth(old.Servers, next.Servers)).To(BeFalse())
 	})
 
 	It("is written once for all followers", func() {
 		hub := feed.NewHub()
-		hub.Publish(feed.News{Fleet: &feed.Fleet{Term: 1, Count: 1, Servers: []feed.Server{{ID: "a"}}}})
-		var first, second feed.News
-		follow(hub, feed.Follow{}, func(news feed.News) bool { first = news; return true })
-		follow(hub, feed.Follow{}, func(news feed.News) bool { second = news; return true })
+		hub.Publish(feed.Update{Fleet: &feed.Fleet{Term: 1, Count: 1, Servers: []feed.Server{{ID: "a"}}}})
+		var first, second feed.Update
+		follow(hub, feed.FollowRequest{}, func(news feed.Update) bool { first = news; return true })
+		follow(hub, feed.FollowRequest{}, func(news feed.Update) bool { second = news; return true })
 		one, err := first.MarshalCBOR()
 		Expect(err).NotTo(HaveOccurred())
 		other, err := second.MarshalCBOR()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(&one[0]).To(BeIdenticalTo(&other[0]))
-		var read feed.News
+		var read feed.Update
 		Expect(cbor.Unmarshal(one, &read)).To(Succeed())
 		Expect(read.Fleet.Servers).To(Equal(first.Fleet.Servers))
-		hub.Publish(feed.News{Fleet: &feed.Fleet{Term: 1, Count: 2, Servers: []feed.Server{{ID: "b"}}}})
-		follow(hub, feed.Follow{}, func(news feed.News) bool { second = news; return true })
+		hub.Publish(feed.Update{Fleet: &feed.Fleet{Term: 1, Count: 2, Servers: []feed.Server{{ID: "b"}}}})
+		follow(hub, feed.FollowRequest{}, func(news feed.Update) bool { second = news; return true })
 		Expect(second.Fleet.Servers[0].ID).To(Equal("b"))
 	})
 })
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -25,11 +25,11 @@
 }
 
 // follow asks the hub from a place on, over nothing but a closure.
-func follow(hub *feed.Hub, from feed.Follow, take func(feed.News) bool) (end func()) {
+func follow(hub *feed.Hub, from feed.FollowRequest, take func(feed.Update) bool) (end func()) {
 	body, err := cbor.Marshal(from)
 	Expect(err).NotTo(HaveOccurred())
 	ended := make(chan struct{})
-	hub.Handle(rpc.Call{Body: body, Ended: ended, Reply: func(news any) bool { return take(news.(feed.News)) }})
+	hub.Handle(rpc.Call{Body: body, Ended: ended, Reply: func(news any) bool { return take(news.(feed.Update)) }})
 	return func() { close(ended) }
 }
 
@@ -39,17 +39,17 @@
 			random := rand.New(rand.NewPCG(seed, 2))
 			hubs := []*feed.Hub{feed.NewHub(), feed.NewHub()}
 			all := config.ItemSet{}
-			board, reached := feed.NewBoard(), []feed.Follow{{}, {}}
+			board, reached := feed.NewReplica(), []feed.FollowRequest{{}, {}}
 			ends := make([]func(), 2)
 			isCut := []bool{true, true}
 			connect := func(at int) {
 				isCut[at] = false
-				ends[at] = follow(hubs[at], reached[at], func(news feed.News) bool {
+				ends[at] = follow(hubs[at], reached[at], func(news feed.Update) bool {
 					if isCut[at] {
 						return false
 					}
 					board.Merge(news)
-					reached[at].Life, reached[at].Place = news.Life, news.Place
+					reached[at].Incarnation, reached[at].Sequence = news.Incarnation, news.Sequence
 					return true
 				})
 			}
@@ -68,18 +68,18 @@
 				case 2:
 					if random.IntN(6) == 0 { // a restart: the hub has what the disk kept
 						hubs[at] = feed.NewHub()
-						hubs[at].Publish(feed.News{Items: all.Items()})
+						hubs[at].Publish(feed.Update{Items: all.Items()})
 						isCut[at] = true
 					}
 				default:
-					news := feed.News{Items: []config.Item{item(fmt.Sprint(random.IntN(5)), step+1)}}
+					news := feed.Update{Items: []config.Item{item(fmt.Sprint(random.IntN(5)), step+1)}}
 					all.Merge(news.Items)
 					for _, hub := range hubs {
 						hub.Publish(news)
 					}
 				}
 				if !isCut[0] || !isCut[1] {
-					Expect(board.Book.Digest()).To(Equal(all.Digest()), "seed %d step %d", seed, step)
+					Expect(board.Items.Digest()).To(Equal(all.Digest()), "seed %d step %d", seed, step)
 				}
 			}
 		}
@@ -87,16 +87,16 @@
 
 	It("starts from a checkpoint, and from then on sends only what is newer", func() {
 		hub := feed.NewHub()
-		hub.Publish(feed.News{Items: []config.Item{item("a", 1)}, View: &membership.View{Epoch: 3}})
-		var got []feed.News
-		follow(hub, feed.Follow{Name: "one"}, func(news feed.News) bool { got = append(got, news); return true })
+		hub.Publish(feed.Update{Items: []config.Item{item("a", 1)}, View: &membership.View{Epoch: 3}})
+		var got []feed.Update
+		follow(hub, feed.FollowRequest{Name: "one"}, func(news feed.Update) bool { got = append(got, news); return true })
 		Expect(got).To(HaveLen(1))
-		Expect(got[0].IsCheckpoint).To(BeTrue())
-		hub.Publish(feed.News{Items: []config.Item{item("a", 1)}, View: &membership.View{Epoch: 2}})
+		Expect(got[0].Snapshot).To(BeTrue())
+		hub.Publish(feed.Update{Items: []config.Item{item("a", 1)}, View: &membership.View{Epoch: 2}})
 		Expect(got).To(HaveLen(1))
-		hub.Publish(feed.News{Items: []config.Item{item("a", 2)}})
+		hub.Publish(feed.Update{Items: []config.Item{item("a", 2)}})
 		Expect(got).To(HaveLen(2))
-		Expect(got[1].IsCheckpoint).To(BeFalse())
+		Expect(got[1].Snapshot).To(BeFalse())
 		Expect(hub.Followers()).To(Equal([]string{"one"}))
 	})
 
@@ -104,11 +104,11 @@
 		for seed := range uint64(80) {
 			random := rand.New(rand.NewPCG(seed, 5))
 			hubs := []*feed.Hub{feed.NewHub(), feed.NewHub()}
-			board := feed.NewBoard()
+			board := feed.NewReplica()
 			whole := feed.Fleet{Term: 1}
 			bytes, isGap := 0, false
-			take := func(news feed.News) bool {
-				isGap = isGap || !board.Fits(news)
+			take := func(news feed.Update) bool {
+				isGap = isGap || !board.CanApply(news)
 				board.Merge(news)
 				text, err := cbor.Marshal(news)
 				Expect(err).NotTo(HaveOccurred())
@@ -116,7 +116,7 @@
 				return true
 			}
 			for _, hub := range hubs {
-				follow(hub, feed.Follow{}, take)
+				follow(hub, feed.FollowRequest{}, take)
 			}
 			for range 100 {
 				var next []feed.Server
@@ -129,12 +129,12 @@
 				isMissed := random.IntN(4)
 				for at, hub := range hubs {
 					if at != isMissed {
-						hub.Publish(feed.News{Fleet: &whole})
+						hub.Publish(feed.Update{Fleet: &whole})
 					}
 				}
 				if isGap { // it asks one of them for a checkpoint
 					isGap = false
-					follow(hubs[(isMissed+1)%2], feed.Follow{}, take)
+					follow(hubs[(isMissed+1)%2], feed.FollowRequest{}, take)
 				}
 				Expect(board.Fleet.Servers).To(Equal(whole.Servers), "seed %d", seed)
 			}
@@ -143,16 +143,16 @@
 	})
 
 	It("says nothing of a server whose warming is the same but for the clock", func() {
-		last := []feed.Server{{ID: "a", WarmMs: 5000}, {ID: "b"}}
-		read := feed.Settle(last, []feed.Server{{ID: "b"}, {ID: "a", WarmMs: 5300}})
+		last := []feed.Server{{ID: "a", WarmupEndMs: 5000}, {ID: "b"}}
+		read := feed.Normalize(last, []feed.Server{{ID: "b"}, {ID: "a", WarmupEndMs: 5300}})
 		Expect(read).To(Equal(last))
-		Expect(feed.Settle(last, []feed.Server{{ID: "a", WarmMs: 9000}})[0].WarmMs).To(BeEquivalentTo(9000))
+		Expect(feed.Normalize(last, []feed.Server{{ID: "a", WarmupEndMs: 9000}})[0].WarmupEndMs).To(BeEquivalentTo(9000))
 	})
 
 	It("never goes below a fenced term of the fleet", func() {
-		board := feed.NewBoard()
-		board.Merge(feed.News{Fleet: &feed.Fleet{Term: 2, Count: 1, Servers: []feed.Server{{ID: "new"}}}})
-		_, isNew := board.Merge(feed.News{Fleet: &feed.Fleet{Term: 1, Count: 9, Servers: []feed.Server{{ID: "old"}}}})
+		board := feed.NewReplica()
+		board.Merge(feed.Update{Fleet: &feed.Fleet{Term: 2, Count: 1, Servers: []feed.Server{{ID: "new"}}}})
+		_, isNew := board.Merge(feed.Update{Fleet: &feed.Fleet{Term: 1, Count: 9, Servers: []feed.Server{{ID: "old"}}}})
 		Expect(isNew).To(BeFalse())
 		Expect(board.Fleet.Servers[0].ID).To(Equal("new"))
 	})
--- a/internal/feed/fleet.go
+++ b/internal/feed/fleet.go
@@ -11,16 +11,16 @@
 )
 
 // Grade says whether a server may get inquiries.
-type Grade uint8
+type Admission uint8
 
 // The grades of a server.
 const (
 	// Open servers are those of the version in force.
-	Open Grade = iota
+	Open Admission = iota
 	// OnTrial servers get what a grant allows.
 	OnTrial
 	// Shut servers get nothing: nobody ordered their version, or it is over.
-	Shut
+	Blocked
 )
 
 // Server is one server as the platform lists it.
@@ -28,19 +28,19 @@
 	ID       string `cbor:"1,keyasint"`
 	Service  string `cbor:"2,keyasint"`
 	Address  string `cbor:"3,keyasint"`
-	Cell     string `cbor:"4,keyasint" json:"Zone"`
+	Zone     string `cbor:"4,keyasint" json:"Zone"`
 	Capacity int    `cbor:"5,keyasint"`
 	IsReady  bool   `cbor:"6,keyasint"`
 	// WarmMs is when the server stops being slow, as wall time.
-	WarmMs int64 `cbor:"7,keyasint,omitempty"`
+	WarmupEndMs int64 `cbor:"7,keyasint,omitempty" json:"WarmMs"`
 	// Revision is the version of the server's software.
-	Revision string `cbor:"8,keyasint,omitempty"`
-	Grade    Grade  `cbor:"9,keyasint,omitempty"`
+	Revision  string    `cbor:"8,keyasint,omitempty"`
+	Admission Admission `cbor:"9,keyasint,omitempty" json:"Grade"`
 	// IsAside: the proxies together found the server ill; it gets a trickle.
-	IsAside bool `cbor:"10,keyasint,omitempty"`
+	Ejected bool `cbor:"10,keyasint,omitempty" json:"IsAside"`
 	// Pace is how long its replies take beside those of others, in eighths, as
 	// the proxies together saw it; 0 if that is not known.
-	Pace int `cbor:"11,keyasint,omitempty"`
+	RelativeLatency int `cbor:"11,keyasint,omitempty" json:"Pace"`
 }
 
 // WarmLeft is how much longer the server stays slow.
@@ -48,22 +48,22 @@
 // Example:
 //
 //	isSlow := server.WarmLeft(time.Now()) > 0
-func (s Server) WarmLeft(now time.Time) time.Duration {
-	return max(0, time.UnixMilli(s.WarmMs).Sub(now))
+func (s Server) WarmupRemaining(now time.Time) time.Duration {
+	return max(0, time.UnixMilli(s.WarmupEndMs).Sub(now))
 }
 
 // Share is the part of a service's inquiries that its version on trial gets. It
 // is a grant: a proxy that hears no newer reading for its span sends that
 // version nothing more.
-type Share struct {
-	Service string  `cbor:"1,keyasint"`
-	Number  uint64  `cbor:"2,keyasint"`
-	Part    float64 `cbor:"3,keyasint"`
+type CanaryShare struct {
+	Service  string  `cbor:"1,keyasint"`
+	Number   uint64  `cbor:"2,keyasint"`
+	Fraction float64 `cbor:"3,keyasint"`
 }
 
 // Stage is a staged change of lanes: on the nodes that it names these items hold
 // before the manifest's. It is a grant like a share.
-type Stage struct {
+type StagedChange struct {
 	Subject string        `cbor:"1,keyasint"`
 	Number  uint64        `cbor:"2,keyasint"`
 	Wave    int           `cbor:"3,keyasint,omitempty"`
@@ -72,7 +72,7 @@
 }
 
 // Reading orders what the holders of the duty read: by term, then by count.
-type Reading struct {
+type FleetVersion struct {
 	Term  uint64 `cbor:"1,keyasint"`
 	Count uint64 `cbor:"2,keyasint"`
 }
@@ -82,7 +82,7 @@
 // Example:
 //
 //	isNewer := fleet.Reading().Outranks(board.Fleet.Reading())
-func (r Reading) Outranks(other Reading) bool {
+func (r FleetVersion) NewerThan(other FleetVersion) bool {
 	return r.Term > other.Term || r.Term == other.Term && r.Count > other.Count
 }
 
@@ -95,14 +95,14 @@
 	// Proxies is how many proxies share the servers' connections.
 	Proxies int `cbor:"4,keyasint,omitempty"`
 	// Holder is where the holder of the duty wants the proxies' reports.
-	Holder string   `cbor:"5,keyasint,omitempty"`
-	Shares []Share  `cbor:"6,keyasint,omitempty"`
-	Since  *Reading `cbor:"7,keyasint,omitempty"`
-	Gone   []string `cbor:"8,keyasint,omitempty"`
-	Stages []Stage  `cbor:"9,keyasint,omitempty"`
+	Leader  string         `cbor:"5,keyasint,omitempty"`
+	Shares  []CanaryShare  `cbor:"6,keyasint,omitempty"`
+	Base    *FleetVersion  `cbor:"7,keyasint,omitempty"`
+	Removed []string       `cbor:"8,keyasint,omitempty"`
+	Stages  []StagedChange `cbor:"9,keyasint,omitempty"`
 	// Paces are, in a change, the servers of which nothing but the pace is new:
 	// their places in the list before, and their paces, by turns.
-	Paces []uint32 `cbor:"10,keyasint,omitempty"`
+	RelativeLatencies []uint32 `cbor:"10,keyasint,omitempty"`
 	// Cutoffs are what all nodes turn away; Mirrors, what they copy. Both are
 	// grants like a share.
 	Cutoffs []shedding.Cutoff `cbor:"11,keyasint,omitempty"`
@@ -115,7 +115,7 @@
 // Example:
 //
 //	if fleet.HoldsGrants() { renew() }
-func (f Fleet) HoldsGrants() bool {
+func (f Fleet) HasGrants() bool {
 	return len(f.Shares)+len(f.Stages)+len(f.Cutoffs)+len(f.Mirrors) > 0
 }
 
@@ -124,10 +124,10 @@
 // Example:
 //
 //	if fleet.Reading().Outranks(held.Reading()) { hold(fleet) }
-func (f Fleet) Reading() Reading { return Reading{f.Term, f.Count} }
+func (f Fleet) Version() FleetVersion { return FleetVersion{f.Term, f.Count} }
 
 // warmDrift is how far two readings of a server's warming may lie apart.
-const warmDrift = 700 * time.Millisecond
+const warmupTolerance = 700 * time.Millisecond
 
 // Settle lays a reading in order, each server once, and takes over what the last
 // reading said of a server's warming where it is the same but for the clock's steps. A
@@ -137,8 +137,8 @@
 // Example:
 //
 //	servers = feed.Settle(last.Servers, servers)
-func Settle(last, read []Server) []Server {
-	slices.SortStableFunc(read, leavingFirst)
+func Normalize(last, read []Server) []Server {
+	slices.SortStableFunc(read, compareLeavingFirst)
 	read = slices.CompactFunc(read, func(a, z Server) bool { return a.ID == z.ID })
 	at := map[string]Server{}
 	for _, server := range last {
@@ -146,16 +146,16 @@
 	}
 	for i, server := range read {
 		old, isKnown := at[server.ID]
-		drift := time.Duration(old.WarmMs-server.WarmMs) * time.Millisecond
-		if isKnown && (server.WarmMs == 0 || drift < warmDrift && drift > -warmDrift) {
-			read[i].WarmMs = old.WarmMs
+		drift := time.Duration(old.WarmupEndMs-server.WarmupEndMs) * time.Millisecond
+		if isKnown && (server.WarmupEndMs == 0 || drift < warmupTolerance && drift > -warmupTolerance) {
+			read[i].WarmupEndMs = old.WarmupEndMs
 		}
 	}
 	return read
 }
 
 // leavingFirst orders servers by id, and an entry that leaves before one that is ready.
-func leavingFirst(a, z Server) int {
+func compareLeavingFirst(a, z Server) int {
 	if order := strings.Compare(a.ID, z.ID); order != 0 || a.IsReady == z.IsReady {
 		return order
 	}
--- a/internal/feed/follower.go
+++ b/internal/feed/follower.go
@@ -13,17 +13,17 @@
 
 // Follower follows one node's feed, again and again, until its context ends.
 type Follower struct {
-	Name string
-	Line *rpc.Line
-	Take func(News)
+	Name       string
+	Connection *rpc.Line
+	OnUpdate   func(Update)
 	// Pause is how long to wait after the feed broke.
-	Pause time.Duration
+	RetryDelay time.Duration
 	// brokeAt is since when no feed came, in nanoseconds of the steady clock; 0
 	// while one does.
-	brokeAt atomic.Int64
-	clock   clock.Clock
+	disconnectedAt atomic.Int64
+	clock          clock.Clock
 	// afresh asks for a checkpoint, as news did not fit what is held.
-	afresh chan struct{}
+	snapshotRequests chan struct{}
 }
 
 // NewFollower makes a follower that gives the news to take.
@@ -31,9 +31,9 @@
 // Example:
 //
 //	follower := feed.NewFollower(node, line, merge, 200*time.Millisecond)
-func NewFollower(name string, line *rpc.Line, take func(News), pause time.Duration) *Follower {
-	f := &Follower{Name: name, Line: line, Take: take, Pause: pause, afresh: make(chan struct{}, 1), clock: clock.Real()}
-	f.brokeAt.Store(int64(f.clock.Steady()) + 1)
+func NewFollower(name string, line *rpc.Line, take func(Update), pause time.Duration) *Follower {
+	f := &Follower{Name: name, Connection: line, OnUpdate: take, RetryDelay: pause, snapshotRequests: make(chan struct{}, 1), clock: clock.Real()}
+	f.disconnectedAt.Store(int64(f.clock.Steady()) + 1)
 	return f
 }
 
@@ -42,8 +42,8 @@
 // Example:
 //
 //	if follower.Broken() > time.Second { followAnother() }
-func (f *Follower) Broken() time.Duration {
-	at := f.brokeAt.Load()
+func (f *Follower) DisconnectedFor() time.Duration {
+	at := f.disconnectedAt.Load()
 	if at == 0 {
 		return 0
 	}
@@ -55,9 +55,9 @@
 // Example:
 //
 //	if !board.Fits(news) { follower.Again() }
-func (f *Follower) Again() {
+func (f *Follower) RequestSnapshot() {
 	select {
-	case f.afresh <- struct{}{}:
+	case f.snapshotRequests <- struct{}{}:
 	default:
 	}
 }
@@ -68,32 +68,32 @@
 //
 //	go follower.Run(ctx)
 func (f *Follower) Run(ctx context.Context) {
-	reached := &reached{Follow: Follow{Name: f.Name}}
+	reached := &position{FollowRequest: FollowRequest{Name: f.Name}}
 	for ctx.Err() == nil {
 		broke := make(chan error, 1)
 		from, number := reached.begin()
-		revoke := f.Line.SendRevocable(KindFollow, from, func(body []byte, err error) {
-			var news News
+		revoke := f.Connection.SendRevocable(KindFollow, from, func(body []byte, err error) {
+			var news Update
 			if err == nil {
 				err = rpc.Unpack(body, &news)
 			}
-			if !reached.isCurrent(number) {
+			if !reached.current(number) {
 				return
 			}
 			if err != nil {
 				reached.end()
-				f.brokeAt.CompareAndSwap(0, int64(f.clock.Steady())+1)
+				f.disconnectedAt.CompareAndSwap(0, int64(f.clock.Steady())+1)
 				broke <- err
 				return
 			}
-			f.brokeAt.Store(0)
-			f.Take(news)
-			reached.note(number, news)
+			f.disconnectedAt.Store(0)
+			f.OnUpdate(news)
+			reached.advance(number, news)
 		})
 		var err error
 		select {
 		case <-ctx.Done():
-		case <-f.afresh:
+		case <-f.snapshotRequests:
 			reached.reset()
 		case err = <-broke:
 		}
@@ -101,7 +101,7 @@
 		revoke()
 		if !errors.Is(err, rpc.ErrCut) {
 			// The line ends, so that its other end stops the old feed.
-			f.Line.Close()
+			f.Connection.Close()
 		}
 		if ctx.Err() == nil {
 			f.wait(ctx)
@@ -110,7 +110,7 @@
 }
 
 func (f *Follower) wait(ctx context.Context) {
-	pause := time.NewTimer(f.Pause)
+	pause := time.NewTimer(f.RetryDelay)
 	defer pause.Stop()
 	select {
 	case <-ctx.Done():
--- a/internal/feed/follower_test.go
+++ b/internal/feed/follower_test.go
@@ -16,7 +16,7 @@
 
 var _ = Describe("a follower", func() {
 	// run follows a server of feeds until the test ends.
-	run := func(handle func(rpc.Call), take func(feed.News)) *feed.Follower {
+	run := func(handle func(rpc.Call), take func(feed.Update)) *feed.Follower {
 		listener, err := net.Listen("tcp4", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		ctx, stop := context.WithCancel(context.Background())
@@ -27,15 +27,15 @@
 		go follower.Run(ctx)
 		return follower
 	}
-	publish := func(hub *feed.Hub, version int) { hub.Publish(feed.News{Items: []config.Item{item("a", version)}}) }
+	publish := func(hub *feed.Hub, version int) { hub.Publish(feed.Update{Items: []config.Item{item("a", version)}}) }
 
 	It("gets the checkpoint that it asked for, whatever the earlier feed still brings", func() {
 		hub := feed.NewHub()
 		publish(hub, 1)
-		got, hold := make(chan feed.News, 16), make(chan struct{})
-		follower := run(hub.Handle, func(news feed.News) {
+		got, hold := make(chan feed.Update, 16), make(chan struct{})
+		follower := run(hub.Handle, func(news feed.Update) {
 			got <- news
-			if !news.IsCheckpoint {
+			if !news.Snapshot {
 				<-hold
 			}
 		})
@@ -43,7 +43,7 @@
 		publish(hub, 2)
 		Eventually(got).Should(Receive(HaveField("IsCheckpoint", false)))
 		// The earlier feed is being taken still as the follower begins anew.
-		follower.Again()
+		follower.RequestSnapshot()
 		time.Sleep(50 * time.Millisecond)
 		close(hold)
 		Eventually(got).Should(Receive(HaveField("IsCheckpoint", true)))
@@ -52,11 +52,11 @@
 	It("skips no news that it cannot read, and leaves no feed behind", func() {
 		hub := feed.NewHub()
 		publish(hub, 1)
-		reached, ended := make(chan feed.Follow, 16), make(chan struct{}, 16)
-		got := make(chan feed.News, 16)
+		reached, ended := make(chan feed.FollowRequest, 16), make(chan struct{}, 16)
+		got := make(chan feed.Update, 16)
 		var isGood atomic.Bool
 		follower := run(func(call rpc.Call) {
-			var from feed.Follow
+			var from feed.FollowRequest
 			if rpc.Unpack(call.Body, &from) != nil {
 				return
 			}
@@ -65,17 +65,17 @@
 				hub.Handle(call)
 				return
 			}
-			call.Reply(feed.News{Life: 7, Place: 1})
+			call.Reply(feed.Update{Incarnation: 7, Sequence: 1})
 			call.Reply("no news at all")
-			call.Reply(feed.News{Life: 7, Place: 3})
+			call.Reply(feed.Update{Incarnation: 7, Sequence: 3})
 			go func() { <-call.Ended; ended <- struct{}{} }()
-		}, func(news feed.News) { got <- news })
+		}, func(news feed.Update) { got <- news })
 		Eventually(reached).Should(Receive(HaveField("Place", uint64(0))))
 		Eventually(got).Should(Receive(HaveField("Place", uint64(1))))
 		Eventually(reached).Should(Receive(HaveField("Place", uint64(1))))
 		Eventually(ended).Should(Receive())
 		Eventually(got).Should(Receive(HaveField("IsCheckpoint", true)))
 		Expect(hub.Followers()).To(Equal([]string{"one"}))
-		Eventually(follower.Broken).Should(BeZero())
+		Eventually(follower.DisconnectedFor).Should(BeZero())
 	})
 })
--- a/internal/feed/hub.go
+++ b/internal/feed/hub.go
@@ -12,33 +12,33 @@
 const KindFollow rpc.Kind = 1
 
 // Follow says from which place on a follower wants news.
-type Follow struct {
-	Life  uint64 `cbor:"1,keyasint"`
-	Place uint64 `cbor:"2,keyasint"`
-	Name  string `cbor:"3,keyasint"`
+type FollowRequest struct {
+	Incarnation uint64 `cbor:"1,keyasint"`
+	Sequence    uint64 `cbor:"2,keyasint"`
+	Name        string `cbor:"3,keyasint"`
 }
 
-const keptNews = 128
+const maxHistory = 128
 
 // GrantSpan is how long a share is granted for, from when it was heard of.
-const GrantSpan = 1200 * time.Millisecond
+const GrantDuration = 1200 * time.Millisecond
 
 // Hub numbers news and gives it to its followers. The life is drawn anew at
 // each start, so that places of an earlier life are not taken for its own.
 type Hub struct {
-	life  uint64
-	lock  sync.Mutex
-	board *Board
-	place uint64
-	kept  []News
-	next  uint64
-	out   map[uint64]func(any) bool
-	names map[uint64]string
-	now   func() time.Time
+	incarnation uint64
+	lock        sync.Mutex
+	replica     *Replica
+	sequence    uint64
+	history     []Update
+	lastID      uint64
+	subscribers map[uint64]func(any) bool
+	names       map[uint64]string
+	now         func() time.Time
 	// fleetAt is when the fleet was last told.
-	fleetAt time.Time
+	fleetPublishedAt time.Time
 	// checkpoint is the last one made, while nothing has changed.
-	checkpoint *News
+	cachedSnapshot *Update
 }
 
 // NewHub makes a hub with an empty board.
@@ -48,7 +48,7 @@
 //	hub := feed.NewHub()
 //	handlers[feed.KindFollow] = hub.Handle
 func NewHub() *Hub {
-	return &Hub{life: rand.Uint64(), board: NewBoard(), out: map[uint64]func(any) bool{}, names: map[uint64]string{}, now: time.Now}
+	return &Hub{incarnation: rand.Uint64(), replica: NewReplica(), subscribers: map[uint64]func(any) bool{}, names: map[uint64]string{}, now: time.Now}
 }
 
 // Publish merges news into the hub's board and passes on what was newer.
@@ -56,54 +56,54 @@
 // Example:
 //
 //	hub.Publish(feed.News{Items: items})
-func (h *Hub) Publish(news News) (fresh News, isNew bool) {
+func (h *Hub) Publish(news Update) (fresh Update, isNew bool) {
 	h.lock.Lock()
 	defer h.lock.Unlock()
-	held := h.board.Fleet
-	fresh, isNew = h.board.Merge(news)
+	held := h.replica.Fleet
+	fresh, isNew = h.replica.Merge(news)
 	if !isNew {
 		return fresh, false
 	}
-	h.place++
+	h.sequence++
 	whole := fresh.Fleet
 	if whole != nil {
-		h.fleetAt = h.now()
+		h.fleetPublishedAt = h.now()
 	}
 	if whole != nil && held.Count > 0 {
 		// Followers are told what has changed, not the fleet once more.
-		change := whole.ChangeOf(held)
+		change := whole.DiffFrom(held)
 		fresh.Fleet = &change
 	}
-	fresh.Life, fresh.Place = h.life, h.place
-	fresh, h.checkpoint = fresh.pack(), nil
-	if h.kept = append(h.kept, fresh); len(h.kept) > keptNews {
-		h.kept = append([]News(nil), h.kept[len(h.kept)-keptNews/2:]...)
+	fresh.Incarnation, fresh.Sequence = h.incarnation, h.sequence
+	fresh, h.cachedSnapshot = fresh.encode(), nil
+	if h.history = append(h.history, fresh); len(h.history) > maxHistory {
+		h.history = append([]Update(nil), h.history[len(h.history)-maxHistory/2:]...)
 	}
-	for number, send := range h.out {
+	for number, send := range h.subscribers {
 		if !send(fresh) {
-			delete(h.out, number)
+			delete(h.subscribers, number)
 			delete(h.names, number)
 		}
 	}
-	fresh.Fleet, fresh.packed = whole, nil
+	fresh.Fleet, fresh.encoded = whole, nil
 	return fresh, true
 }
 
 // whole is the checkpoint of the hub's place. It is written once for all that ask
 // while nothing changes, as after a restart of everything.
-func (h *Hub) whole() News {
-	isLapsed := h.now().Sub(h.fleetAt) > GrantSpan
-	if h.checkpoint != nil && !(isLapsed && h.checkpoint.Fleet.HoldsGrants()) {
-		return *h.checkpoint
+func (h *Hub) snapshot() Update {
+	isLapsed := h.now().Sub(h.fleetPublishedAt) > GrantDuration
+	if h.cachedSnapshot != nil && !(isLapsed && h.cachedSnapshot.Fleet.HasGrants()) {
+		return *h.cachedSnapshot
 	}
-	made := h.board.Checkpoint()
+	made := h.replica.Snapshot()
 	if isLapsed {
 		// Grants that lapsed here are no grants to a newcomer.
 		made.Fleet.Shares, made.Fleet.Stages, made.Fleet.Cutoffs, made.Fleet.Mirrors = nil, nil, nil, nil
 	}
-	made.Life, made.Place = h.life, h.place
-	made = made.pack()
-	h.checkpoint = &made
+	made.Incarnation, made.Sequence = h.incarnation, h.sequence
+	made = made.encode()
+	h.cachedSnapshot = &made
 	return made
 }
 
@@ -112,10 +112,10 @@
 // Example:
 //
 //	hub.Read(func(board *feed.Board) { fleet = board.Fleet })
-func (h *Hub) Read(look func(*Board)) {
+func (h *Hub) Read(look func(*Replica)) {
 	h.lock.Lock()
 	defer h.lock.Unlock()
-	look(h.board)
+	look(h.replica)
 }
 
 // Followers names those who follow now.
@@ -139,28 +139,28 @@
 //
 //	rpc.Serve(listener, rpc.Handlers{feed.KindFollow: hub.Handle}, silence)
 func (h *Hub) Handle(call rpc.Call) {
-	var follow Follow
+	var follow FollowRequest
 	if rpc.Unpack(call.Body, &follow) != nil {
 		return
 	}
 	h.lock.Lock()
 	defer h.lock.Unlock()
-	missed := h.place - follow.Place
-	if follow.Life == h.life && follow.Place <= h.place && missed <= uint64(len(h.kept)) {
-		for _, news := range h.kept[uint64(len(h.kept))-missed:] {
+	missed := h.sequence - follow.Sequence
+	if follow.Incarnation == h.incarnation && follow.Sequence <= h.sequence && missed <= uint64(len(h.history)) {
+		for _, news := range h.history[uint64(len(h.history))-missed:] {
 			call.Reply(news)
 		}
 	} else {
-		call.Reply(h.whole())
+		call.Reply(h.snapshot())
 	}
-	h.next++
-	number := h.next
-	h.out[number], h.names[number] = call.Reply, follow.Name
+	h.lastID++
+	number := h.lastID
+	h.subscribers[number], h.names[number] = call.Reply, follow.Name
 	go func() {
 		<-call.Ended
 		h.lock.Lock()
 		defer h.lock.Unlock()
-		delete(h.out, number)
+		delete(h.subscribers, number)
 		delete(h.names, number)
 	}()
 }
--- a/internal/feed/leaving.go
+++ b/internal/feed/leaving.go
@@ -8,7 +8,7 @@
 // departedMost bounds how many servers that left are remembered. At the target's rate
 // of replacement, 28,000 a day, that is more than an hour, and a fleet that is older
 // than what a board has seen is out of date by seconds.
-const departedMost = 2048
+const maxLeaving = 2048
 
 // Untold are the servers that a reading of the platform's list shows leaving and that
 // are to be told: those that this board has not seen leave, whether the fleet lists them
@@ -18,9 +18,9 @@
 // Example:
 //
 //	hub.Publish(feed.News{Leaving: board.Untold(page)})
-func (b *Board) Untold(read []Server) (leaving []string) {
+func (b *Replica) UnreportedLeaving(read []Server) (leaving []string) {
 	for _, server := range read {
-		if !server.IsReady && (!b.Leaving[server.ID] || b.Fleet.CallsReady(server.ID)) {
+		if !server.IsReady && (!b.Leaving[server.ID] || b.Fleet.ListsReady(server.ID)) {
 			leaving = append(leaving, server.ID)
 		}
 	}
@@ -32,7 +32,7 @@
 // Example:
 //
 //	isKnown := board.Leaving[id] || !board.Fleet.CallsReady(id)
-func (f Fleet) CallsReady(id string) bool {
+func (f Fleet) ListsReady(id string) bool {
 	at, isListed := slices.BinarySearchFunc(f.Servers, id, func(server Server, id string) int { return strings.Compare(server.ID, id) })
 	return isListed && f.Servers[at].IsReady
 }
@@ -43,9 +43,9 @@
 // Example:
 //
 //	yard = yard.Lay(board.Serving())
-func (b *Board) Serving() Fleet {
+func (b *Replica) ServingFleet() Fleet {
 	fleet := b.Fleet
-	fleet.Servers = b.WithoutLeaving(fleet.Servers)
+	fleet.Servers = b.MarkLeaving(fleet.Servers)
 	return fleet
 }
 
@@ -55,7 +55,7 @@
 // Example:
 //
 //	fleet.Servers = board.WithoutLeaving(listed)
-func (b *Board) WithoutLeaving(servers []Server) []Server {
+func (b *Replica) MarkLeaving(servers []Server) []Server {
 	isCopied := false
 	for i, server := range servers {
 		if !server.IsReady || !b.Leaving[server.ID] {
@@ -71,7 +71,7 @@
 
 // mergeLeaving remembers servers that are known to leave, and returns those that were
 // not known before.
-func (b *Board) mergeLeaving(ids []string) (fresh []string) {
+func (b *Replica) addLeaving(ids []string) (fresh []string) {
 	for _, id := range ids {
 		if !b.Leaving[id] {
 			b.Leaving[id] = true
@@ -79,25 +79,25 @@
 			fresh = append(fresh, id)
 		}
 	}
-	b.forgetOldest()
+	b.evictOldest()
 	return fresh
 }
 
 // noteLeaving remembers the servers that the fleet shows leaving. Whoever has the fleet
 // knows it too, so it is no news.
-func (b *Board) noteLeaving(servers []Server) {
+func (b *Replica) addLeavingFrom(servers []Server) {
 	var leaving []string
 	for _, server := range servers {
 		if !server.IsReady && !b.Leaving[server.ID] {
 			leaving = append(leaving, server.ID)
 		}
 	}
-	b.mergeLeaving(leaving)
+	b.addLeaving(leaving)
 }
 
 // forgetOldest keeps what is remembered within its bound.
-func (b *Board) forgetOldest() {
-	surplus := len(b.leavingOrder) - departedMost
+func (b *Replica) evictOldest() {
+	surplus := len(b.leavingOrder) - maxLeaving
 	if surplus <= 0 {
 		return
 	}
--- a/internal/feed/leaving_test.go
+++ b/internal/feed/leaving_test.go
@@ -17,35 +17,35 @@
 	draining := func(id string) feed.Server { return feed.Server{ID: id} }
 
 	It("names those that the fleet still calls ready or that nobody has seen leave, and no others", func() {
-		board := feed.NewBoard()
-		board.Merge(feed.News{Fleet: fleetOf(1, ready("a"), draining("b"), ready("c"))})
+		board := feed.NewReplica()
+		board.Merge(feed.Update{Fleet: fleetOf(1, ready("a"), draining("b"), ready("c"))})
 		read := []feed.Server{draining("a"), draining("b"), ready("c"), draining("d")}
-		Expect(board.Untold(read)).To(Equal([]string{"a", "d"}))
-		board.Merge(feed.News{Leaving: []string{"a", "d"}})
+		Expect(board.UnreportedLeaving(read)).To(Equal([]string{"a", "d"}))
+		board.Merge(feed.Update{Leaving: []string{"a", "d"}})
 		// What was told of a server that the fleet calls ready may be lost on its way.
-		Expect(board.Untold(read)).To(Equal([]string{"a"}))
-		board.Merge(feed.News{Fleet: fleetOf(2, draining("a"), draining("b"), ready("c"))})
-		Expect(board.Untold(read)).To(BeEmpty())
+		Expect(board.UnreportedLeaving(read)).To(Equal([]string{"a"}))
+		board.Merge(feed.Update{Fleet: fleetOf(2, draining("a"), draining("b"), ready("c"))})
+		Expect(board.UnreportedLeaving(read)).To(BeEmpty())
 	})
 
 	It("is passed on once, stands in a checkpoint, and is undone by no fleet", func() {
 		hub := feed.NewHub()
-		hub.Publish(feed.News{Fleet: fleetOf(1, ready("a"), ready("b"))})
-		var got []feed.News
-		follow(hub, feed.Follow{}, func(news feed.News) bool { got = append(got, news); return true })
+		hub.Publish(feed.Update{Fleet: fleetOf(1, ready("a"), ready("b"))})
+		var got []feed.Update
+		follow(hub, feed.FollowRequest{}, func(news feed.Update) bool { got = append(got, news); return true })
 		for range 2 {
-			hub.Publish(feed.News{Leaving: []string{"a", "unknown"}})
+			hub.Publish(feed.Update{Leaving: []string{"a", "unknown"}})
 		}
 		Expect(got).To(HaveLen(2))
 		Expect(got[1].Leaving).To(Equal([]string{"a", "unknown"}))
-		var first feed.News
-		newcomer := func() { follow(hub, feed.Follow{}, func(news feed.News) bool { first = news; return true }) }
+		var first feed.Update
+		newcomer := func() { follow(hub, feed.FollowRequest{}, func(news feed.Update) bool { first = news; return true }) }
 		newcomer()
 		Expect(first.Leaving).To(Equal([]string{"a", "unknown"}))
 		isServing := func() (out map[string]bool) {
 			out = map[string]bool{}
-			hub.Read(func(board *feed.Board) {
-				for _, server := range board.Serving().Servers {
+			hub.Read(func(board *feed.Replica) {
+				for _, server := range board.ServingFleet().Servers {
 					out[server.ID] = server.IsReady
 				}
 			})
@@ -57,32 +57,32 @@
 			fleetOf(2, ready("a"), ready("b"), ready("c")), fleetOf(3, draining("a"), draining("b")),
 			{Term: 2, Count: 1, Servers: []feed.Server{ready("a"), ready("b"), ready("c")}},
 		} {
-			hub.Publish(feed.News{Fleet: fleet})
+			hub.Publish(feed.Update{Fleet: fleet})
 			newcomer()
 			Expect(first.Leaving).To(ContainElements("a", "unknown"), "fleet %d", count)
 			Expect(isServing()).To(HaveKeyWithValue("a", false), "fleet %d", count)
 		}
 		Expect(isServing()).To(Equal(map[string]bool{"a": false, "b": false, "c": true}))
-		hub.Read(func(board *feed.Board) {
+		hub.Read(func(board *feed.Replica) {
 			Expect(board.Fleet.Servers).To(HaveEach(HaveField("IsReady", true)), "the fleet itself stays as it was told, as changes are told against it")
 		})
 	})
 
 	It("is remembered for a bounded number of servers, the newest of them", func() {
-		board := feed.NewBoard()
+		board := feed.NewReplica()
 		const many = 5000
 		for i := range many {
-			board.Merge(feed.News{Leaving: []string{fmt.Sprint(i)}})
+			board.Merge(feed.Update{Leaving: []string{fmt.Sprint(i)}})
 		}
 		Expect(len(board.Leaving)).To(And(BeNumerically(">", 1000), BeNumerically("<", many)))
 		Expect(board.Leaving).To(HaveKey(fmt.Sprint(many - 1)))
-		Expect(board.Checkpoint().Leaving).To(HaveLen(len(board.Leaving)))
+		Expect(board.Snapshot().Leaving).To(HaveLen(len(board.Leaving)))
 	})
 })
 
 var _ = Describe("a list that changed while it was paged", func() {
 	It("names a server once, and one that any page shows leaving as leaving", func() {
 		read := []feed.Server{{ID: "b", IsReady: true}, {ID: "a", IsReady: true}, {ID: "b"}, {ID: "c", IsReady: true}, {ID: "c", IsReady: true}}
-		Expect(feed.Settle(nil, read)).To(Equal([]feed.Server{{ID: "a", IsReady: true}, {ID: "b"}, {ID: "c", IsReady: true}}))
+		Expect(feed.Normalize(nil, read)).To(Equal([]feed.Server{{ID: "a", IsReady: true}, {ID: "b"}, {ID: "c", IsReady: true}}))
 	})
 })
--- a/internal/feed/reached.go
+++ b/internal/feed/reached.go
@@ -4,47 +4,47 @@
 
 // reached is the place up to which a feed was taken. Only the subscription that is
 // under way moves it: what an earlier one brings late says nothing of the next.
-type reached struct {
-	Follow
-	lock    sync.Mutex
-	number  uint64
-	isEnded bool
+type position struct {
+	FollowRequest
+	lock       sync.Mutex
+	generation uint64
+	ended      bool
 }
 
 // begin is where the next subscription starts, and its number.
-func (r *reached) begin() (from Follow, number uint64) {
+func (r *position) begin() (from FollowRequest, number uint64) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	r.number++
-	r.isEnded = false
-	return r.Follow, r.number
+	r.generation++
+	r.ended = false
+	return r.FollowRequest, r.generation
 }
 
-func (r *reached) isCurrent(number uint64) bool {
+func (r *position) current(number uint64) bool {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	return number == r.number && !r.isEnded
+	return number == r.generation && !r.ended
 }
 
-func (r *reached) note(number uint64, news News) {
+func (r *position) advance(number uint64, news Update) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	if number == r.number && !r.isEnded {
-		r.Life, r.Place = news.Life, news.Place
+	if number == r.generation && !r.ended {
+		r.Incarnation, r.Sequence = news.Incarnation, news.Sequence
 	}
 }
 
 // end makes the subscription an earlier one.
-func (r *reached) end() {
+func (r *position) end() {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	r.isEnded = true
+	r.ended = true
 }
 
 // reset makes the next subscription start with a checkpoint.
-func (r *reached) reset() {
+func (r *position) reset() {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	r.isEnded = true
-	r.Life, r.Place = 0, 0
+	r.ended = true
+	r.Incarnation, r.Sequence = 0, 0
 }
--- a/internal/messages/lease.go
+++ b/internal/messages/lease.go
@@ -30,6 +30,6 @@
 
 // ContactTold is the reply; it counts only where it is OK.
 type ContactTold struct {
-	OK    bool         `cbor:"1,keyasint"`
-	Fleet feed.Reading `cbor:"2,keyasint"`
+	OK    bool              `cbor:"1,keyasint"`
+	Fleet feed.FleetVersion `cbor:"2,keyasint"`
 }
--- a/internal/outlier/court.go
+++ b/internal/outlier/court.go
@@ -178,14 +178,14 @@
 // Example:
 //
 //	isLeft := court.Touch(service, reading).AtWork == 0
-func (c *Court) Touch(subject string, reading feed.Reading) (out Touch) {
+func (c *Court) Touch(subject string, reading feed.FleetVersion) (out Touch) {
 	now := c.clock.Steady()
 	for _, held := range c.witnesses {
 		if now-held.at > clock.Steady(freshSpan) {
 			continue
 		}
 		out.Proxies++
-		if reading.Outranks(feed.Reading{Term: held.report.Term, Count: held.report.Count}) {
+		if reading.NewerThan(feed.FleetVersion{Term: held.report.Term, Count: held.report.Count}) {
 			out.Behind++
 		}
 		for _, work := range held.report.Works {
--- a/internal/proxy/canary.go
+++ b/internal/proxy/canary.go
@@ -31,12 +31,12 @@
 
 // grantsValid reports whether the grants in the last fleet state have not expired.
 func (s *snapshot) grantsValid(now clock.Steady) bool {
-	return time.Duration(now-s.fleetReceivedAt) <= feed.GrantSpan
+	return time.Duration(now-s.fleetReceivedAt) <= feed.GrantDuration
 }
 
 // canaryShare returns the traffic share of the service's canary version while its
 // grant is valid.
-func (s *snapshot) canaryShare(service string, now clock.Steady) (share feed.Share, granted bool) {
+func (s *snapshot) canaryShare(service string, now clock.Steady) (share feed.CanaryShare, granted bool) {
 	if !s.grantsValid(now) {
 		return share, false
 	}
@@ -45,7 +45,7 @@
 			return share, true
 		}
 	}
-	return feed.Share{}, false
+	return feed.CanaryShare{}, false
 }
 
 // admitToCanary decides whether a request may go to the canary version.
@@ -54,7 +54,7 @@
 		return
 	}
 	if share, granted := req.snapshot.canaryShare(req.service, p.clock.Steady()); granted {
-		req.trialEligible = p.canaryAllowance(req.service).Take(share.Number, share.Part, req.route.Name)
+		req.trialEligible = p.canaryAllowance(req.service).Take(share.Number, share.Fraction, req.route.Name)
 	}
 }
 
@@ -71,14 +71,14 @@
 		return false
 	}
 	share, granted := s.canaryShare(d.request.service, d.clock.Steady())
-	return granted && (len(d.tried) == 0 || share.Part >= 1)
+	return granted && (len(d.tried) == 0 || share.Fraction >= 1)
 }
 
 // recordOutcome counts the outcome of an attempt for its server and for the canary
 // that it belongs to.
 func (d *forwarder) recordOutcome(server *balancer.Siding, mark outlier.Mark, response *upstream.Response, err error, latency, usualLatency time.Duration) {
 	outcome := outlier.Good
-	warming := server.WarmLeft(d.clock.Wall()) > 0
+	warming := server.WarmupRemaining(d.clock.Wall()) > 0
 	slow := usualLatency > 0 && latency > max(slowFactor*usualLatency, slowMin)
 	var netErr net.Error
 	switch {
@@ -109,7 +109,7 @@
 // outcome of the attempt counts for it.
 func (d *forwarder) canaryMark(server *balancer.Siding) (mark outlier.Mark) {
 	if share, granted := d.snapshot.Load().canaryShare(d.request.service, d.clock.Steady()); granted {
-		mark = outlier.Mark{Subject: d.request.service, Number: share.Number, Lane: d.request.route.Name, IsTrial: server.Grade == feed.OnTrial}
+		mark = outlier.Mark{Subject: d.request.service, Number: share.Number, Lane: d.request.route.Name, IsTrial: server.Admission == feed.OnTrial}
 	}
 	return mark
 }
--- a/internal/proxy/eligibility.go
+++ b/internal/proxy/eligibility.go
@@ -18,7 +18,7 @@
 	if !listed || current.Address != server.Address {
 		return false
 	}
-	return current.IsReady && current.Grade != feed.Shut && !current.IsLeaving()
+	return current.IsReady && current.Admission != feed.Blocked && !current.IsLeaving()
 }
 
 // replaceAttempt starts an attempt in place of one whose server left before anything was
--- a/internal/proxy/eligibility_test.go
+++ b/internal/proxy/eligibility_test.go
@@ -77,7 +77,7 @@
 		"is no longer listed": func() { updateServers(listedServer("x-2")) },
 		"runs a version that was shut": func() {
 			shut := listedServer("x-1")
-			shut.Grade = feed.Shut
+			shut.Admission = feed.Blocked
 			updateServers(shut, listedServer("x-2"))
 		},
 		"has lost its address to another server": func() {
@@ -109,10 +109,10 @@
 	}
 
 	It("learns from a feed update that a server is leaving", func() {
-		p.applyUpdates([]feed.News{{Fleet: &feed.Fleet{Term: 1, Count: 9, Servers: []feed.Server{listedServer("x-1"), listedServer("x-2")}}}})
+		p.applyUpdates([]feed.Update{{Fleet: &feed.Fleet{Term: 1, Count: 9, Servers: []feed.Server{listedServer("x-1"), listedServer("x-2")}}}})
 		server := findServer("x-1")
 		Expect(p.acceptsRequests(server)).To(BeTrue())
-		p.applyUpdates([]feed.News{{Leaving: []string{"x-1"}}})
+		p.applyUpdates([]feed.Update{{Leaving: []string{"x-1"}}})
 		Expect(p.acceptsRequests(server)).To(BeFalse())
 		Expect(p.acceptsRequests(findServer("x-2"))).To(BeTrue())
 	})
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -46,9 +46,9 @@
 	proxyCount     int
 	// trialShares, holder and fleetVersion come from the fleet state received at
 	// fleetReceivedAt; holder is the address that reports are sent to.
-	trialShares     []feed.Share
+	trialShares     []feed.CanaryShare
 	holder          string
-	fleetVersion    feed.Reading
+	fleetVersion    feed.FleetVersion
 	fleetReceivedAt clock.Steady
 	// stagedChanges are the staged changes in progress.
 	stagedChanges []stagedChange
@@ -66,8 +66,8 @@
 	clock      clock.Clock
 	log        LogFunc
 	snapshot   atomic.Pointer[snapshot]
-	updateLoop *clock.Loop[feed.News]
-	replica    *feed.Board
+	updateLoop *clock.Loop[feed.Update]
+	replica    *feed.Replica
 	follower   *feed.Follower
 	// draining is set on SIGTERM.
 	draining       atomic.Bool
@@ -153,7 +153,7 @@
 
 func newProxy(cfg *settings.Settings, timeSource clock.Clock, log LogFunc) *proxy {
 	p := &proxy{
-		clock: timeSource, log: log, updateLoop: clock.NewLoop[feed.News](256), replica: feed.NewBoard(),
+		clock: timeSource, log: log, updateLoop: clock.NewLoop[feed.Update](256), replica: feed.NewReplica(),
 		connections: map[string]*rpc.Line{}, retryBudgets: map[string]*balancer.Budget{}, incarnation: newIncarnation(), outcomes: outlier.NewBox(), siteCapacity: branchline.NewPurse(timeSource),
 		shedder: newLoadShedder(timeSource), trafficMirror: newMirrorSender(),
 	}
@@ -169,14 +169,14 @@
 
 // applyUpdates merges a batch of updates into the replica and stores a new snapshot. Only
 // the update loop calls it, so it needs no lock on the replica.
-func (p *proxy) applyUpdates(batch []feed.News) {
+func (p *proxy) applyUpdates(batch []feed.Update) {
 	previous := p.snapshot.Load()
 	next := *previous
 	changed := false
 	var leavingIDs []string
 	for _, update := range batch {
-		if !p.replica.Fits(update) {
-			p.follower.Again()
+		if !p.replica.CanApply(update) {
+			p.follower.RequestSnapshot()
 		}
 		merged, updated := p.replica.Merge(update)
 		changed = changed || updated
@@ -184,7 +184,7 @@
 			next.manifest = nil
 		}
 		if merged.Fleet != nil {
-			next.applyFleet(p.replica.Serving(), p.clock.Steady())
+			next.applyFleet(p.replica.ServingFleet(), p.clock.Steady())
 			p.trafficMirror.closeUnlisted(next.servers)
 		}
 		leavingIDs = append(leavingIDs, merged.Leaving...)
@@ -195,16 +195,16 @@
 	}
 	manifestChanged := next.manifest == nil
 	if manifestChanged {
-		next.manifest, next.manifestDigest = p.replica.Book.Compile(), p.replica.Book.Digest()
+		next.manifest, next.manifestDigest = p.replica.Items.Compile(), p.replica.Items.Digest()
 		platform := p.settings.Load().Platform
-		if sites, err := p.replica.Book.Tree(platform.Cells); err == nil {
+		if sites, err := p.replica.Items.Tree(platform.Cells); err == nil {
 			next.sites, next.localSite = sites, sites.SiteOf("", platform.Cell)
 		}
 	}
 	if len(next.stagedChanges)+len(p.replica.Fleet.Stages) > 0 {
-		next.updateStaged(p.replica.Fleet.Stages, p.replica.Book, manifestChanged, p.settings.Load().Platform.NodeName)
+		next.updateStaged(p.replica.Fleet.Stages, p.replica.Items, manifestChanged, p.settings.Load().Platform.NodeName)
 	}
-	next.complete = p.replica.IsWhole
+	next.complete = p.replica.Complete
 	if p.replica.View.Epoch > next.view.Epoch {
 		next.view = p.replica.View
 	}
--- a/internal/proxy/selection.go
+++ b/internal/proxy/selection.go
@@ -65,12 +65,12 @@
 		// requests themselves.
 		server := s.balancer.Choose(criteria, d.clock)
 		if server != nil {
-			d.siteReservations.Store(server, d.siteCapacity.Note(service, s.sites.SiteOf(server.ID, server.Cell)))
+			d.siteReservations.Store(server, d.siteCapacity.Note(service, s.sites.SiteOf(server.ID, server.Zone)))
 		}
 		return server
 	}
 	criteria.Allows = func(server *balancer.Siding) bool {
-		site := s.sites.SiteOf(server.ID, server.Cell)
+		site := s.sites.SiteOf(server.ID, server.Zone)
 		if site == s.localSite {
 			// A server that failed its last request is not worth waiting for:
 			// without free slots elsewhere the request is rejected at once.
@@ -84,7 +84,7 @@
 			d.siteCapacity.Turn(service, max(d.stats.mean(), time.Millisecond))
 			return nil
 		}
-		if release, ok := d.siteCapacity.Enter(service, s.sites.SiteOf(server.ID, server.Cell), s.localSite, share); ok {
+		if release, ok := d.siteCapacity.Enter(service, s.sites.SiteOf(server.ID, server.Zone), s.localSite, share); ok {
 			d.siteReservations.Store(server, release)
 			return server
 		}
--- a/internal/proxy/snapshot.go
+++ b/internal/proxy/snapshot.go
@@ -11,13 +11,13 @@
 func (s *snapshot) applyFleet(fleet feed.Fleet, now clock.Steady) {
 	switch {
 	case slices.Equal(s.servers, fleet.Servers):
-	case feed.IsKeptAs(s.servers, fleet.Servers):
+	case feed.EqualIgnoringHealth(s.servers, fleet.Servers):
 		s.balancer.Hear(fleet)
 	default:
 		s.balancer = s.balancer.Lay(fleet)
 	}
 	s.servers = fleet.Servers
-	s.proxyCount, s.trialShares, s.holder = fleet.Proxies, fleet.Shares, fleet.Holder
-	s.fleetVersion, s.fleetReceivedAt = fleet.Reading(), now
+	s.proxyCount, s.trialShares, s.holder = fleet.Proxies, fleet.Shares, fleet.Leader
+	s.fleetVersion, s.fleetReceivedAt = fleet.Version(), now
 	s.cutoffs, s.mirrorGrants = fleet.Cutoffs, fleet.Mirrors
 }
--- a/internal/proxy/staged.go
+++ b/internal/proxy/staged.go
@@ -18,14 +18,14 @@
 // stagedChange is a staged change with the configuration that results from it.
 // applies tells whether this node serves by it.
 type stagedChange struct {
-	feed.Stage
+	feed.StagedChange
 	compiled *config.RoutingTable
 	applies  bool
 }
 
 // updateStaged compiles the published staged changes. A change that is only renewed
 // keeps its compiled configuration, unless the items have changed.
-func (s *snapshot) updateStaged(published []feed.Stage, items config.ItemSet, configChanged bool, node string) {
+func (s *snapshot) updateStaged(published []feed.StagedChange, items config.ItemSet, configChanged bool, node string) {
 	previous := s.stagedChanges
 	s.stagedChanges = nil
 	for _, change := range published {
--- a/internal/proxy/vote.go
+++ b/internal/proxy/vote.go
@@ -62,7 +62,7 @@
 		a.ungranted[vote.member] = true
 	}
 	if vote.reply.View != nil {
-		a.updateLoop.Offer(feed.News{View: vote.reply.View})
+		a.updateLoop.Offer(feed.Update{View: vote.reply.View})
 	}
 	a.round.AddVote(&vote.reply.Ballot)
 }
