--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -25,11 +25,11 @@
 }
 
 // follow asks the hub from a place on, over nothing but a closure.
-func follow(hub *feed.Hub, from feed.FollowRequest, take func(feed.Update) bool) (end func()) {
+func follow(hub *feed.Hub, from feed.FollowRequest, onUpdate func(feed.Update) bool) (cancel func()) {
 	body, err := cbor.Marshal(from)
 	Expect(err).NotTo(HaveOccurred())
 	ended := make(chan struct{})
-	hub.Handle(rpc.Call{Body: body, Ended: ended, Reply: func(news any) bool { return take(news.(feed.Update)) }})
+	hub.Handle(rpc.Call{Body: body, Ended: ended, Reply: func(update any) bool { return onUpdate(update.(feed.Update)) }})
 	return func() { close(ended) }
 }
 
@@ -39,17 +39,17 @@
 			random := rand.New(rand.NewPCG(seed, 2))
 			hubs := []*feed.Hub{feed.NewHub(), feed.NewHub()}
 			all := config.ItemSet{}
-			board, reached := feed.NewReplica(), []feed.FollowRequest{{}, {}}
-			ends := make([]func(), 2)
-			isCut := []bool{true, true}
+			replica, positions := feed.NewReplica(), []feed.FollowRequest{{}, {}}
+			cancels := make([]func(), 2)
+			disconnected := []bool{true, true}
 			connect := func(at int) {
-				isCut[at] = false
-				ends[at] = follow(hubs[at], reached[at], func(news feed.Update) bool {
-					if isCut[at] {
+				disconnected[at] = false
+				cancels[at] = follow(hubs[at], positions[at], func(update feed.Update) bool {
+					if disconnected[at] {
 						return false
 					}
-					board.Merge(news)
-					reached[at].Incarnation, reached[at].Sequence = news.Incarnation, news.Sequence
+					replica.Merge(update)
+					positions[at].Incarnation, positions[at].Sequence = update.Incarnation, update.Sequence
 					return true
 				})
 			}
@@ -57,29 +57,29 @@
 				at := random.IntN(2)
 				switch random.IntN(8) {
 				case 0:
-					if !isCut[at] {
-						isCut[at] = true
-						ends[at]()
+					if !disconnected[at] {
+						disconnected[at] = true
+						cancels[at]()
 					}
 				case 1:
-					if isCut[at] {
+					if disconnected[at] {
 						connect(at)
 					}
 				case 2:
 					if random.IntN(6) == 0 { // a restart: the hub has what the disk kept
 						hubs[at] = feed.NewHub()
 						hubs[at].Publish(feed.Update{Items: all.Items()})
-						isCut[at] = true
+						disconnected[at] = true
 					}
 				default:
-					news := feed.Update{Items: []config.Item{item(fmt.Sprint(random.IntN(5)), step+1)}}
-					all.Merge(news.Items)
+					update := feed.Update{Items: []config.Item{item(fmt.Sprint(random.IntN(5)), step+1)}}
+					all.Merge(update.Items)
 					for _, hub := range hubs {
-						hub.Publish(news)
+						hub.Publish(update)
 					}
 				}
-				if !isCut[0] || !isCut[1] {
-					Expect(board.Items.Digest()).To(Equal(all.Digest()), "seed %d step %d", seed, step)
+				if !disconnected[0] || !disconnected[1] {
+					Expect(replica.Items.Digest()).To(Equal(all.Digest()), "seed %d step %d", seed, step)
 				}
 			}
 		}
@@ -89,7 +89,7 @@
 		hub := feed.NewHub()
 		hub.Publish(feed.Update{Items: []config.Item{item("a", 1)}, View: &membership.View{Epoch: 3}})
 		var got []feed.Update
-		follow(hub, feed.FollowRequest{Name: "one"}, func(news feed.Update) bool { got = append(got, news); return true })
+		follow(hub, feed.FollowRequest{Name: "one"}, func(update feed.Update) bool { got = append(got, update); return true })
 		Expect(got).To(HaveLen(1))
 		Expect(got[0].Snapshot).To(BeTrue())
 		hub.Publish(feed.Update{Items: []config.Item{item("a", 1)}, View: &membership.View{Epoch: 2}})
@@ -104,13 +104,13 @@
 		for seed := range uint64(80) {
 			random := rand.New(rand.NewPCG(seed, 5))
 			hubs := []*feed.Hub{feed.NewHub(), feed.NewHub()}
-			board := feed.NewReplica()
+			replica := feed.NewReplica()
 			whole := feed.Fleet{Term: 1}
-			bytes, isGap := 0, false
-			take := func(news feed.Update) bool {
-				isGap = isGap || !board.CanApply(news)
-				board.Merge(news)
-				text, err := cbor.Marshal(news)
+			bytes, mismatched := 0, false
+			take := func(update feed.Update) bool {
+				mismatched = mismatched || !replica.CanApply(update)
+				replica.Merge(update)
+				text, err := cbor.Marshal(update)
 				Expect(err).NotTo(HaveOccurred())
 				bytes += len(text)
 				return true
@@ -126,17 +126,17 @@
 					}
 				}
 				whole = feed.Fleet{Term: 1, Count: whole.Count + 1, Servers: next}
-				isMissed := random.IntN(4)
+				skipped := random.IntN(4)
 				for at, hub := range hubs {
-					if at != isMissed {
+					if at != skipped {
 						hub.Publish(feed.Update{Fleet: &whole})
 					}
 				}
-				if isGap { // it asks one of them for a checkpoint
-					isGap = false
-					follow(hubs[(isMissed+1)%2], feed.FollowRequest{}, take)
+				if mismatched { // it asks one of them for a checkpoint
+					mismatched = false
+					follow(hubs[(skipped+1)%2], feed.FollowRequest{}, take)
 				}
-				Expect(board.Fleet.Servers).To(Equal(whole.Servers), "seed %d", seed)
+				Expect(replica.Fleet.Servers).To(Equal(whole.Servers), "seed %d", seed)
 			}
 			Expect(bytes).To(BeNumerically(">", 0))
 		}
@@ -150,10 +150,10 @@
 	})
 
 	It("never goes below a fenced term of the fleet", func() {
-		board := feed.NewReplica()
-		board.Merge(feed.Update{Fleet: &feed.Fleet{Term: 2, Count: 1, Servers: []feed.Server{{ID: "new"}}}})
-		_, isNew := board.Merge(feed.Update{Fleet: &feed.Fleet{Term: 1, Count: 9, Servers: []feed.Server{{ID: "old"}}}})
-		Expect(isNew).To(BeFalse())
-		Expect(board.Fleet.Servers[0].ID).To(Equal("new"))
+		replica := feed.NewReplica()
+		replica.Merge(feed.Update{Fleet: &feed.Fleet{Term: 2, Count: 1, Servers: []feed.Server{{ID: "new"}}}})
+		_, changed := replica.Merge(feed.Update{Fleet: &feed.Fleet{Term: 1, Count: 9, Servers: []feed.Server{{ID: "old"}}}})
+		Expect(changed).To(BeFalse())
+		Expect(replica.Fleet.Servers[0].ID).To(Equal("new"))
 	})
 })
--- a/internal/feed/fleet.go
+++ b/internal/feed/fleet.go
@@ -137,26 +137,26 @@
 // Example:
 //
 //	servers = feed.Settle(last.Servers, servers)
-func Normalize(last, read []Server) []Server {
-	slices.SortStableFunc(read, compareLeavingFirst)
-	read = slices.CompactFunc(read, func(a, z Server) bool { return a.ID == z.ID })
-	at := map[string]Server{}
+func Normalize(last, listed []Server) []Server {
+	slices.SortStableFunc(listed, compareLeavingFirst)
+	listed = slices.CompactFunc(listed, func(a, b Server) bool { return a.ID == b.ID })
+	previous := map[string]Server{}
 	for _, server := range last {
-		at[server.ID] = server
+		previous[server.ID] = server
 	}
-	for i, server := range read {
-		old, isKnown := at[server.ID]
+	for i, server := range listed {
+		old, found := previous[server.ID]
 		drift := time.Duration(old.WarmupEndMs-server.WarmupEndMs) * time.Millisecond
-		if isKnown && (server.WarmupEndMs == 0 || drift < warmupTolerance && drift > -warmupTolerance) {
-			read[i].WarmupEndMs = old.WarmupEndMs
+		if found && (server.WarmupEndMs == 0 || drift < warmupTolerance && drift > -warmupTolerance) {
+			listed[i].WarmupEndMs = old.WarmupEndMs
 		}
 	}
-	return read
+	return listed
 }
 
 // leavingFirst orders servers by id, and an entry that leaves before one that is ready.
-func compareLeavingFirst(a, z Server) int {
-	if order := strings.Compare(a.ID, z.ID); order != 0 || a.IsReady == z.IsReady {
+func compareLeavingFirst(a, b Server) int {
+	if order := strings.Compare(a.ID, b.ID); order != 0 || a.IsReady == b.IsReady {
 		return order
 	}
 	if a.IsReady {
--- a/internal/feed/fleet_diff.go
+++ b/internal/feed/fleet_diff.go
@@ -9,31 +9,31 @@
 //
 //	hub.send(fleet.ChangeOf(old))
 func (f Fleet) DiffFrom(old Fleet) Fleet {
-	change, since := f, old.Version()
-	change.Servers, change.Base = nil, &since
-	had, at := old.Servers, uint32(0)
-	next := func() { had, at = had[1:], at+1 }
+	change, base := f, old.Version()
+	change.Servers, change.Base = nil, &base
+	remaining, index := old.Servers, uint32(0)
+	advance := func() { remaining, index = remaining[1:], index+1 }
 	for _, server := range f.Servers {
-		for len(had) > 0 && had[0].ID < server.ID {
-			change.Removed = append(change.Removed, had[0].ID)
-			next()
+		for len(remaining) > 0 && remaining[0].ID < server.ID {
+			change.Removed = append(change.Removed, remaining[0].ID)
+			advance()
 		}
-		if len(had) == 0 || had[0].ID != server.ID {
+		if len(remaining) == 0 || remaining[0].ID != server.ID {
 			change.Servers = append(change.Servers, server)
 			continue
 		}
-		paced := had[0]
-		paced.RelativeLatency = server.RelativeLatency
+		updated := remaining[0]
+		updated.RelativeLatency = server.RelativeLatency
 		switch {
-		case had[0] == server:
-		case paced == server && server.RelativeLatency >= 0:
-			change.RelativeLatencies = append(change.RelativeLatencies, at, uint32(server.RelativeLatency))
+		case remaining[0] == server:
+		case updated == server && server.RelativeLatency >= 0:
+			change.RelativeLatencies = append(change.RelativeLatencies, index, uint32(server.RelativeLatency))
 		default:
 			change.Servers = append(change.Servers, server)
 		}
-		next()
+		advance()
 	}
-	for _, server := range had {
+	for _, server := range remaining {
 		change.Removed = append(change.Removed, server.ID)
 	}
 	return change
@@ -50,8 +50,8 @@
 	if len(change.RelativeLatencies) > 0 {
 		old = slices.Clone(old)
 		for i := 0; i+1 < len(change.RelativeLatencies); i += 2 {
-			if at := int(change.RelativeLatencies[i]); at < len(old) {
-				old[at].RelativeLatency = int(change.RelativeLatencies[i+1])
+			if index := int(change.RelativeLatencies[i]); index < len(old) {
+				old[index].RelativeLatency = int(change.RelativeLatencies[i+1])
 			}
 		}
 		next.Servers = old
@@ -60,9 +60,9 @@
 		return next
 	}
 	next.Servers = make([]Server, 0, len(old)+len(changed))
-	gone := map[string]bool{}
+	removed := map[string]bool{}
 	for _, id := range change.Removed {
-		gone[id] = true
+		removed[id] = true
 	}
 	for _, server := range old {
 		for len(changed) > 0 && changed[0].ID < server.ID {
@@ -71,7 +71,7 @@
 		switch {
 		case len(changed) > 0 && changed[0].ID == server.ID:
 			next.Servers, changed = append(next.Servers, changed[0]), changed[1:]
-		case !gone[server.ID]:
+		case !removed[server.ID]:
 			next.Servers = append(next.Servers, server)
 		}
 	}
@@ -85,8 +85,8 @@
 // Example:
 //
 //	if !feed.IsKeptAs(fleet.Servers, held.Servers) { write(fleet) }
-func EqualIgnoringHealth(a, z []Server) bool {
-	return slices.EqualFunc(a, z, func(x, y Server) bool {
+func EqualIgnoringHealth(a, b []Server) bool {
+	return slices.EqualFunc(a, b, func(x, y Server) bool {
 		x.RelativeLatency, x.Ejected = y.RelativeLatency, y.Ejected
 		return x == y
 	})
--- a/internal/feed/fleet_diff_test.go
+++ b/internal/feed/fleet_diff_test.go
@@ -26,9 +26,9 @@
 				change := next.DiffFrom(held)
 				text, err := cbor.Marshal(change)
 				Expect(err).NotTo(HaveOccurred())
-				var told feed.Fleet
-				Expect(cbor.Unmarshal(text, &told)).To(Succeed())
-				Expect(held.Apply(told).Servers).To(Equal(next.Servers), "seed %d", seed)
+				var received feed.Fleet
+				Expect(cbor.Unmarshal(text, &received)).To(Succeed())
+				Expect(held.Apply(received).Servers).To(Equal(next.Servers), "seed %d", seed)
 				held = next
 			}
 		}
@@ -58,8 +58,8 @@
 		hub := feed.NewHub()
 		hub.Publish(feed.Update{Fleet: &feed.Fleet{Term: 1, Count: 1, Servers: []feed.Server{{ID: "a"}}}})
 		var first, second feed.Update
-		follow(hub, feed.FollowRequest{}, func(news feed.Update) bool { first = news; return true })
-		follow(hub, feed.FollowRequest{}, func(news feed.Update) bool { second = news; return true })
+		follow(hub, feed.FollowRequest{}, func(update feed.Update) bool { first = update; return true })
+		follow(hub, feed.FollowRequest{}, func(update feed.Update) bool { second = update; return true })
 		one, err := first.MarshalCBOR()
 		Expect(err).NotTo(HaveOccurred())
 		other, err := second.MarshalCBOR()
@@ -69,7 +69,7 @@
 		Expect(cbor.Unmarshal(one, &read)).To(Succeed())
 		Expect(read.Fleet.Servers).To(Equal(first.Fleet.Servers))
 		hub.Publish(feed.Update{Fleet: &feed.Fleet{Term: 1, Count: 2, Servers: []feed.Server{{ID: "b"}}}})
-		follow(hub, feed.FollowRequest{}, func(news feed.Update) bool { second = news; return true })
+		follow(hub, feed.FollowRequest{}, func(update feed.Update) bool { second = update; return true })
 		Expect(second.Fleet.Servers[0].ID).To(Equal("b"))
 	})
 })
--- a/internal/feed/follower.go
+++ b/internal/feed/follower.go
@@ -31,8 +31,8 @@
 // Example:
 //
 //	follower := feed.NewFollower(node, line, merge, 200*time.Millisecond)
-func NewFollower(name string, line *rpc.Line, take func(Update), pause time.Duration) *Follower {
-	f := &Follower{Name: name, Connection: line, OnUpdate: take, RetryDelay: pause, snapshotRequests: make(chan struct{}, 1), clock: clock.Real()}
+func NewFollower(name string, connection *rpc.Line, onUpdate func(Update), retryDelay time.Duration) *Follower {
+	f := &Follower{Name: name, Connection: connection, OnUpdate: onUpdate, RetryDelay: retryDelay, snapshotRequests: make(chan struct{}, 1), clock: clock.Real()}
 	f.disconnectedAt.Store(int64(f.clock.Steady()) + 1)
 	return f
 }
@@ -68,37 +68,37 @@
 //
 //	go follower.Run(ctx)
 func (f *Follower) Run(ctx context.Context) {
-	reached := &position{FollowRequest: FollowRequest{Name: f.Name}}
+	position := &position{FollowRequest: FollowRequest{Name: f.Name}}
 	for ctx.Err() == nil {
-		broke := make(chan error, 1)
-		from, number := reached.begin()
-		revoke := f.Connection.SendRevocable(KindFollow, from, func(body []byte, err error) {
-			var news Update
+		disconnected := make(chan error, 1)
+		from, generation := position.begin()
+		cancel := f.Connection.SendRevocable(KindFollow, from, func(body []byte, err error) {
+			var update Update
 			if err == nil {
-				err = rpc.Unpack(body, &news)
+				err = rpc.Unpack(body, &update)
 			}
-			if !reached.current(number) {
+			if !position.current(generation) {
 				return
 			}
 			if err != nil {
-				reached.end()
+				position.end()
 				f.disconnectedAt.CompareAndSwap(0, int64(f.clock.Steady())+1)
-				broke <- err
+				disconnected <- err
 				return
 			}
 			f.disconnectedAt.Store(0)
-			f.OnUpdate(news)
-			reached.advance(number, news)
+			f.OnUpdate(update)
+			position.advance(generation, update)
 		})
 		var err error
 		select {
 		case <-ctx.Done():
 		case <-f.snapshotRequests:
-			reached.reset()
-		case err = <-broke:
+			position.reset()
+		case err = <-disconnected:
 		}
-		reached.end()
-		revoke()
+		position.end()
+		cancel()
 		if !errors.Is(err, rpc.ErrCut) {
 			// The line ends, so that its other end stops the old feed.
 			f.Connection.Close()
@@ -110,10 +110,10 @@
 }
 
 func (f *Follower) wait(ctx context.Context) {
-	pause := time.NewTimer(f.RetryDelay)
-	defer pause.Stop()
+	timer := time.NewTimer(f.RetryDelay)
+	defer timer.Stop()
 	select {
 	case <-ctx.Done():
-	case <-pause.C:
+	case <-timer.C:
 	}
 }
--- a/internal/feed/follower_test.go
+++ b/internal/feed/follower_test.go
@@ -16,14 +16,14 @@
 
 var _ = Describe("a follower", func() {
 	// run follows a server of feeds until the test ends.
-	run := func(handle func(rpc.Call), take func(feed.Update)) *feed.Follower {
+	run := func(handle func(rpc.Call), onUpdate func(feed.Update)) *feed.Follower {
 		listener, err := net.Listen("tcp4", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		ctx, stop := context.WithCancel(context.Background())
 		DeferCleanup(func() { stop(); _ = listener.Close() })
 		go rpc.Serve(listener, rpc.Handlers{feed.KindFollow: handle}, time.Second)
-		line := rpc.NewLine(listener.Addr().String(), time.Second, time.Second)
-		follower := feed.NewFollower("one", line, take, 10*time.Millisecond)
+		connection := rpc.NewLine(listener.Addr().String(), time.Second, time.Second)
+		follower := feed.NewFollower("one", connection, onUpdate, 10*time.Millisecond)
 		go follower.Run(ctx)
 		return follower
 	}
@@ -32,11 +32,11 @@
 	It("gets the checkpoint that it asked for, whatever the earlier feed still brings", func() {
 		hub := feed.NewHub()
 		publish(hub, 1)
-		got, hold := make(chan feed.Update, 16), make(chan struct{})
-		follower := run(hub.Handle, func(news feed.Update) {
-			got <- news
-			if !news.Snapshot {
-				<-hold
+		got, release := make(chan feed.Update, 16), make(chan struct{})
+		follower := run(hub.Handle, func(update feed.Update) {
+			got <- update
+			if !update.Snapshot {
+				<-release
 			}
 		})
 		Eventually(got).Should(Receive(HaveField("IsCheckpoint", true)))
@@ -45,23 +45,23 @@
 		// The earlier feed is being taken still as the follower begins anew.
 		follower.RequestSnapshot()
 		time.Sleep(50 * time.Millisecond)
-		close(hold)
+		close(release)
 		Eventually(got).Should(Receive(HaveField("IsCheckpoint", true)))
 	})
 
 	It("skips no news that it cannot read, and leaves no feed behind", func() {
 		hub := feed.NewHub()
 		publish(hub, 1)
-		reached, ended := make(chan feed.FollowRequest, 16), make(chan struct{}, 16)
+		requests, ended := make(chan feed.FollowRequest, 16), make(chan struct{}, 16)
 		got := make(chan feed.Update, 16)
-		var isGood atomic.Bool
+		var passThrough atomic.Bool
 		follower := run(func(call rpc.Call) {
 			var from feed.FollowRequest
 			if rpc.Unpack(call.Body, &from) != nil {
 				return
 			}
-			reached <- from
-			if isGood.Swap(true) {
+			requests <- from
+			if passThrough.Swap(true) {
 				hub.Handle(call)
 				return
 			}
@@ -69,10 +69,10 @@
 			call.Reply("no news at all")
 			call.Reply(feed.Update{Incarnation: 7, Sequence: 3})
 			go func() { <-call.Ended; ended <- struct{}{} }()
-		}, func(news feed.Update) { got <- news })
-		Eventually(reached).Should(Receive(HaveField("Place", uint64(0))))
+		}, func(update feed.Update) { got <- update })
+		Eventually(requests).Should(Receive(HaveField("Place", uint64(0))))
 		Eventually(got).Should(Receive(HaveField("Place", uint64(1))))
-		Eventually(reached).Should(Receive(HaveField("Place", uint64(1))))
+		Eventually(requests).Should(Receive(HaveField("Place", uint64(1))))
 		Eventually(ended).Should(Receive())
 		Eventually(got).Should(Receive(HaveField("IsCheckpoint", true)))
 		Expect(hub.Followers()).To(Equal([]string{"one"}))
--- a/internal/feed/hub.go
+++ b/internal/feed/hub.go
@@ -56,22 +56,22 @@
 // Example:
 //
 //	hub.Publish(feed.News{Items: items})
-func (h *Hub) Publish(news Update) (fresh Update, isNew bool) {
+func (h *Hub) Publish(update Update) (fresh Update, changed bool) {
 	h.lock.Lock()
 	defer h.lock.Unlock()
-	held := h.replica.Fleet
-	fresh, isNew = h.replica.Merge(news)
-	if !isNew {
+	previous := h.replica.Fleet
+	fresh, changed = h.replica.Merge(update)
+	if !changed {
 		return fresh, false
 	}
 	h.sequence++
-	whole := fresh.Fleet
-	if whole != nil {
+	fleet := fresh.Fleet
+	if fleet != nil {
 		h.fleetPublishedAt = h.now()
 	}
-	if whole != nil && held.Count > 0 {
+	if fleet != nil && previous.Count > 0 {
 		// Followers are told what has changed, not the fleet once more.
-		change := whole.DiffFrom(held)
+		change := fleet.DiffFrom(previous)
 		fresh.Fleet = &change
 	}
 	fresh.Incarnation, fresh.Sequence = h.incarnation, h.sequence
@@ -79,32 +79,32 @@
 	if h.history = append(h.history, fresh); len(h.history) > maxHistory {
 		h.history = append([]Update(nil), h.history[len(h.history)-maxHistory/2:]...)
 	}
-	for number, send := range h.subscribers {
+	for id, send := range h.subscribers {
 		if !send(fresh) {
-			delete(h.subscribers, number)
-			delete(h.names, number)
+			delete(h.subscribers, id)
+			delete(h.names, id)
 		}
 	}
-	fresh.Fleet, fresh.encoded = whole, nil
+	fresh.Fleet, fresh.encoded = fleet, nil
 	return fresh, true
 }
 
 // whole is the checkpoint of the hub's place. It is written once for all that ask
 // while nothing changes, as after a restart of everything.
 func (h *Hub) snapshot() Update {
-	isLapsed := h.now().Sub(h.fleetPublishedAt) > GrantDuration
-	if h.cachedSnapshot != nil && !(isLapsed && h.cachedSnapshot.Fleet.HasGrants()) {
+	grantsExpired := h.now().Sub(h.fleetPublishedAt) > GrantDuration
+	if h.cachedSnapshot != nil && !(grantsExpired && h.cachedSnapshot.Fleet.HasGrants()) {
 		return *h.cachedSnapshot
 	}
-	made := h.replica.Snapshot()
-	if isLapsed {
+	snapshot := h.replica.Snapshot()
+	if grantsExpired {
 		// Grants that lapsed here are no grants to a newcomer.
-		made.Fleet.Shares, made.Fleet.Stages, made.Fleet.Cutoffs, made.Fleet.Mirrors = nil, nil, nil, nil
+		snapshot.Fleet.Shares, snapshot.Fleet.Stages, snapshot.Fleet.Cutoffs, snapshot.Fleet.Mirrors = nil, nil, nil, nil
 	}
-	made.Incarnation, made.Sequence = h.incarnation, h.sequence
-	made = made.encode()
-	h.cachedSnapshot = &made
-	return made
+	snapshot.Incarnation, snapshot.Sequence = h.incarnation, h.sequence
+	snapshot = snapshot.encode()
+	h.cachedSnapshot = &snapshot
+	return snapshot
 }
 
 // Read calls look with the board, which look must not change or keep.
@@ -112,10 +112,10 @@
 // Example:
 //
 //	hub.Read(func(board *feed.Board) { fleet = board.Fleet })
-func (h *Hub) Read(look func(*Replica)) {
+func (h *Hub) Read(inspect func(*Replica)) {
 	h.lock.Lock()
 	defer h.lock.Unlock()
-	look(h.replica)
+	inspect(h.replica)
 }
 
 // Followers names those who follow now.
@@ -139,28 +139,28 @@
 //
 //	rpc.Serve(listener, rpc.Handlers{feed.KindFollow: hub.Handle}, silence)
 func (h *Hub) Handle(call rpc.Call) {
-	var follow FollowRequest
-	if rpc.Unpack(call.Body, &follow) != nil {
+	var request FollowRequest
+	if rpc.Unpack(call.Body, &request) != nil {
 		return
 	}
 	h.lock.Lock()
 	defer h.lock.Unlock()
-	missed := h.sequence - follow.Sequence
-	if follow.Incarnation == h.incarnation && follow.Sequence <= h.sequence && missed <= uint64(len(h.history)) {
-		for _, news := range h.history[uint64(len(h.history))-missed:] {
-			call.Reply(news)
+	missed := h.sequence - request.Sequence
+	if request.Incarnation == h.incarnation && request.Sequence <= h.sequence && missed <= uint64(len(h.history)) {
+		for _, update := range h.history[uint64(len(h.history))-missed:] {
+			call.Reply(update)
 		}
 	} else {
 		call.Reply(h.snapshot())
 	}
 	h.lastID++
-	number := h.lastID
-	h.subscribers[number], h.names[number] = call.Reply, follow.Name
+	id := h.lastID
+	h.subscribers[id], h.names[id] = call.Reply, request.Name
 	go func() {
 		<-call.Ended
 		h.lock.Lock()
 		defer h.lock.Unlock()
-		delete(h.subscribers, number)
-		delete(h.names, number)
+		delete(h.subscribers, id)
+		delete(h.names, id)
 	}()
 }
--- a/internal/feed/leaving.go
+++ b/internal/feed/leaving.go
@@ -18,9 +18,9 @@
 // Example:
 //
 //	hub.Publish(feed.News{Leaving: board.Untold(page)})
-func (b *Replica) UnreportedLeaving(read []Server) (leaving []string) {
-	for _, server := range read {
-		if !server.IsReady && (!b.Leaving[server.ID] || b.Fleet.ListsReady(server.ID)) {
+func (r *Replica) UnreportedLeaving(listed []Server) (leaving []string) {
+	for _, server := range listed {
+		if !server.IsReady && (!r.Leaving[server.ID] || r.Fleet.ListsReady(server.ID)) {
 			leaving = append(leaving, server.ID)
 		}
 	}
@@ -33,8 +33,8 @@
 //
 //	isKnown := board.Leaving[id] || !board.Fleet.CallsReady(id)
 func (f Fleet) ListsReady(id string) bool {
-	at, isListed := slices.BinarySearchFunc(f.Servers, id, func(server Server, id string) int { return strings.Compare(server.ID, id) })
-	return isListed && f.Servers[at].IsReady
+	index, found := slices.BinarySearchFunc(f.Servers, id, func(server Server, id string) int { return strings.Compare(server.ID, id) })
+	return found && f.Servers[index].IsReady
 }
 
 // Serving is the fleet as requests may use it: a server that is known to leave is not
@@ -43,9 +43,9 @@
 // Example:
 //
 //	yard = yard.Lay(board.Serving())
-func (b *Replica) ServingFleet() Fleet {
-	fleet := b.Fleet
-	fleet.Servers = b.MarkLeaving(fleet.Servers)
+func (r *Replica) ServingFleet() Fleet {
+	fleet := r.Fleet
+	fleet.Servers = r.MarkLeaving(fleet.Servers)
 	return fleet
 }
 
@@ -55,14 +55,14 @@
 // Example:
 //
 //	fleet.Servers = board.WithoutLeaving(listed)
-func (b *Replica) MarkLeaving(servers []Server) []Server {
-	isCopied := false
+func (r *Replica) MarkLeaving(servers []Server) []Server {
+	copied := false
 	for i, server := range servers {
-		if !server.IsReady || !b.Leaving[server.ID] {
+		if !server.IsReady || !r.Leaving[server.ID] {
 			continue
 		}
-		if !isCopied {
-			servers, isCopied = slices.Clone(servers), true
+		if !copied {
+			servers, copied = slices.Clone(servers), true
 		}
 		servers[i].IsReady = false
 	}
@@ -71,38 +71,38 @@
 
 // mergeLeaving remembers servers that are known to leave, and returns those that were
 // not known before.
-func (b *Replica) addLeaving(ids []string) (fresh []string) {
+func (r *Replica) addLeaving(ids []string) (fresh []string) {
 	for _, id := range ids {
-		if !b.Leaving[id] {
-			b.Leaving[id] = true
-			b.leavingOrder = append(b.leavingOrder, id)
+		if !r.Leaving[id] {
+			r.Leaving[id] = true
+			r.leavingOrder = append(r.leavingOrder, id)
 			fresh = append(fresh, id)
 		}
 	}
-	b.evictOldest()
+	r.evictOldest()
 	return fresh
 }
 
 // noteLeaving remembers the servers that the fleet shows leaving. Whoever has the fleet
 // knows it too, so it is no news.
-func (b *Replica) addLeavingFrom(servers []Server) {
+func (r *Replica) addLeavingFrom(servers []Server) {
 	var leaving []string
 	for _, server := range servers {
-		if !server.IsReady && !b.Leaving[server.ID] {
+		if !server.IsReady && !r.Leaving[server.ID] {
 			leaving = append(leaving, server.ID)
 		}
 	}
-	b.addLeaving(leaving)
+	r.addLeaving(leaving)
 }
 
 // forgetOldest keeps what is remembered within its bound.
-func (b *Replica) evictOldest() {
-	surplus := len(b.leavingOrder) - maxLeaving
+func (r *Replica) evictOldest() {
+	surplus := len(r.leavingOrder) - maxLeaving
 	if surplus <= 0 {
 		return
 	}
-	for _, id := range b.leavingOrder[:surplus] {
-		delete(b.Leaving, id)
+	for _, id := range r.leavingOrder[:surplus] {
+		delete(r.Leaving, id)
 	}
-	b.leavingOrder = slices.Clone(b.leavingOrder[surplus:])
+	r.leavingOrder = slices.Clone(r.leavingOrder[surplus:])
 }
--- a/internal/feed/leaving_test.go
+++ b/internal/feed/leaving_test.go
@@ -17,35 +17,37 @@
 	draining := func(id string) feed.Server { return feed.Server{ID: id} }
 
 	It("names those that the fleet still calls ready or that nobody has seen leave, and no others", func() {
-		board := feed.NewReplica()
-		board.Merge(feed.Update{Fleet: fleetOf(1, ready("a"), draining("b"), ready("c"))})
-		read := []feed.Server{draining("a"), draining("b"), ready("c"), draining("d")}
-		Expect(board.UnreportedLeaving(read)).To(Equal([]string{"a", "d"}))
-		board.Merge(feed.Update{Leaving: []string{"a", "d"}})
+		replica := feed.NewReplica()
+		replica.Merge(feed.Update{Fleet: fleetOf(1, ready("a"), draining("b"), ready("c"))})
+		listed := []feed.Server{draining("a"), draining("b"), ready("c"), draining("d")}
+		Expect(replica.UnreportedLeaving(listed)).To(Equal([]string{"a", "d"}))
+		replica.Merge(feed.Update{Leaving: []string{"a", "d"}})
 		// What was told of a server that the fleet calls ready may be lost on its way.
-		Expect(board.UnreportedLeaving(read)).To(Equal([]string{"a"}))
-		board.Merge(feed.Update{Fleet: fleetOf(2, draining("a"), draining("b"), ready("c"))})
-		Expect(board.UnreportedLeaving(read)).To(BeEmpty())
+		Expect(replica.UnreportedLeaving(listed)).To(Equal([]string{"a"}))
+		replica.Merge(feed.Update{Fleet: fleetOf(2, draining("a"), draining("b"), ready("c"))})
+		Expect(replica.UnreportedLeaving(listed)).To(BeEmpty())
 	})
 
 	It("is passed on once, stands in a checkpoint, and is undone by no fleet", func() {
 		hub := feed.NewHub()
 		hub.Publish(feed.Update{Fleet: fleetOf(1, ready("a"), ready("b"))})
 		var got []feed.Update
-		follow(hub, feed.FollowRequest{}, func(news feed.Update) bool { got = append(got, news); return true })
+		follow(hub, feed.FollowRequest{}, func(update feed.Update) bool { got = append(got, update); return true })
 		for range 2 {
 			hub.Publish(feed.Update{Leaving: []string{"a", "unknown"}})
 		}
 		Expect(got).To(HaveLen(2))
 		Expect(got[1].Leaving).To(Equal([]string{"a", "unknown"}))
-		var first feed.Update
-		newcomer := func() { follow(hub, feed.FollowRequest{}, func(news feed.Update) bool { first = news; return true }) }
-		newcomer()
-		Expect(first.Leaving).To(Equal([]string{"a", "unknown"}))
-		isServing := func() (out map[string]bool) {
+		var snapshot feed.Update
+		readSnapshot := func() {
+			follow(hub, feed.FollowRequest{}, func(update feed.Update) bool { snapshot = update; return true })
+		}
+		readSnapshot()
+		Expect(snapshot.Leaving).To(Equal([]string{"a", "unknown"}))
+		readiness := func() (out map[string]bool) {
 			out = map[string]bool{}
-			hub.Read(func(board *feed.Replica) {
-				for _, server := range board.ServingFleet().Servers {
+			hub.Read(func(replica *feed.Replica) {
+				for _, server := range replica.ServingFleet().Servers {
 					out[server.ID] = server.IsReady
 				}
 			})
@@ -58,31 +60,31 @@
 			{Term: 2, Count: 1, Servers: []feed.Server{ready("a"), ready("b"), ready("c")}},
 		} {
 			hub.Publish(feed.Update{Fleet: fleet})
-			newcomer()
-			Expect(first.Leaving).To(ContainElements("a", "unknown"), "fleet %d", count)
-			Expect(isServing()).To(HaveKeyWithValue("a", false), "fleet %d", count)
+			readSnapshot()
+			Expect(snapshot.Leaving).To(ContainElements("a", "unknown"), "fleet %d", count)
+			Expect(readiness()).To(HaveKeyWithValue("a", false), "fleet %d", count)
 		}
-		Expect(isServing()).To(Equal(map[string]bool{"a": false, "b": false, "c": true}))
-		hub.Read(func(board *feed.Replica) {
-			Expect(board.Fleet.Servers).To(HaveEach(HaveField("IsReady", true)), "the fleet itself stays as it was told, as changes are told against it")
+		Expect(readiness()).To(Equal(map[string]bool{"a": false, "b": false, "c": true}))
+		hub.Read(func(replica *feed.Replica) {
+			Expect(replica.Fleet.Servers).To(HaveEach(HaveField("IsReady", true)), "the fleet itself stays as it was told, as changes are told against it")
 		})
 	})
 
 	It("is remembered for a bounded number of servers, the newest of them", func() {
-		board := feed.NewReplica()
-		const many = 5000
-		for i := range many {
-			board.Merge(feed.Update{Leaving: []string{fmt.Sprint(i)}})
+		replica := feed.NewReplica()
+		const reported = 5000
+		for i := range reported {
+			replica.Merge(feed.Update{Leaving: []string{fmt.Sprint(i)}})
 		}
-		Expect(len(board.Leaving)).To(And(BeNumerically(">", 1000), BeNumerically("<", many)))
-		Expect(board.Leaving).To(HaveKey(fmt.Sprint(many - 1)))
-		Expect(board.Snapshot().Leaving).To(HaveLen(len(board.Leaving)))
+		Expect(len(replica.Leaving)).To(And(BeNumerically(">", 1000), BeNumerically("<", reported)))
+		Expect(replica.Leaving).To(HaveKey(fmt.Sprint(reported - 1)))
+		Expect(replica.Snapshot().Leaving).To(HaveLen(len(replica.Leaving)))
 	})
 })
 
 var _ = Describe("a list that changed while it was paged", func() {
 	It("names a server once, and one that any page shows leaving as leaving", func() {
-		read := []feed.Server{{ID: "b", IsReady: true}, {ID: "a", IsReady: true}, {ID: "b"}, {ID: "c", IsReady: true}, {ID: "c", IsReady: true}}
-		Expect(feed.Normalize(nil, read)).To(Equal([]feed.Server{{ID: "a", IsReady: true}, {ID: "b"}, {ID: "c", IsReady: true}}))
+		listed := []feed.Server{{ID: "b", IsReady: true}, {ID: "a", IsReady: true}, {ID: "b"}, {ID: "c", IsReady: true}, {ID: "c", IsReady: true}}
+		Expect(feed.Normalize(nil, listed)).To(Equal([]feed.Server{{ID: "a", IsReady: true}, {ID: "b"}, {ID: "c", IsReady: true}}))
 	})
 })
--- a/internal/feed/position.go
+++ b/internal/feed/position.go
@@ -12,39 +12,39 @@
 }
 
 // begin is where the next subscription starts, and its number.
-func (r *position) begin() (from FollowRequest, number uint64) {
-	r.lock.Lock()
-	defer r.lock.Unlock()
-	r.generation++
-	r.ended = false
-	return r.FollowRequest, r.generation
+func (p *position) begin() (from FollowRequest, generation uint64) {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	p.generation++
+	p.ended = false
+	return p.FollowRequest, p.generation
 }
 
-func (r *position) current(number uint64) bool {
-	r.lock.Lock()
-	defer r.lock.Unlock()
-	return number == r.generation && !r.ended
+func (p *position) current(generation uint64) bool {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	return generation == p.generation && !p.ended
 }
 
-func (r *position) advance(number uint64, news Update) {
-	r.lock.Lock()
-	defer r.lock.Unlock()
-	if number == r.generation && !r.ended {
-		r.Incarnation, r.Sequence = news.Incarnation, news.Sequence
+func (p *position) advance(generation uint64, update Update) {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	if generation == p.generation && !p.ended {
+		p.Incarnation, p.Sequence = update.Incarnation, update.Sequence
 	}
 }
 
 // end makes the subscription an earlier one.
-func (r *position) end() {
-	r.lock.Lock()
-	defer r.lock.Unlock()
-	r.ended = true
+func (p *position) end() {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	p.ended = true
 }
 
 // reset makes the next subscription start with a checkpoint.
-func (r *position) reset() {
-	r.lock.Lock()
-	defer r.lock.Unlock()
-	r.ended = true
-	r.Incarnation, r.Sequence = 0, 0
+func (p *position) reset() {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	p.ended = true
+	p.Incarnation, p.Sequence = 0, 0
 }
--- a/internal/feed/replica.go
+++ b/internal/feed/replica.go
@@ -39,11 +39,11 @@
 // Example:
 //
 //	text, err := cbor.Marshal(news)
-func (n Update) MarshalCBOR() ([]byte, error) {
-	if n.encoded != nil {
-		return n.encoded, nil
+func (u Update) MarshalCBOR() ([]byte, error) {
+	if u.encoded != nil {
+		return u.encoded, nil
 	}
-	return cbor.Marshal(plainUpdate(n))
+	return cbor.Marshal(plainUpdate(u))
 }
 
 // Packed is the news as it was written for all followers, or nil.
@@ -51,15 +51,15 @@
 // Example:
 //
 //	frame := append(head, news.Packed()...)
-func (n Update) Encoded() []byte { return n.encoded }
+func (u Update) Encoded() []byte { return u.encoded }
 
 // pack writes the news once, so that each follower costs a copy only.
-func (n Update) encode() Update {
-	n.encoded = nil
-	if text, err := n.MarshalCBOR(); err == nil {
-		n.encoded = text
+func (u Update) encode() Update {
+	u.encoded = nil
+	if data, err := u.MarshalCBOR(); err == nil {
+		u.encoded = data
 	}
-	return n
+	return u
 }
 
 // Board is all that a node knows from news. It has one owner.
@@ -90,28 +90,28 @@
 // Example:
 //
 //	if fresh, isNew := board.Merge(news); isNew { hub.Publish(fresh) }
-func (b *Replica) Merge(news Update) (fresh Update, isNew bool) {
-	if fresh.Items = b.Items.Merge(news.Items); len(fresh.Items) > 0 {
-		isNew = true
+func (r *Replica) Merge(update Update) (fresh Update, changed bool) {
+	if fresh.Items = r.Items.Merge(update.Items); len(fresh.Items) > 0 {
+		changed = true
 	}
-	if news.Fleet != nil && b.CanApply(news) && news.Fleet.Version().NewerThan(b.Fleet.Version()) {
-		whole := *news.Fleet
+	if update.Fleet != nil && r.CanApply(update) && update.Fleet.Version().NewerThan(r.Fleet.Version()) {
+		whole := *update.Fleet
 		if whole.Base != nil {
-			whole = b.Fleet.Apply(whole)
+			whole = r.Fleet.Apply(whole)
 		}
-		b.Fleet, fresh.Fleet, isNew = whole, &whole, true
-		b.addLeavingFrom(whole.Servers)
+		r.Fleet, fresh.Fleet, changed = whole, &whole, true
+		r.addLeavingFrom(whole.Servers)
 	}
-	if fresh.Leaving = b.addLeaving(news.Leaving); len(fresh.Leaving) > 0 {
-		isNew = true
+	if fresh.Leaving = r.addLeaving(update.Leaving); len(fresh.Leaving) > 0 {
+		changed = true
 	}
-	if news.View != nil && news.View.Epoch > b.View.Epoch {
-		b.View, fresh.View, isNew = *news.View, news.View, true
+	if update.View != nil && update.View.Epoch > r.View.Epoch {
+		r.View, fresh.View, changed = *update.View, update.View, true
 	}
-	if news.Complete && !b.Complete {
-		b.Complete, fresh.Complete, isNew = true, true, true
+	if update.Complete && !r.Complete {
+		r.Complete, fresh.Complete, changed = true, true, true
 	}
-	return fresh, isNew
+	return fresh, changed
 }
 
 // Fits tells whether the board can take the news. A change of a fleet that it
@@ -120,9 +120,9 @@
 // Example:
 //
 //	if !board.Fits(news) { follower.Again() }
-func (b *Replica) CanApply(news Update) bool {
-	f := news.Fleet
-	return f == nil || f.Base == nil || *f.Base == b.Fleet.Version() || !f.Version().NewerThan(b.Fleet.Version())
+func (r *Replica) CanApply(update Update) bool {
+	f := update.Fleet
+	return f == nil || f.Base == nil || *f.Base == r.Fleet.Version() || !f.Version().NewerThan(r.Fleet.Version())
 }
 
 // Checkpoint is the whole board as news.
@@ -130,7 +130,7 @@
 // Example:
 //
 //	hub := feed.NewHub(board.Checkpoint)
-func (b *Replica) Snapshot() Update {
-	fleet, view := b.Fleet, b.View
-	return Update{Items: b.Items.Items(), Fleet: &fleet, View: &view, Snapshot: true, Complete: b.Complete, Leaving: slices.Clone(b.leavingOrder)}
+func (r *Replica) Snapshot() Update {
+	fleet, view := r.Fleet, r.View
+	return Update{Items: r.Items.Items(), Fleet: &fleet, View: &view, Snapshot: true, Complete: r.Complete, Leaving: slices.Clone(r.leavingOrder)}
 }
--- a/internal/feed/replica_fuzz_test.go
+++ b/internal/feed/replica_fuzz_test.go
@@ -14,10 +14,10 @@
 	held := feed.Fleet{Term: 1, Count: 1, Servers: []feed.Server{{ID: "a"}, {ID: "b", RelativeLatency: 3}}}
 	next := feed.Fleet{Term: 1, Count: 2, Servers: []feed.Server{{ID: "b", RelativeLatency: 4}, {ID: "c"}}}
 	change := next.DiffFrom(held)
-	far := change
-	far.RelativeLatencies = []uint32{1 << 31, 5, 1}
-	for _, news := range []feed.Update{{Fleet: &held, Snapshot: true}, {Fleet: &change}, {Fleet: &far}, {Fleet: &next, Complete: true}} {
-		text, err := cbor.Marshal(news)
+	outOfRange := change
+	outOfRange.RelativeLatencies = []uint32{1 << 31, 5, 1}
+	for _, update := range []feed.Update{{Fleet: &held, Snapshot: true}, {Fleet: &change}, {Fleet: &outOfRange}, {Fleet: &next, Complete: true}} {
+		text, err := cbor.Marshal(update)
 		if err != nil {
 			f.Fatal(err)
 		}
@@ -25,17 +25,17 @@
 	}
 	f.Add([]byte{0xa1, 0x04, 0xa0})
 	f.Fuzz(func(t *testing.T, text []byte) {
-		var news feed.Update
-		if cbor.Unmarshal(text, &news) != nil {
+		var update feed.Update
+		if cbor.Unmarshal(text, &update) != nil {
 			return
 		}
-		board := feed.NewReplica()
-		board.Merge(feed.Update{Fleet: &held})
-		before := board.Fleet.Version()
-		board.Merge(news)
-		if before.NewerThan(board.Fleet.Version()) {
-			t.Fatalf("the fleet went back from %v to %v", before, board.Fleet.Version())
+		replica := feed.NewReplica()
+		replica.Merge(feed.Update{Fleet: &held})
+		before := replica.Fleet.Version()
+		replica.Merge(update)
+		if before.NewerThan(replica.Fleet.Version()) {
+			t.Fatalf("the fleet went back from %v to %v", before, replica.Fleet.Version())
 		}
-		_ = board.Snapshot()
+		_ = replica.Snapshot()
 	})
 }
