--- a/cmd/measure/measures.go
+++ b/cmd/measure/measures.go
@@ -87,7 +87,7 @@
 	for at := range size {
 		name := fmt.Sprint("lane-", at)
 		body, _ := json.Marshal(config.RouteSpec{
-			Name: name, PathPrefix: "/" + name + "/", RouteType: config.Safe, Timeout: clock.Span(time.Second), TargetLatency: clock.Span(time.Second),
+			Name: name, PathPrefix: "/" + name + "/", RouteType: config.Safe, Timeout: clock.Duration(time.Second), TargetLatency: clock.Duration(time.Second),
 			Service: fmt.Sprint("service-", at%40), MaxAttempts: 2, Revision: 1,
 		})
 		items = append(items, config.Item{ID: config.ID{Class: config.RouteItem, Name: name}, Version: 1, Host: fmt.Sprint("h", at%400, ".example"), Body: body})
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -47,7 +47,7 @@
 	gaps map[string]feed.FleetVersion
 	// heard are the nodes that gave their checkpoint.
 	heard map[string]bool
-	began clock.Steady
+	began clock.Instant
 	whole bool
 	note  Note
 	next  chan *settings.Settings
@@ -55,7 +55,7 @@
 	// chosen; wellAt is since when all of the chosen have told.
 	spareFor membership.Epoch
 	spares   int
-	wellAt   clock.Steady
+	wellAt   clock.Instant
 }
 
 // LoopbackAddress is where the agent of a machine feeds its proxy.
@@ -78,7 +78,7 @@
 		note: note, following: map[string]context.CancelFunc{}, lines: map[string]*rpc.Line{}, heard: map[string]bool{},
 		followers: map[string]*feed.Follower{}, gaps: map[string]feed.FleetVersion{}, next: make(chan *settings.Settings, 1),
 	}
-	d.began = d.clock.Steady()
+	d.began = d.clock.Monotonic()
 	listener, err := net.Listen("tcp4", LoopbackAddress(set))
 	if err != nil {
 		return errors.Annotate(err, "loopback")
@@ -159,7 +159,7 @@
 	// A core without a majority can keep nothing new; after a while what one
 	// node tells is better than serving nobody.
 	// Without any items, though, every answer would be a wrong 404.
-	isLate := d.clock.Steady()-d.began > clock.Steady(d.set.Platform.Bounds.Contact) && len(d.heard) > 0 && d.holdsItems()
+	isLate := d.clock.Monotonic()-d.began > clock.Instant(d.set.Platform.Bounds.Contact) && len(d.heard) > 0 && d.holdsItems()
 	if d.whole = isMajority || isLate; d.whole {
 		d.note("info", "the news is whole", "heard", count, "late", isLate)
 		d.hub.Publish(feed.Update{Complete: true})
--- a/internal/agent/choose.go
+++ b/internal/agent/choose.go
@@ -21,7 +21,7 @@
 // this node's own; one more for each that does not tell; and the seeds while no
 // view is known or most of the chosen are silent.
 func (d *desk) wanted() map[string]bool {
-	view, now := d.view(), d.clock.Steady()
+	view, now := d.view(), d.clock.Monotonic()
 	if view.Epoch != d.spareFor {
 		d.spareFor, d.spares, d.wellAt = view.Epoch, 0, now
 	}
--- a/internal/agent/choose_test.go
+++ b/internal/agent/choose_test.go
@@ -28,8 +28,8 @@
 	return out
 }
 
-func newDesk(node string, view membership.View) (*desk, *clock.Hand) {
-	hand := &clock.Hand{Now: time.Hour}
+func newDesk(node string, view membership.View) (*desk, *clock.Manual) {
+	hand := &clock.Manual{Now: time.Hour}
 	set := &settings.Settings{Platform: settings.Platform{NodeName: node, SeedNodes: []string{"10.0.9.1:8382"}, InternalPorts: []int{7200, 7215}}}
 	d := &desk{set: set, clock: hand, hub: feed.NewHub(), followers: map[string]*feed.Follower{}}
 	if view.Epoch > 0 {
--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -29,7 +29,7 @@
 	It("never lets the tries of any window pass its share of what was asked", func() {
 		const ratio, floor, window = 0.2, 2.0, 10 * time.Second
 		random := rand.New(rand.NewPCG(6, 6))
-		hand := &clock.Hand{}
+		hand := &clock.Manual{}
 		budget := balancer.NewBudget(ratio, window, func() float64 { return floor }, hand)
 		var asked, spent []time.Duration
 		within := func(times []time.Duration, from time.Duration) (count float64) {
@@ -75,7 +75,7 @@
 	return feed.Server{ID: id, Service: "s", Address: "127.0.0.1:1", Zone: cell, Capacity: 2, IsReady: true}
 }
 
-func chosen(yard *balancer.Yard, wish balancer.Wish, hand *clock.Hand) map[string]int {
+func chosen(yard *balancer.Yard, wish balancer.Wish, hand *clock.Manual) map[string]int {
 	counts := map[string]int{}
 	for range 200 {
 		if siding := yard.Choose(wish, hand); siding != nil {
@@ -87,7 +87,7 @@
 
 var _ = Describe("the choice of a server", func() {
 	It("heeds draining, failures, full servers, strangers and cells", func() {
-		hand := &clock.Hand{}
+		hand := &clock.Manual{}
 		wish := balancer.Wish{Service: "s", Crossing: 5 * time.Millisecond}
 		draining := server("d", "c1")
 		draining.IsReady = false
@@ -95,19 +95,19 @@
 		Expect(chosen(yard, wish, hand)).To(Equal(map[string]int{"a": 200}))
 		near := yard.Choose(wish, hand)
 		near.Begin()
-		near.End(balancer.Failed, time.Second, 0, hand.Steady())
+		near.End(balancer.Failed, time.Second, 0, hand.Monotonic())
 		Expect(chosen(yard, wish, hand)).To(Equal(map[string]int{"b": 200}))
 		hand.Sleep(time.Second)
 		Expect(chosen(yard, wish, hand)).To(Equal(map[string]int{"a": 200}))
 		near.Begin()
-		near.End(balancer.Misdirected, 0, 0, hand.Steady())
+		near.End(balancer.Misdirected, 0, 0, hand.Monotonic())
 		Expect(chosen(yard, wish, hand)).To(Equal(map[string]int{"b": 200}))
 		wish.Passed = []*balancer.Siding{yard.Choose(wish, hand)}
 		Expect(yard.Choose(wish, hand)).To(BeNil())
 	})
 
 	It("sends less to a server that is slow, warming or busy", func() {
-		hand := &clock.Hand{}
+		hand := &clock.Manual{}
 		warming := server("w", "c1")
 		warming.WarmupEndMs = hand.Wall().Add(time.Second).UnixMilli()
 		yard := here.Lay(fleet(server("a", "c1"), warming))
@@ -121,7 +121,7 @@
 	})
 
 	It("holds no more at a server than its part of the server's connections", func() {
-		hand := &clock.Hand{}
+		hand := &clock.Manual{}
 		yard := here.Lay(fleet(server("a", "c1")))
 		wish := balancer.Wish{Service: "s", Limit: 2}
 		first := yard.Choose(wish, hand)
@@ -130,31 +130,31 @@
 		Expect(yard.Choose(wish, hand)).To(BeNil())
 		wish.IsPlaced = true
 		Expect(yard.Choose(wish, hand)).To(BeNil())
-		first.End(balancer.Served, time.Millisecond, 0, hand.Steady())
+		first.End(balancer.Served, time.Millisecond, 0, hand.Monotonic())
 		Expect(yard.Choose(wish, hand)).NotTo(BeNil())
 	})
 
 	It("knows a fallen site by what is left of it, and by what fails, not by what is busy", func() {
-		hand := &clock.Hand{}
+		hand := &clock.Manual{}
 		yard := here.Lay(fleet(server("a", "c1"), server("b", "c1"), server("z", "c2")))
 		wish := balancer.Wish{Service: "s"}
 		Expect(yard.IsFallen("s")).To(BeFalse())
 		first := yard.Choose(wish, hand)
 		first.Begin()
-		first.End(balancer.Full, 0, 0, hand.Steady())
+		first.End(balancer.Full, 0, 0, hand.Monotonic())
 		Expect(yard.IsFallen("s")).To(BeFalse())
 		first.Begin()
-		first.End(balancer.Failed, 0, 0, hand.Steady())
+		first.End(balancer.Failed, 0, 0, hand.Monotonic())
 		Expect(yard.IsFallen("s")).To(BeTrue())
 		first.Begin()
-		first.End(balancer.Served, time.Millisecond, 0, hand.Steady())
+		first.End(balancer.Served, time.Millisecond, 0, hand.Monotonic())
 		Expect(yard.IsFallen("s")).To(BeFalse())
 		Expect(yard.Lay(fleet(server("z", "c2"))).IsFallen("s")).To(BeTrue())
 		Expect(here.Lay(fleet(server("z", "c2"))).IsFallen("s")).To(BeFalse())
 	})
 
 	It("keeps what it learnt of a server when the list says something new", func() {
-		hand := &clock.Hand{}
+		hand := &clock.Manual{}
 		yard := here.Lay(fleet(server("a", "c1")))
 		yard.Choose(balancer.Wish{Service: "s"}, hand).End(balancer.Misdirected, 0, 0, 0)
 		changed := server("a", "c1")
--- a/internal/balancer/budget.go
+++ b/internal/balancer/budget.go
@@ -15,12 +15,12 @@
 type Budget struct {
 	ratio  float64
 	floor  func() float64
-	step   clock.Steady
+	step   clock.Instant
 	lock   sync.Mutex
 	at     int64
 	asked  [budgetSteps]float64
 	spent  [budgetSteps]float64
-	steady func() clock.Steady
+	steady func() clock.Instant
 }
 
 const (
@@ -56,7 +56,7 @@
 //
 //	budget := balancer.NewBudget(0.2, 10*time.Second, func() float64 { return balancer.Floor(64, 12) }, clock)
 func NewBudget(ratio float64, window time.Duration, floor func() float64, timeSource clock.Clock) *Budget {
-	return &Budget{ratio: ratio, floor: floor, step: clock.Steady(window) / (budgetSteps - 1), steady: timeSource.Steady}
+	return &Budget{ratio: ratio, floor: floor, step: clock.Instant(window) / (budgetSteps - 1), steady: timeSource.Monotonic}
 }
 
 // turn moves to the present step, emptying those that were passed.
--- a/internal/balancer/budget_test.go
+++ b/internal/balancer/budget_test.go
@@ -33,7 +33,7 @@
 		)
 		for seed := uint64(1); seed <= 20; seed++ {
 			random := rand.New(rand.NewPCG(seed, 5))
-			hand := &clock.Hand{}
+			hand := &clock.Manual{}
 			budget := balancer.NewBudget(ratio, window, func() float64 { return 0 }, hand)
 			requests, tries := make(arrivals, (length+longest).Milliseconds()+1), make(arrivals, (length+longest).Milliseconds()+1)
 			bursts := [][2]time.Duration{}
--- a/internal/balancer/choose.go
+++ b/internal/balancer/choose.go
@@ -46,7 +46,7 @@
 type choice struct {
 	wish        Wish
 	cell        string
-	now         clock.Steady
+	now         clock.Instant
 	wall        time.Time
 	best, first *Siding
 	least       float64
@@ -85,7 +85,7 @@
 //
 //	siding := yard.Choose(balancer.Wish{Service: "paadam"}, clock)
 func (y *Yard) Choose(wish Wish, clock clock.Clock) *Siding {
-	c := &choice{wish: wish, cell: y.home.Cell, now: clock.Steady(), wall: clock.Wall(), least: math.Inf(1)}
+	c := &choice{wish: wish, cell: y.home.Cell, now: clock.Monotonic(), wall: clock.Wall(), least: math.Inf(1)}
 	stand := y.stand(wish.Service)
 	if wish.IsTrial {
 		stand = y.stand(trialName(wish.Service))
--- a/internal/balancer/leaving_test.go
+++ b/internal/balancer/leaving_test.go
@@ -13,7 +13,7 @@
 
 var _ = Describe("a server that is reported to leave", func() {
 	It("is never chosen again, on the ring or off it, whatever the fleet says and however long it takes", func() {
-		hand := &clock.Hand{Now: time.Hour}
+		hand := &clock.Manual{Now: time.Hour}
 		fleet := feed.Fleet{Term: 1, Count: 1, Servers: []feed.Server{
 			{ID: "a", Service: "s", Zone: "z", Capacity: 2, IsReady: true}, {ID: "b", Service: "s", Zone: "z", Capacity: 2, IsReady: true},
 		}}
--- a/internal/balancer/paces_test.go
+++ b/internal/balancer/paces_test.go
@@ -36,7 +36,7 @@
 		yard.Hear(next)
 		slow, quick := 0, 0
 		for range 400 {
-			switch yard.Choose(balancer.Wish{Service: "s", Usual: 100 * time.Millisecond}, &clock.Hand{}).ID {
+			switch yard.Choose(balancer.Wish{Service: "s", Usual: 100 * time.Millisecond}, &clock.Manual{}).ID {
 			case "i-07":
 				quick++
 			case "i-09":
--- a/internal/balancer/siding.go
+++ b/internal/balancer/siding.go
@@ -106,7 +106,7 @@
 // Example:
 //
 //	siding.End(balancer.Served, took, usual, clock.Steady())
-func (s *Siding) End(outcome Outcome, took, usual time.Duration, now clock.Steady) {
+func (s *Siding) End(outcome Outcome, took, usual time.Duration, now clock.Instant) {
 	s.atWork.Add(-1)
 	switch outcome {
 	case Served:
@@ -139,7 +139,7 @@
 }
 
 // cost is the expected delay of one more inquiry, in nanoseconds.
-func (s *Siding) cost(now clock.Steady, wall time.Time, cell string, wish Wish) float64 {
+func (s *Siding) cost(now clock.Instant, wall time.Time, cell string, wish Wish) float64 {
 	pace := s.beside() * float64(max(wish.Usual, paceLeast))
 	cost := pace * (1 + float64(s.atWork.Load())/float64(max(1, s.Capacity)))
 	if s.WarmupRemaining(wall) > 0 {
--- a/internal/bandwidth/bandwidth_test.go
+++ b/internal/bandwidth/bandwidth_test.go
@@ -22,7 +22,7 @@
 // wire is a slow plain model of a link: a queue that empties at the link's
 // rate. It tells the longest that a short packet would have waited.
 type wire struct {
-	hand    *clock.Hand
+	hand    *clock.Manual
 	perByte time.Duration
 	busy    time.Duration
 	longest time.Duration
@@ -36,8 +36,8 @@
 
 var _ = Describe("a track", func() {
 	const mbps = 4.0 // 2 microseconds a byte
-	var hand *clock.Hand
-	BeforeEach(func() { hand = &clock.Hand{} })
+	var hand *clock.Manual
+	BeforeEach(func() { hand = &clock.Manual{} })
 
 	It("never lets bulk queue on the link, and passes all of it", func() {
 		link := &wire{hand: hand, perByte: 2 * time.Microsecond}
@@ -108,7 +108,7 @@
 
 var _ = Describe("the passing of bulk", func() {
 	It("admits what the link can carry in time, and few senders at once", func() {
-		passing := bandwidth.NewPassing(bandwidth.NewTrack(4, &clock.Hand{}))
+		passing := bandwidth.NewPassing(bandwidth.NewTrack(4, &clock.Manual{}))
 		var leaves []func()
 		for range 10 { // 100 kB take 200 ms each
 			if leave, isAdmitted := passing.Enter(100_000, 700*time.Millisecond); isAdmitted {
@@ -133,10 +133,10 @@
 	})
 
 	It("admits a single one, however large, and all on a wide link", func() {
-		passing := bandwidth.NewPassing(bandwidth.NewTrack(4, &clock.Hand{}))
+		passing := bandwidth.NewPassing(bandwidth.NewTrack(4, &clock.Manual{}))
 		_, isAdmitted := passing.Enter(100_000_000, time.Millisecond)
 		Expect(isAdmitted).To(BeTrue())
-		wide := bandwidth.NewPassing(bandwidth.NewTrack(1000, &clock.Hand{}))
+		wide := bandwidth.NewPassing(bandwidth.NewTrack(1000, &clock.Manual{}))
 		for range 100 {
 			_, isAdmitted = wide.Enter(100_000_000, 0)
 			Expect(isAdmitted).To(BeTrue())
--- a/internal/bandwidth/track.go
+++ b/internal/bandwidth/track.go
@@ -18,10 +18,10 @@
 	perByte float64
 	lock    sync.Mutex
 	// free is when all that was let onto the track has passed.
-	free clock.Steady
+	free clock.Instant
 	// short is the short traffic of late, in bytes that fade, as of shortAt.
 	short   float64
-	shortAt clock.Steady
+	shortAt clock.Instant
 }
 
 const (
@@ -31,7 +31,7 @@
 	bulkShare = 0.9
 	// ahead is how much of the link's time may be taken at once: as late as an alarm may
 	// ring, or the link stands idle between two pieces.
-	ahead = clock.Steady(8 * time.Millisecond)
+	ahead = clock.Instant(8 * time.Millisecond)
 	// shortFade is how fast short traffic fades from memory, shortMost the part of
 	// the link that it is thought to take at most.
 	shortFade = float64(time.Second)
@@ -70,7 +70,7 @@
 }
 
 func (t *Track) fade() {
-	now := t.clock.Steady()
+	now := t.clock.Monotonic()
 	t.short *= math.Exp(-float64(now-t.shortAt) / shortFade)
 	t.shortAt = now
 }
@@ -115,7 +115,7 @@
 	}
 	t.lock.Lock()
 	defer t.lock.Unlock()
-	return t.free <= t.clock.Steady()
+	return t.free <= t.clock.Monotonic()
 }
 
 // Burst counts bulk that is on its way already, and waits until it has passed.
@@ -124,12 +124,12 @@
 //
 //	in.Burst(min(window, length))
 func (t *Track) Burst(bytes int) {
-	if wait := t.take(float64(bytes)) + clock.Steady(float64(bytes)*t.perByte); wait > 0 {
+	if wait := t.take(float64(bytes)) + clock.Instant(float64(bytes)*t.perByte); wait > 0 {
 		t.clock.Sleep(time.Duration(wait))
 	}
 }
 
-func (t *Track) take(bytes float64) (wait clock.Steady) {
+func (t *Track) take(bytes float64) (wait clock.Instant) {
 	if t == nil || t.perByte == 0 {
 		return 0
 	}
@@ -139,9 +139,9 @@
 }
 
 // hold takes the link for so many bytes; the lock is held.
-func (t *Track) hold(bytes float64) (wait clock.Steady) {
-	now := t.clock.Steady()
+func (t *Track) hold(bytes float64) (wait clock.Instant) {
+	now := t.clock.Monotonic()
 	start := max(t.free, now)
-	t.free = start + clock.Steady(bytes*t.perByte)
+	t.free = start + clock.Instant(bytes*t.perByte)
 	return start - now
 }
--- a/internal/branchline/office.go
+++ b/internal/branchline/office.go
@@ -51,10 +51,10 @@
 
 type tenant struct {
 	site string
-	at   clock.Steady
+	at   clock.Instant
 	uses map[Key]int
 	lots map[Key]int
-	due  clock.Steady
+	due  clock.Instant
 }
 
 // Office gives out the room of the sites. It belongs to the holder of the duty
@@ -63,7 +63,7 @@
 type Office struct {
 	clock    clock.Clock
 	tree     *Tree
-	opens    clock.Steady
+	opens    clock.Instant
 	capacity map[Key]int
 	tenants  map[string]*tenant
 }
@@ -76,7 +76,7 @@
 //	office := branchline.NewOffice(tree, clock)
 func NewOffice(tree *Tree, timeSource clock.Clock) *Office {
 	return &Office{
-		clock: timeSource, tree: tree, opens: timeSource.Steady() + clock.Steady(GrantSpan+spanMargin),
+		clock: timeSource, tree: tree, opens: timeSource.Monotonic() + clock.Instant(GrantSpan+spanMargin),
 		capacity: map[Key]int{}, tenants: map[string]*tenant{},
 	}
 }
@@ -99,7 +99,7 @@
 //
 //	lots := office.Hear("edge-1", "tvm-a", report.Uses)
 func (o *Office) Hear(node, site string, uses []Use) (lots []Lot) {
-	now := o.clock.Steady()
+	now := o.clock.Monotonic()
 	t := o.tenants[node]
 	if t == nil {
 		t = &tenant{}
@@ -123,7 +123,7 @@
 	if now < o.opens {
 		return nil
 	}
-	t.lots, t.due = map[Key]int{}, now+clock.Steady(GrantSpan+spanMargin)
+	t.lots, t.due = map[Key]int{}, now+clock.Instant(GrantSpan+spanMargin)
 	services := map[string]bool{}
 	for key := range o.capacity {
 		services[key.Service] = true
@@ -150,10 +150,10 @@
 
 // free is the room that is left at a site for a node, besides all others.
 func (o *Office) free(key Key, node string) int {
-	now, own, taken := o.clock.Steady(), 0, 0
+	now, own, taken := o.clock.Monotonic(), 0, 0
 	for name, t := range o.tenants {
 		switch {
-		case now-t.at > clock.Steady(freshSpan):
+		case now-t.at > clock.Instant(freshSpan):
 			delete(o.tenants, name)
 		case t.site == key.Site:
 			own += t.uses[key]
@@ -201,7 +201,7 @@
 //
 //	for _, account := range office.Accounts() { print(account.Site, account.Own) }
 func (o *Office) Accounts() (out []Account) {
-	now := o.clock.Steady()
+	now := o.clock.Monotonic()
 	for key, capacity := range o.capacity {
 		a := Account{Site: key.Site, Parent: o.tree.sites[key.Site].Parent, Service: key.Service, Capacity: capacity, From: map[string]int{}}
 		for _, t := range o.tenants {
--- a/internal/branchline/purse.go
+++ b/internal/branchline/purse.go
@@ -13,12 +13,12 @@
 	clock clock.Clock
 	lock  sync.Mutex
 	lots  map[Key]int
-	due   clock.Steady
+	due   clock.Instant
 	uses  map[Key]int
 	// turned sums, by service, for how long the inquiries that found no room
 	// would have been at work.
 	turned map[string]time.Duration
-	since  clock.Steady
+	since  clock.Instant
 }
 
 // NewPurse makes an empty purse.
@@ -27,7 +27,7 @@
 //
 //	purse := branchline.NewPurse(clock)
 func NewPurse(clock clock.Clock) *Purse {
-	return &Purse{clock: clock, lots: map[Key]int{}, uses: map[Key]int{}, turned: map[string]time.Duration{}, since: clock.Steady()}
+	return &Purse{clock: clock, lots: map[Key]int{}, uses: map[Key]int{}, turned: map[string]time.Duration{}, since: clock.Monotonic()}
 }
 
 // Take takes the lots that answer a report sent at some time.
@@ -35,10 +35,10 @@
 // Example:
 //
 //	purse.Take(lots, sentAt)
-func (p *Purse) Take(lots []Lot, sentAt clock.Steady) {
+func (p *Purse) Take(lots []Lot, sentAt clock.Instant) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	due := sentAt + clock.Steady(GrantSpan)
+	due := sentAt + clock.Instant(GrantSpan)
 	if due < p.due {
 		return
 	}
@@ -62,7 +62,7 @@
 }
 
 func (p *Purse) hasRoom(key Key, part float64) bool {
-	return p.clock.Steady() < p.due && p.uses[key] < int(part*float64(p.lots[key])+1e-9)
+	return p.clock.Monotonic() < p.due && p.uses[key] < int(part*float64(p.lots[key])+1e-9)
 }
 
 // Enter takes a place at a site, at the node's own one always, and returns the
@@ -124,7 +124,7 @@
 	for key, count := range p.uses {
 		out = append(out, Use{Service: key.Service, Site: key.Site, AtWork: count})
 	}
-	now := p.clock.Steady()
+	now := p.clock.Monotonic()
 	span := max(time.Duration(now-p.since), time.Millisecond)
 	for service, sum := range p.turned {
 		out = append(out, Use{Service: service, Wanted: int(math.Ceil(float64(sum) / float64(span)))})
--- a/internal/branchline/rush_test.go
+++ b/internal/branchline/rush_test.go
@@ -12,7 +12,7 @@
 // rush is a slow plain model: sites with servers that count their own load, and
 // nodes whose reports and lots come late or not at all.
 type rush struct {
-	hand     *clock.Hand
+	hand     *clock.Manual
 	random   *rand.Rand
 	tree     *branchline.Tree
 	office   *branchline.Office
@@ -51,7 +51,7 @@
 )
 
 func newRush(seed uint64, isOn bool) *rush {
-	r := &rush{hand: &clock.Hand{Now: time.Hour}, random: rand.New(rand.NewPCG(seed, 7)), isOn: isOn}
+	r := &rush{hand: &clock.Manual{Now: time.Hour}, random: rand.New(rand.NewPCG(seed, 7)), isOn: isOn}
 	r.tree, _ = branchline.Build(cells, nil)
 	r.capacity = map[string]int{"a": 40, "b": 40, "c": 60}
 	r.load, r.worst, r.served, r.turned = map[string]int{}, map[string]int{}, map[bool]int{}, map[bool]int{}
@@ -133,7 +133,7 @@
 				}
 			}
 			if r.random.IntN(25) == 0 && !r.officeIsGone {
-				sentAt, uses, office := r.hand.Steady(), e.purse.Uses(), r.office
+				sentAt, uses, office := r.hand.Monotonic(), e.purse.Uses(), r.office
 				if r.random.IntN(10) == 0 {
 					continue // lost on the way
 				}
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -13,7 +13,7 @@
 
 // Steady is a reading of a clock that never goes back, counted from an
 // arbitrary start.
-type Steady time.Duration
+type Instant time.Duration
 
 // Clock tells the time. The real one is Real; tests step a Hand.
 //
@@ -22,7 +22,7 @@
 //	began := clock.Steady()
 //	isLate := clock.Steady()-began > clock.Steady(time.Second)
 type Clock interface {
-	Steady() Steady
+	Monotonic() Instant
 	Wall() time.Time
 	Sleep(time.Duration)
 }
@@ -36,7 +36,7 @@
 //	clock := clock.Real()
 func Real() Clock { return realClock{start: time.Now()} }
 
-func (c realClock) Steady() Steady        { return Steady(time.Since(c.start)) }
+func (c realClock) Monotonic() Instant    { return Instant(time.Since(c.start)) }
 func (c realClock) Wall() time.Time       { return time.Now() }
 func (c realClock) Sleep(d time.Duration) { time.Sleep(d) }
 
@@ -46,49 +46,49 @@
 //
 //	hand := &clock.Hand{}
 //	hand.Sleep(time.Second) // hand.Steady() is now one second
-type Hand struct{ Now time.Duration }
+type Manual struct{ Now time.Duration }
 
 // Steady reads the hand.
 //
 // Example:
 //
 //	began := hand.Steady()
-func (h *Hand) Steady() Steady { return Steady(h.Now) }
+func (h *Manual) Monotonic() Instant { return Instant(h.Now) }
 
 // Wall reads the hand as a time of day.
 //
 // Example:
 //
 //	now := hand.Wall()
-func (h *Hand) Wall() time.Time { return time.Unix(1_000_000, 0).Add(h.Now) }
+func (h *Manual) Wall() time.Time { return time.Unix(1_000_000, 0).Add(h.Now) }
 
 // Sleep moves the hand forward.
 //
 // Example:
 //
 //	hand.Sleep(time.Second)
-func (h *Hand) Sleep(d time.Duration) { h.Now += d }
+func (h *Manual) Sleep(d time.Duration) { h.Now += d }
 
 // Span is a length of time written as text: a number and its unit, ms, s or h.
-type Span time.Duration
+type Duration time.Duration
 
 // ParseSpan reads a span from its text.
 //
 // Example:
 //
 //	span, err := clock.ParseSpan("1.5s") // 1500 ms
-func ParseSpan(text string) (Span, error) {
+func ParseDuration(text string) (Duration, error) {
 	units := []struct {
 		suffix string
 		unit   time.Duration
 	}{{"ms", time.Millisecond}, {"s", time.Second}, {"m", time.Minute}, {"h", time.Hour}}
-	for _, u := range units {
-		if number, ok := strings.CutSuffix(text, u.suffix); ok {
+	for _, candidate := range units {
+		if number, ok := strings.CutSuffix(text, candidate.suffix); ok {
 			value, err := strconv.ParseFloat(number, 64)
 			if err != nil || value < 0 || value > 1e12 {
 				break
 			}
-			return Span(value * float64(u.unit)), nil
+			return Duration(value * float64(candidate.unit)), nil
 		}
 	}
 	return 0, errors.NotValidf("span %q (want a number and ms, s, m or h)", text)
@@ -99,17 +99,17 @@
 // Example:
 //
 //	time.Sleep(span.Std())
-func (s Span) Std() time.Duration { return time.Duration(s) }
+func (s Duration) Std() time.Duration { return time.Duration(s) }
 
 // UnmarshalText reads a span in JSON or YAML.
 //
 // Example:
 //
 //	err := span.UnmarshalText([]byte("250ms"))
-func (s *Span) UnmarshalText(text []byte) error {
-	span, err := ParseSpan(string(text))
+func (s *Duration) UnmarshalText(text []byte) error {
+	duration, err := ParseDuration(string(text))
 	if err == nil {
-		*s = span
+		*s = duration
 	}
 	return err
 }
@@ -119,7 +119,7 @@
 // Example:
 //
 //	text, err := span.MarshalText() // "250ms"
-func (s Span) MarshalText() ([]byte, error) {
+func (s Duration) MarshalText() ([]byte, error) {
 	ms := float64(s) / float64(time.Millisecond)
 	return []byte(strconv.FormatFloat(ms, 'f', -1, 64) + "ms"), nil
 }
--- a/internal/clock/loop.go
+++ b/internal/clock/loop.go
@@ -15,7 +15,7 @@
 //	go loop.Run(ctx, apply, 100*time.Millisecond, tick)
 //	loop.Put(command{})
 type Loop[T any] struct {
-	inbox chan T
+	queue chan T
 }
 
 // NewLoop makes a loop whose inbox holds size commands.
@@ -24,7 +24,7 @@
 //
 //	loop := clock.NewLoop[string](16)
 func NewLoop[T any](size int) *Loop[T] {
-	return &Loop[T]{inbox: make(chan T, size)}
+	return &Loop[T]{queue: make(chan T, size)}
 }
 
 // Put waits until the inbox takes the command.
@@ -32,7 +32,7 @@
 // Example:
 //
 //	loop.Put("all aboard")
-func (l *Loop[T]) Put(command T) { l.inbox <- command }
+func (l *Loop[T]) Put(command T) { l.queue <- command }
 
 // Offer puts the command if the inbox has room, and tells whether it had.
 //
@@ -41,14 +41,14 @@
 //	if !loop.Offer(command) { refuse() }
 func (l *Loop[T]) Offer(command T) bool {
 	select {
-	case l.inbox <- command:
+	case l.queue <- command:
 		return true
 	default:
 		return false
 	}
 }
 
-const batchLimit = 512
+const maxBatch = 512
 
 // Run hands over batches of commands, and rings the alarm every period (never,
 // if the period is zero), until the context ends.
@@ -56,25 +56,25 @@
 // Example:
 //
 //	loop.Run(ctx, func(batch []string) { log(batch) }, 0, nil)
-func (l *Loop[T]) Run(ctx context.Context, handle func([]T), period time.Duration, ring func()) {
-	var alarm <-chan time.Time
+func (l *Loop[T]) Run(ctx context.Context, handle func([]T), period time.Duration, tick func()) {
+	var ticks <-chan time.Time
 	if period > 0 {
 		ticker := time.NewTicker(period)
 		defer ticker.Stop()
-		alarm = ticker.C
+		ticks = ticker.C
 	}
-	batch := make([]T, 0, batchLimit)
+	batch := make([]T, 0, maxBatch)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-alarm:
-			ring()
-		case first := <-l.inbox:
+		case <-ticks:
+			tick()
+		case first := <-l.queue:
 			batch = append(batch[:0], first)
-			for len(batch) < batchLimit {
+			for len(batch) < maxBatch {
 				select {
-				case next := <-l.inbox:
+				case next := <-l.queue:
 					batch = append(batch, next)
 					continue
 				default:
@@ -94,13 +94,13 @@
 // Example:
 //
 //	go clock.Each(ctx, inbox, send)
-func Each[T any](ctx context.Context, inbox <-chan T, act func(T)) {
+func Consume[T any](ctx context.Context, queue <-chan T, handle func(T)) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case one := <-inbox:
-			act(one)
+		case item := <-queue:
+			handle(item)
 		}
 	}
 }
@@ -110,11 +110,11 @@
 // Example:
 //
 //	go clock.Every(ctx, time.Second, beat)
-func Every(ctx context.Context, period time.Duration, act func()) {
+func Every(ctx context.Context, period time.Duration, run func()) {
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
 	for {
-		act()
+		run()
 		select {
 		case <-ctx.Done():
 			return
--- a/internal/config/spec.go
+++ b/internal/config/spec.go
@@ -32,8 +32,8 @@
 	Name          string            `json:"Name"`
 	PathPrefix    string            `json:"PathPrefix"`
 	RouteType     RouteType         `json:"RouteType"`
-	Timeout       clock.Span        `json:"Timeout"`
-	TargetLatency clock.Span        `json:"TargetLatency"`
+	Timeout       clock.Duration    `json:"Timeout"`
+	TargetLatency clock.Duration    `json:"TargetLatency"`
 	Priority      int               `json:"Priority"`
 	Service       string            `json:"Service"`
 	TrafficSplit  []WeightedService `json:"TrafficSplit"`
@@ -52,11 +52,11 @@
 
 // LimitsSpec bounds what a client may send.
 type LimitsSpec struct {
-	MaxHeaderBytes int        `json:"MaxHeaderBytes"`
-	MaxBodyBytes   int64      `json:"MaxBodyBytes"`
-	HeaderTimeout  clock.Span `json:"HeaderTimeout"`
-	IdleTimeout    clock.Span `json:"IdleTimeout"`
-	Revision       Version    `json:"Revision"`
+	MaxHeaderBytes int            `json:"MaxHeaderBytes"`
+	MaxBodyBytes   int64          `json:"MaxBodyBytes"`
+	HeaderTimeout  clock.Duration `json:"HeaderTimeout"`
+	IdleTimeout    clock.Duration `json:"IdleTimeout"`
+	Revision       Version        `json:"Revision"`
 }
 
 func (r *RouteSpec) check() error {
--- a/internal/control/config_replicator.go
+++ b/internal/control/config_replicator.go
@@ -38,7 +38,7 @@
 // proposal is a set of items that waits for a decision.
 type proposal struct {
 	items    []config.Item
-	deadline clock.Steady
+	deadline clock.Instant
 	result   chan proposalResult
 }
 
@@ -61,7 +61,7 @@
 	// undecidedBallot is the ballot of the accepted change last seen without its
 	// decision, undecidedSince when it was first seen; only maintain accesses them.
 	undecidedBallot membership.Number
-	undecidedSince  clock.Steady
+	undecidedSince  clock.Instant
 }
 
 func newConfigReplicator(n *node) *configReplicator {
@@ -75,7 +75,7 @@
 
 func (r *configReplicator) run(ctx context.Context) {
 	go clock.Every(ctx, maintainInterval, r.maintain)
-	clock.Each(ctx, r.queue, func(first *proposal) { r.decide(r.batch(first)) })
+	clock.Consume(ctx, r.queue, func(first *proposal) { r.decide(r.batch(first)) })
 }
 
 // batch returns a proposal together with those that wait behind it.
@@ -99,7 +99,7 @@
 
 // submit queues a proposal at this node and waits for its result.
 func (r *configReplicator) submit(items []config.Item) (registry.Index, error) {
-	p := &proposal{items: items, deadline: r.node.clock.Steady() + clock.Steady(proposeTimeout), result: make(chan proposalResult, 1)}
+	p := &proposal{items: items, deadline: r.node.clock.Monotonic() + clock.Instant(proposeTimeout), result: make(chan proposalResult, 1)}
 	select {
 	case r.queue <- p:
 	default:
@@ -118,9 +118,9 @@
 // decide runs rounds until the proposals are decided, their deadlines have passed, or
 // no majority has answered for noMajorityTimeout.
 func (r *configReplicator) decide(proposals []*proposal) {
-	majorityAt := r.node.clock.Steady()
-	for attempt := 1; time.Duration(r.node.clock.Steady()-majorityAt) < noMajorityTimeout; attempt++ {
-		now := r.node.clock.Steady()
+	majorityAt := r.node.clock.Monotonic()
+	for attempt := 1; time.Duration(r.node.clock.Monotonic()-majorityAt) < noMajorityTimeout; attempt++ {
+		now := r.node.clock.Monotonic()
 		proposals = slices.DeleteFunc(proposals, func(p *proposal) bool { return p.deadline <= now })
 		if len(proposals) == 0 {
 			return
@@ -130,7 +130,7 @@
 			return
 		}
 		if heard {
-			majorityAt = r.node.clock.Steady()
+			majorityAt = r.node.clock.Monotonic()
 		}
 		r.node.clock.Sleep(rand.N(backoffStep * time.Duration(min(attempt, 8))))
 	}
@@ -155,7 +155,7 @@
 	round.Ballot = membership.Number{Round: r.round, Node: n.proposerID}
 	draft := &roundDraft{node: n, proposals: proposals, index: round.Index}
 	round.Draft = draft.build
-	outcome := round.Run(&roundTransport{node: n, view: view, startedAt: n.clock.Steady()})
+	outcome := round.Run(&roundTransport{node: n, view: view, startedAt: n.clock.Monotonic()})
 	r.round = max(r.round, outcome.Highest.Round)
 	if outcome.View != nil {
 		n.adoptView(*outcome.View)
@@ -218,7 +218,7 @@
 		accepted, undecided = t.registry.Acceptor.Accepted, t.registry.Acceptor.Change != nil
 		legacy = t.registry.Index == 0 && len(t.book()) > 0
 	})
-	now := n.clock.Steady()
+	now := n.clock.Monotonic()
 	if !undecided && !legacy {
 		r.undecidedSince = 0
 		return
--- a/internal/control/coordinator.go
+++ b/internal/control/coordinator.go
@@ -28,16 +28,16 @@
 	written uint64
 	listed  []feed.Server
 	last    feed.Fleet
-	toldAt  clock.Steady
+	toldAt  clock.Instant
 	// published are the last readings, for telling what has changed since them.
 	published []feed.Fleet
 	// paces are the servers' as last told, and when; termAt is when the term
 	// began here.
 	paces   map[string]int
-	pacedAt clock.Steady
-	termAt  clock.Steady
+	pacedAt clock.Instant
+	termAt  clock.Instant
 	// laidOutAt is when the fleet was laid out last.
-	laidOutAt clock.Steady
+	laidOutAt clock.Instant
 	// cells are where the proxies are; tree is the sites, of the book with the
 	// digest treeOf; office gives out their room under officeTerm.
 	cells      map[string]string
@@ -46,7 +46,7 @@
 	office     *branchline.Office
 	officeTerm uint64
 	laid       feed.FleetVersion
-	laidAt     clock.Steady
+	laidAt     clock.Instant
 	// gauge measures the load and decides on cutoffs; copying are the mirrors in
 	// force, of which eras have begun.
 	gauge   *shedding.Gauge
@@ -61,7 +61,7 @@
 	number  uint64
 	phase   trial.Phase
 	wave    int
-	phaseAt clock.Steady
+	phaseAt clock.Instant
 	// full is the first reading in which the new version had everything.
 	full    feed.FleetVersion
 	finding outlier.Finding
@@ -114,7 +114,7 @@
 			c.drive(state)
 		}
 	}
-	isChanged, now := c.measure(), c.clock.Steady()
+	isChanged, now := c.measure(), c.clock.Monotonic()
 	switch {
 	case isChanged, c.last.HasGrants(), time.Duration(now-c.laidOutAt) >= publishPeriod:
 		c.publish()
@@ -154,7 +154,7 @@
 			return false
 		}
 	}
-	c.term, c.states, c.drives, c.termAt = term, states, map[string]*drive{}, c.clock.Steady()
+	c.term, c.states, c.drives, c.termAt = term, states, map[string]*drive{}, c.clock.Monotonic()
 	clear(c.copying)
 	c.takeGauge()
 	var held feed.Fleet
@@ -205,7 +205,7 @@
 	if d != nil && d.number == state.Number && d.phase == state.Phase && d.wave == state.Wave {
 		return d
 	}
-	next := &drive{number: state.Number, phase: state.Phase, wave: state.Wave, phaseAt: c.clock.Steady()}
+	next := &drive{number: state.Number, phase: state.Phase, wave: state.Wave, phaseAt: c.clock.Monotonic()}
 	if d != nil && d.number == state.Number {
 		next.full, next.finding, next.doubled = d.full, d.finding, d.doubled
 	} else {
@@ -216,7 +216,7 @@
 }
 
 func (c *coordinator) facts(state trial.State, d *drive) trial.Facts {
-	now := c.clock.Steady()
+	now := c.clock.Monotonic()
 	facts := trial.Facts{
 		Elapsed: time.Duration(now - c.beganAt(state)), InPhase: time.Duration(now - d.phaseAt),
 		Finding: c.court.Hearing(state.Subject, state.Number, 0),
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -62,7 +62,7 @@
 	if !c.holdsLease(c.term) {
 		return
 	}
-	now := c.clock.Steady()
+	now := c.clock.Monotonic()
 	c.laidOutAt = now
 	next := feed.Fleet{Term: c.term, Count: c.last.Count, Servers: slices.Clone(c.serversWithoutLeaving()), Leader: c.self}
 	if next.Servers == nil {
@@ -102,7 +102,7 @@
 // a term it is at least the last leader's count until proxiesSpan has passed.
 func (c *coordinator) proxyCount() int {
 	count := max(len(c.hub.Followers()), c.court.Proxies(proxiesSpan))
-	if c.last.Term == c.term || time.Duration(c.clock.Steady()-c.termAt) < proxiesSpan {
+	if c.last.Term == c.term || time.Duration(c.clock.Monotonic()-c.termAt) < proxiesSpan {
 		count = max(count, c.last.Proxies)
 	}
 	return count
--- a/internal/control/gauge.go
+++ b/internal/control/gauge.go
@@ -22,7 +22,7 @@
 func (c *coordinator) takeGauge() {
 	c.gauge = shedding.NewGauge(c.clock, rand.Uint64)
 	c.store.read(func(t *tables) {
-		if t.fleetFresh(c.clock.Steady(), heldSpan) {
+		if t.fleetFresh(c.clock.Monotonic(), heldSpan) {
 			c.gauge.Hold(t.fleet.Cutoffs)
 		}
 	})
@@ -54,7 +54,7 @@
 // sheds tells whether this member refuses its vote for a new intent, as the
 // service is overloaded. An intent that exists is never asked about: its replay,
 // its resuming and its record go on.
-func (t *tables) sheds(wanted idempotency.Intent, now clock.Steady) bool {
+func (t *tables) sheds(wanted idempotency.Intent, now clock.Instant) bool {
 	if len(t.fleet.Cutoffs) == 0 || !t.fleetFresh(now, feed.GrantDuration) || t.voter.Find(wanted.Key) != nil {
 		return false
 	}
@@ -87,7 +87,7 @@
 	})
 	n.store.read(func(t *tables) {
 		page.Order = append(page.Order, t.compiledBook().Order.Rungs()...)
-		if t.fleetFresh(n.clock.Steady(), feed.GrantDuration) {
+		if t.fleetFresh(n.clock.Monotonic(), feed.GrantDuration) {
 			page.Cutoffs = append(page.Cutoffs, t.fleet.Cutoffs...)
 		}
 	})
--- a/internal/control/grading.go
+++ b/internal/control/grading.go
@@ -32,7 +32,7 @@
 			aside[id] = true
 		}
 	}
-	if now := c.clock.Steady(); c.paces == nil || time.Duration(now-c.pacedAt) >= pacePeriod {
+	if now := c.clock.Monotonic(); c.paces == nil || time.Duration(now-c.pacedAt) >= pacePeriod {
 		c.paces, c.pacedAt = make(map[string]int, len(fleet.Servers)), now
 		for _, server := range fleet.Servers {
 			c.paces[server.ID] = c.court.Pace(server.ID)
@@ -53,7 +53,7 @@
 // share grants a version on trial its part of the requests, at just so many of
 // its servers that each is about as busy as one of the version in force.
 func (c *coordinator) share(fleet *feed.Fleet, state trial.State, d *drive) {
-	inPhase := time.Duration(c.clock.Steady() - d.phaseAt)
+	inPhase := time.Duration(c.clock.Monotonic() - d.phaseAt)
 	part := state.Share(c.plan(), trial.Facts{InPhase: inPhase, Finding: d.finding})
 	fleet.Shares = append(fleet.Shares, feed.CanaryShare{Service: state.Subject, Number: state.Number, Fraction: part})
 	old, fresh := sides(fleet.Servers, state)
--- a/internal/control/handlers.go
+++ b/internal/control/handlers.go
@@ -73,7 +73,7 @@
 			}
 			return nil
 		}
-		if t.sheds(in.Intent, n.clock.Steady()) {
+		if t.sheds(in.Intent, n.clock.Monotonic()) {
 			vote.Ballot.Verdict = idempotency.Shed
 			return nil
 		}
@@ -135,7 +135,7 @@
 			in = t.fleet.Apply(in)
 		}
 		unchanged := feed.EqualIgnoringHealth(in.Servers, t.fleet.Servers)
-		if t.fleet, t.fleetReceivedAt = in, n.clock.Steady(); unchanged {
+		if t.fleet, t.fleetReceivedAt = in, n.clock.Monotonic(); unchanged {
 			return nil
 		}
 		return []record{{Fleet: &in}}
--- a/internal/control/leader_lease.go
+++ b/internal/control/leader_lease.go
@@ -42,7 +42,7 @@
 	return &leaderLease{holder: lease.NewHolder(duration)}
 }
 
-func (l *leaderLease) startRound(term uint64, view membership.View, now clock.Steady) lease.Round {
+func (l *leaderLease) startRound(term uint64, view membership.View, now clock.Instant) lease.Round {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	round := l.holder.Start(term, view, now)
@@ -58,7 +58,7 @@
 	return l.holder.Acknowledge(round, member)
 }
 
-func (l *leaderLease) remaining(term uint64, now clock.Steady) time.Duration {
+func (l *leaderLease) remaining(term uint64, now clock.Instant) time.Duration {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	return l.holder.Remaining(term, now)
@@ -76,12 +76,12 @@
 
 // holdsLease reports whether this node has a valid lease, and so may publish, under the term.
 func (n *node) holdsLease(term uint64) bool {
-	return n.lease.remaining(term, n.clock.Steady()) > 0
+	return n.lease.remaining(term, n.clock.Monotonic()) > 0
 }
 
 // renewLease asks the members to extend the lease.
 func (n *node) renewLease(view membership.View, term membership.Term) {
-	round := n.lease.startRound(term.Number, view, n.clock.Steady())
+	round := n.lease.startRound(term.Number, view, n.clock.Monotonic())
 	if round == 0 {
 		return
 	}
@@ -91,7 +91,7 @@
 // requestLease sends one round of lease requests to all members and reports whether a
 // majority agreed.
 func (n *node) requestLease(view membership.View, kind rpc.Kind, request any, round lease.Round) (held bool) {
-	sent := n.clock.Steady()
+	sent := n.clock.Monotonic()
 	callAll(n, view.Members, kind, request, callTimeout, func(member string, done messages.Done) bool {
 		held = done.OK && n.lease.acknowledge(round, member) || held
 		return held
@@ -141,7 +141,7 @@
 // first view has no earlier promises.
 func (n *node) waitForEarlierPromises(t *tables) {
 	if t.trusted && t.view.Epoch > 1 {
-		t.grantor.Wait(n.clock.Steady())
+		t.grantor.Wait(n.clock.Monotonic())
 	}
 }
 
@@ -150,7 +150,7 @@
 func (n *node) onClaim(in messages.Claim, answer func(messages.Done)) {
 	granted := false
 	n.store.enqueue(func(t *tables) []record {
-		if !n.canVote(t, in.Epoch) || !t.grantor.Claim(t.term, in.Term, n.clock.Steady()) {
+		if !n.canVote(t, in.Epoch) || !t.grantor.Claim(t.term, in.Term, n.clock.Monotonic()) {
 			return nil
 		}
 		granted, t.term = true, in.Term
@@ -162,7 +162,7 @@
 func (n *node) onRenew(in messages.Renew, answer func(messages.Done)) {
 	renewed := false
 	n.store.enqueue(func(t *tables) []record {
-		renewed = n.canVote(t, in.Epoch) && t.grantor.Renew(t.term, in.Term, n.clock.Steady())
+		renewed = n.canVote(t, in.Epoch) && t.grantor.Renew(t.term, in.Term, n.clock.Monotonic())
 		return nil
 	}, func() { answer(messages.Done{OK: renewed}) })
 }
--- a/internal/control/leader_lease_test.go
+++ b/internal/control/leader_lease_test.go
@@ -22,11 +22,11 @@
 
 // newTestMember returns a trusted member "a" of a view. The other members are unreachable
 // unless the test listens on their addresses.
-func newTestMember(manualClock *clock.Hand, view membership.View) *node {
+func newTestMember(manualClock *clock.Manual, view membership.View) *node {
 	n := &node{
 		self: "a", clock: manualClock, hub: feed.NewHub(), log: func(string, string, ...any) {}, connections: map[string]*rpc.Line{},
 		memberLoop: clock.NewLoop[func()](256), livenessWatch: membership.NewWatch(manualClock, time.Second), lease: newLeaderLease(testLeaseDuration),
-		listWatch: newListTracker(manualClock.Steady()),
+		listWatch: newListTracker(manualClock.Monotonic()),
 	}
 	n.settings.Store(&settings.Settings{Tuning: settings.Defaults()})
 	disk, err := storage.Folder(GinkgoT().TempDir())
@@ -48,7 +48,7 @@
 
 var _ = Describe("the leader lease at a member", func() {
 	var n *node
-	var manualClock *clock.Hand
+	var manualClock *clock.Manual
 	view := membership.View{Epoch: 1, Members: []string{"a", "b", "c"}}
 	termOf := func(holder string, number uint64) membership.Term {
 		return membership.Term{Number: number, Holder: holder}
@@ -66,7 +66,7 @@
 	}
 
 	BeforeEach(func() {
-		manualClock = &clock.Hand{Now: time.Hour}
+		manualClock = &clock.Manual{Now: time.Hour}
 		n = newTestMember(manualClock, view)
 	})
 
@@ -101,7 +101,7 @@
 	Describe("held by this node", func() {
 		// acquireLease acquires the lease with the votes of this member and one more.
 		acquireLease := func(number uint64) {
-			round := n.lease.startRound(number, view, manualClock.Steady())
+			round := n.lease.startRound(number, view, manualClock.Monotonic())
 			n.lease.acknowledge(round, "a")
 			Expect(n.lease.acknowledge(round, "b")).To(BeTrue())
 			n.ownTerm.Store(number)
@@ -154,7 +154,7 @@
 		It("ends when the node steps down, and a later round of the same term doesn't restore it", func() {
 			n.stepDown()
 			Eventually(func() bool { return n.holdsLease(1) }).Should(BeFalse())
-			Expect(n.lease.startRound(1, view, manualClock.Steady())).To(BeZero())
+			Expect(n.lease.startRound(1, view, manualClock.Monotonic())).To(BeZero())
 			Expect(n.coordinator.isMaster()).To(BeFalse())
 		})
 
@@ -178,9 +178,9 @@
 var _ = Describe("the lease promises of a process that has just started", func() {
 	// granted reports whether a claim of leadership is granted now.
 	granted := func(n *node) bool {
-		return n.store.tables.grantor.Claim(membership.Term{Number: 3, Holder: "b"}, membership.Term{Number: 4, Holder: "c"}, n.clock.Steady())
+		return n.store.tables.grantor.Claim(membership.Term{Number: 3, Holder: "b"}, membership.Term{Number: 4, Holder: "c"}, n.clock.Monotonic())
 	}
-	open := func(manualClock *clock.Hand, folder string, isBootstrap bool) *node {
+	open := func(manualClock *clock.Manual, folder string, isBootstrap bool) *node {
 		set := &settings.Settings{Tuning: settings.Defaults()}
 		set.Platform.DataDir, set.Platform.Bootstrap = folder, isBootstrap
 		n := &node{self: "a", clock: manualClock, log: func(string, string, ...any) {}}
@@ -189,7 +189,7 @@
 	}
 
 	It("are empty in a newly bootstrapped system, and unknown for one lease duration in any other", func() {
-		manualClock, folder := &clock.Hand{Now: time.Hour}, GinkgoT().TempDir()
+		manualClock, folder := &clock.Manual{Now: time.Hour}, GinkgoT().TempDir()
 		first := open(manualClock, folder, true)
 		Expect(granted(first)).To(BeTrue())
 		first.store.handle([]command{{apply: func(*tables) []record { return []record{{Term: &membership.Term{Number: 4, Holder: "c"}}} }}})
--- a/internal/control/leadership.go
+++ b/internal/control/leadership.go
@@ -86,7 +86,7 @@
 		n.isLeader.Store(false)
 		// After a start, a node waits until it could have received heartbeats of
 		// the members before it in the order. The first member has none to wait for.
-		if view.Members[0] != n.self && n.clock.Steady()-n.startedAt < clock.Steady(n.settings.Load().Tuning.SilentAfter) {
+		if view.Members[0] != n.self && n.clock.Monotonic()-n.startedAt < clock.Instant(n.settings.Load().Tuning.SilentAfter) {
 			return
 		}
 		go n.claimLeadership(view, membership.Term{Number: term.Number + 1, Holder: n.self})
@@ -99,7 +99,7 @@
 		return
 	}
 	defer n.claiming.Store(false)
-	round := n.lease.startRound(term.Number, view, n.clock.Steady())
+	round := n.lease.startRound(term.Number, view, n.clock.Monotonic())
 	if !n.requestLease(view, messages.KindClaim, messages.Claim{Epoch: view.Epoch, Term: term}, round) {
 		n.clock.Sleep(claimRetryDelay)
 		return
@@ -142,7 +142,7 @@
 // node that asks to join, or adds the node while there are fewer members than the fault
 // tolerance requires. Without such a node, the view stays.
 func (n *node) maintainView(view membership.View) {
-	current, now := n.settings.Load(), n.clock.Steady()
+	current, now := n.settings.Load(), n.clock.Monotonic()
 	replacement := ""
 	for address, lastSeen := range n.joining {
 		recent := time.Duration(now-lastSeen) < current.Tuning.SilentAfter.Std()
@@ -184,12 +184,12 @@
 
 // requestViewChange sends a proposal for the next view to all members.
 func (n *node) requestViewChange(view membership.View, motion membership.Motion) []membership.Response {
-	return callRound(n, view, messages.KindMotion, motion, n.clock.Steady(),
+	return callRound(n, view, messages.KindMotion, motion, n.clock.Monotonic(),
 		func(response *membership.Response) *bool { return &response.OK },
 		func(response membership.Response) bool { return motion.Number.Below(response.Promised) })
 }
 
 // onJoin records a node that asks to become a member.
 func (n *node) onJoin(in messages.Join, _ func(messages.Done)) {
-	n.memberLoop.Offer(func() { n.joining[in.Address] = n.clock.Steady() })
+	n.memberLoop.Offer(func() { n.joining[in.Address] = n.clock.Monotonic() })
 }
--- a/internal/control/lease/grantor.go
+++ b/internal/control/lease/grantor.go
@@ -17,10 +17,10 @@
 // forgets. The highest term that the member has seen is on its disk, and is passed
 // in as held.
 type Grantor struct {
-	span clock.Steady
+	span clock.Instant
 	// promisedTo is empty while nobody's claim may be granted.
 	promisedTo string
-	until      clock.Steady
+	until      clock.Instant
 }
 
 // NewGrantor returns a member that has promised nothing, as in a system that
@@ -30,7 +30,7 @@
 //
 //	grantor := lease.NewGrantor(900 * time.Millisecond)
 func NewGrantor(span time.Duration) *Grantor {
-	return &Grantor{span: clock.Steady(span)}
+	return &Grantor{span: clock.Instant(span)}
 }
 
 // Wait grants no claim for one span: for after a start, and for a member that is
@@ -39,7 +39,7 @@
 // Example:
 //
 //	grantor.Wait(clock.Steady())
-func (g *Grantor) Wait(now clock.Steady) {
+func (g *Grantor) Wait(now clock.Instant) {
 	g.promisedTo, g.until = "", max(g.until, now+g.span)
 }
 
@@ -50,7 +50,7 @@
 // Example:
 //
 //	isGranted := grantor.Claim(held, wanted, clock.Steady())
-func (g *Grantor) Claim(held, wanted membership.Term, now clock.Steady) bool {
+func (g *Grantor) Claim(held, wanted membership.Term, now clock.Instant) bool {
 	if wanted.Number <= held.Number {
 		return false
 	}
@@ -68,7 +68,7 @@
 // Example:
 //
 //	isRenewed := grantor.Renew(held, term, clock.Steady())
-func (g *Grantor) Renew(held, term membership.Term, now clock.Steady) bool {
+func (g *Grantor) Renew(held, term membership.Term, now clock.Instant) bool {
 	if held != term {
 		return false
 	}
@@ -88,6 +88,6 @@
 	}
 }
 
-func (g *Grantor) promise(holder string, now clock.Steady) {
+func (g *Grantor) promise(holder string, now clock.Instant) {
 	g.promisedTo, g.until = holder, max(g.until, now+g.span)
 }
--- a/internal/control/lease/holder.go
+++ b/internal/control/lease/holder.go
@@ -18,17 +18,17 @@
 // renewal another. The lease is valid until a span after the sending of the newest
 // round that a majority of the view acknowledged.
 type Holder struct {
-	span clock.Steady
+	span clock.Instant
 	term uint64
 	// ended is the highest term that was given up.
 	ended  uint64
-	until  clock.Steady
+	until  clock.Instant
 	last   Round
 	rounds map[Round]*round
 }
 
 type round struct {
-	sent         clock.Steady
+	sent         clock.Instant
 	view         membership.View
 	acknowledged map[string]bool
 }
@@ -40,7 +40,7 @@
 //	holder := lease.NewHolder(900 * time.Millisecond)
 func NewHolder(span time.Duration) *Holder {
 	counted := span - span/driftDivisor
-	return &Holder{span: clock.Steady(counted), rounds: map[Round]*round{}}
+	return &Holder{span: clock.Instant(counted), rounds: map[Round]*round{}}
 }
 
 // Start begins a round at the members of the view; it must be called before the
@@ -50,7 +50,7 @@
 // Example:
 //
 //	round := holder.Start(term, view, clock.Steady())
-func (h *Holder) Start(term uint64, view membership.View, now clock.Steady) Round {
+func (h *Holder) Start(term uint64, view membership.View, now clock.Instant) Round {
 	if term <= h.ended {
 		return 0
 	}
@@ -92,7 +92,7 @@
 // Example:
 //
 //	if holder.Remaining(term, clock.Steady()) == 0 { return }
-func (h *Holder) Remaining(term uint64, now clock.Steady) time.Duration {
+func (h *Holder) Remaining(term uint64, now clock.Instant) time.Duration {
 	if term == 0 || term != h.term || now >= h.until {
 		return 0
 	}
--- a/internal/control/lease/lease_test.go
+++ b/internal/control/lease/lease_test.go
@@ -20,7 +20,7 @@
 const span = 900 * time.Millisecond
 
 // at is a reading of a steady clock, in milliseconds.
-func at(ms int) clock.Steady { return clock.Steady(time.Duration(ms) * time.Millisecond) }
+func at(ms int) clock.Instant { return clock.Instant(time.Duration(ms) * time.Millisecond) }
 
 var _ = Describe("a member's promises", func() {
 	old, next := membership.Term{Number: 4, Holder: "a"}, membership.Term{Number: 5, Holder: "b"}
--- a/internal/control/lease/model_test.go
+++ b/internal/control/lease/model_test.go
@@ -20,14 +20,14 @@
 // forgetful grants whatever has a higher term, as a member without promises.
 type forgetful struct{ *lease.Grantor }
 
-func (f forgetful) Claim(held, wanted membership.Term, _ clock.Steady) bool {
+func (f forgetful) Claim(held, wanted membership.Term, _ clock.Instant) bool {
 	return wanted.Number > held.Number
 }
 
 // hasty doesn't wait for what it may have promised in an earlier life.
 type hasty struct{ *lease.Grantor }
 
-func (h hasty) Wait(clock.Steady) {}
+func (h hasty) Wait(clock.Instant) {}
 
 func sound() build {
 	return build{
--- a/internal/control/lease/world_test.go
+++ b/internal/control/lease/world_test.go
@@ -15,9 +15,9 @@
 // promiser is the member's side of the lease; a world may be built with one that is
 // broken on purpose.
 type promiser interface {
-	Wait(now clock.Steady)
-	Claim(held, wanted membership.Term, now clock.Steady) bool
-	Renew(held, term membership.Term, now clock.Steady) bool
+	Wait(now clock.Instant)
+	Claim(held, wanted membership.Term, now clock.Instant) bool
+	Renew(held, term membership.Term, now clock.Instant) bool
 	Release(held, term membership.Term)
 }
 
@@ -122,8 +122,8 @@
 	}
 }
 
-func (w *world) clock(n *node) clock.Steady {
-	return clock.Steady(n.offset + time.Duration(n.rate*float64(w.now)))
+func (w *world) clock(n *node) clock.Instant {
+	return clock.Instant(n.offset + time.Duration(n.rate*float64(w.now)))
 }
 
 func (w *world) after(span time.Duration, act func()) {
--- a/internal/control/legacy_test.go
+++ b/internal/control/legacy_test.go
@@ -20,7 +20,7 @@
 	service := config.Item{ID: config.ID{Class: config.ServiceItem, Name: "s"}, Version: 1, Body: []byte(`{"Name":"s","Revision":"r1"}`)}
 
 	It("become the first change, which is valid and complete, and dropped routes are logged", func() {
-		n := newTestMember(&clock.Hand{Now: time.Hour}, membership.View{Epoch: 1, Members: []string{"a"}})
+		n := newTestMember(&clock.Manual{Now: time.Hour}, membership.View{Epoch: 1, Members: []string{"a"}})
 		logged := make(chan string, 16)
 		n.log = func(_, message string, pairs ...any) {
 			if len(pairs) == 2 {
--- a/internal/control/list_poller.go
+++ b/internal/control/list_poller.go
@@ -31,11 +31,11 @@
 	failures int
 	// lastRead is when the last read started and ended, and the calls that it took.
 	lastRead struct {
-		started, ended clock.Steady
+		started, ended clock.Instant
 		calls          int
 	}
 	// progressSentAt is when this node last told the members that a read goes on.
-	progressSentAt clock.Steady
+	progressSentAt clock.Instant
 }
 
 // pollPlatform polls the platform's list until the context ends.
@@ -70,9 +70,9 @@
 		return min(delay, readCheckInterval)
 	}
 	p.reader.onPage, p.reader.callsPerSecond = p.handlePage, p.pace(leading).Burst()
-	p.lastRead.started = p.clock.Steady()
+	p.lastRead.started = p.clock.Monotonic()
 	read, err := p.reader.read(ctx)
-	p.lastRead.ended, p.lastRead.calls = p.clock.Steady(), read.calls
+	p.lastRead.ended, p.lastRead.calls = p.clock.Monotonic(), read.calls
 	delay := p.untilNextRead(leading)
 	if leading {
 		p.recordResult(err)
@@ -82,7 +82,7 @@
 			p.coordinator.loop.Offer(func() { p.coordinator.updateServers(read.servers) })
 		}
 		p.sendListProgress(messages.ListProgress{
-			IsWhole: true, Age: clock.Span(p.lastRead.ended - read.started), Next: clock.Span(p.nextPageDue()),
+			IsWhole: true, Age: clock.Duration(p.lastRead.ended - read.started), Next: clock.Duration(p.nextPageDue()),
 		})
 	}
 	return min(delay, readCheckInterval)
@@ -102,16 +102,16 @@
 		return 0
 	}
 	due := p.pace(leading).Next(p.lastRead.started, p.lastRead.ended, p.lastRead.calls)
-	return time.Duration(due - p.clock.Steady())
+	return time.Duration(due - p.clock.Monotonic())
 }
 
 // handlePage publishes the draining servers of one page without waiting for the rest of the
 // list, and periodically tells the members that the read goes on.
 func (p *listPoller) handlePage(servers []feed.Server) {
 	p.publishLeaving(servers)
-	if now := p.clock.Steady(); time.Duration(now-p.progressSentAt) >= listing.ProgressPeriod {
+	if now := p.clock.Monotonic(); time.Duration(now-p.progressSentAt) >= listing.ProgressPeriod {
 		p.progressSentAt = now
-		p.sendListProgress(messages.ListProgress{Next: clock.Span(listing.PageDue)})
+		p.sendListProgress(messages.ListProgress{Next: clock.Duration(listing.PageDue)})
 	}
 }
 
--- a/internal/control/list_reader.go
+++ b/internal/control/list_reader.go
@@ -31,7 +31,7 @@
 	// calls is the number of calls made, without those of a read that this one resumes.
 	calls int
 	// started is when the first pages were requested.
-	started clock.Steady
+	started clock.Instant
 }
 
 // zoneProgress is how far the pages of one zone, or of all zones, have been read.
@@ -62,7 +62,7 @@
 	// resumable holds the zones of a failed read that can be resumed, and
 	// resumableStarted when that read started.
 	resumable        []*zoneProgress
-	resumableStarted clock.Steady
+	resumableStarted clock.Instant
 	// callsPerSecond is the rate limit that window enforces, or 0 for none.
 	callsPerSecond float64
 	window         listing.Window
@@ -101,7 +101,7 @@
 	results, active := make(chan zoneResult), 0
 	request := func(zone *zoneProgress) {
 		active++
-		wait, typicalLatency := r.window.Reserve(r.clock.Steady(), r.callsPerSecond), r.typicalLatency
+		wait, typicalLatency := r.window.Reserve(r.clock.Monotonic(), r.callsPerSecond), r.typicalLatency
 		go func() {
 			if wait > 0 {
 				r.clock.Sleep(wait)
@@ -144,7 +144,7 @@
 
 // start resumes the last read if possible, and otherwise starts a new one.
 func (r *listReader) start() (out listResult, progress []*zoneProgress, known int) {
-	out.started = r.clock.Steady()
+	out.started = r.clock.Monotonic()
 	progress, r.resumable = r.resumable, nil
 	var zones []string
 	if r.zones != nil && !r.zonesUnknown {
@@ -165,7 +165,7 @@
 
 // saveForResume saves a failed read for the next one to resume, unless a page failed again
 // or no page was read.
-func (r *listReader) saveForResume(progress []*zoneProgress, started clock.Steady) {
+func (r *listReader) saveForResume(progress []*zoneProgress, started clock.Instant) {
 	hasPages := false
 	for _, zone := range progress {
 		if !zone.complete && zone.failedBefore {
--- a/internal/control/listing/pace.go
+++ b/internal/control/listing/pace.go
@@ -48,10 +48,10 @@
 // Example:
 //
 //	due := listing.Pace{Period: 700 * time.Millisecond, Rate: 25}.Next(began, ended, calls)
-func (p Pace) Next(began, ended clock.Steady, calls int) clock.Steady {
+func (p Pace) Next(began, ended clock.Instant, calls int) clock.Instant {
 	apart := p.Period
 	if p.Rate > 0 {
 		apart = max(apart, time.Duration(float64(calls)/p.Rate*float64(time.Second)))
 	}
-	return max(began+clock.Steady(apart), ended+clock.Steady(leastRest))
+	return max(began+clock.Instant(apart), ended+clock.Instant(leastRest))
 }
--- a/internal/control/listing/pace_test.go
+++ b/internal/control/listing/pace_test.go
@@ -11,7 +11,7 @@
 )
 
 var _ = Describe("the pace of the readings of the list", func() {
-	const second = clock.Steady(time.Second)
+	const second = clock.Instant(time.Second)
 	const period = 700 * time.Millisecond
 	pace := listing.Pace{Period: period, Rate: listing.HolderShare * 50}
 
--- a/internal/control/listing/watch.go
+++ b/internal/control/listing/watch.go
@@ -22,12 +22,12 @@
 
 // Watch keeps when each member's next page of the list is due.
 type Watch struct {
-	began clock.Steady
-	due   map[string]clock.Steady
+	began clock.Instant
+	due   map[string]clock.Instant
 	// heard is when each member told of a page last.
-	heard map[string]clock.Steady
+	heard map[string]clock.Instant
 	// readAt is when the newest complete reading that is known of began.
-	readAt clock.Steady
+	readAt clock.Instant
 	isRead bool
 }
 
@@ -36,8 +36,8 @@
 // Example:
 //
 //	watch := listing.NewWatch(clock.Steady())
-func NewWatch(now clock.Steady) *Watch {
-	return &Watch{began: now, heard: map[string]clock.Steady{}, due: map[string]clock.Steady{}}
+func NewWatch(now clock.Instant) *Watch {
+	return &Watch{began: now, heard: map[string]clock.Instant{}, due: map[string]clock.Instant{}}
 }
 
 // Hear notes that a member has read a page, and within which span it is to read the
@@ -46,9 +46,9 @@
 // Example:
 //
 //	watch.Hear("10.0.0.2:7200", 800*time.Millisecond, clock.Steady())
-func (w *Watch) Hear(member string, next time.Duration, now clock.Steady) {
+func (w *Watch) Hear(member string, next time.Duration, now clock.Instant) {
 	// What was told earlier may come later, over a line that was made anew.
-	w.due[member], w.heard[member] = max(w.due[member], now+clock.Steady(next)), now
+	w.due[member], w.heard[member] = max(w.due[member], now+clock.Instant(next)), now
 }
 
 // Read notes a whole reading, which began so long ago.
@@ -56,8 +56,8 @@
 // Example:
 //
 //	watch.Read(180*time.Millisecond, clock.Steady())
-func (w *Watch) Read(age time.Duration, now clock.Steady) {
-	if began := now - clock.Steady(age); !w.isRead || began > w.readAt {
+func (w *Watch) Read(age time.Duration, now clock.Instant) {
+	if began := now - clock.Instant(age); !w.isRead || began > w.readAt {
 		w.readAt, w.isRead = began, true
 	}
 }
@@ -68,7 +68,7 @@
 // Example:
 //
 //	age, ok := watch.Age(clock.Steady())
-func (w *Watch) Age(now clock.Steady) (age time.Duration, ok bool) {
+func (w *Watch) Age(now clock.Instant) (age time.Duration, ok bool) {
 	return time.Duration(now - w.readAt), w.isRead
 }
 
@@ -77,7 +77,7 @@
 // Example:
 //
 //	isAlone := watch.Silence(self, clock.Steady()) > 4*time.Second
-func (w *Watch) Silence(self string, now clock.Steady) time.Duration {
+func (w *Watch) Silence(self string, now clock.Instant) time.Duration {
 	latest := w.began
 	for member, at := range w.heard {
 		if member != self {
@@ -109,16 +109,16 @@
 // Example:
 //
 //	if share := watch.Share(view, holder, self, clock.Steady()); share > 0 { read(share) }
-func (w *Watch) Share(view membership.View, holder, self string, now clock.Steady) float64 {
+func (w *Watch) Share(view membership.View, holder, self string, now clock.Instant) float64 {
 	rank := Rank(view, holder, self)
 	if rank < 0 {
 		return 0
 	}
-	patience := clock.Steady(margin + time.Duration(rank)*step)
+	patience := clock.Instant(margin + time.Duration(rank)*step)
 	switch {
 	case now > w.dueFromOthers(self)+patience:
 		return HolderShare
-	case rank == 0 && w.isRead && now > w.readAt+clock.Steady(oldest)+patience:
+	case rank == 0 && w.isRead && now > w.readAt+clock.Instant(oldest)+patience:
 		return besideShare
 	default:
 		return 0
@@ -126,7 +126,7 @@
 }
 
 // dueFromOthers is by when somebody other than the member was to read a page.
-func (w *Watch) dueFromOthers(self string) (latest clock.Steady) {
+func (w *Watch) dueFromOthers(self string) (latest clock.Instant) {
 	isHeard := false
 	for member, due := range w.due {
 		if member != self && (!isHeard || due > latest) {
@@ -134,7 +134,7 @@
 		}
 	}
 	if !isHeard {
-		return w.began + clock.Steady(grace)
+		return w.began + clock.Instant(grace)
 	}
 	return latest
 }
--- a/internal/control/listing/watch_test.go
+++ b/internal/control/listing/watch_test.go
@@ -20,7 +20,7 @@
 var _ = Describe("the watch over readings of the list", func() {
 	const holder = "10.0.0.1:1"
 	view := membership.View{Epoch: 1, Members: []string{holder, "10.0.0.2:1", "10.0.0.3:1", "10.0.0.4:1"}}
-	start := clock.Steady(time.Hour)
+	start := clock.Instant(time.Hour)
 	// ranked is the member with a rank.
 	ranked := func(rank int) string {
 		for _, member := range view.Members {
@@ -30,8 +30,8 @@
 		}
 		panic("no such rank")
 	}
-	after := func(span time.Duration) clock.Steady { return start + clock.Steady(span) }
-	overdue := func(watch *listing.Watch, now clock.Steady) (out []int) {
+	after := func(span time.Duration) clock.Instant { return start + clock.Instant(span) }
+	overdue := func(watch *listing.Watch, now clock.Instant) (out []int) {
 		for _, member := range view.Members {
 			if watch.Share(view, holder, member, now) > 0 {
 				out = append(out, listing.Rank(view, holder, member))
@@ -71,18 +71,18 @@
 		watch.Read(200*time.Millisecond, start)
 		late := after(0)
 		for late < after(1900*time.Millisecond) {
-			late += clock.Steady(100 * time.Millisecond)
+			late += clock.Instant(100 * time.Millisecond)
 			watch.Hear(holder, 300*time.Millisecond, late)
 		}
 		Expect(overdue(watch, late)).To(BeEmpty())
 		for late < after(2100*time.Millisecond) {
-			late += clock.Steady(100 * time.Millisecond)
+			late += clock.Instant(100 * time.Millisecond)
 			watch.Hear(holder, 300*time.Millisecond, late)
 		}
 		Expect(overdue(watch, late)).To(ConsistOf(0))
 		beside := watch.Share(view, holder, ranked(0), late)
 		Expect(beside+listing.HolderShare).To(BeNumerically("<=", 1), "the holder reads too")
-		silent := watch.Share(view, holder, ranked(0), late+clock.Steady(time.Second))
+		silent := watch.Share(view, holder, ranked(0), late+clock.Instant(time.Second))
 		Expect(silent).To(Equal(listing.HolderShare), "nobody else reads")
 		watch.Read(300*time.Millisecond, late)
 		Expect(overdue(watch, late)).To(BeEmpty())
--- a/internal/control/listing/window.go
+++ b/internal/control/listing/window.go
@@ -7,13 +7,13 @@
 )
 
 // windowSpan is the span in which the platform counts calls.
-const windowSpan = clock.Steady(time.Second)
+const windowSpan = clock.Instant(time.Second)
 
 // Window spreads calls so that no second sees more of them than it allows. The zones are
 // read side by side, so the calls of a reading would come all at once.
 type Window struct {
 	// reserved are when the calls of the last second were made, or are to be.
-	reserved []clock.Steady
+	reserved []clock.Instant
 }
 
 // Reserve takes the next place for a call, and tells after how long it comes. perSecond
@@ -22,7 +22,7 @@
 // Example:
 //
 //	wait := window.Reserve(clock.Steady(), 30)
-func (w *Window) Reserve(now clock.Steady, perSecond float64) (wait time.Duration) {
+func (w *Window) Reserve(now clock.Instant, perSecond float64) (wait time.Duration) {
 	for len(w.reserved) > 0 && w.reserved[0]+windowSpan <= now {
 		w.reserved = w.reserved[1:]
 	}
--- a/internal/control/listing/window_test.go
+++ b/internal/control/listing/window_test.go
@@ -18,7 +18,7 @@
 		for range 30 {
 			Expect(window.Reserve(0, 30)).To(BeZero())
 		}
-		half := clock.Steady(500 * time.Millisecond)
+		half := clock.Instant(500 * time.Millisecond)
 		Expect(window.Reserve(half, 30)).To(Equal(500 * time.Millisecond))
 		Expect(window.Reserve(2*half, 30)).To(BeZero())
 		Expect(window.Reserve(half, 0)).To(BeZero(), "without a bound there is no wait")
@@ -26,11 +26,11 @@
 
 	It("never lets a second see more, whenever calls are asked for", func() {
 		random := rand.New(rand.NewPCG(1, 2))
-		window, now := &listing.Window{}, clock.Steady(0)
-		var made []clock.Steady
+		window, now := &listing.Window{}, clock.Instant(0)
+		var made []clock.Instant
 		for range 3000 {
-			now += clock.Steady(random.Int64N(int64(40 * time.Millisecond)))
-			made = append(made, now+clock.Steady(window.Reserve(now, 20)))
+			now += clock.Instant(random.Int64N(int64(40 * time.Millisecond)))
+			made = append(made, now+clock.Instant(window.Reserve(now, 20)))
 		}
 		slices.Sort(made)
 		for i := 20; i < len(made); i++ {
--- a/internal/control/member_test.go
+++ b/internal/control/member_test.go
@@ -23,13 +23,13 @@
 
 var _ = Describe("requests that a control plane member refuses", func() {
 	var n *node
-	var manualClock *clock.Hand
+	var manualClock *clock.Manual
 	const leaseDuration = 900 * time.Millisecond
 	view := membership.View{Epoch: 3, Members: []string{"a", "b", "c"}}
 
 	BeforeEach(func() {
-		manualClock = &clock.Hand{Now: time.Hour}
-		n = &node{self: "a", clock: manualClock, hub: feed.NewHub(), log: func(string, string, ...any) {}, listWatch: newListTracker(manualClock.Steady())}
+		manualClock = &clock.Manual{Now: time.Hour}
+		n = &node{self: "a", clock: manualClock, hub: feed.NewHub(), log: func(string, string, ...any) {}, listWatch: newListTracker(manualClock.Monotonic())}
 		disk, err := storage.Folder(GinkgoT().TempDir())
 		Expect(err).NotTo(HaveOccurred())
 		n.store, err = openStore(disk, idempotency.Policy{OpenLimit: 10, KeyWindow: time.Minute}, manualClock, func(err error) { Expect(err).NotTo(HaveOccurred()) })
--- a/internal/control/mirrors.go
+++ b/internal/control/mirrors.go
@@ -82,7 +82,7 @@
 	if touch := c.court.Touch("", held.begun); !held.grant.IsSettled && touch.Proxies > 0 && touch.Behind == 0 {
 		held.grant.IsSettled = true
 	}
-	now := time.Duration(c.clock.Steady())
+	now := time.Duration(c.clock.Monotonic())
 	if held.lost >= lostLeast && float64(held.lost) > lostMost*float64(held.copied+held.lost) && now-held.loweredAt >= shareRest {
 		held.grant.Share *= lowerShare
 		held.copied, held.lost, held.loweredAt = 0, 0, now
@@ -115,7 +115,7 @@
 	mirrors, _ := book.Mirrors()
 	page.Mirrors = append(page.Mirrors, mirrors...)
 	n.store.read(func(t *tables) {
-		if t.fleetFresh(n.clock.Steady(), feed.GrantDuration) {
+		if t.fleetFresh(n.clock.Monotonic(), feed.GrantDuration) {
 			page.Grants = append(page.Grants, t.fleet.Mirrors...)
 		}
 	})
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -44,8 +44,8 @@
 	// the time of the last request of each address that asked to join.
 	livenessWatch *membership.Watch
 	memberLoop    *clock.Loop[func()]
-	joining       map[string]clock.Steady
-	startedAt     clock.Steady
+	joining       map[string]clock.Instant
+	startedAt     clock.Instant
 	// eligible is whether this node may become the leader.
 	eligible atomic.Bool
 	isLeader atomic.Bool
@@ -85,11 +85,11 @@
 	defer cancel()
 	n := &node{
 		self: set.InternalAddress(set.Platform.Ip, 0), clock: clock.Real(), log: log, hub: feed.NewHub(),
-		connections: map[string]*rpc.Line{}, memberLoop: clock.NewLoop[func()](256), joining: map[string]clock.Steady{},
+		connections: map[string]*rpc.Line{}, memberLoop: clock.NewLoop[func()](256), joining: map[string]clock.Instant{},
 	}
 	n.settings.Store(set)
 	n.proposerID = newProposerID(n.self)
-	n.startedAt = n.clock.Steady()
+	n.startedAt = n.clock.Monotonic()
 	n.livenessWatch = membership.NewWatch(n.clock, set.Tuning.SilentAfter.Std())
 	n.lease = newLeaderLease(leaseDuration(set.Tuning))
 	n.listWatch = newListTracker(n.startedAt)
@@ -151,7 +151,7 @@
 	n.store.self = n.self
 	n.store.tables.grantor = lease.NewGrantor(leaseDuration(t))
 	if newSystem := p.Bootstrap && n.store.tables.empty; !newSystem {
-		n.store.tables.grantor.Wait(n.clock.Steady())
+		n.store.tables.grantor.Wait(n.clock.Monotonic())
 	}
 	return nil
 }
--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -14,11 +14,11 @@
 // against it. An order that waited longer than its caller does has no effect: the
 // operator was told so, and may have sent another since.
 func (n *node) decide(answer func(messages.Ordered), decide func(c *coordinator) (apierror.Kind, string)) {
-	c, cameAt := n.coordinator, n.clock.Steady()
+	c, cameAt := n.coordinator, n.clock.Monotonic()
 	isTaken := c.loop.Offer(func() {
 		kind, detail := apierror.Gone, "the duty is not here"
 		switch {
-		case time.Duration(c.clock.Steady()-cameAt) >= orderSpan:
+		case time.Duration(c.clock.Monotonic()-cameAt) >= orderSpan:
 			detail = "the order waited too long"
 		case c.isMaster():
 			kind, detail = decide(c)
@@ -49,13 +49,13 @@
 		state.Subject = in.Service
 	}
 	switch {
-	case state.IsRepeat(in.Target, clock.Span(in.Duration), c.sinceOrder(state), c.plan()):
+	case state.IsRepeat(in.Target, clock.Duration(in.Duration), c.sinceOrder(state), c.plan()):
 		c.noteRepeat(state)
 		return apierror.None, ""
 	case state.Phase.IsActive():
 		return apierror.OtherOrder, "version " + state.Target + " is on trial"
 	}
-	next, isDone := state.Order(in.Target, clock.Span(in.Duration))
+	next, isDone := state.Order(in.Target, clock.Duration(in.Duration))
 	if !isDone {
 		return apierror.OtherOrder, ""
 	}
@@ -79,7 +79,7 @@
 // repeat is when an order that was taken last came again.
 type repeat struct {
 	number uint64
-	at     clock.Steady
+	at     clock.Instant
 }
 
 // sinceOrder is how long ago the order of a trial came last. An operator whose
@@ -89,9 +89,9 @@
 	if known := c.repeats[state.Subject]; known.number == state.Number {
 		last = max(last, known.at)
 	}
-	return time.Duration(c.clock.Steady() - last)
+	return time.Duration(c.clock.Monotonic() - last)
 }
 
 func (c *coordinator) noteRepeat(state trial.State) {
-	c.repeats[state.Subject] = repeat{state.Number, c.clock.Steady()}
+	c.repeats[state.Subject] = repeat{state.Number, c.clock.Monotonic()}
 }
--- a/internal/control/orders_test.go
+++ b/internal/control/orders_test.go
@@ -14,20 +14,20 @@
 )
 
 // ordering is a holder that took an order long ago: the trial has ended.
-func ordering(state trial.State) (*coordinator, *clock.Hand) {
-	hand := &clock.Hand{Now: time.Hour}
+func ordering(state trial.State) (*coordinator, *clock.Manual) {
+	hand := &clock.Manual{Now: time.Hour}
 	b := &node{self: "self", clock: hand, log: func(string, string, ...any) {}}
 	set := &settings.Settings{}
-	set.Platform.Bounds.Ack = clock.Span(10 * time.Second)
+	set.Platform.Bounds.Ack = clock.Duration(10 * time.Second)
 	b.settings.Store(set)
 	b.coordinator = newCoordinator(b)
 	b.coordinator.states[state.Subject] = state
-	b.trialStarts.Store(state.Subject, heardTrial{state.Number, hand.Steady()})
+	b.trialStarts.Store(state.Subject, heardTrial{state.Number, hand.Monotonic()})
 	return b.coordinator, hand
 }
 
 func TestOrderThatComesAgainAndAgainStartsNoSecondRollout(t *testing.T) {
-	duration := clock.Span(9 * time.Second)
+	duration := clock.Duration(9 * time.Second)
 	c, hand := ordering(trial.State{Subject: "s", Number: 1, Target: "v2", Duration: duration, Phase: trial.Reverted})
 	for range 5 {
 		hand.Now += 15 * time.Second
--- a/internal/control/page_client.go
+++ b/internal/control/page_client.go
@@ -16,14 +16,14 @@
 
 // listedInstance is one server in the platform's list.
 type listedInstance struct {
-	InstanceId string     `json:"InstanceId"`
-	Service    string     `json:"Service"`
-	Address    string     `json:"Address"`
-	Zone       string     `json:"Zone"`
-	Revision   string     `json:"Revision"`
-	Capacity   int        `json:"Capacity"`
-	State      string     `json:"State"`
-	WarmupLeft clock.Span `json:"WarmupLeft"`
+	InstanceId string         `json:"InstanceId"`
+	Service    string         `json:"Service"`
+	Address    string         `json:"Address"`
+	Zone       string         `json:"Zone"`
+	Revision   string         `json:"Revision"`
+	Capacity   int            `json:"Capacity"`
+	State      string         `json:"State"`
+	WarmupLeft clock.Duration `json:"WarmupLeft"`
 }
 
 // listPage is one page of the platform's list.
@@ -137,13 +137,13 @@
 
 // call makes one call for a page.
 func (c *pageClient) call(ctx context.Context, key pageKey) (out pageResult) {
-	started := c.clock.Steady()
+	started := c.clock.Monotonic()
 	address := "http://" + c.address() + "/instances"
 	if query := key.query(); query != "" {
 		address += "?" + query
 	}
 	out.page, out.err = c.get(ctx, address)
-	out.latency = time.Duration(c.clock.Steady() - started)
+	out.latency = time.Duration(c.clock.Monotonic() - started)
 	return out
 }
 
--- a/internal/control/quorum_contact.go
+++ b/internal/control/quorum_contact.go
@@ -31,11 +31,11 @@
 type quorumContact struct {
 	lock   sync.Mutex
 	known  bool
-	sentAt clock.Steady
+	sentAt clock.Instant
 	fleet  feed.FleetVersion
 }
 
-func (c *quorumContact) record(sentAt clock.Steady, fleet feed.FleetVersion) {
+func (c *quorumContact) record(sentAt clock.Instant, fleet feed.FleetVersion) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	if !c.known || sentAt > c.sentAt {
@@ -44,7 +44,7 @@
 }
 
 // age is the time since the last contact; ok is false before the first.
-func (c *quorumContact) age(now clock.Steady) (age time.Duration, ok bool) {
+func (c *quorumContact) age(now clock.Instant) (age time.Duration, ok bool) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	return time.Duration(now - c.sentAt), c.known
@@ -58,7 +58,7 @@
 }
 
 func (n *node) hasQuorumContact() bool {
-	age, ok := n.contact.age(n.clock.Steady())
+	age, ok := n.contact.age(n.clock.Monotonic())
 	return ok && age <= maxContactAge
 }
 
@@ -75,10 +75,10 @@
 // refreshQuorumContact asks the members of the view whether they serve in its epoch, unless
 // a majority confirmed that within the last heartbeat interval.
 func (n *node) refreshQuorumContact() {
-	if age, ok := n.contact.age(n.clock.Steady()); ok && age < n.settings.Load().Tuning.Beat.Std() {
+	if age, ok := n.contact.age(n.clock.Monotonic()); ok && age < n.settings.Load().Tuning.Beat.Std() {
 		return
 	}
-	view, sentAt, count := n.view(), n.clock.Steady(), 0
+	view, sentAt, count := n.view(), n.clock.Monotonic(), 0
 	var newest feed.FleetVersion
 	callAll(n, view.Members, messages.KindContact, messages.Contact{Epoch: view.Epoch}, callTimeout, func(_ string, answer messages.ContactTold) bool {
 		if !answer.OK {
@@ -126,14 +126,14 @@
 // waitForNewestFleet waits until this node has the newest fleet known to a majority, and
 // returns false at the timeout.
 func (n *node) waitForNewestFleet() bool {
-	started := n.clock.Steady()
+	started := n.clock.Monotonic()
 	for {
 		var held feed.FleetVersion
 		n.store.read(func(t *tables) { held = t.fleet.Version() })
 		if !n.contact.isBehind(held) {
 			return true
 		}
-		if time.Duration(n.clock.Steady()-started) >= newestFleetTimeout {
+		if time.Duration(n.clock.Monotonic()-started) >= newestFleetTimeout {
 			return false
 		}
 		n.clock.Sleep(newestFleetCheckInterval)
--- a/internal/control/quorum_contact_test.go
+++ b/internal/control/quorum_contact_test.go
@@ -20,7 +20,7 @@
 	view := membership.View{Epoch: 1, Members: []string{"a", "127.0.0.1:1", "127.0.0.1:2"}}
 
 	It("requires a quorum contact no older than maxContactAge, and the newest fleet; the status requires none", func() {
-		manualClock := &clock.Hand{Now: time.Hour}
+		manualClock := &clock.Manual{Now: time.Hour}
 		n := newTestMember(manualClock, view)
 		go n.memberLoop.Run(GinkgoT().Context(), runAll, 0, nil)
 		go n.coordinator.loop.Run(GinkgoT().Context(), runAll, 0, nil)
@@ -36,7 +36,7 @@
 			Expect(out.Header().Get("Retry-After")).NotTo(BeEmpty())
 		}
 		Expect(get("/v1/status").Code).To(Equal(http.StatusOK))
-		n.contact.record(manualClock.Steady(), feed.FleetVersion{})
+		n.contact.record(manualClock.Monotonic(), feed.FleetVersion{})
 		manualClock.Now += maxContactAge
 		for _, path := range local {
 			Expect(get(path).Code).To(Equal(http.StatusOK), path)
@@ -47,27 +47,27 @@
 		}
 		// The node has quorum contact, but the majority has a fleet that this node lacks.
 		manualClock.Now += time.Millisecond
-		n.contact.record(manualClock.Steady(), feed.FleetVersion{Term: 2, Count: 1})
+		n.contact.record(manualClock.Monotonic(), feed.FleetVersion{Term: 2, Count: 1})
 		Expect(get("/v1/fleet").Code).To(Equal(http.StatusServiceUnavailable))
 		n.onFleet(feed.Fleet{Term: 2, Count: 1}, func(messages.Done) {})
 		Expect(get("/v1/fleet").Code).To(Equal(http.StatusOK))
 	})
 
 	It("doesn't make a node ready to lead while the majority has a newer fleet; a fleet that only a failed member had is not waited for", func() {
-		manualClock := &clock.Hand{Now: time.Hour}
+		manualClock := &clock.Manual{Now: time.Hour}
 		n := newTestMember(manualClock, view)
 		newest := feed.FleetVersion{Term: 2, Count: 5}
 		Expect(n.isReadyToLead(newest)).To(BeFalse(), "the node has had no quorum contact")
-		n.contact.record(manualClock.Steady(), newest)
+		n.contact.record(manualClock.Monotonic(), newest)
 		Expect(n.isReadyToLead(feed.FleetVersion{Term: 2, Count: 4})).To(BeFalse())
 		Expect(n.isReadyToLead(newest)).To(BeTrue())
 		manualClock.Now += time.Millisecond
-		n.contact.record(manualClock.Steady(), feed.FleetVersion{Term: 2, Count: 4})
+		n.contact.record(manualClock.Monotonic(), feed.FleetVersion{Term: 2, Count: 4})
 		Expect(n.isReadyToLead(feed.FleetVersion{Term: 2, Count: 4})).To(BeTrue())
 	})
 
 	It("counts only the members that answer in the same epoch", func() {
-		manualClock := &clock.Hand{Now: time.Hour}
+		manualClock := &clock.Manual{Now: time.Hour}
 		n := newTestMember(manualClock, membership.View{Epoch: 1, Members: []string{"a"}})
 		other := httptest.NewUnstartedServer(nil)
 		address := other.Listener.Addr().String()
--- a/internal/control/record_test.go
+++ b/internal/control/record_test.go
@@ -65,7 +65,7 @@
 		}
 		Expect(log.Append(batch)).To(Succeed())
 		var reported []string
-		s, err := openStore(disk, idempotency.Policy{}, &clock.Hand{}, func(err error) { reported = append(reported, err.Error()) })
+		s, err := openStore(disk, idempotency.Policy{}, &clock.Manual{}, func(err error) { reported = append(reported, err.Error()) })
 		Expect(err).NotTo(HaveOccurred())
 		Expect(s.tables.trusted).To(BeFalse())
 		Expect(s.tables.voter.Find(valid.Intent.Key)).NotTo(BeNil())
--- a/internal/control/recovery.go
+++ b/internal/control/recovery.go
@@ -25,7 +25,7 @@
 	}
 	// untrustedSince is the latest time at which this node may have voted as a trusted
 	// member.
-	untrustedSince := n.clock.Steady()
+	untrustedSince := n.clock.Monotonic()
 	for ctx.Err() == nil {
 		n.discoverView()
 		view, trusted := n.view(), false
@@ -35,7 +35,7 @@
 			n.clock.Sleep(10 * recoveryInterval)
 		case view.Has(n.self):
 			// Twice the vote timeout covers the round and its messages in transit.
-			if wait := 2*n.voteTimeout() - time.Duration(n.clock.Steady()-untrustedSince); wait > 0 {
+			if wait := 2*n.voteTimeout() - time.Duration(n.clock.Monotonic()-untrustedSince); wait > 0 {
 				n.clock.Sleep(wait)
 			}
 			if n.rebuild(view) {
@@ -44,7 +44,7 @@
 		case view.Epoch > 0:
 			if trusted {
 				n.distrust()
-				untrustedSince = n.clock.Steady()
+				untrustedSince = n.clock.Monotonic()
 			}
 			for _, member := range view.Members {
 				n.connection(member).Send(messages.KindJoin, messages.Join{Address: n.self}, nil)
--- a/internal/control/rollouts.go
+++ b/internal/control/rollouts.go
@@ -15,9 +15,9 @@
 
 // rollout is an operator's order for a service's version.
 type rollout struct {
-	Service       string     `json:"Service"`
-	TargetVersion string     `json:"TargetVersion"`
-	Duration      clock.Span `json:"Duration"`
+	Service       string         `json:"Service"`
+	TargetVersion string         `json:"TargetVersion"`
+	Duration      clock.Duration `json:"Duration"`
 }
 
 const (
--- a/internal/control/round_transport.go
+++ b/internal/control/round_transport.go
@@ -18,7 +18,7 @@
 type roundTransport struct {
 	node      *node
 	view      membership.View
-	startedAt clock.Steady
+	startedAt clock.Instant
 }
 
 // Prepare asks all members for a promise.
@@ -33,7 +33,7 @@
 	if t.node.voteExpired(t.startedAt) {
 		return nil
 	}
-	return callRound(t.node, t.view, messages.KindAccept, accept, t.node.clock.Steady(),
+	return callRound(t.node, t.view, messages.KindAccept, accept, t.node.clock.Monotonic(),
 		func(acceptance *registry.Acceptance) *bool { return &acceptance.OK },
 		func(acceptance registry.Acceptance) bool { return acceptance.IsLost(accept) })
 }
@@ -41,8 +41,8 @@
 func (n *node) voteTimeout() time.Duration { return n.settings.Load().Tuning.VoteSpan.Std() }
 
 // voteExpired reports whether votes requested at that time no longer count.
-func (n *node) voteExpired(startedAt clock.Steady) bool {
-	return time.Duration(n.clock.Steady()-startedAt) > n.voteTimeout()
+func (n *node) voteExpired(startedAt clock.Instant) bool {
+	return time.Duration(n.clock.Monotonic()-startedAt) > n.voteTimeout()
 }
 
 // callRound calls all members of a view and returns once a majority has agreed or an
@@ -51,7 +51,7 @@
 // startedAt, as a member that lost its disk waits twice that long before it votes
 // again. Answers that arrive later are returned without their agreement, since they
 // still show why the round can't succeed.
-func callRound[T any](n *node, view membership.View, kind rpc.Kind, request any, startedAt clock.Steady, okField func(*T) *bool, lost func(T) bool) (answers []T) {
+func callRound[T any](n *node, view membership.View, kind rpc.Kind, request any, startedAt clock.Instant, okField func(*T) *bool, lost func(T) bool) (answers []T) {
 	count := 0
 	callAll(n, view.Members, kind, request, n.voteTimeout(), func(_ string, answer T) bool {
 		answers = append(answers, answer)
--- a/internal/control/round_transport_test.go
+++ b/internal/control/round_transport_test.go
@@ -28,7 +28,7 @@
 
 	BeforeEach(func() {
 		view = membership.View{Epoch: 1, Members: []string{"a", unresponsiveMember(), unresponsiveMember()}}
-		n = newTestMember(&clock.Hand{Now: time.Hour}, view)
+		n = newTestMember(&clock.Manual{Now: time.Hour}, view)
 	})
 
 	// withoutWaiting checks that run doesn't wait for the unresponsive members.
@@ -40,7 +40,7 @@
 
 	It("fails immediately and returns the higher ballot when a member has promised one", func() {
 		n.store.read(func(t *tables) { _, _ = t.registry.Promise(registry.Prepare{Epoch: 1, Index: 1, Ballot: high}) })
-		transport := &roundTransport{node: n, view: view, startedAt: n.clock.Steady()}
+		transport := &roundTransport{node: n, view: view, startedAt: n.clock.Monotonic()}
 		withoutWaiting(func() {
 			round := registry.Round{Epoch: 1, Index: 1, Ballot: low, Majority: 2}
 			outcome := round.Run(transport)
@@ -59,14 +59,14 @@
 		n.learnAndWait([]registry.Change{{Index: 1}})
 		withoutWaiting(func() {
 			round := registry.Round{Epoch: 1, Index: 1, Ballot: low, Majority: 2}
-			Expect(round.Run(&roundTransport{node: n, view: view, startedAt: n.clock.Steady()}).Ahead).To(BeEquivalentTo(1))
+			Expect(round.Run(&roundTransport{node: n, view: view, startedAt: n.clock.Monotonic()}).Ahead).To(BeEquivalentTo(1))
 		})
 	})
 
 	It("waits for the unresponsive members until the vote timeout when no member objects", func() {
 		startedAt := time.Now()
 		round := registry.Round{Epoch: 1, Index: 1, Ballot: low, Majority: 2}
-		outcome := round.Run(&roundTransport{node: n, view: view, startedAt: n.clock.Steady()})
+		outcome := round.Run(&roundTransport{node: n, view: view, startedAt: n.clock.Monotonic()})
 		Expect(outcome.Heard).To(Equal(1))
 		Expect(time.Since(startedAt)).To(BeNumerically("~", n.settings.Load().Tuning.VoteSpan.Std(), 100*time.Millisecond))
 	})
--- a/internal/control/sites.go
+++ b/internal/control/sites.go
@@ -34,7 +34,7 @@
 
 // layTree lays the tree and the room of its sites after a new reading.
 func (c *coordinator) layTree() {
-	tree, now, isSame := c.tree, c.clock.Steady(), false
+	tree, now, isSame := c.tree, c.clock.Monotonic(), false
 	c.store.read(func(t *tables) {
 		digest := t.bookDigest()
 		// What is warming gets ready with no news.
--- a/internal/control/staged.go
+++ b/internal/control/staged.go
@@ -19,7 +19,7 @@
 type staged struct {
 	Name     string          `json:"Name"`
 	First    string          `json:"First"`
-	Duration clock.Span      `json:"Duration"`
+	Duration clock.Duration  `json:"Duration"`
 	Change   json.RawMessage `json:"Change"`
 }
 
--- a/internal/control/stages.go
+++ b/internal/control/stages.go
@@ -67,7 +67,7 @@
 		return apierror.UnknownSubject, "node " + in.First + " is not known to be in touch"
 	}
 	state.Subject = subject
-	next, isDone := state.Order(in.Name, clock.Span(in.Duration))
+	next, isDone := state.Order(in.Name, clock.Duration(in.Duration))
 	if !isDone {
 		return apierror.OtherOrder, ""
 	}
@@ -88,7 +88,7 @@
 	if !state.Phase.IsActive() && state.Reason == haltedReason {
 		return apierror.None, ""
 	}
-	next, isDone := state.Step(trial.Halted, haltedReason, time.Duration(c.clock.Steady()-c.beganAt(state)))
+	next, isDone := state.Step(trial.Halted, haltedReason, time.Duration(c.clock.Monotonic()-c.beganAt(state)))
 	if !isDone {
 		return apierror.OtherOrder, "it has ended"
 	}
@@ -125,7 +125,7 @@
 // driveStage takes one step of a staged change, where the facts come to one.
 func (c *coordinator) driveStage(state trial.State) {
 	d := c.driveOf(state)
-	now := c.clock.Steady()
+	now := c.clock.Monotonic()
 	facts := trial.StageFacts{
 		Elapsed: time.Duration(now - c.beganAt(state)), InWave: time.Duration(now - d.phaseAt),
 		Finding: c.court.Hearing(state.Subject, state.Number, state.Wave),
--- a/internal/control/standby.go
+++ b/internal/control/standby.go
@@ -23,11 +23,11 @@
 	watch *listing.Watch
 }
 
-func newListTracker(now clock.Steady) *listTracker {
+func newListTracker(now clock.Instant) *listTracker {
 	return &listTracker{watch: listing.NewWatch(now)}
 }
 
-func (t *listTracker) record(progress messages.ListProgress, now clock.Steady) {
+func (t *listTracker) record(progress messages.ListProgress, now clock.Instant) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	t.watch.Hear(progress.From, progress.Next.Std(), now)
@@ -36,7 +36,7 @@
 	}
 }
 
-func (t *listTracker) age(now clock.Steady) (age time.Duration, ok bool) {
+func (t *listTracker) age(now clock.Instant) (age time.Duration, ok bool) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	return t.watch.Age(now)
@@ -44,7 +44,7 @@
 
 // share is the fraction of the platform's rate limit that this node may use as a standby
 // reader, or 0 if it must not read.
-func (t *listTracker) share(view membership.View, leader, self string, inContact bool, now clock.Steady) float64 {
+func (t *listTracker) share(view membership.View, leader, self string, inContact bool, now clock.Instant) float64 {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	share := t.watch.Share(view, leader, self, now)
@@ -73,7 +73,7 @@
 // standby reader, or 0 if it is none.
 func (n *node) standbyRateShare() float64 {
 	view, leader := n.viewAndLeader()
-	return n.listWatch.share(view, leader, n.self, n.hasQuorumContact(), n.clock.Steady())
+	return n.listWatch.share(view, leader, n.self, n.hasQuorumContact(), n.clock.Monotonic())
 }
 
 // publishLeaving notifies followers and members of the draining servers in the list that
@@ -99,7 +99,7 @@
 // sendListProgress tells the other members how far this node has read the list.
 func (n *node) sendListProgress(progress messages.ListProgress) {
 	progress.From = n.self
-	n.listWatch.record(progress, n.clock.Steady())
+	n.listWatch.record(progress, n.clock.Monotonic())
 	view, _ := n.viewAndLeader()
 	for _, member := range view.Others(n.self) {
 		n.connection(member).Send(messages.KindListProgress, progress, nil)
@@ -108,5 +108,5 @@
 
 // onListProgress records the progress of another member's read.
 func (n *node) onListProgress(in messages.ListProgress, _ func(messages.Done)) {
-	n.listWatch.record(in, n.clock.Steady())
+	n.listWatch.record(in, n.clock.Monotonic())
 }
--- a/internal/control/standby_test.go
+++ b/internal/control/standby_test.go
@@ -26,7 +26,7 @@
 	const leader, self, other, silentAfter = "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", 1200 * time.Millisecond
 	const next = 800 * time.Millisecond
 	var n *node
-	var manualClock *clock.Hand
+	var manualClock *clock.Manual
 	fleet := func(count uint64, publisher string, isReady bool) *feed.Fleet {
 		return &feed.Fleet{Term: 1, Count: count, Leader: publisher, Servers: []feed.Server{{ID: "a", IsReady: isReady}, {ID: "b", IsReady: true}}}
 	}
@@ -37,20 +37,20 @@
 	sendHeartbeat := func() { n.runInMemberLoop(func() { n.livenessWatch.Hear(membership.Beat{From: leader, IsFit: true}) }) }
 	// reportRead reports a complete read by the leader.
 	reportRead := func() {
-		n.onListProgress(messages.ListProgress{From: leader, IsWhole: true, Age: clock.Span(100 * time.Millisecond), Next: clock.Span(next)}, nil)
+		n.onListProgress(messages.ListProgress{From: leader, IsWhole: true, Age: clock.Duration(100 * time.Millisecond), Next: clock.Duration(next)}, nil)
 	}
 	// overdue is the time after which a read is overdue for the last member in the order.
 	const overdue = next + time.Second
 
 	BeforeEach(func() {
-		manualClock = &clock.Hand{Now: time.Hour}
+		manualClock = &clock.Manual{Now: time.Hour}
 		n = &node{
 			self: self, clock: manualClock, hub: feed.NewHub(), log: func(string, string, ...any) {},
 			connections: map[string]*rpc.Line{},
-			memberLoop:  clock.NewLoop[func()](8), livenessWatch: membership.NewWatch(manualClock, silentAfter), startedAt: manualClock.Steady(),
-			listWatch: newListTracker(manualClock.Steady()), lease: newLeaderLease(testLeaseDuration),
+			memberLoop:  clock.NewLoop[func()](8), livenessWatch: membership.NewWatch(manualClock, silentAfter), startedAt: manualClock.Monotonic(),
+			listWatch: newListTracker(manualClock.Monotonic()), lease: newLeaderLease(testLeaseDuration),
 		}
-		n.settings.Store(&settings.Settings{Tuning: settings.Tuning{SilentAfter: clock.Span(silentAfter)}})
+		n.settings.Store(&settings.Settings{Tuning: settings.Tuning{SilentAfter: clock.Duration(silentAfter)}})
 		ctx, cancel := context.WithCancel(context.Background())
 		DeferCleanup(cancel)
 		go n.memberLoop.Run(ctx, runAll, 0, nil)
@@ -80,7 +80,7 @@
 	It("ends after isolatedReadLimit at a node without quorum contact that is told of no read", func() {
 		manualClock.Sleep(isolatedReadLimit + time.Millisecond)
 		Expect(n.isStandbyReader()).To(BeFalse())
-		n.contact.record(manualClock.Steady(), feed.FleetVersion{})
+		n.contact.record(manualClock.Monotonic(), feed.FleetVersion{})
 		Expect(n.isStandbyReader()).To(BeTrue())
 	})
 
@@ -131,18 +131,18 @@
 		set.Platform.CloudApi.RatePerS = 50
 		n.settings.Store(&set)
 		poller := &listPoller{node: n}
-		poller.lastRead.started, poller.lastRead.ended, poller.lastRead.calls = manualClock.Steady(), manualClock.Steady(), 30
+		poller.lastRead.started, poller.lastRead.ended, poller.lastRead.calls = manualClock.Monotonic(), manualClock.Monotonic(), 30
 		view, _ := n.viewAndLeader()
 		// An isolated node leaves part of the rate limit to nodes that it doesn't know of.
 		manualClock.Sleep(overdue)
-		poller.lastRead.started, poller.lastRead.ended = manualClock.Steady(), manualClock.Steady()
+		poller.lastRead.started, poller.lastRead.ended = manualClock.Monotonic(), manualClock.Monotonic()
 		Expect(poller.untilNextRead(false)).To(BeNumerically("~", 3*time.Second, time.Millisecond))
-		n.contact.record(manualClock.Steady(), feed.FleetVersion{})
+		n.contact.record(manualClock.Monotonic(), feed.FleetVersion{})
 		Expect(poller.untilNextRead(false)).To(BeNumerically("~", time.Second, time.Millisecond))
 		// A leader whose lease has expired may have a successor that reads.
 		Expect(poller.untilNextRead(true)).To(BeNumerically("~", 3*time.Second, time.Millisecond))
 		n.ownTerm.Store(2)
-		round := n.lease.startRound(2, view, manualClock.Steady())
+		round := n.lease.startRound(2, view, manualClock.Monotonic())
 		n.lease.acknowledge(round, self)
 		Expect(n.lease.acknowledge(round, other)).To(BeTrue())
 		Expect(poller.untilNextRead(true)).To(BeNumerically("~", time.Second, time.Millisecond))
@@ -164,12 +164,12 @@
 		manualClock.Sleep(time.Minute)
 		poller := &listPoller{node: n, reader: newListReader(manualClock, func() string { return platform.Listener.Addr().String() })}
 		poller.poll(context.Background())
-		age, _ := n.listWatch.age(manualClock.Steady())
+		age, _ := n.listWatch.age(manualClock.Monotonic())
 		Expect(age).To(BeNumerically(">=", time.Minute))
 		isFailing.Store(false)
 		manualClock.Sleep(time.Second)
 		poller.poll(context.Background())
-		age, _ = n.listWatch.age(manualClock.Steady())
+		age, _ = n.listWatch.age(manualClock.Monotonic())
 		Expect(age).To(BeNumerically("<", time.Second))
 	})
 
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -88,8 +88,8 @@
 		}
 	})
 	out.Servers = len(n.fleet().Servers)
-	out.QuorumAgeMs, out.Lease = ageMs(n.contact.age(n.clock.Steady())), n.leaseStatus(out)
-	out.ListAgeMs = ageMs(n.listWatch.age(n.clock.Steady()))
+	out.QuorumAgeMs, out.Lease = ageMs(n.contact.age(n.clock.Monotonic())), n.leaseStatus(out)
+	out.ListAgeMs = ageMs(n.listWatch.age(n.clock.Monotonic()))
 	return out, nil
 }
 
@@ -104,7 +104,7 @@
 func (n *node) leaseStatus(status Status) LeaseStatus {
 	out := LeaseStatus{Holder: status.Holder, Term: status.Term}
 	if status.Holder == n.self {
-		out.RemainingMs = n.lease.remaining(status.Term, n.clock.Steady()).Milliseconds()
+		out.RemainingMs = n.lease.remaining(status.Term, n.clock.Monotonic()).Milliseconds()
 	}
 	return out
 }
--- a/internal/control/store_test.go
+++ b/internal/control/store_test.go
@@ -14,7 +14,7 @@
 var _ = Describe("a checkpoint", func() {
 	It("does not start while another is being written", func() {
 		disk := standin.NewDisk(rand.New(rand.NewPCG(1, 1)))
-		s, err := openStore(disk, idempotency.Policy{}, &clock.Hand{}, func(err error) { Expect(err).NotTo(HaveOccurred()) })
+		s, err := openStore(disk, idempotency.Policy{}, &clock.Manual{}, func(err error) { Expect(err).NotTo(HaveOccurred()) })
 		Expect(err).NotTo(HaveOccurred())
 		s.checkpointing.Store(true)
 		s.checkpoint()
--- a/internal/control/tables.go
+++ b/internal/control/tables.go
@@ -48,7 +48,7 @@
 	// power loss of all its members.
 	fleet feed.Fleet
 	// fleetReceivedAt is when the fleet was received, 0 if it was read from the disk.
-	fleetReceivedAt clock.Steady
+	fleetReceivedAt clock.Instant
 	trials          map[string]trial.State
 	trusted         bool
 	empty           bool
@@ -118,7 +118,7 @@
 
 // fleetFresh reports whether the fleet was received within maxAge; a fleet that was
 // read from the disk is not fresh.
-func (t *tables) fleetFresh(now clock.Steady, maxAge time.Duration) bool {
+func (t *tables) fleetFresh(now clock.Instant, maxAge time.Duration) bool {
 	return t.fleetReceivedAt > 0 && time.Duration(now-t.fleetReceivedAt) <= maxAge
 }
 
--- a/internal/control/takeover_test.go
+++ b/internal/control/takeover_test.go
@@ -24,7 +24,7 @@
 	const drainingID = "i-1"
 	view := membership.View{Epoch: 1, Members: []string{"a"}}
 	var n *node
-	var manualClock *clock.Hand
+	var manualClock *clock.Manual
 
 	// grant makes this member grant the leader lease.
 	grant := func(holder string, number uint64) {
@@ -36,7 +36,7 @@
 	// becomeLeader makes this node the leader under a new term.
 	becomeLeader := func(number uint64) {
 		grant("a", number)
-		round := n.lease.startRound(number, view, manualClock.Steady())
+		round := n.lease.startRound(number, view, manualClock.Monotonic())
 		Expect(n.lease.acknowledge(round, "a")).To(BeTrue())
 		n.ownTerm.Store(number)
 		n.isLeader.Store(true)
@@ -51,7 +51,7 @@
 	}
 
 	BeforeEach(func() {
-		manualClock = &clock.Hand{Now: time.Hour}
+		manualClock = &clock.Manual{Now: time.Hour}
 		n = newTestMember(manualClock, view)
 	})
 
@@ -81,7 +81,7 @@
 			<-stored
 		}
 		staged := trial.State{
-			Subject: trial.StagePrefix + "change", Number: 1, Term: 1, Count: 1, Phase: trial.Trying, Duration: clock.Span(time.Minute),
+			Subject: trial.StagePrefix + "change", Number: 1, Term: 1, Count: 1, Phase: trial.Trying, Duration: clock.Duration(time.Minute),
 			Items: []config.Item{{ID: config.ID{Class: config.RouteItem, Name: "fee"}, Version: 1, Host: "h"}}, Waves: [][]string{{"edge-1"}},
 		}
 		written := make(chan messages.Done, 1)
@@ -112,7 +112,7 @@
 			_, _ = fmt.Fprint(w, `{"Instances":[{"InstanceId":"i-1","State":"draining"},{"InstanceId":"i-2","State":"ready"}],"NextToken":"2"}`)
 		}))
 		DeferCleanup(platform.Close)
-		manualClock := &clock.Hand{Now: time.Hour}
+		manualClock := &clock.Manual{Now: time.Hour}
 		n := newTestMember(manualClock, membership.View{Epoch: 1, Members: []string{"a"}})
 		n.hub.Publish(feed.Update{Fleet: &feed.Fleet{Term: 1, Count: 1, Leader: "a", Servers: []feed.Server{{ID: "i-1", IsReady: true}, {ID: "i-2", IsReady: true}}}})
 		n.isLeader.Store(true)
--- a/internal/control/trials.go
+++ b/internal/control/trials.go
@@ -10,7 +10,7 @@
 // heardTrial is when, on this node's steady clock, a trial must have begun.
 type heardTrial struct {
 	number uint64
-	began  clock.Steady
+	began  clock.Instant
 }
 
 // onTrial keeps a writing of a trial, unless a higher term has fenced it off or
@@ -33,7 +33,7 @@
 }
 
 func (n *node) hearTrial(state trial.State) {
-	began := n.clock.Steady() - clock.Steady(state.Elapsed)
+	began := n.clock.Monotonic() - clock.Instant(state.Elapsed)
 	if known, isKnown := n.trialStarts.Load(state.Subject); isKnown {
 		if h := known.(heardTrial); h.number == state.Number {
 			began = min(began, h.began)
@@ -43,13 +43,13 @@
 }
 
 // beganAt is when a trial began, as well as this node can tell.
-func (n *node) beganAt(state trial.State) clock.Steady {
+func (n *node) beganAt(state trial.State) clock.Instant {
 	if known, isKnown := n.trialStarts.Load(state.Subject); isKnown {
 		if h := known.(heardTrial); h.number == state.Number {
 			return h.began
 		}
 	}
-	return n.clock.Steady() - clock.Steady(state.Elapsed)
+	return n.clock.Monotonic() - clock.Instant(state.Elapsed)
 }
 
 func (n *node) onTrials(in messages.Trials, answer func(messages.TrialsTold)) {
--- a/internal/dispatcher/command.go
+++ b/internal/dispatcher/command.go
@@ -103,7 +103,7 @@
 }
 
 func spanText(span time.Duration) string {
-	text, _ := clock.Span(span).MarshalText()
+	text, _ := clock.Duration(span).MarshalText()
 	return string(text)
 }
 
--- a/internal/emulator/departure/proxy.go
+++ b/internal/emulator/departure/proxy.go
@@ -6,7 +6,7 @@
 	"ploverhitch/internal/feed"
 )
 
-func steadyOf(at virtual.Time) clock.Steady { return clock.Steady(at) }
+func steadyOf(at virtual.Time) clock.Instant { return clock.Instant(at) }
 
 // proxy is one proxy with its agent: what it has heard, and of which servers that leave
 // it has seen that they do.
--- a/internal/emulator/departure/world.go
+++ b/internal/emulator/departure/world.go
@@ -61,7 +61,7 @@
 	return w.result
 }
 
-func (w *world) steady() clock.Steady { return clock.Steady(w.Now) }
+func (w *world) steady() clock.Instant { return clock.Instant(w.Now) }
 
 func (w *world) between(least, most time.Duration) time.Duration {
 	return least + time.Duration(w.random.Int64N(int64(most-least)+1))
--- a/internal/emulator/simulation/proxy.go
+++ b/internal/emulator/simulation/proxy.go
@@ -65,7 +65,7 @@
 	intent := intentOf(key, attempt, time.UnixMilli(1_700_000_000_000).Add(w.Now))
 	view := p.findView(t)
 	round, began := p.vote(t, view, intent)
-	switch round.Result(clock.Steady(w.Now - began)) {
+	switch round.Result(clock.Instant(w.Now - began)) {
 	case idempotency.Won:
 		w.checks.ran(key, attempt)
 		p.finish(t, view, intent, operation)
@@ -93,13 +93,13 @@
 func (p *proxy) vote(t *task, view membership.View, intent idempotency.Intent) (round *idempotency.Round, began Time) {
 	w := p.world
 	began = w.Now
-	round = idempotency.NewRound(intent.RequestHash, len(view.Members), 0, clock.Steady(voteSpan))
+	round = idempotency.NewRound(intent.RequestHash, len(view.Members), 0, clock.Instant(voteSpan))
 	ballots := gather(t, view.Members, voteSpan, reserveRequest{view.Epoch, intent}, (*member).onReserve, func(ballots []idempotency.Vote) bool {
-		trial := idempotency.NewRound(intent.RequestHash, len(view.Members), 0, clock.Steady(voteSpan))
+		trial := idempotency.NewRound(intent.RequestHash, len(view.Members), 0, clock.Instant(voteSpan))
 		for _, ballot := range ballots {
 			trial.AddVote(&ballot)
 		}
-		return trial.Result(clock.Steady(w.Now-began)) != idempotency.Undecided
+		return trial.Result(clock.Instant(w.Now-began)) != idempotency.Undecided
 	})
 	for _, ballot := range ballots {
 		round.AddVote(&ballot)
--- a/internal/feed/follower.go
+++ b/internal/feed/follower.go
@@ -33,7 +33,7 @@
 //	follower := feed.NewFollower(node, line, merge, 200*time.Millisecond)
 func NewFollower(name string, connection *rpc.Line, onUpdate func(Update), retryDelay time.Duration) *Follower {
 	f := &Follower{Name: name, Connection: connection, OnUpdate: onUpdate, RetryDelay: retryDelay, snapshotRequests: make(chan struct{}, 1), clock: clock.Real()}
-	f.disconnectedAt.Store(int64(f.clock.Steady()) + 1)
+	f.disconnectedAt.Store(int64(f.clock.Monotonic()) + 1)
 	return f
 }
 
@@ -47,7 +47,7 @@
 	if at == 0 {
 		return 0
 	}
-	return time.Duration(int64(f.clock.Steady()) - at)
+	return time.Duration(int64(f.clock.Monotonic()) - at)
 }
 
 // Again makes the follower ask for a checkpoint.
@@ -82,7 +82,7 @@
 			}
 			if err != nil {
 				position.end()
-				f.disconnectedAt.CompareAndSwap(0, int64(f.clock.Steady())+1)
+				f.disconnectedAt.CompareAndSwap(0, int64(f.clock.Monotonic())+1)
 				disconnected <- err
 				return
 			}
--- a/internal/idempotency/round.go
+++ b/internal/idempotency/round.go
@@ -30,8 +30,8 @@
 type Round struct {
 	RequestHash RequestHash
 	members     int
-	startedAt   clock.Steady
-	timeout     clock.Steady
+	startedAt   clock.Instant
+	timeout     clock.Instant
 
 	granted, keyInUse, overLimit, failed int
 	shed                                 int
@@ -41,7 +41,7 @@
 
 // NewRound starts a round among the given number of members. Grants count only until
 // the timeout.
-func NewRound(requestHash RequestHash, members int, startedAt, timeout clock.Steady) *Round {
+func NewRound(requestHash RequestHash, members int, startedAt, timeout clock.Instant) *Round {
 	return &Round{RequestHash: requestHash, members: members, startedAt: startedAt, timeout: timeout}
 }
 
@@ -68,7 +68,7 @@
 }
 
 // Result evaluates the votes received so far.
-func (r *Round) Result(now clock.Steady) Result {
+func (r *Round) Result(now clock.Instant) Result {
 	majority := r.members/2 + 1
 	inTime := now-r.startedAt <= r.timeout
 	switch {
--- a/internal/idempotency/voter_test.go
+++ b/internal/idempotency/voter_test.go
@@ -65,7 +65,7 @@
 	)
 
 	It("counts no grants after the timeout of the round", func() {
-		round := idempotency.NewRound(idempotency.RequestHash{}, 3, 0, clock.Steady(100))
+		round := idempotency.NewRound(idempotency.RequestHash{}, 3, 0, clock.Instant(100))
 		round.AddVote(&idempotency.Vote{Verdict: idempotency.Granted})
 		round.AddVote(&idempotency.Vote{Verdict: idempotency.Granted})
 		Expect(round.Result(100)).To(Equal(idempotency.Won))
--- a/internal/inspector/moves.go
+++ b/internal/inspector/moves.go
@@ -87,7 +87,7 @@
 //
 //	surprises, err := forecast.Confirm(clock, time.Minute)
 func (f *Forecast) Confirm(timeSource clock.Clock, wait time.Duration) (out []Surprise, err error) {
-	end := timeSource.Steady() + clock.Steady(wait)
+	end := timeSource.Monotonic() + clock.Instant(wait)
 	for _, edge := range f.edges {
 		node, isKnown := messages.Moves{}, false
 		for _, one := range f.Nodes {
@@ -108,7 +108,7 @@
 			if err == nil && f.isMade(now.Ring) {
 				break
 			}
-			if timeSource.Steady() > end {
+			if timeSource.Monotonic() > end {
 				return nil, errors.Timeoutf("the change at %s", edge.name)
 			}
 			timeSource.Sleep(confirmPause)
--- a/internal/membership/roster_test.go
+++ b/internal/membership/roster_test.go
@@ -112,7 +112,7 @@
 
 var _ = Describe("the watch", func() {
 	It("gives the duty to the first live and fit member in the agreed order", func() {
-		hand := &clock.Hand{}
+		hand := &clock.Manual{}
 		watch := membership.NewWatch(hand, time.Second)
 		view := membership.FirstView([]string{"a", "b", "c"})
 		Expect(watch.First(view, "c", true)).To(Equal("c"))
@@ -129,7 +129,7 @@
 	})
 
 	It("takes a watcher's word for whom it heard", func() {
-		hand := &clock.Hand{}
+		hand := &clock.Manual{}
 		watch := membership.NewWatch(hand, time.Second)
 		watch.Hear(membership.Beat{From: "b", Seen: map[string]bool{"a": true}})
 		Expect(watch.IsLive("a")).To(BeTrue())
--- a/internal/membership/watch.go
+++ b/internal/membership/watch.go
@@ -33,8 +33,8 @@
 // Watch keeps when each member was last heard of. It has one owner.
 type Watch struct {
 	clock clock.Clock
-	after clock.Steady
-	heard map[string]clock.Steady
+	after clock.Instant
+	heard map[string]clock.Instant
 	fit   map[string]bool
 }
 
@@ -44,7 +44,7 @@
 //
 //	watch := membership.NewWatch(clock, 1200*time.Millisecond)
 func NewWatch(timeSource clock.Clock, silentAfter time.Duration) *Watch {
-	return &Watch{clock: timeSource, after: clock.Steady(silentAfter), heard: map[string]clock.Steady{}, fit: map[string]bool{}}
+	return &Watch{clock: timeSource, after: clock.Instant(silentAfter), heard: map[string]clock.Instant{}, fit: map[string]bool{}}
 }
 
 // Hear notes a heartbeat. Who the sender heard counts as heard, a little less
@@ -54,7 +54,7 @@
 //
 //	watch.Hear(beat)
 func (w *Watch) Hear(beat Beat) {
-	now := w.clock.Steady()
+	now := w.clock.Monotonic()
 	w.heard[beat.From], w.fit[beat.From] = now, beat.IsFit
 	for name, isFit := range beat.Seen {
 		if at, isHeard := w.heard[name]; !isHeard || at < now-w.after/2 {
@@ -69,7 +69,7 @@
 //
 //	beat.Seen = watch.Direct()
 func (w *Watch) Direct() map[string]bool {
-	now, out := w.clock.Steady(), map[string]bool{}
+	now, out := w.clock.Monotonic(), map[string]bool{}
 	for name, at := range w.heard {
 		if now-at < w.after/2 {
 			out[name] = w.fit[name]
@@ -85,7 +85,7 @@
 //	if !watch.IsLive(holder) { claim() }
 func (w *Watch) IsLive(name string) bool {
 	at, isHeard := w.heard[name]
-	return isHeard && w.clock.Steady()-at <= w.after
+	return isHeard && w.clock.Monotonic()-at <= w.after
 }
 
 // Silence is how long nothing was heard of the member, since began at most.
@@ -93,8 +93,8 @@
 // Example:
 //
 //	isLost := watch.Silence(member, began) > span
-func (w *Watch) Silence(name string, began clock.Steady) time.Duration {
-	return time.Duration(w.clock.Steady() - max(w.heard[name], began))
+func (w *Watch) Silence(name string, began clock.Instant) time.Duration {
+	return time.Duration(w.clock.Monotonic() - max(w.heard[name], began))
 }
 
 // First is the first live and fit member in the agreed order, which is the
--- a/internal/messages/telegram.go
+++ b/internal/messages/telegram.go
@@ -99,10 +99,10 @@
 // is to read the next. Where that was the last page, IsWhole, Age is how long ago the
 // reading began.
 type ListProgress struct {
-	From    string     `cbor:"1,keyasint"`
-	Next    clock.Span `cbor:"2,keyasint"`
-	IsWhole bool       `cbor:"3,keyasint,omitempty"`
-	Age     clock.Span `cbor:"4,keyasint,omitempty"`
+	From    string         `cbor:"1,keyasint"`
+	Next    clock.Duration `cbor:"2,keyasint"`
+	IsWhole bool           `cbor:"3,keyasint,omitempty"`
+	Age     clock.Duration `cbor:"4,keyasint,omitempty"`
 }
 
 // Join says that a node with an empty place waits to become a member.
--- a/internal/objects/command.go
+++ b/internal/objects/command.go
@@ -61,7 +61,7 @@
 	}
 	path := "/v1/config/modify"
 	if *c.staged != "" {
-		order := map[string]any{"Name": *c.staged, "First": *c.first, "Duration": clock.Span(*c.duration), "Change": json.RawMessage(text)}
+		order := map[string]any{"Name": *c.staged, "First": *c.first, "Duration": clock.Duration(*c.duration), "Change": json.RawMessage(text)}
 		if path = "/v1/staged/start"; len(own) > 0 {
 			return errors.NotSupportedf("an object for %s in a staged change", own[0].Path)
 		}
--- a/internal/objects/objects.go
+++ b/internal/objects/objects.go
@@ -38,8 +38,8 @@
 		Host          string           `json:"host"`
 		PathPrefix    string           `json:"pathPrefix"`
 		Type          config.RouteType `json:"type"`
-		Timeout       clock.Span       `json:"timeout"`
-		TargetLatency clock.Span       `json:"targetLatency"`
+		Timeout       clock.Duration   `json:"timeout"`
+		TargetLatency clock.Duration   `json:"targetLatency"`
 		Priority      int              `json:"priority"`
 		MaxAttempts   int              `json:"maxAttempts"`
 		BackendRefs   []struct {
@@ -61,10 +61,10 @@
 type limitsObject struct {
 	header `json:",inline"`
 	Spec   struct {
-		MaxHeaderBytes int        `json:"maxHeaderBytes"`
-		MaxBodyBytes   int64      `json:"maxBodyBytes"`
-		HeaderTimeout  clock.Span `json:"headerTimeout"`
-		IdleTimeout    clock.Span `json:"idleTimeout"`
+		MaxHeaderBytes int            `json:"maxHeaderBytes"`
+		MaxBodyBytes   int64          `json:"maxBodyBytes"`
+		HeaderTimeout  clock.Duration `json:"headerTimeout"`
+		IdleTimeout    clock.Duration `json:"idleTimeout"`
 	} `json:"spec"`
 }
 
--- a/internal/outlier/bench.go
+++ b/internal/outlier/bench.go
@@ -13,14 +13,14 @@
 	seen, bad float64
 	// tried and strained are the tries that ended, and those turned away or late.
 	tried, strained float64
-	at              clock.Steady
+	at              clock.Instant
 	// paces and paced are the sum and the number of the paces; told is the pace
 	// last told, in eighths, and when.
 	paces, paced float64
 	told         int
-	toldAt       clock.Steady
+	toldAt       clock.Instant
 	// asideAt is since when it is set aside, times how often.
-	asideAt clock.Steady
+	asideAt clock.Instant
 	times   int
 	isAside bool
 }
@@ -43,7 +43,7 @@
 	benchOdds = 4
 )
 
-func (b *Bench) hear(rows []ServerRow, now clock.Steady) {
+func (b *Bench) hear(rows []ServerRow, now clock.Instant) {
 	for _, row := range rows {
 		s := b.stands[row.ID]
 		if s == nil {
@@ -67,7 +67,7 @@
 //
 //	aside := court.Aside(ids)
 func (c *Court) Aside(group []string) map[string]bool {
-	now := c.clock.Steady()
+	now := c.clock.Monotonic()
 	seen, bad := 0.0, 0.0
 	for _, id := range group {
 		if s := c.bench.stands[id]; s != nil {
@@ -116,7 +116,7 @@
 //
 //	server.Pace = court.Pace(server.ID) // 8 is usual, 16 twice as long
 func (c *Court) Pace(id string) int {
-	s, now := c.bench.stands[id], c.clock.Steady()
+	s, now := c.bench.stands[id], c.clock.Monotonic()
 	if s == nil {
 		return 0
 	}
@@ -144,7 +144,7 @@
 //
 //	isWide := court.Strained(ids) >= 0.5
 func (c *Court) Strained(group []string) float64 {
-	tried, strained, now := 0, 0, c.clock.Steady()
+	tried, strained, now := 0, 0, c.clock.Monotonic()
 	for _, id := range group {
 		s := c.bench.stands[id]
 		if s == nil || s.tried*math.Exp2(-float64(now-s.at)/float64(fade)) < triedLeast {
--- a/internal/outlier/court.go
+++ b/internal/outlier/court.go
@@ -11,12 +11,12 @@
 // witness is one life of one proxy, as it reported last.
 type witness struct {
 	report Report
-	at     clock.Steady
+	at     clock.Instant
 }
 
 // moment is the sum of all rows at some time.
 type moment struct {
-	at   clock.Steady
+	at   clock.Instant
 	rows map[Mark]Tally
 }
 
@@ -56,7 +56,7 @@
 //
 //	court.Hear(report)
 func (c *Court) Hear(report Report) {
-	now := c.clock.Steady()
+	now := c.clock.Monotonic()
 	held := c.witnesses[report.Node]
 	switch {
 	case held == nil:
@@ -79,17 +79,17 @@
 //
 //	court.Tend()
 func (c *Court) Tend() {
-	now := c.clock.Steady()
+	now := c.clock.Monotonic()
 	for node, held := range c.witnesses {
-		if now-held.at > clock.Steady(forgetSpan) {
+		if now-held.at > clock.Instant(forgetSpan) {
 			delete(c.witnesses, node)
 		}
 	}
-	if len(c.moments) > 0 && now-c.moments[len(c.moments)-1].at < clock.Steady(momentStep) {
+	if len(c.moments) > 0 && now-c.moments[len(c.moments)-1].at < clock.Instant(momentStep) {
 		return
 	}
 	old := 0
-	for old+1 < len(c.moments) && now-c.moments[old+1].at >= clock.Steady(window) {
+	for old+1 < len(c.moments) && now-c.moments[old+1].at >= clock.Instant(window) {
 		old++
 	}
 	c.moments = append(c.moments[old:], moment{now, c.sums()})
@@ -124,7 +124,7 @@
 //	if !court.IsFresh(node, 2*time.Second) { halt() }
 func (c *Court) IsFresh(node string, span time.Duration) bool {
 	held := c.witnesses[node]
-	return held != nil && time.Duration(c.clock.Steady()-held.at) <= span
+	return held != nil && time.Duration(c.clock.Monotonic()-held.at) <= span
 }
 
 // Proxies is how many proxies reported within the span.
@@ -179,9 +179,9 @@
 //
 //	isLeft := court.Touch(service, reading).AtWork == 0
 func (c *Court) Touch(subject string, reading feed.FleetVersion) (out Touch) {
-	now := c.clock.Steady()
+	now := c.clock.Monotonic()
 	for _, held := range c.witnesses {
-		if now-held.at > clock.Steady(freshSpan) {
+		if now-held.at > clock.Instant(freshSpan) {
 			continue
 		}
 		out.Proxies++
--- a/internal/outlier/hearing.go
+++ b/internal/outlier/hearing.go
@@ -51,7 +51,7 @@
 			old := before[lane]
 			lately[lane] = [2]Tally{sides[0].Less(old[0]), sides[1].Less(old[1])}
 		}
-		if span := time.Duration(c.clock.Steady() - c.moments[0].at); span > 0 {
+		if span := time.Duration(c.clock.Monotonic() - c.moments[0].at); span > 0 {
 			sum := total(lately)
 			out.Rate = float64(sum[0].Sum()+sum[1].Sum()) / span.Seconds()
 		}
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -54,7 +54,7 @@
 	It("counts each report once, over restarts, losses and repeats, as a plain sum does", func() {
 		for seed := range uint64(50) {
 			random := rand.New(rand.NewPCG(seed, 4))
-			court := outlier.NewCourt(&clock.Hand{})
+			court := outlier.NewCourt(&clock.Manual{})
 			boxes, lives := make([]*outlier.Box, 4), make([]int, 4)
 			said := make([]uint32, 4)   // all lives' counts, as reported
 			before := make([]uint32, 4) // of lives that are over
@@ -99,7 +99,7 @@
 	})
 
 	It("finds a lane that alone is bad, and waits for one that was hardly seen", func() {
-		court := outlier.NewCourt(&clock.Hand{})
+		court := outlier.NewCourt(&clock.Manual{})
 		box := outlier.NewBox()
 		note := func(lane string, isTrial bool, good, failed int) {
 			for range good {
@@ -125,7 +125,7 @@
 	})
 
 	It("sets a server aside that fails more than its like, never a whole service", func() {
-		hand := &clock.Hand{}
+		hand := &clock.Manual{}
 		court := outlier.NewCourt(hand)
 		ids := []string{"a", "b", "c", "d", "e", "f", "g", "h"}
 		number := 0
--- a/internal/proxy/canary.go
+++ b/internal/proxy/canary.go
@@ -30,13 +30,13 @@
 )
 
 // grantsValid reports whether the grants in the last fleet state have not expired.
-func (s *snapshot) grantsValid(now clock.Steady) bool {
+func (s *snapshot) grantsValid(now clock.Instant) bool {
 	return time.Duration(now-s.fleetReceivedAt) <= feed.GrantDuration
 }
 
 // canaryShare returns the traffic share of the service's canary version while its
 // grant is valid.
-func (s *snapshot) canaryShare(service string, now clock.Steady) (share feed.CanaryShare, granted bool) {
+func (s *snapshot) canaryShare(service string, now clock.Instant) (share feed.CanaryShare, granted bool) {
 	if !s.grantsValid(now) {
 		return share, false
 	}
@@ -53,7 +53,7 @@
 	if len(req.snapshot.trialShares) == 0 {
 		return
 	}
-	if share, granted := req.snapshot.canaryShare(req.service, p.clock.Steady()); granted {
+	if share, granted := req.snapshot.canaryShare(req.service, p.clock.Monotonic()); granted {
 		req.trialEligible = p.canaryAllowance(req.service).Take(share.Number, share.Fraction, req.route.Name)
 	}
 }
@@ -70,7 +70,7 @@
 	if !d.request.trialEligible {
 		return false
 	}
-	share, granted := s.canaryShare(d.request.service, d.clock.Steady())
+	share, granted := s.canaryShare(d.request.service, d.clock.Monotonic())
 	return granted && (len(d.tried) == 0 || share.Fraction >= 1)
 }
 
@@ -108,7 +108,7 @@
 // canaryMark identifies the canary that was active when an attempt was sent. The
 // outcome of the attempt counts for it.
 func (d *forwarder) canaryMark(server *balancer.Siding) (mark outlier.Mark) {
-	if share, granted := d.snapshot.Load().canaryShare(d.request.service, d.clock.Steady()); granted {
+	if share, granted := d.snapshot.Load().canaryShare(d.request.service, d.clock.Monotonic()); granted {
 		mark = outlier.Mark{Subject: d.request.service, Number: share.Number, Lane: d.request.route.Name, IsTrial: server.Admission == feed.OnTrial}
 	}
 	return mark
@@ -126,7 +126,7 @@
 		if s.holder == "" || len(s.trialShares)+len(s.stagedChanges) == 0 && !p.needsSlots() && !overloaded && periods%idleReportPeriods > 0 {
 			return
 		}
-		conf, sentAt := p.settings.Load(), p.clock.Steady()
+		conf, sentAt := p.settings.Load(), p.clock.Monotonic()
 		evidence := p.outcomes.Report(conf.Platform.NodeName, p.incarnation)
 		evidence.Term, evidence.Count = s.fleetVersion.Term, s.fleetVersion.Count
 		for _, share := range s.trialShares {
--- a/internal/proxy/cancellation_test.go
+++ b/internal/proxy/cancellation_test.go
@@ -29,7 +29,7 @@
 	conf.Tuning.BufferBytes = 1 << 20
 	conf.Platform.Bounds.RetryBudgetRatio = 1
 	conf.Platform.Bounds.RetrySlack = 100
-	conf.Platform.Bounds.RetryWindow = clock.Span(10 * time.Second)
+	conf.Platform.Bounds.RetryWindow = clock.Duration(10 * time.Second)
 	p := newProxy(conf, clock.Real(), func(string, string, ...any) {})
 	serverSet := balancer.NewYard(balancer.Home{Node: "n", Set: 8})
 	fleet := feed.Fleet{Term: 1, Count: 1, Proxies: 1}
@@ -102,7 +102,7 @@
 		p, req := newTestRequest(config.Idempotent, server)
 		a := &keyedAttempt{proxy: p, request: req, ungranted: map[string]bool{}}
 		a.intent = idempotency.Intent{Key: idempotency.Key{Tenant: "h", Key: "k"}, State: idempotency.Reserved}
-		a.round = idempotency.NewRound(a.intent.RequestHash, 1, p.clock.Steady(), clock.Steady(time.Second))
+		a.round = idempotency.NewRound(a.intent.RequestHash, 1, p.clock.Monotonic(), clock.Instant(time.Second))
 		partial := &upstream.Response{Status: 200, Header: http.Header{}, Body: []byte("part"), Remainder: io.NopCloser(strings.NewReader("rest"))}
 		reply, err := a.execute(context.Background(), func(context.Context, any) (any, error) { return partial, nil })
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/proxy/eligibility_test.go
+++ b/internal/proxy/eligibility_test.go
@@ -29,7 +29,7 @@
 	// updateServers replaces the proxy's list of servers.
 	updateServers := func(list ...feed.Server) {
 		updated := *p.snapshot.Load()
-		updated.applyFleet(feed.Fleet{Term: 1, Count: updated.fleetVersion.Count + 1, Servers: list}, p.clock.Steady())
+		updated.applyFleet(feed.Fleet{Term: 1, Count: updated.fleetVersion.Count + 1, Servers: list}, p.clock.Monotonic())
 		p.snapshot.Store(&updated)
 	}
 	findServer := func(id string) *balancer.Siding {
--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -228,12 +228,12 @@
 		// Buffering the whole download first would take a narrow link's time twice.
 		streamAfter = bandwidth.BulkLeast
 	}
-	start := d.clock.Steady()
+	start := d.clock.Monotonic()
 	response, err := server.Rack.Deliver(upstream.Delivery{
 		Request: d.request.Request, ClientContext: d.abortContext(), Deadline: d.request.deadline, ResponseDeadline: d.request.deadline.Add(lateWait), ConnectTimeout: serverConnectTimeout, BufferLimit: bufferLimit, StreamThreshold: streamAfter, Inbound: d.inbound, Outbound: d.outbound,
 		Serving: func() bool { return d.acceptsRequests(server) }, MaySend: d.request.maySend,
 	})
-	now := d.clock.Steady()
+	now := d.clock.Monotonic()
 	elapsed := time.Duration(now - start)
 	expected := d.stats.mean()
 	if !d.abortedByClient(err) {
--- a/internal/proxy/idempotency.go
+++ b/internal/proxy/idempotency.go
@@ -84,7 +84,7 @@
 // execute forwards the request after a won round, and records the outcome on a majority
 // before the response is returned to the client.
 func (a *keyedAttempt) execute(ctx context.Context, next endpoint.Endpoint) (any, error) {
-	a.request.maySend = func() bool { return a.round.Result(a.clock.Steady()) == idempotency.Won }
+	a.request.maySend = func() bool { return a.round.Result(a.clock.Monotonic()) == idempotency.Won }
 	a.transition(idempotency.AuthorizationPending)
 	result, err := next(ctx, a.request)
 	var unresolved *unresolvedError
@@ -149,7 +149,7 @@
 // recordIntent sends the intent to every member, and waits until a majority has stored
 // it on disk or the timeout passes. A timeout of zero does not wait.
 func (a *keyedAttempt) recordIntent(intent idempotency.Intent, timeout time.Duration) {
-	a.recentIntents.add(intent, a.clock.Steady(), clock.Steady(a.settings.Load().Platform.Bounds.Sync))
+	a.recentIntents.add(intent, a.clock.Monotonic(), clock.Instant(a.settings.Load().Platform.Bounds.Sync))
 	view := a.snapshot.Load().view
 	acknowledgements, cancel := notifyMembers[messages.Done](a.proxy, view, messages.KindRecord, messages.Record{Intent: intent})
 	defer cancel()
--- a/internal/proxy/idempotency_test.go
+++ b/internal/proxy/idempotency_test.go
@@ -26,7 +26,7 @@
 		defer server.Close()
 		pool := &upstream.Pool{Address: server.Address(), Instance: "i-1"}
 		defer pool.Close()
-		manualClock := &clock.Hand{Now: time.Hour}
+		manualClock := &clock.Manual{Now: time.Hour}
 		p := newProxy(&settings.Settings{}, manualClock, func(string, string, ...any) {})
 		req := &clientRequest{
 			Request: &upstream.Request{Method: "POST", Target: "/fee/", Host: "h", Header: http.Header{upstream.HeaderAttempt: {"t"}}, Attempt: "t"},
@@ -34,11 +34,11 @@
 		}
 		a := &keyedAttempt{proxy: p, request: req, ungranted: map[string]bool{}}
 		a.intent = idempotency.Intent{Key: idempotency.Key{Tenant: "h", Key: "k"}, State: idempotency.Reserved}
-		a.round = idempotency.NewRound(a.intent.RequestHash, 3, manualClock.Steady(), clock.Steady(250*time.Millisecond))
+		a.round = idempotency.NewRound(a.intent.RequestHash, 3, manualClock.Monotonic(), clock.Instant(250*time.Millisecond))
 		for range 2 {
 			a.round.AddVote(&idempotency.Vote{Verdict: idempotency.Granted})
 		}
-		Expect(a.round.Result(manualClock.Steady())).To(Equal(idempotency.Won))
+		Expect(a.round.Result(manualClock.Monotonic())).To(Equal(idempotency.Won))
 		_, err = a.execute(context.Background(), func(context.Context, any) (any, error) {
 			manualClock.Now += pause
 			deadline := time.Now().Add(5 * time.Second)
--- a/internal/proxy/leaving_server_test.go
+++ b/internal/proxy/leaving_server_test.go
@@ -14,7 +14,7 @@
 
 var _ = Describe("a proxy that knows a server to be leaving", func() {
 	var p *proxy
-	var manualClock *clock.Hand
+	var manualClock *clock.Manual
 	fleet := func(term, count uint64, isReady bool) *feed.Fleet {
 		return &feed.Fleet{Term: term, Count: count, Servers: []feed.Server{
 			{ID: "i-1", Service: "s", Address: "127.0.0.1:1", Capacity: 1, IsReady: isReady}, {ID: "i-2", Service: "s", Address: "127.0.0.1:2", Capacity: 1, IsReady: true},
@@ -34,7 +34,7 @@
 	}
 
 	BeforeEach(func() {
-		manualClock = &clock.Hand{Now: time.Hour}
+		manualClock = &clock.Manual{Now: time.Hour}
 		p = newProxy(&settings.Settings{}, manualClock, func(string, string, ...any) {})
 		learn(feed.Update{Fleet: fleet(1, 1, true)})
 		Expect(chosenServers()).To(HaveKey("i-1"))
--- a/internal/proxy/members_test.go
+++ b/internal/proxy/members_test.go
@@ -29,8 +29,8 @@
 	// newAttempt returns an attempt with an idempotency key and the given members.
 	newAttempt := func(members ...net.Listener) *keyedAttempt {
 		conf := &settings.Settings{}
-		conf.Tuning.VoteSpan = clock.Span(150 * time.Millisecond)
-		conf.Platform.Bounds.Sync = clock.Span(10 * time.Second)
+		conf.Tuning.VoteSpan = clock.Duration(150 * time.Millisecond)
+		conf.Platform.Bounds.Sync = clock.Duration(10 * time.Second)
 		p := newProxy(conf, clock.Real(), func(string, string, ...any) {})
 		view := membership.View{Epoch: 1}
 		for _, listener := range members {
--- a/internal/proxy/mirror.go
+++ b/internal/proxy/mirror.go
@@ -131,7 +131,7 @@
 	case response == nil:
 		record.Miss(hash, era, "the original's outcome is not known")
 		return
-	case !req.snapshot.grantsValid(p.clock.Steady()):
+	case !req.snapshot.grantsValid(p.clock.Monotonic()):
 		record.Miss(hash, era, "the order had lapsed here")
 		return
 	}
--- a/internal/proxy/mirror_send.go
+++ b/internal/proxy/mirror_send.go
@@ -19,7 +19,7 @@
 // ends.
 func (p *proxy) startMirrorWorkers(ctx context.Context) {
 	for range mirrorWorkers {
-		go clock.Each(ctx, p.trafficMirror.queue, p.sendMirrored)
+		go clock.Consume(ctx, p.trafficMirror.queue, p.sendMirrored)
 	}
 }
 
@@ -72,7 +72,7 @@
 		return false
 	}
 	_, granted := s.mirrorGrant(m)
-	return granted && s.grantsValid(p.clock.Steady()) && !s.manifest.HasRouteTo(m.Shadow)
+	return granted && s.grantsValid(p.clock.Monotonic()) && !s.manifest.HasRouteTo(m.Shadow)
 }
 
 // compare classifies the result of a mirrored request against the original.
--- a/internal/proxy/mirror_test.go
+++ b/internal/proxy/mirror_test.go
@@ -50,13 +50,13 @@
 		items.Merge([]config.Item{{ID: config.ID{Class: config.RouteItem, Name: "fee"}, Version: 1, Host: "h", Body: body}})
 		fleet := feed.Fleet{Term: 1, Count: 1, Servers: []feed.Server{{ID: "x-1", Service: service, Address: address, Capacity: 2, IsReady: isReady}}}
 		return &snapshot{
-			manifest: items.Compile(), balancer: balancer.NewYard(balancer.Home{Node: "n"}).Lay(fleet), fleetReceivedAt: clock.Steady(time.Hour),
+			manifest: items.Compile(), balancer: balancer.NewYard(balancer.Home{Node: "n"}).Lay(fleet), fleetReceivedAt: clock.Instant(time.Hour),
 			mirrorGrants: []loopline.Grant{{Name: "build", Version: version, Share: 1}},
 		}
 	}
 
 	It("allows only a listed server of a shadow that no route delivers to, under a valid grant", func() {
-		manualClock := &clock.Hand{Now: time.Hour}
+		manualClock := &clock.Manual{Now: time.Hour}
 		p := newProxy(&settings.Settings{}, manualClock, func(string, string, ...any) {})
 		mirror := &config.Mirror{Mirror: loopline.Mirror{Name: "build", Shadow: "next"}, Version: 3}
 		server := &balancer.Siding{Server: feed.Server{ID: "x-1", Service: "next", Address: "a:1", IsReady: true}}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -49,7 +49,7 @@
 	trialShares     []feed.CanaryShare
 	holder          string
 	fleetVersion    feed.FleetVersion
-	fleetReceivedAt clock.Steady
+	fleetReceivedAt clock.Instant
 	// stagedChanges are the staged changes in progress.
 	stagedChanges []stagedChange
 	// complete is set once the whole configuration has been received.
@@ -184,7 +184,7 @@
 			next.manifest = nil
 		}
 		if merged.Fleet != nil {
-			next.applyFleet(p.replica.ServingFleet(), p.clock.Steady())
+			next.applyFleet(p.replica.ServingFleet(), p.clock.Monotonic())
 			p.trafficMirror.closeUnlisted(next.servers)
 		}
 		leavingIDs = append(leavingIDs, merged.Leaving...)
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -121,7 +121,7 @@
 	case !req.snapshot.complete:
 		return nil, apierror.New(apierror.NoServer, "the configuration has not been received yet")
 	}
-	req.snapshot.findRoute(req, r.Host, path, r.Header.Get(upstream.HeaderOperationKey) != "", p.clock.Steady())
+	req.snapshot.findRoute(req, r.Host, path, r.Header.Get(upstream.HeaderOperationKey) != "", p.clock.Monotonic())
 	if req.route == nil {
 		return nil, apierror.New(apierror.NoLane, "")
 	}
--- a/internal/proxy/resend.go
+++ b/internal/proxy/resend.go
@@ -16,12 +16,12 @@
 }
 
 type sentIntent struct {
-	sentAt clock.Steady
+	sentAt clock.Instant
 	intent idempotency.Intent
 }
 
 // add appends an intent and drops those older than the retention.
-func (r *recentIntents) add(intent idempotency.Intent, now, retention clock.Steady) {
+func (r *recentIntents) add(intent idempotency.Intent, now, retention clock.Instant) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	expired := 0
--- a/internal/proxy/shed.go
+++ b/internal/proxy/shed.go
@@ -28,7 +28,7 @@
 	localGauge *shedding.Gauge
 	pending    []shedding.Load
 	// lastReportAnswer is when the term holder last answered a report.
-	lastReportAnswer clock.Steady
+	lastReportAnswer clock.Instant
 }
 
 func newLoadShedder(clock clock.Clock) *loadShedder {
@@ -43,7 +43,7 @@
 // grant is valid, or those of the local gauge once the term holder has been silent
 // for holderSilenceLimit.
 func (p *proxy) activeCutoffs(s *snapshot) (cutoffs []shedding.Cutoff, isLocal bool) {
-	now := p.clock.Steady()
+	now := p.clock.Monotonic()
 	if len(s.cutoffs) > 0 && s.grantsValid(now) {
 		return s.cutoffs, false
 	}
@@ -158,5 +158,5 @@
 func (p *proxy) noteReportAnswer() {
 	p.shedder.lock.Lock()
 	defer p.shedder.lock.Unlock()
-	p.shedder.lastReportAnswer = p.clock.Steady()
+	p.shedder.lastReportAnswer = p.clock.Monotonic()
 }
--- a/internal/proxy/snapshot.go
+++ b/internal/proxy/snapshot.go
@@ -8,7 +8,7 @@
 )
 
 // applyFleet updates the snapshot to a new state of the fleet, received at now.
-func (s *snapshot) applyFleet(fleet feed.Fleet, now clock.Steady) {
+func (s *snapshot) applyFleet(fleet feed.Fleet, now clock.Instant) {
 	switch {
 	case slices.Equal(s.servers, fleet.Servers):
 	case feed.EqualIgnoringHealth(s.servers, fleet.Servers):
--- a/internal/proxy/vote.go
+++ b/internal/proxy/vote.go
@@ -13,8 +13,8 @@
 // result of the round.
 func (a *keyedAttempt) reserve() idempotency.Result {
 	view := a.snapshot.Load().view
-	start, voteSpan := a.clock.Steady(), a.settings.Load().Tuning.VoteSpan
-	a.round = idempotency.NewRound(a.intent.RequestHash, max(1, len(view.Members)), start, clock.Steady(voteSpan))
+	start, voteSpan := a.clock.Monotonic(), a.settings.Load().Tuning.VoteSpan
+	a.round = idempotency.NewRound(a.intent.RequestHash, max(1, len(view.Members)), start, clock.Instant(voteSpan))
 	votes, cancel := callMembers[messages.Vote](a.proxy, view, messages.KindReserve, messages.Reserve{Epoch: view.Epoch, Intent: a.intent})
 	defer cancel()
 	timer := time.NewTimer(min(voteSpan.Std(), time.Until(a.request.deadline), a.voteTimeout()))
@@ -24,13 +24,13 @@
 		case vote := <-votes:
 			a.addVote(vote)
 		case <-timer.C:
-			return a.round.Result(start + clock.Steady(voteSpan) + 1)
+			return a.round.Result(start + clock.Instant(voteSpan) + 1)
 		}
-		if standing := a.round.Result(a.clock.Steady()); standing != idempotency.Undecided {
+		if standing := a.round.Result(a.clock.Monotonic()); standing != idempotency.Undecided {
 			return standing
 		}
 	}
-	return a.round.Result(start + clock.Steady(voteSpan) + 1)
+	return a.round.Result(start + clock.Instant(voteSpan) + 1)
 }
 
 const (
@@ -75,7 +75,7 @@
 	a.intent.State = idempotency.Released
 	view := a.snapshot.Load().view
 	if len(a.ungranted) < len(view.Members) {
-		a.recentIntents.add(a.intent, a.clock.Steady(), clock.Steady(a.settings.Load().Platform.Bounds.Sync))
+		a.recentIntents.add(a.intent, a.clock.Monotonic(), clock.Instant(a.settings.Load().Platform.Bounds.Sync))
 	}
 	for _, member := range view.Members {
 		if !a.ungranted[member] {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -62,14 +62,14 @@
 
 // Bounds are the figures of the rules in force.
 type Bounds struct {
-	Contact          clock.Span `yaml:"Contact"`
-	Sync             clock.Span `yaml:"Sync"`
-	Grace            clock.Span `yaml:"Grace"`
-	RetryBudgetRatio float64    `yaml:"RetryBudgetRatio"`
-	RetryWindow      clock.Span `yaml:"RetryWindow"`
-	RetrySlack       int        `yaml:"RetrySlack"`
-	KeyWindow        clock.Span `yaml:"KeyWindow"`
-	Ack              clock.Span `yaml:"Ack"`
+	Contact          clock.Duration `yaml:"Contact"`
+	Sync             clock.Duration `yaml:"Sync"`
+	Grace            clock.Duration `yaml:"Grace"`
+	RetryBudgetRatio float64        `yaml:"RetryBudgetRatio"`
+	RetryWindow      clock.Duration `yaml:"RetryWindow"`
+	RetrySlack       int            `yaml:"RetrySlack"`
+	KeyWindow        clock.Duration `yaml:"KeyWindow"`
+	Ack              clock.Duration `yaml:"Ack"`
 	// CanaryShare is given where versions are ordered; then a version that
 	// nobody ordered gets nothing.
 	CanaryShare float64 `yaml:"CanaryShare"`
@@ -83,18 +83,18 @@
 
 // Tuning is this project's own part.
 type Tuning struct {
-	VoteSpan     clock.Span `yaml:"vote_span"`
-	RecordWait   clock.Span `yaml:"record_wait"`
-	Retention    clock.Span `yaml:"retention"`
-	OpenLimit    int        `yaml:"open_limit"`
-	BufferBytes  int        `yaml:"buffer_bytes"`
-	Beat         clock.Span `yaml:"beat"`
-	SilentAfter  clock.Span `yaml:"silent_after"`
-	ReplaceAfter clock.Span `yaml:"replace_after"`
-	Poll         clock.Span `yaml:"poll"`
-	LogLevel     string     `yaml:"log_level"`
+	VoteSpan     clock.Duration `yaml:"vote_span"`
+	RecordWait   clock.Duration `yaml:"record_wait"`
+	Retention    clock.Duration `yaml:"retention"`
+	OpenLimit    int            `yaml:"open_limit"`
+	BufferBytes  int            `yaml:"buffer_bytes"`
+	Beat         clock.Duration `yaml:"beat"`
+	SilentAfter  clock.Duration `yaml:"silent_after"`
+	ReplaceAfter clock.Duration `yaml:"replace_after"`
+	Poll         clock.Duration `yaml:"poll"`
+	LogLevel     string         `yaml:"log_level"`
 	// CrossingPerKB is how much delay is borne to save a kilobyte between cells.
-	CrossingPerKB clock.Span `yaml:"crossing_per_kb"`
+	CrossingPerKB clock.Duration `yaml:"crossing_per_kb"`
 	// Branchline says when callers go to other sites only where these have room:
 	// off, once their own site has fallen, or always.
 	Branchline string `yaml:"branchline"`
@@ -159,7 +159,7 @@
 //
 //	tuning := settings.Defaults()
 func Defaults() Tuning {
-	const ms = clock.Span(1_000_000)
+	const ms = clock.Duration(1_000_000)
 	return Tuning{
 		VoteSpan: 250 * ms, RecordWait: 250 * ms, Retention: 24 * 3600 * 1000 * ms,
 		OpenLimit: 4096, BufferBytes: 1 << 20, Beat: 300 * ms, SilentAfter: 1200 * ms,
@@ -169,10 +169,10 @@
 
 func (s *Settings) check() error {
 	p, t := &s.Platform, &s.Tuning
-	const ms = clock.Span(1_000_000)
-	atLeast := func(least clock.Span) validation.Rule { return validation.Min(int64(least)) }
+	const ms = clock.Duration(1_000_000)
+	atLeast := func(least clock.Duration) validation.Rule { return validation.Min(int64(least)) }
 	spans := validation.Errors{}
-	for name, span := range map[string]clock.Span{
+	for name, span := range map[string]clock.Duration{
 		"tuning.vote_span": t.VoteSpan, "tuning.record_wait": t.RecordWait, "tuning.beat": t.Beat,
 		"tuning.silent_after": t.SilentAfter, "tuning.replace_after": t.ReplaceAfter, "tuning.poll": t.Poll,
 	} {
--- a/internal/shedding/calm_test.go
+++ b/internal/shedding/calm_test.go
@@ -33,7 +33,7 @@
 
 	It("is keyed operations that are late, or turned away now and then: they are refused only where servers turn most away", func() {
 		for turned, isRefused := range map[uint32]bool{0: false, 20: false, 45: false, 60: true} {
-			hand := &clock.Hand{Now: time.Hour}
+			hand := &clock.Manual{Now: time.Hour}
 			gauge := shedding.NewGauge(hand, func() uint64 { return 5 })
 			for range 40 {
 				hand.Now += 250 * time.Millisecond
@@ -54,7 +54,7 @@
 	})
 
 	It("never goes back to an older number when the holder changes", func() {
-		hand := &clock.Hand{Now: time.Hour}
+		hand := &clock.Manual{Now: time.Hour}
 		gauge := shedding.NewGauge(hand, func() uint64 { return 5 })
 		gauge.Hold([]shedding.Cutoff{{Service: "s", Number: 41, Seed: 9, Tier: 1, Part: 0.5}})
 		for range 40 {
--- a/internal/shedding/clients_test.go
+++ b/internal/shedding/clients_test.go
@@ -71,7 +71,7 @@
 // secure asks the members for their votes, as a proxy does.
 func (w *world) secure(c *client) bool {
 	c.intent = idempotency.Intent{Key: idempotency.Key{Tenant: "h", Key: c.key}, Attempt: idempotency.Attempt(fmt.Sprint(c.key, "-", c.tries)), Route: c.lane, Reservation: fmt.Sprint(c.key, "-", c.tries)}
-	round := idempotency.NewRound(c.intent.RequestHash, len(w.members), w.hand.Steady(), clock.Steady(time.Second))
+	round := idempotency.NewRound(c.intent.RequestHash, len(w.members), w.hand.Monotonic(), clock.Instant(time.Second))
 	c.winners = nil
 	for _, m := range w.members {
 		ballot := idempotency.Vote{Verdict: idempotency.Shed}
@@ -83,7 +83,7 @@
 		}
 		round.AddVote(&ballot)
 	}
-	if round.Result(w.hand.Steady()) == idempotency.Won {
+	if round.Result(w.hand.Monotonic()) == idempotency.Won {
 		return true
 	}
 	w.giveBack(c)
--- a/internal/shedding/column.go
+++ b/internal/shedding/column.go
@@ -13,7 +13,7 @@
 	isOn   bool
 	// since is when the cutoff changed last, calmAt since when the service has been
 	// calm, calm how long it must be so.
-	since, calmAt clock.Steady
+	since, calmAt clock.Instant
 	// changed is the step in which it did.
 	changed   int64
 	calm      time.Duration
@@ -21,7 +21,7 @@
 	// capacity is what the servers carried a second as the cutoff was raised last,
 	// at raisedAt.
 	capacity float64
-	raisedAt clock.Steady
+	raisedAt clock.Instant
 }
 
 // flow is what came in of one tier, and what of it went on to the servers.
--- a/internal/shedding/gauge.go
+++ b/internal/shedding/gauge.go
@@ -98,7 +98,7 @@
 //
 //	gauge.Hold(fleet.Cutoffs)
 func (g *Gauge) Hold(cutoffs []Cutoff) {
-	now := g.clock.Steady()
+	now := g.clock.Monotonic()
 	for _, cutoff := range cutoffs {
 		c := g.column(cutoff.Service)
 		c.cutoff, c.isOn, c.since, c.calmAt = cutoff, true, now, now
@@ -109,7 +109,7 @@
 func (g *Gauge) column(service string) *column {
 	c := g.columns[service]
 	if c == nil {
-		c = &column{calm: calmFirst, calmAt: g.clock.Steady()}
+		c = &column{calm: calmFirst, calmAt: g.clock.Monotonic()}
 		g.columns[service] = c
 	}
 	return c
@@ -134,7 +134,7 @@
 
 // turn moves to the present step of the window, and empties those passed.
 func (g *Gauge) turn() {
-	now := int64(g.clock.Steady() / clock.Steady(window/steps))
+	now := int64(g.clock.Monotonic() / clock.Instant(window/steps))
 	for passed := 0; g.step < now && passed < steps; passed++ {
 		g.step++
 		for _, c := range g.columns {
@@ -166,7 +166,7 @@
 //	isChanged := gauge.Decide(court.Strained)
 func (g *Gauge) Decide(strained func(service string) float64) (isChanged bool) {
 	g.turn()
-	now := g.clock.Steady()
+	now := g.clock.Monotonic()
 	for _, service := range slices.Sorted(maps.Keys(g.columns)) {
 		c := g.columns[service]
 		if g.step-c.changed < spreadSteps+judgedSteps {
@@ -195,7 +195,7 @@
 // raise turns away as much of what is carried as the servers turned away, or half
 // as much as they were late with.
 func (g *Gauge) raise(service string, c *column, t tally) bool {
-	now := g.clock.Steady()
+	now := g.clock.Monotonic()
 	if c.isLowered && time.Duration(now-c.since) < 2*c.calm {
 		c.calm = min(2*c.calm, calmLongest)
 	}
@@ -219,7 +219,7 @@
 
 // lower lets some of those in that are turned away.
 func (g *Gauge) lower(c *column, t tally) bool {
-	now, carried := g.clock.Steady(), (t.offered-t.shed)/g.span(c)
+	now, carried := g.clock.Monotonic(), (t.offered-t.shed)/g.span(c)
 	if time.Duration(now-c.raisedAt) < probeRest && carried*(1+carryMore) > fullPart*c.capacity {
 		return false
 	}
--- a/internal/shedding/world_test.go
+++ b/internal/shedding/world_test.go
@@ -21,7 +21,7 @@
 // The world is a slow plain model of a cluster: nodes that hear late, members
 // that vote, servers that count what they run, and clients that come back.
 type world struct {
-	hand    *clock.Hand
+	hand    *clock.Manual
 	random  *rand.Rand
 	order   *shedding.Order
 	nodes   []*node
@@ -92,7 +92,7 @@
 
 func newWorld(seed uint64, nodes int) *world {
 	w := &world{
-		hand: &clock.Hand{Now: time.Hour}, random: rand.New(rand.NewPCG(seed, 9)), order: shedding.Arrange(shedding.Plan{}, lanes),
+		hand: &clock.Manual{Now: time.Hour}, random: rand.New(rand.NewPCG(seed, 9)), order: shedding.Arrange(shedding.Plan{}, lanes),
 		ran: map[string]int{}, kept: map[string]bool{}, counts: map[string]*count{},
 	}
 	for range nodes {
--- a/internal/trial/plan.go
+++ b/internal/trial/plan.go
@@ -117,6 +117,6 @@
 // Example:
 //
 //	if state.IsRepeat("v2", duration, sinceOrder, plan) { answer(200) }
-func (s State) IsRepeat(target string, duration clock.Span, sinceOrder time.Duration, plan Plan) bool {
+func (s State) IsRepeat(target string, duration clock.Duration, sinceOrder time.Duration, plan Plan) bool {
 	return s.Number > 0 && s.Target == target && s.Duration == duration && (s.Phase.IsActive() || sinceOrder < 2*plan.Ack)
 }
--- a/internal/trial/stage_test.go
+++ b/internal/trial/stage_test.go
@@ -16,7 +16,7 @@
 
 // line is a slow plain model of nodes in three cells under a staged change.
 type line struct {
-	hand   *clock.Hand
+	hand   *clock.Manual
 	random *rand.Rand
 	court  *outlier.Court
 	state  trial.State
@@ -33,13 +33,13 @@
 }
 
 func newLine(seed uint64) *line {
-	l := &line{hand: &clock.Hand{}, random: rand.New(rand.NewPCG(seed, 9)), illness: outlier.Failed}
+	l := &line{hand: &clock.Manual{}, random: rand.New(rand.NewPCG(seed, 9)), illness: outlier.Failed}
 	l.court = outlier.NewCourt(l.hand)
 	var nodes []string
 	for i := range 12 {
 		nodes = append(nodes, fmt.Sprintf("%c%02d", 'a'+i/4, i))
 	}
-	l.state, _ = trial.State{Subject: trial.StagePrefix + "x"}.Order("x", clock.Span(2*time.Minute))
+	l.state, _ = trial.State{Subject: trial.StagePrefix + "x"}.Order("x", clock.Duration(2*time.Minute))
 	l.state.Items = []config.Item{{ID: config.ID{Class: config.RouteItem, Name: "l"}, Version: 2}}
 	l.state.Waves = trial.Waves("a01", nodes, func(node string) string { return node[:1] })
 	return l
--- a/internal/trial/state.go
+++ b/internal/trial/state.go
@@ -94,12 +94,12 @@
 	Number  uint64 `cbor:"2,keyasint"`
 	Phase   Phase  `cbor:"3,keyasint"`
 	// InForce is the version in force, Target the one last ordered.
-	InForce  string     `cbor:"4,keyasint,omitempty"`
-	Target   string     `cbor:"5,keyasint,omitempty"`
-	Duration clock.Span `cbor:"6,keyasint,omitempty"`
+	InForce  string         `cbor:"4,keyasint,omitempty"`
+	Target   string         `cbor:"5,keyasint,omitempty"`
+	Duration clock.Duration `cbor:"6,keyasint,omitempty"`
 	// Elapsed is how much of the term was over when this was written.
-	Elapsed clock.Span `cbor:"7,keyasint,omitempty"`
-	Reason  string     `cbor:"8,keyasint,omitempty"`
+	Elapsed clock.Duration `cbor:"7,keyasint,omitempty"`
+	Reason  string         `cbor:"8,keyasint,omitempty"`
 	// Term and Count order the writings: the duty's term, then its own count.
 	Term  uint64 `cbor:"9,keyasint"`
 	Count uint64 `cbor:"10,keyasint"`
@@ -130,7 +130,7 @@
 		return s, false
 	}
 	next = s
-	next.Phase, next.Reason, next.Elapsed = phase, reason, clock.Span(elapsed)
+	next.Phase, next.Reason, next.Elapsed = phase, reason, clock.Duration(elapsed)
 	next.Count++
 	if event == WaveHeld {
 		next.Wave++
@@ -146,7 +146,7 @@
 // Example:
 //
 //	next, isDone := state.Order("v2", clock.Span(12*time.Second))
-func (s State) Order(target string, duration clock.Span) (next State, isDone bool) {
+func (s State) Order(target string, duration clock.Duration) (next State, isDone bool) {
 	if next, isDone = s.Step(Ordered, "", 0); !isDone {
 		return s, false
 	}
--- a/internal/trial/trial_test.go
+++ b/internal/trial/trial_test.go
@@ -25,7 +25,7 @@
 // world is a slow plain model of a service under a trial: proxies that hear the
 // share late or not at all, restart, and send single inquiries.
 type world struct {
-	hand   *clock.Hand
+	hand   *clock.Manual
 	random *rand.Rand
 	court  *outlier.Court
 	state  trial.State
@@ -56,9 +56,9 @@
 )
 
 func newWorld(seed uint64) *world {
-	w := &world{hand: &clock.Hand{}, random: rand.New(rand.NewPCG(seed, 3))}
+	w := &world{hand: &clock.Manual{}, random: rand.New(rand.NewPCG(seed, 3))}
 	w.court = outlier.NewCourt(w.hand)
-	w.state, _ = trial.State{Subject: "s", InForce: "v1"}.Order("v2", clock.Span(duration))
+	w.state, _ = trial.State{Subject: "s", InForce: "v1"}.Order("v2", clock.Duration(duration))
 	for range proxies {
 		w.boxes, w.allowances = append(w.boxes, outlier.NewBox()), append(w.allowances, &balancer.Allowance{})
 		w.lives, w.heardPart, w.heardAt = append(w.lives, 0), append(w.heardPart, 0), append(w.heardAt, -time.Hour)
@@ -177,8 +177,8 @@
 	)
 
 	It("does not complete on no evidence, and says why", func() {
-		state, _ := trial.State{Subject: "s", InForce: "v1"}.Order("v2", clock.Span(duration))
-		court := outlier.NewCourt(&clock.Hand{})
+		state, _ := trial.State{Subject: "s", InForce: "v1"}.Order("v2", clock.Duration(duration))
+		court := outlier.NewCourt(&clock.Manual{})
 		facts := trial.Facts{Elapsed: duration - 500*time.Millisecond, Finding: court.Hearing("s", 1, 0), Ready: 100, Old: 100}
 		event, reason := state.Next(facts)
 		Expect(event).To(Equal(trial.Lapsed))
@@ -186,7 +186,7 @@
 	})
 
 	It("goes on only from where it is: every event out of place is refused", func() {
-		state, _ := trial.State{Subject: "s", InForce: "v1"}.Order("v2", clock.Span(duration))
+		state, _ := trial.State{Subject: "s", InForce: "v1"}.Order("v2", clock.Duration(duration))
 		for _, event := range []trial.Event{trial.Shifted, trial.Emptied, trial.Ordered} {
 			_, isDone := state.Step(event, "", 0)
 			Expect(isDone).To(BeFalse())
@@ -200,14 +200,14 @@
 	})
 
 	It("takes the last order once more for a while, and another one only after the end", func() {
-		state, _ := trial.State{Subject: "s", InForce: "v1"}.Order("v2", clock.Span(duration))
-		Expect(state.IsRepeat("v2", clock.Span(duration), time.Second, plan)).To(BeTrue())
-		Expect(state.IsRepeat("v3", clock.Span(duration), time.Second, plan)).To(BeFalse())
-		_, isDone := state.Order("v3", clock.Span(duration))
+		state, _ := trial.State{Subject: "s", InForce: "v1"}.Order("v2", clock.Duration(duration))
+		Expect(state.IsRepeat("v2", clock.Duration(duration), time.Second, plan)).To(BeTrue())
+		Expect(state.IsRepeat("v3", clock.Duration(duration), time.Second, plan)).To(BeFalse())
+		_, isDone := state.Order("v3", clock.Duration(duration))
 		Expect(isDone).To(BeFalse())
 		ended, _ := state.Step(trial.Lapsed, "", duration)
-		Expect(ended.IsRepeat("v2", clock.Span(duration), time.Minute, plan)).To(BeFalse())
-		next, isDone := ended.Order("v2", clock.Span(duration))
+		Expect(ended.IsRepeat("v2", clock.Duration(duration), time.Minute, plan)).To(BeFalse())
+		next, isDone := ended.Order("v2", clock.Duration(duration))
 		Expect(isDone).To(BeTrue())
 		Expect(next.Number).To(BeEquivalentTo(2))
 	})
