--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,6 +1,5 @@
-// Package clock holds what the programs know of time: clocks that can be
-// exchanged in tests, small types for spans, and the select loop that every
-// owner of a table runs.
+// Package clock provides clocks that tests can replace, a textual duration type,
+// and the event loops that owners of mutable state run.
 package clock
 
 import (
@@ -11,16 +10,10 @@
 	"github.com/juju/errors"
 )
 
-// Steady is a reading of a clock that never goes back, counted from an
-// arbitrary start.
+// Instant is a reading of a monotonic clock, counted from an arbitrary start.
 type Instant time.Duration
 
-// Clock tells the time. The real one is Real; tests step a Hand.
-//
-// Example:
-//
-//	began := clock.Steady()
-//	isLate := clock.Steady()-began > clock.Steady(time.Second)
+// Clock tells the time. System code uses Real; tests use Manual.
 type Clock interface {
 	Monotonic() Instant
 	Wall() time.Time
@@ -29,54 +22,29 @@
 
 type realClock struct{ start time.Time }
 
-// Real returns the clock of the machine.
-//
-// Example:
-//
-//	clock := clock.Real()
+// Real returns the machine's clock.
 func Real() Clock { return realClock{start: time.Now()} }
 
 func (c realClock) Monotonic() Instant    { return Instant(time.Since(c.start)) }
 func (c realClock) Wall() time.Time       { return time.Now() }
 func (c realClock) Sleep(d time.Duration) { time.Sleep(d) }
 
-// Hand is a clock moved by hand, for tests; Sleep moves it.
-//
-// Example:
-//
-//	hand := &clock.Hand{}
-//	hand.Sleep(time.Second) // hand.Steady() is now one second
+// Manual is a clock for tests that only Sleep and writes to Now move.
 type Manual struct{ Now time.Duration }
 
-// Steady reads the hand.
-//
-// Example:
-//
-//	began := hand.Steady()
+// Monotonic returns the time since the start of the clock.
 func (h *Manual) Monotonic() Instant { return Instant(h.Now) }
 
-// Wall reads the hand as a time of day.
-//
-// Example:
-//
-//	now := hand.Wall()
+// Wall returns the time of day: a fixed date plus Now.
 func (h *Manual) Wall() time.Time { return time.Unix(1_000_000, 0).Add(h.Now) }
 
-// Sleep moves the hand forward.
-//
-// Example:
-//
-//	hand.Sleep(time.Second)
+// Sleep advances the clock by d and returns at once.
 func (h *Manual) Sleep(d time.Duration) { h.Now += d }
 
-// Span is a length of time written as text: a number and its unit, ms, s or h.
+// Duration is a time.Duration written as text: a number and a unit, ms, s, m or h.
 type Duration time.Duration
 
-// ParseSpan reads a span from its text.
-//
-// Example:
-//
-//	span, err := clock.ParseSpan("1.5s") // 1500 ms
+// ParseDuration reads a duration such as "1.5s".
 func ParseDuration(text string) (Duration, error) {
 	units := []struct {
 		suffix string
@@ -91,21 +59,13 @@
 			return Duration(value * float64(candidate.unit)), nil
 		}
 	}
-	return 0, errors.NotValidf("span %q (want a number and ms, s, m or h)", text)
+	return 0, errors.NotValidf("duration %q (want a number and ms, s, m or h)", text)
 }
 
-// Std returns the span as the standard library's duration.
-//
-// Example:
-//
-//	time.Sleep(span.Std())
+// Std returns the standard library's type.
 func (s Duration) Std() time.Duration { return time.Duration(s) }
 
-// UnmarshalText reads a span in JSON or YAML.
-//
-// Example:
-//
-//	err := span.UnmarshalText([]byte("250ms"))
+// UnmarshalText reads the duration from JSON or YAML.
 func (s *Duration) UnmarshalText(text []byte) error {
 	duration, err := ParseDuration(string(text))
 	if err == nil {
@@ -114,11 +74,7 @@
 	return err
 }
 
-// MarshalText writes the span in milliseconds.
-//
-// Example:
-//
-//	text, err := span.MarshalText() // "250ms"
+// MarshalText writes the duration in milliseconds, such as "250ms".
 func (s Duration) MarshalText() ([]byte, error) {
 	ms := float64(s) / float64(time.Millisecond)
 	return []byte(strconv.FormatFloat(ms, 'f', -1, 64) + "ms"), nil
--- a/internal/clock/loop.go
+++ b/internal/clock/loop.go
@@ -5,40 +5,21 @@
 	"time"
 )
 
-// Loop is the select loop of an owner: commands come through the inbox and are
-// handed over in batches, an alarm rings between them. What a table's owner
-// does is written as two closures; the loop itself is written once, here.
-//
-// Example:
-//
-//	loop := clock.NewLoop[command](256)
-//	go loop.Run(ctx, apply, 100*time.Millisecond, tick)
-//	loop.Put(command{})
+// Loop is the event loop of a goroutine that owns state. Commands are queued and
+// handled in batches; a periodic callback runs between batches.
 type Loop[T any] struct {
 	queue chan T
 }
 
-// NewLoop makes a loop whose inbox holds size commands.
-//
-// Example:
-//
-//	loop := clock.NewLoop[string](16)
+// NewLoop makes a loop whose queue holds size commands.
 func NewLoop[T any](size int) *Loop[T] {
 	return &Loop[T]{queue: make(chan T, size)}
 }
 
-// Put waits until the inbox takes the command.
-//
-// Example:
-//
-//	loop.Put("all aboard")
+// Put queues the command and blocks while the queue is full.
 func (l *Loop[T]) Put(command T) { l.queue <- command }
 
-// Offer puts the command if the inbox has room, and tells whether it had.
-//
-// Example:
-//
-//	if !loop.Offer(command) { refuse() }
+// Offer queues the command if there is room and reports whether it did.
 func (l *Loop[T]) Offer(command T) bool {
 	select {
 	case l.queue <- command:
@@ -50,12 +31,8 @@
 
 const maxBatch = 512
 
-// Run hands over batches of commands, and rings the alarm every period (never,
-// if the period is zero), until the context ends.
-//
-// Example:
-//
-//	loop.Run(ctx, func(batch []string) { log(batch) }, 0, nil)
+// Run passes batches of commands to handle and calls tick every period (never if the
+// period is zero) until the context ends.
 func (l *Loop[T]) Run(ctx context.Context, handle func([]T), period time.Duration, tick func()) {
 	var ticks <-chan time.Time
 	if period > 0 {
@@ -87,13 +64,9 @@
 	}
 }
 
-// Each gives what an inbox holds to act, one after the other, until the context
-// ends. Several may share an inbox; one that must not wait offers to it, and drops
-// what it has no room for.
-//
-// Example:
-//
-//	go clock.Each(ctx, inbox, send)
+// Consume passes the items of a queue to handle, one after the other, until the
+// context ends. Several consumers may share a queue. A producer that must not block
+// sends without waiting and drops items that do not fit.
 func Consume[T any](ctx context.Context, queue <-chan T, handle func(T)) {
 	for {
 		select {
@@ -105,11 +78,7 @@
 	}
 }
 
-// Every calls act at once and then each period until the context ends.
-//
-// Example:
-//
-//	go clock.Every(ctx, time.Second, beat)
+// Every calls run at once and then every period until the context ends.
 func Every(ctx context.Context, period time.Duration, run func()) {
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
--- a/internal/config/extensions.go
+++ b/internal/config/extensions.go
@@ -10,8 +10,8 @@
 	"ploverhitch/internal/shedding"
 )
 
-// ownItems are the kinds of items of the project's own, apart from the protocol's
-// calls: the word for one, and how it is checked by itself.
+// extensions are the classes of items beyond the configuration protocol, with their
+// label in error messages and the validation of a single item.
 var extensions = map[Class]struct {
 	label string
 	check func(body json.RawMessage) error
@@ -27,12 +27,7 @@
 	}},
 }
 
-// Parser reads an operator's call that sets and removes items of a class of the
-// project's own.
-//
-// Example:
-//
-//	items, err := config.Parser(config.SiteItem)(body)
+// ModifyParser returns a parser of requests that set and remove items of an extension class.
 func ModifyParser(class Class) func(text []byte) ([]Item, error) {
 	extension := extensions[class]
 	return func(text []byte) (items []Item, err error) {
@@ -41,7 +36,7 @@
 			Remove []itemVersion     `json:"Remove"`
 		}
 		if err := json.Unmarshal(text, &request); err != nil {
-			return nil, invalid("the call cannot be read", err)
+			return nil, invalid("the request cannot be read", err)
 		}
 		for _, body := range request.Upsert {
 			var version itemVersion
@@ -49,7 +44,7 @@
 				return nil, invalid(extension.label+" "+version.Name, err)
 			}
 			if version.Name == "" || version.Revision == 0 {
-				return nil, apierror.New(apierror.BadManifest, "a "+extension.label+" lacks its name or version")
+				return nil, apierror.New(apierror.BadManifest, "a "+extension.label+" has no name or version")
 			}
 			if err := extension.check(body); err != nil {
 				return nil, invalid(extension.label+" "+version.Name, err)
@@ -58,7 +53,7 @@
 		}
 		for _, removal := range request.Remove {
 			if removal.Name == "" || removal.Revision == 0 {
-				return nil, apierror.New(apierror.BadManifest, "a removal lacks its name or version")
+				return nil, apierror.New(apierror.BadManifest, "a removal has no name or version")
 			}
 			items = append(items, Item{ID: ID{class, removal.Name}, Version: removal.Revision, Removed: true})
 		}
@@ -66,7 +61,8 @@
 	}
 }
 
-// own reads the book's items of one class; what cannot be read was never kept.
+// decodeClass decodes the items of one class. Bodies that cannot be decoded are skipped:
+// validation rejects them before they are stored.
 func decodeClass[T any](s ItemSet, class Class) (out []T, versions []Version) {
 	for _, item := range s.Items() {
 		var value T
@@ -77,21 +73,13 @@
 	return out, versions
 }
 
-// Tree lays the site tree of the book over the platform's cells.
-//
-// Example:
-//
-//	tree, err := book.Tree(map[string]string{"tvm-a": "tvm"})
+// Tree builds the site tree from the set's sites and the platform's zones.
 func (s ItemSet) Tree(zones map[string]string) (*branchline.Tree, error) {
 	sites, _ := decodeClass[branchline.Site](s, SiteItem)
 	return branchline.Build(zones, sites)
 }
 
-// Plan is the operator's plan tiers, or the empty plan.
-//
-// Example:
-//
-//	order := shedding.Arrange(book.Plan(), routes)
+// Plan returns the operator's plan of load shedding tiers, or an empty plan.
 func (s ItemSet) Plan() (plan shedding.Plan) {
 	if plans, _ := decodeClass[shedding.Plan](s, PlanItem); len(plans) > 0 {
 		plan = plans[0]
@@ -99,12 +87,12 @@
 	return plan
 }
 
-// gaugeKinds is the table from a route's type to its kind in the order of tiers.
+// overloadKinds maps route types to their kinds in the order of load shedding.
 var overloadKinds = map[RouteType]shedding.Kind{
 	Idempotent: shedding.Keyed, Unsafe: shedding.Once, Safe: shedding.Read, Download: shedding.Bulk,
 }
 
-// gaugeLane is what the order of tiers knows of a route.
+// sheddingRoute returns the properties of the route that decide its load shedding tier.
 func (r *RouteSpec) sheddingRoute(host string) shedding.Lane {
 	return shedding.Lane{Name: r.Name, Host: host, Priority: r.Priority, Kind: overloadKinds[r.RouteType]}
 }
@@ -130,22 +118,14 @@
 	}
 }
 
-// Mirrors are the orders to copy, with their versions.
-//
-// Example:
-//
-//	mirrors, versions := book.Mirrors()
+// Mirrors returns the configured mirrors and their versions.
 func (s ItemSet) Mirrors() ([]loopline.Mirror, []Version) {
 	return decodeClass[loopline.Mirror](s, MirrorItem)
 }
 
-// CheckOwn holds a changed book's own items against its routes and services: the
-// mirrors always, as no route may come to deliver to a shadow; plans and names of
-// routes where the change brings them.
-//
-// Example:
-//
-//	err := whole.CheckOwn(newer, time.Now())
+// CheckExtensions validates the extension items of an updated set against its routes and
+// services. All mirrors are checked on every update, as no route may deliver to a shadow
+// service; plans, and the routes that mirrors name, only where the update contains them.
 func (s ItemSet) CheckExtensions(newer []Item, now time.Time) error {
 	serviceExists := func(name string) bool {
 		item, found := s[ID{ServiceItem, name}]
@@ -184,7 +164,7 @@
 		return err
 	}
 	if plans, _ := decodeClass[shedding.Plan](s, PlanItem); len(plans) > 1 {
-		return apierror.New(apierror.BadManifest, "plan "+plans[0].Name+" stands beside plan "+plans[1].Name+"; there is one")
+		return apierror.New(apierror.BadManifest, "plans "+plans[0].Name+" and "+plans[1].Name+" exist; only one plan is allowed")
 	}
 	return plan.Check(s.sheddingRoutes())
 }
--- a/internal/config/item.go
+++ b/internal/config/item.go
@@ -1,5 +1,5 @@
-// Package config holds the operator's configuration: named items, each with
-// a version of its own, merged item by item.
+// Package config holds the operator's configuration as items that are versioned and
+// merged one by one, and compiles them into a routing table.
 package config
 
 import (
@@ -13,14 +13,10 @@
 	"github.com/juju/errors"
 )
 
-// Version is an item's version; r12 on the wire.
+// Version is the version of an item, written as r12.
 type Version uint64
 
-// UnmarshalText reads r12.
-//
-// Example:
-//
-//	err := version.UnmarshalText([]byte("r12"))
+// UnmarshalText reads a version such as r12.
 func (v *Version) UnmarshalText(text []byte) error {
 	if len(text) < 2 || text[0] != 'r' {
 		return errors.NotValidf("version %q", text)
@@ -33,16 +29,12 @@
 	return nil
 }
 
-// MarshalText writes r12.
-//
-// Example:
-//
-//	text, err := config.Version(12).MarshalText() // "r12"
+// MarshalText writes a version such as r12.
 func (v Version) MarshalText() ([]byte, error) {
 	return []byte("r" + strconv.FormatUint(uint64(v), 10)), nil
 }
 
-// Class tells the kinds of item apart.
+// Class is the kind of an item.
 type Class uint8
 
 // The classes of items.
@@ -50,23 +42,23 @@
 	RouteItem Class = iota + 1
 	ServiceItem
 	LimitsItem
-	// SiteItem is a site of the hierarchy, which the protocol's own calls do
-	// not know of.
+	// SiteItem is a site of the site hierarchy. Sites, plans and mirrors are extensions
+	// with requests of their own: the configuration protocol does not cover them.
 	SiteItem
-	// PlanItem is the operator's plan tiers, MirrorItem an order to copy
-	// conversations to a shadow; the protocol's calls do not know of them either.
+	// PlanItem is the operator's plan of load shedding tiers; MirrorItem copies traffic to
+	// a shadow service.
 	PlanItem
 	MirrorItem
 )
 
-// ID names one item among all.
+// ID identifies an item.
 type ID struct {
 	Class Class  `cbor:"1,keyasint"`
 	Name  string `cbor:"2,keyasint,omitempty"`
 }
 
-// Item is one version of one item, as the operator sent it. A dropped item
-// stays as a mark, so that an older version of it cannot come back.
+// Item is one version of an item as the operator sent it. A removed item stays as a
+// tombstone, so that an older version cannot reappear.
 type Item struct {
 	ID      ID              `cbor:"1,keyasint"`
 	Version Version         `cbor:"2,keyasint"`
@@ -80,16 +72,12 @@
 	return string(sum[:])
 }
 
-// fingerprintBytes is how much of the content's hash tells two contents of one
-// version apart.
+// fingerprintBytes is the length of the hash prefix that distinguishes two contents of
+// one version.
 const fingerprintBytes = 16
 
-// Fingerprint is the same for two items exactly if they have the same content;
-// white space and the order of fields in the body do not count.
-//
-// Example:
-//
-//	isRepeat := sent.Fingerprint() == held.Fingerprint()
+// Fingerprint is equal for two items exactly if their contents are equal. White space
+// and the order of fields in the body do not count.
 func (i Item) Fingerprint() string {
 	decoder := json.NewDecoder(bytes.NewReader(i.Body))
 	decoder.UseNumber()
@@ -102,13 +90,9 @@
 	return hex.EncodeToString([]byte(i.contentHash())[:fingerprintBytes])
 }
 
-// Outranks tells whether the item holds against the other: the higher version
-// does; of two that raced under one version, the one whose content's hash is
-// the greater, so that every copy comes to the same.
-//
-// Example:
-//
-//	if incoming.Outranks(held) { book[id] = incoming }
+// Supersedes reports whether the item replaces the other: the higher version wins. Of
+// two concurrent updates with the same version, the one with the greater content hash
+// wins, so that all replicas converge.
 func (i Item) Supersedes(other Item) bool {
 	if i.Version != other.Version {
 		return i.Version > other.Version
@@ -116,14 +100,10 @@
 	return i.contentHash() > other.contentHash()
 }
 
-// Book is a copy of all items. It has one owner; readers take a Clone.
+// ItemSet is a set of items by ID. It has a single owner; readers take a Clone.
 type ItemSet map[ID]Item
 
-// Merge takes the items that outrank what is held and returns them.
-//
-// Example:
-//
-//	news := book.Merge(items)
+// Merge adds the items that supersede the present ones and returns them.
 func (s ItemSet) Merge(items []Item) (changed []Item) {
 	for _, item := range items {
 		held, found := s[item.ID]
@@ -135,12 +115,8 @@
 	return changed
 }
 
-// Newer returns the items whose version is above the held one: of a call, these
-// alone have an effect.
-//
-// Example:
-//
-//	changes := book.Newer(call.Items)
+// Newer returns the items whose version is above the present one: only these items of a
+// request have an effect.
 func (s ItemSet) Newer(items []Item) (newer []Item) {
 	for _, item := range items {
 		if held, found := s[item.ID]; !found || item.Version > held.Version {
@@ -150,11 +126,7 @@
 	return newer
 }
 
-// Clone copies the book.
-//
-// Example:
-//
-//	trial := book.Clone()
+// Clone returns a copy of the set.
 func (s ItemSet) Clone() ItemSet {
 	out := make(ItemSet, len(s))
 	for id, item := range s {
@@ -163,11 +135,7 @@
 	return out
 }
 
-// Items lists the book in a settled order.
-//
-// Example:
-//
-//	for _, item := range book.Items() { send(item) }
+// Items returns the items ordered by class and name.
 func (s ItemSet) Items() []Item {
 	out := make([]Item, 0, len(s))
 	for _, item := range s {
@@ -180,11 +148,7 @@
 	return out
 }
 
-// Digest is the same for two books exactly if they hold the same items.
-//
-// Example:
-//
-//	isSame := ours.Digest() == theirs
+// Digest is equal for two sets exactly if they hold the same items.
 func (s ItemSet) Digest() string {
 	hash := sha256.New()
 	for _, item := range s.Items() {
--- a/internal/config/modify.go
+++ b/internal/config/modify.go
@@ -36,19 +36,15 @@
 	return apierror.New(apierror.BadManifest, what+": "+err.Error())
 }
 
-// ParseModify reads an operator's call whole and checks each item by itself.
-//
-// Example:
-//
-//	items, err := config.ParseModify(body)
+// ParseModify decodes an operator's request and validates each item by itself.
 func ParseModify(text []byte) ([]Item, error) {
 	var request modifyRequest
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	if err := decoder.Decode(&request); err != nil {
-		return nil, invalid("the call cannot be read", err)
+		return nil, invalid("the request cannot be read", err)
 	}
 	if _, err := decoder.Token(); err != io.EOF {
-		return nil, apierror.New(apierror.BadManifest, "the call does not end where it should")
+		return nil, apierror.New(apierror.BadManifest, "the request does not end after its JSON value")
 	}
 	var items []Item
 	if request.Upsert != nil {
@@ -60,7 +56,7 @@
 	for class, removals := range map[Class][]itemVersion{RouteItem: request.Remove.Routes, ServiceItem: request.Remove.Services} {
 		for _, removal := range removals {
 			if removal.Name == "" || removal.Revision == 0 {
-				return nil, apierror.New(apierror.BadManifest, "a removal lacks its name or version")
+				return nil, apierror.New(apierror.BadManifest, "a removal has no name or version")
 			}
 			items = append(items, Item{ID: ID{class, removal.Name}, Version: removal.Revision, Removed: true})
 		}
@@ -97,7 +93,7 @@
 	for _, host := range u.VirtualHosts {
 		for _, text := range host.PathTable {
 			var route RouteSpec
-			if err = read("lane at "+host.Hostname, text, &route); err != nil {
+			if err = read("route of host "+host.Hostname, text, &route); err != nil {
 				return nil, err
 			}
 			items = append(items, Item{ID: ID{RouteItem, route.Name}, Version: route.Revision, Host: host.Hostname, Body: text})
@@ -106,11 +102,7 @@
 	return items, nil
 }
 
-// Render writes all items that stand, laid out as an operator's first call.
-//
-// Example:
-//
-//	text, err := book.Render()
+// Render encodes all present items in the format of a modify request.
 func (s ItemSet) Render() ([]byte, error) {
 	out := upsert{Services: []json.RawMessage{}, VirtualHosts: []virtualHost{}}
 	hostIndexes := map[string]int{}
--- a/internal/config/routing_table.go
+++ b/internal/config/routing_table.go
@@ -9,35 +9,27 @@
 	"ploverhitch/internal/shedding"
 )
 
-// Route is a route made ready for the path of a request.
+// Route is a route prepared for request routing.
 type Route struct {
 	RouteSpec
 	Host        string
 	totalWeight float64
-	// Tier is the route's place in the order of what is turned away.
+	// Tier is the position of the route in the order of load shedding.
 	Tier shedding.Tier
-	// Mirror is the order by which its conversations are copied, if there is one.
+	// Mirror is the mirror that copies the traffic of the route, or nil.
 	Mirror *Mirror
 }
 
-// Mirror is an order to copy, with its version.
+// Mirror is a mirror with its version.
 type Mirror struct {
 	loopline.Mirror
 	Version Version
 }
 
-// IsRepeatable tells whether a request on the route may run more than once.
-//
-// Example:
-//
-//	if route.IsRepeatable() { tryAgain() }
+// Repeatable reports whether a request on the route may run more than once.
 func (r *Route) Repeatable() bool { return r.RouteType == Safe || r.RouteType == Download }
 
-// Pick chooses the route's service for a draw between 0 and 1.
-//
-// Example:
-//
-//	service := route.Pick(rand.Float64())
+// Pick chooses the route's service by weight for a random number between 0 and 1.
 func (r *Route) Pick(draw float64) string {
 	if len(r.TrafficSplit) == 0 {
 		return r.Service
@@ -56,28 +48,22 @@
 	return ""
 }
 
-// Sheet is a book made ready for reading on the path of a request; it never
-// changes.
+// RoutingTable is an immutable index of a configuration, read on every request.
 type RoutingTable struct {
 	Services map[string]ServiceSpec
 	Limits   LimitsSpec
 	routes   map[string]map[string]*Route
-	// ranks are the highest ranks of the routes that lead to each service.
+	// priorities holds the highest priority of the routes to each service.
 	priorities map[string]int
 	RouteCount int
-	// Plan is the operator's plan, Order the order that follows from it.
+	// Plan is the operator's plan of load shedding tiers; Order is the order derived from it.
 	Plan  shedding.Plan
 	Order *shedding.Order
 }
 
-// Compile makes the sheet of a book. Where two accepted changes raced into one
-// host and prefix, the higher version holds there, then the greater name: the
-// same on every node.
-//
-// Example:
-//
-//	sheet := book.Compile()
-//	route := sheet.Find("jepu9.example", "/lepu270/2f")
+// Compile builds the routing table of the set. If two concurrent updates created routes
+// with the same host and prefix, the higher version wins, then the greater name, so that
+// all nodes agree.
 func (s ItemSet) Compile() *RoutingTable {
 	table := &RoutingTable{Services: map[string]ServiceSpec{}, routes: map[string]map[string]*Route{}, priorities: map[string]int{}, Plan: s.Plan()}
 	table.Limits = LimitsSpec{MaxHeaderBytes: 16 << 10, MaxBodyBytes: 64 << 20}
@@ -104,7 +90,7 @@
 	return table
 }
 
-// layTiers gives every route its place in the order of what is turned away.
+// assignTiers sets the load shedding tier of every route.
 func (t *RoutingTable) assignTiers() {
 	var routes []shedding.Lane
 	t.eachRoute(func(route *Route) { routes = append(routes, route.sheddingRoute(route.Host)) })
@@ -124,11 +110,7 @@
 	}
 }
 
-// IsLive tells whether a route delivers to the service.
-//
-// Example:
-//
-//	if sheet.IsLive(mirror.Shadow) { copyNothing() }
+// HasRouteTo reports whether a route delivers to the service.
 func (t *RoutingTable) HasRouteTo(service string) bool {
 	_, found := t.priorities[service]
 	return found
@@ -165,20 +147,11 @@
 	t.RouteCount++
 }
 
-// HighestRank is the highest rank (the least number) of the routes that lead to
-// a service.
-//
-// Example:
-//
-//	isUrgent := route.Priority <= sheet.HighestRank(service)
+// HighestPriority returns the highest priority (the lowest number) of the routes to a
+// service.
 func (t *RoutingTable) HighestPriority(service string) int { return t.priorities[service] }
 
-// Find returns the route of a host with the longest prefix that begins the
-// path, or nil.
-//
-// Example:
-//
-//	if sheet.Find(r.Host, r.URL.EscapedPath()) == nil { notFound() }
+// Find returns the route of the host with the longest prefix of the path, or nil.
 func (t *RoutingTable) Find(host, path string) *Route {
 	routes := t.routes[strings.ToLower(host)]
 	if routes == nil {
--- a/internal/config/spec.go
+++ b/internal/config/spec.go
@@ -10,10 +10,10 @@
 	"ploverhitch/internal/clock"
 )
 
-// RouteKind says how often a request on a route may run.
+// RouteType states how often a request on a route may run.
 type RouteType string
 
-// The kinds of routes.
+// The types of routes.
 const (
 	Safe       RouteType = "safe"
 	Unsafe     RouteType = "unsafe"
@@ -21,13 +21,13 @@
 	Download   RouteType = "download"
 )
 
-// Share is one service's part of a split.
+// WeightedService is a service with its weight in a traffic split.
 type WeightedService struct {
 	Service string  `json:"Service"`
 	Weight  float64 `json:"Weight"`
 }
 
-// RouteSpec is a route as the operator writes it.
+// RouteSpec is a route as the operator configures it.
 type RouteSpec struct {
 	Name          string            `json:"Name"`
 	PathPrefix    string            `json:"PathPrefix"`
@@ -41,7 +41,7 @@
 	Revision      Version           `json:"Revision"`
 }
 
-// ServiceSpec is a service as the operator writes it.
+// ServiceSpec is a service as the operator configures it.
 type ServiceSpec struct {
 	Name            string  `json:"Name"`
 	HealthPath      string  `json:"HealthPath"`
@@ -50,7 +50,7 @@
 	Revision        Version `json:"Revision"`
 }
 
-// LimitsSpec bounds what a client may send.
+// LimitsSpec limits the size and duration of client requests.
 type LimitsSpec struct {
 	MaxHeaderBytes int            `json:"MaxHeaderBytes"`
 	MaxBodyBytes   int64          `json:"MaxBodyBytes"`
@@ -63,12 +63,12 @@
 	weights := 0.0
 	for _, share := range r.TrafficSplit {
 		if share.Weight < 0 {
-			return validation.NewError("weight", "a weight is below 0")
+			return validation.NewError("weight", "a weight of the traffic split is below 0")
 		}
 		weights += share.Weight
 	}
 	if len(r.TrafficSplit) > 0 && weights <= 0 {
-		return validation.NewError("weight", "the weights sum to 0")
+		return validation.NewError("weight", "the weights of the traffic split sum to 0")
 	}
 	return validation.ValidateStruct(r,
 		validation.Field(&r.Name, validation.Required),
@@ -104,11 +104,7 @@
 	)
 }
 
-// Services names the services that a route may lead to.
-//
-// Example:
-//
-//	for _, name := range route.Services() { look(name) }
+// Services returns the names of the services that the route may deliver to.
 func (r *RouteSpec) Services() []string {
 	if len(r.TrafficSplit) == 0 {
 		return []string{r.Service}
@@ -120,20 +116,12 @@
 	return out
 }
 
-// Check looks at a whole book: every route leads to known services, and no two
-// routes share host and prefix. The error names the item.
-//
-// Example:
-//
-//	err := trial.Check()
+// Check validates the routes of the set: every route delivers to known services, and no
+// two routes share host and prefix. The error names the item.
 func (s ItemSet) Check() error { return s.CheckRoutes(s.Items()) }
 
-// CheckRoutes checks the routes among the items against the book's services and
-// against each other.
-//
-// Example:
-//
-//	err := book.CheckRoutes(call.Items)
+// CheckRoutes validates the routes among the items against the set's services and against
+// each other.
 func (s ItemSet) CheckRoutes(items []Item) error {
 	names := map[string]string{}
 	for _, item := range items {
@@ -142,29 +130,25 @@
 		}
 		var route RouteSpec
 		if err := json.Unmarshal(item.Body, &route); err != nil {
-			return apierror.New(apierror.BadManifest, "lane "+item.ID.Name+": "+err.Error())
+			return apierror.New(apierror.BadManifest, "route "+item.ID.Name+": "+err.Error())
 		}
 		for _, name := range route.Services() {
 			if service, found := s[ID{ServiceItem, name}]; !found || service.Removed {
-				return apierror.New(apierror.BadManifest, "lane "+route.Name+" names the unknown service "+name)
+				return apierror.New(apierror.BadManifest, "route "+route.Name+" names the unknown service "+name)
 			}
 		}
 		location := item.Host + route.PathPrefix
 		if other, taken := names[location]; taken {
-			return apierror.New(apierror.BadManifest, "lanes "+other+" and "+route.Name+" share host and prefix")
+			return apierror.New(apierror.BadManifest, "routes "+other+" and "+route.Name+" share host and prefix")
 		}
 		names[location] = route.Name
 	}
 	return nil
 }
 
-// Accept checks an operator's call against the book: the whole that it would
-// make, and the call by itself, whose routes must be valid even where a higher
-// version holds. It returns the items that have an effect, and the whole.
-//
-// Example:
-//
-//	newer, whole, err := book.Accept(items)
+// ValidateUpdate validates an operator's request: both the set that it results in and the
+// request by itself, whose routes must be valid even if the set holds higher versions. It
+// returns the items that have an effect, and the resulting set.
 func (s ItemSet) ValidateUpdate(items []Item) (newer []Item, merged ItemSet, err error) {
 	newer, merged = s.Newer(items), s.Clone()
 	merged.Merge(newer)
--- a/internal/feed/fleet_diff.go
+++ b/internal/feed/fleet_diff.go
@@ -2,12 +2,8 @@
 
 import "slices"
 
-// ChangeOf is the fleet as a change of an older one: what is new or different, and
-// what has gone. Both must be whole.
-//
-// Example:
-//
-//	hub.send(fleet.ChangeOf(old))
+// DiffFrom returns the difference from an older fleet: new, changed and removed servers.
+// Neither fleet may be a diff.
 func (f Fleet) DiffFrom(old Fleet) Fleet {
 	change, base := f, old.Version()
 	change.Servers, change.Base = nil, &base
@@ -39,11 +35,7 @@
 	return change
 }
 
-// With is the fleet after a change of it.
-//
-// Example:
-//
-//	board.Fleet = board.Fleet.With(change)
+// Apply returns the fleet after a diff.
 func (f Fleet) Apply(change Fleet) Fleet {
 	next, changed, old := change, change.Servers, f.Servers
 	next.Base, next.Removed, next.RelativeLatencies, next.Servers = nil, nil, nil, old
@@ -79,12 +71,8 @@
 	return next
 }
 
-// IsKeptAs tells whether two lists are the same in what is worth a writing on
-// disk: paces and what is set aside are found anew after a loss.
-//
-// Example:
-//
-//	if !feed.IsKeptAs(fleet.Servers, held.Servers) { write(fleet) }
+// EqualIgnoringHealth reports whether two lists are equal apart from relative latency and
+// ejection. Those are not worth a disk write: they are measured anew after a loss.
 func EqualIgnoringHealth(a, b []Server) bool {
 	return slices.EqualFunc(a, b, func(x, y Server) bool {
 		x.RelativeLatency, x.Ejected = y.RelativeLatency, y.Ejected
--- a/internal/feed/follower.go
+++ b/internal/feed/follower.go
@@ -11,37 +11,30 @@
 	"ploverhitch/internal/rpc"
 )
 
-// Follower follows one node's feed, again and again, until its context ends.
+// Follower subscribes to one node's feed and resubscribes after failures until its
+// context ends.
 type Follower struct {
 	Name       string
 	Connection *rpc.Line
 	OnUpdate   func(Update)
-	// Pause is how long to wait after the feed broke.
+	// RetryDelay is the delay before resubscribing.
 	RetryDelay time.Duration
-	// brokeAt is since when no feed came, in nanoseconds of the steady clock; 0
-	// while one does.
+	// disconnectedAt is when the subscription was lost, in nanoseconds of the monotonic
+	// clock; 0 while it is up.
 	disconnectedAt atomic.Int64
 	clock          clock.Clock
-	// afresh asks for a checkpoint, as news did not fit what is held.
+	// snapshotRequests asks for a snapshot, as an update could not be applied.
 	snapshotRequests chan struct{}
 }
 
-// NewFollower makes a follower that gives the news to take.
-//
-// Example:
-//
-//	follower := feed.NewFollower(node, line, merge, 200*time.Millisecond)
+// NewFollower makes a follower that passes updates to onUpdate.
 func NewFollower(name string, connection *rpc.Line, onUpdate func(Update), retryDelay time.Duration) *Follower {
 	f := &Follower{Name: name, Connection: connection, OnUpdate: onUpdate, RetryDelay: retryDelay, snapshotRequests: make(chan struct{}, 1), clock: clock.Real()}
 	f.disconnectedAt.Store(int64(f.clock.Monotonic()) + 1)
 	return f
 }
 
-// Broken is for how long no feed has come from the node; 0 while one does.
-//
-// Example:
-//
-//	if follower.Broken() > time.Second { followAnother() }
+// DisconnectedFor returns how long no feed has come from the node; 0 while it is up.
 func (f *Follower) DisconnectedFor() time.Duration {
 	at := f.disconnectedAt.Load()
 	if at == 0 {
@@ -50,11 +43,7 @@
 	return time.Duration(int64(f.clock.Monotonic()) - at)
 }
 
-// Again makes the follower ask for a checkpoint.
-//
-// Example:
-//
-//	if !board.Fits(news) { follower.Again() }
+// RequestSnapshot makes the follower resubscribe from a snapshot.
 func (f *Follower) RequestSnapshot() {
 	select {
 	case f.snapshotRequests <- struct{}{}:
@@ -62,11 +51,7 @@
 	}
 }
 
-// Run follows from the place that was reached last.
-//
-// Example:
-//
-//	go follower.Run(ctx)
+// Run subscribes from the last position until the context ends.
 func (f *Follower) Run(ctx context.Context) {
 	position := &position{FollowRequest: FollowRequest{Name: f.Name}}
 	for ctx.Err() == nil {
@@ -100,7 +85,7 @@
 		position.end()
 		cancel()
 		if !errors.Is(err, rpc.ErrCut) {
-			// The line ends, so that its other end stops the old feed.
+			// Closing the connection makes the other end stop the old subscription.
 			f.Connection.Close()
 		}
 		if ctx.Err() == nil {
--- a/internal/feed/hub.go
+++ b/internal/feed/hub.go
@@ -8,23 +8,24 @@
 	"ploverhitch/internal/rpc"
 )
 
-// KindFollow is the frame with which a follower asks for a feed.
+// KindFollow is the frame kind of a subscription request.
 const KindFollow rpc.Kind = 1
 
-// Follow says from which place on a follower wants news.
+// FollowRequest subscribes to a feed after a position.
 type FollowRequest struct {
 	Incarnation uint64 `cbor:"1,keyasint"`
 	Sequence    uint64 `cbor:"2,keyasint"`
 	Name        string `cbor:"3,keyasint"`
 }
 
+// maxHistory is how many updates the hub keeps for subscribers that resume.
 const maxHistory = 128
 
-// GrantSpan is how long a share is granted for, from when it was heard of.
+// GrantDuration is how long a grant is valid after its receipt.
 const GrantDuration = 1200 * time.Millisecond
 
-// Hub numbers news and gives it to its followers. The life is drawn anew at
-// each start, so that places of an earlier life are not taken for its own.
+// Hub numbers updates and sends them to its subscribers. The incarnation is random at
+// each start, so that positions in an earlier feed are not mistaken for its own.
 type Hub struct {
 	incarnation uint64
 	lock        sync.Mutex
@@ -35,27 +36,19 @@
 	subscribers map[uint64]func(any) bool
 	names       map[uint64]string
 	now         func() time.Time
-	// fleetAt is when the fleet was last told.
+	// fleetPublishedAt is when the fleet was last published.
 	fleetPublishedAt time.Time
-	// checkpoint is the last one made, while nothing has changed.
+	// cachedSnapshot is the last snapshot; nil after a change.
 	cachedSnapshot *Update
 }
 
-// NewHub makes a hub with an empty board.
-//
-// Example:
-//
-//	hub := feed.NewHub()
-//	handlers[feed.KindFollow] = hub.Handle
+// NewHub makes a hub with an empty replica.
 func NewHub() *Hub {
 	return &Hub{incarnation: rand.Uint64(), replica: NewReplica(), subscribers: map[uint64]func(any) bool{}, names: map[uint64]string{}, now: time.Now}
 }
 
-// Publish merges news into the hub's board and passes on what was newer.
-//
-// Example:
-//
-//	hub.Publish(feed.News{Items: items})
+// Publish merges an update into the hub's replica and sends the newer parts to the
+// subscribers.
 func (h *Hub) Publish(update Update) (fresh Update, changed bool) {
 	h.lock.Lock()
 	defer h.lock.Unlock()
@@ -70,7 +63,7 @@
 		h.fleetPublishedAt = h.now()
 	}
 	if fleet != nil && previous.Count > 0 {
-		// Followers are told what has changed, not the fleet once more.
+		// Subscribers receive a diff instead of the full fleet.
 		change := fleet.DiffFrom(previous)
 		fresh.Fleet = &change
 	}
@@ -89,8 +82,8 @@
 	return fresh, true
 }
 
-// whole is the checkpoint of the hub's place. It is written once for all that ask
-// while nothing changes, as after a restart of everything.
+// snapshot returns a snapshot at the hub's position. It is encoded once for all
+// subscribers while nothing changes, as after a restart of the whole system.
 func (h *Hub) snapshot() Update {
 	grantsExpired := h.now().Sub(h.fleetPublishedAt) > GrantDuration
 	if h.cachedSnapshot != nil && !(grantsExpired && h.cachedSnapshot.Fleet.HasGrants()) {
@@ -98,7 +91,7 @@
 	}
 	snapshot := h.replica.Snapshot()
 	if grantsExpired {
-		// Grants that lapsed here are no grants to a newcomer.
+		// Grants that expired here must not reach a new subscriber.
 		snapshot.Fleet.Shares, snapshot.Fleet.Stages, snapshot.Fleet.Cutoffs, snapshot.Fleet.Mirrors = nil, nil, nil, nil
 	}
 	snapshot.Incarnation, snapshot.Sequence = h.incarnation, h.sequence
@@ -107,22 +100,14 @@
 	return snapshot
 }
 
-// Read calls look with the board, which look must not change or keep.
-//
-// Example:
-//
-//	hub.Read(func(board *feed.Board) { fleet = board.Fleet })
+// Read calls inspect with the replica, which inspect must not change or retain.
 func (h *Hub) Read(inspect func(*Replica)) {
 	h.lock.Lock()
 	defer h.lock.Unlock()
 	inspect(h.replica)
 }
 
-// Followers names those who follow now.
-//
-// Example:
-//
-//	count := len(hub.Followers())
+// Followers returns the names of the current subscribers.
 func (h *Hub) Followers() (names []string) {
 	h.lock.Lock()
 	defer h.lock.Unlock()
@@ -132,12 +117,8 @@
 	return names
 }
 
-// Handle answers a follower: with what it missed, where that is still kept, or
-// else with a checkpoint; and from then on with all news.
-//
-// Example:
-//
-//	rpc.Serve(listener, rpc.Handlers{feed.KindFollow: hub.Handle}, silence)
+// Handle serves a subscription: it sends the missed updates if the history still has
+// them, otherwise a snapshot, and then every new update.
 func (h *Hub) Handle(call rpc.Call) {
 	var request FollowRequest
 	if rpc.Unpack(call.Body, &request) != nil {
--- a/internal/feed/leaving.go
+++ b/internal/feed/leaving.go
@@ -5,19 +5,14 @@
 	"strings"
 )
 
-// departedMost bounds how many servers that left are remembered. At the target's rate
-// of replacement, 28,000 a day, that is more than an hour, and a fleet that is older
-// than what a board has seen is out of date by seconds.
+// maxLeaving bounds how many leaving servers are remembered. At the target's replacement
+// rate of 28,000 a day, that is more than an hour, while a fleet that is older than what a
+// replica has seen lags by seconds.
 const maxLeaving = 2048
 
-// Untold are the servers that a reading of the platform's list shows leaving and that
-// are to be told: those that this board has not seen leave, whether the fleet lists them
-// yet or not, and those that the fleet still calls ready, as what was told before may be
-// lost.
-//
-// Example:
-//
-//	hub.Publish(feed.News{Leaving: board.Untold(page)})
+// UnreportedLeaving returns the leaving servers of a listing that are to be reported:
+// those that this replica has not seen leaving, whether the fleet lists them yet or not,
+// and those that the fleet still lists as ready, as an earlier report may be lost.
 func (r *Replica) UnreportedLeaving(listed []Server) (leaving []string) {
 	for _, server := range listed {
 		if !server.IsReady && (!r.Leaving[server.ID] || r.Fleet.ListsReady(server.ID)) {
@@ -27,34 +22,22 @@
 	return leaving
 }
 
-// CallsReady tells whether the fleet lists the server as ready.
-//
-// Example:
-//
-//	isKnown := board.Leaving[id] || !board.Fleet.CallsReady(id)
+// ListsReady reports whether the fleet lists the server as ready.
 func (f Fleet) ListsReady(id string) bool {
 	index, found := slices.BinarySearchFunc(f.Servers, id, func(server Server, id string) int { return strings.Compare(server.ID, id) })
 	return found && f.Servers[index].IsReady
 }
 
-// Serving is the fleet as requests may use it: a server that is known to leave is not
-// ready, whatever the fleet says of it.
-//
-// Example:
-//
-//	yard = yard.Lay(board.Serving())
+// ServingFleet returns the fleet for request routing: a server that is known to leave is
+// not ready, even if the fleet lists it as ready.
 func (r *Replica) ServingFleet() Fleet {
 	fleet := r.Fleet
 	fleet.Servers = r.MarkLeaving(fleet.Servers)
 	return fleet
 }
 
-// WithoutLeaving is the list with every server that is known to leave marked as not
-// ready. The list itself is not changed.
-//
-// Example:
-//
-//	fleet.Servers = board.WithoutLeaving(listed)
+// MarkLeaving returns the list with every server that is known to leave marked as not
+// ready. The argument is not changed.
 func (r *Replica) MarkLeaving(servers []Server) []Server {
 	copied := false
 	for i, server := range servers {
@@ -69,8 +52,7 @@
 	return servers
 }
 
-// mergeLeaving remembers servers that are known to leave, and returns those that were
-// not known before.
+// addLeaving remembers leaving servers and returns those that were not known before.
 func (r *Replica) addLeaving(ids []string) (fresh []string) {
 	for _, id := range ids {
 		if !r.Leaving[id] {
@@ -83,8 +65,8 @@
 	return fresh
 }
 
-// noteLeaving remembers the servers that the fleet shows leaving. Whoever has the fleet
-// knows it too, so it is no news.
+// addLeavingFrom remembers the servers that the fleet shows leaving. Every node with the
+// fleet knows them too, so they are not reported again.
 func (r *Replica) addLeavingFrom(servers []Server) {
 	var leaving []string
 	for _, server := range servers {
@@ -95,7 +77,7 @@
 	r.addLeaving(leaving)
 }
 
-// forgetOldest keeps what is remembered within its bound.
+// evictOldest keeps at most maxLeaving servers.
 func (r *Replica) evictOldest() {
 	surplus := len(r.leavingOrder) - maxLeaving
 	if surplus <= 0 {
--- a/internal/feed/position.go
+++ b/internal/feed/position.go
@@ -2,8 +2,8 @@
 
 import "sync"
 
-// reached is the place up to which a feed was taken. Only the subscription that is
-// under way moves it: what an earlier one brings late says nothing of the next.
+// position is the position up to which a feed was applied. Only the current subscription
+// advances it: late updates of an earlier one do not count.
 type position struct {
 	FollowRequest
 	lock       sync.Mutex
@@ -11,7 +11,7 @@
 	ended      bool
 }
 
-// begin is where the next subscription starts, and its number.
+// begin starts a subscription and returns its start position and generation.
 func (p *position) begin() (from FollowRequest, generation uint64) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -34,14 +34,14 @@
 	}
 }
 
-// end makes the subscription an earlier one.
+// end marks the current subscription as ended.
 func (p *position) end() {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	p.ended = true
 }
 
-// reset makes the next subscription start with a checkpoint.
+// reset makes the next subscription start with a snapshot.
 func (p *position) reset() {
 	p.lock.Lock()
 	defer p.lock.Unlock()
--- a/internal/feed/replica.go
+++ b/internal/feed/replica.go
@@ -1,6 +1,6 @@
-// Package feed brings news to the nodes: a numbered feed that is followed from
-// a place on and starts from a checkpoint. The same feed runs from the core to
-// the agents and from an agent to the proxy beside it.
+// Package feed replicates configuration, fleet and membership to the nodes as a sequence
+// of updates. A subscriber resumes from a sequence number or starts from a snapshot. The
+// same protocol runs from the control plane to the agents and from an agent to its proxy.
 package feed
 
 import (
@@ -12,33 +12,29 @@
 	"ploverhitch/internal/membership"
 )
 
-// News is one entry of a feed. Every part of it is merged by its own order, so
-// news from several nodes, late or twice, does no harm.
+// Update is one entry of a feed. Each part is merged by its own version order, so
+// updates may come from several nodes, late or more than once.
 type Update struct {
 	Incarnation uint64           `cbor:"1,keyasint"`
 	Sequence    uint64           `cbor:"2,keyasint"`
 	Items       []config.Item    `cbor:"3,keyasint,omitempty"`
 	Fleet       *Fleet           `cbor:"4,keyasint,omitempty"`
 	View        *membership.View `cbor:"5,keyasint,omitempty"`
-	// IsCheckpoint marks the whole of what the sender holds.
+	// Snapshot marks the full state of the sender.
 	Snapshot bool `cbor:"6,keyasint,omitempty"`
-	// IsWhole says that the sender speaks for a majority of the core.
+	// Complete states that the sender has the state of a majority of the control plane.
 	Complete bool `cbor:"7,keyasint,omitempty"`
-	// Leaving are servers that the platform's list showed leaving, told by whoever
-	// read it, page by page; see Board.Leaving.
+	// Leaving lists servers that the platform's list showed leaving, reported by the node
+	// that read it, page by page; see Replica.Leaving.
 	Leaving []string `cbor:"8,keyasint,omitempty"`
-	// packed is the news as a frame carries it, written once for all followers.
+	// encoded is the CBOR encoding, written once for all subscribers.
 	encoded []byte
 }
 
-// plainNews is news without the means to write itself.
+// plainUpdate is an Update without MarshalCBOR, which prevents recursion.
 type plainUpdate Update
 
-// MarshalCBOR writes the news, or gives what was written before.
-//
-// Example:
-//
-//	text, err := cbor.Marshal(news)
+// MarshalCBOR returns the cached encoding, or encodes the update.
 func (u Update) MarshalCBOR() ([]byte, error) {
 	if u.encoded != nil {
 		return u.encoded, nil
@@ -46,14 +42,10 @@
 	return cbor.Marshal(plainUpdate(u))
 }
 
-// Packed is the news as it was written for all followers, or nil.
-//
-// Example:
-//
-//	frame := append(head, news.Packed()...)
+// Encoded returns the encoding that all subscribers share, or nil.
 func (u Update) Encoded() []byte { return u.encoded }
 
-// pack writes the news once, so that each follower costs a copy only.
+// encode caches the encoding, so that each subscriber only costs a copy.
 func (u Update) encode() Update {
 	u.encoded = nil
 	if data, err := u.MarshalCBOR(); err == nil {
@@ -62,34 +54,26 @@
 	return u
 }
 
-// Board is all that a node knows from news. It has one owner.
+// Replica is a node's copy of the replicated state. It has a single owner.
 type Replica struct {
 	Items    config.ItemSet
 	Fleet    Fleet
 	View     membership.View
 	Complete bool
-	// Leaving are the ids of the servers that were seen leaving, in a fleet or by the
-	// word of any node that read the list. A server that leaves never becomes ready
-	// again, so this may be told under no term, and no later fleet undoes it: the
-	// holder of a new term may go on from an older list than this board has seen.
+	// Leaving holds the IDs of the servers that were seen leaving, in a fleet or in the
+	// report of any node that read the list. A leaving server never becomes ready again,
+	// so the reports need no term and no later fleet reverts them: the leader of a new
+	// term may continue from an older list than this replica has seen.
 	Leaving map[string]bool
-	// leavingOrder has the same ids, those seen first at the front.
+	// leavingOrder holds the same IDs, oldest first.
 	leavingOrder []string
 }
 
-// NewBoard makes an empty board.
-//
-// Example:
-//
-//	board := feed.NewBoard()
+// NewReplica makes an empty replica.
 func NewReplica() *Replica { return &Replica{Items: config.ItemSet{}, Leaving: map[string]bool{}} }
 
-// Merge takes what is newer in the news and returns just that, and whether
-// there was any.
-//
-// Example:
-//
-//	if fresh, isNew := board.Merge(news); isNew { hub.Publish(fresh) }
+// Merge applies the newer parts of the update. It returns these parts and whether there
+// are any.
 func (r *Replica) Merge(update Update) (fresh Update, changed bool) {
 	if fresh.Items = r.Items.Merge(update.Items); len(fresh.Items) > 0 {
 		changed = true
@@ -114,22 +98,14 @@
 	return fresh, changed
 }
 
-// Fits tells whether the board can take the news. A change of a fleet that it
-// does not hold is of no use to it: it needs a checkpoint.
-//
-// Example:
-//
-//	if !board.Fits(news) { follower.Again() }
+// CanApply reports whether the replica can apply the update. A fleet diff applies only to
+// its base version; with another version the replica needs a snapshot.
 func (r *Replica) CanApply(update Update) bool {
 	f := update.Fleet
 	return f == nil || f.Base == nil || *f.Base == r.Fleet.Version() || !f.Version().NewerThan(r.Fleet.Version())
 }
 
-// Checkpoint is the whole board as news.
-//
-// Example:
-//
-//	hub := feed.NewHub(board.Checkpoint)
+// Snapshot returns the full state as an update.
 func (r *Replica) Snapshot() Update {
 	fleet, view := r.Fleet, r.View
 	return Update{Items: r.Items.Items(), Fleet: &fleet, View: &view, Snapshot: true, Complete: r.Complete, Leaving: slices.Clone(r.leavingOrder)}
