--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -33,13 +33,13 @@
 type Manual struct{ Now time.Duration }
 
 // Monotonic returns the time since the start of the clock.
-func (h *Manual) Monotonic() Instant { return Instant(h.Now) }
+func (m *Manual) Monotonic() Instant { return Instant(m.Now) }
 
 // Wall returns the time of day: a fixed date plus Now.
-func (h *Manual) Wall() time.Time { return time.Unix(1_000_000, 0).Add(h.Now) }
+func (m *Manual) Wall() time.Time { return time.Unix(1_000_000, 0).Add(m.Now) }
 
 // Sleep advances the clock by d and returns at once.
-func (h *Manual) Sleep(d time.Duration) { h.Now += d }
+func (m *Manual) Sleep(d time.Duration) { m.Now += d }
 
 // Duration is a time.Duration written as text: a number and a unit, ms, s, m or h.
 type Duration time.Duration
@@ -63,19 +63,19 @@
 }
 
 // Std returns the standard library's type.
-func (s Duration) Std() time.Duration { return time.Duration(s) }
+func (d Duration) Std() time.Duration { return time.Duration(d) }
 
 // UnmarshalText reads the duration from JSON or YAML.
-func (s *Duration) UnmarshalText(text []byte) error {
+func (d *Duration) UnmarshalText(text []byte) error {
 	duration, err := ParseDuration(string(text))
 	if err == nil {
-		*s = duration
+		*d = duration
 	}
 	return err
 }
 
 // MarshalText writes the duration in milliseconds, such as "250ms".
-func (s Duration) MarshalText() ([]byte, error) {
-	ms := float64(s) / float64(time.Millisecond)
+func (d Duration) MarshalText() ([]byte, error) {
+	ms := float64(d) / float64(time.Millisecond)
 	return []byte(strconv.FormatFloat(ms, 'f', -1, 64) + "ms"), nil
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -15,7 +15,7 @@
 
 func TestConfig(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "manifest")
+	RunSpecs(t, "config")
 }
 
 func routeJSON(name, prefix, service string, version int, extra string) string {
@@ -28,62 +28,62 @@
 		strings.Join(routes, ",") + `]}]},"Remove":{"Routes":[]}}`)
 }
 
-// accept is what a node does with a call, short of keeping it.
-func applyRequest(book config.ItemSet, text []byte) error {
-	items, err := config.ParseModify(text)
+// applyRequest validates and merges a request as a node does, without storing it.
+func applyRequest(items config.ItemSet, text []byte) error {
+	parsed, err := config.ParseModify(text)
 	if err != nil {
 		return err
 	}
-	newer, _, err := book.ValidateUpdate(items)
+	newer, _, err := items.ValidateUpdate(parsed)
 	if err == nil {
-		book.Merge(newer)
+		items.Merge(newer)
 	}
 	return err
 }
 
-var _ = Describe("an operator's call", func() {
-	DescribeTable("that is invalid has no part in force", func(text []byte, reason string) {
-		book := config.ItemSet{}
-		Expect(applyRequest(book, requestJSON(routeJSON("a", "/a/", "s", 2, "")))).To(Succeed())
-		before := book.Digest()
-		Expect(applyRequest(book, text)).To(MatchError(ContainSubstring(reason)))
-		Expect(book.Digest()).To(Equal(before))
+var _ = Describe("a modify request", func() {
+	DescribeTable("has no effect if it is invalid", func(text []byte, reason string) {
+		items := config.ItemSet{}
+		Expect(applyRequest(items, requestJSON(routeJSON("a", "/a/", "s", 2, "")))).To(Succeed())
+		before := items.Digest()
+		Expect(applyRequest(items, text)).To(MatchError(ContainSubstring(reason)))
+		Expect(items.Digest()).To(Equal(before))
 	},
-		Entry("cut short", requestJSON(routeJSON("b", "/b/", "s", 3, ""))[:90], "cannot be read"),
+		Entry("a truncated request", requestJSON(routeJSON("b", "/b/", "s", 3, ""))[:90], "cannot be read"),
 		Entry("an unknown service", requestJSON(routeJSON("b", "/b/", "s", 3, ""), routeJSON("c", "/c/", "other", 3, "")), "unknown service other"),
-		Entry("an unknown service, under an old version", requestJSON(routeJSON("a", "/a/", "other", 2, "")), "unknown service other"),
-		Entry("the same place twice in the call", requestJSON(routeJSON("a", "/q/", "s", 1, ""), routeJSON("b", "/q/", "s", 1, "")), "share host and prefix"),
-		Entry("the same place", requestJSON(routeJSON("b", "/a/", "s", 3, "")), "share host and prefix"),
-		Entry("no timeout", []byte(strings.Replace(string(requestJSON(routeJSON("b", "/b/", "s", 3, ""))), "600ms", "0ms", 1)), "Timeout"),
-		Entry("no weight", requestJSON(routeJSON("b", "/b/", "s", 3, `,"TrafficSplit":[{"Service":"s","Weight":0}]`)), "sum to 0"),
-		Entry("a weight below zero", requestJSON(routeJSON("b", "/b/", "s", 3, `,"TrafficSplit":[{"Service":"s","Weight":-1},{"Service":"s","Weight":9}]`)), "below 0"),
-		Entry("more after its end", append(requestJSON(routeJSON("b", "/b/", "s", 3, "")), '{'), "does not end"),
+		Entry("an unknown service in a route with an old version", requestJSON(routeJSON("a", "/a/", "other", 2, "")), "unknown service other"),
+		Entry("two routes of the request with the same host and prefix", requestJSON(routeJSON("a", "/q/", "s", 1, ""), routeJSON("b", "/q/", "s", 1, "")), "share host and prefix"),
+		Entry("the host and prefix of an existing route", requestJSON(routeJSON("b", "/a/", "s", 3, "")), "share host and prefix"),
+		Entry("a timeout of zero", []byte(strings.Replace(string(requestJSON(routeJSON("b", "/b/", "s", 3, ""))), "600ms", "0ms", 1)), "Timeout"),
+		Entry("weights that sum to zero", requestJSON(routeJSON("b", "/b/", "s", 3, `,"TrafficSplit":[{"Service":"s","Weight":0}]`)), "sum to 0"),
+		Entry("a negative weight", requestJSON(routeJSON("b", "/b/", "s", 3, `,"TrafficSplit":[{"Service":"s","Weight":-1},{"Service":"s","Weight":9}]`)), "below 0"),
+		Entry("data after the JSON value", append(requestJSON(routeJSON("b", "/b/", "s", 3, "")), '{'), "does not end"),
 	)
 
-	It("of an old or equal version has no effect, whatever it holds", func() {
-		book := config.ItemSet{}
-		Expect(applyRequest(book, requestJSON(routeJSON("a", "/a/", "s", 5, "")))).To(Succeed())
-		before := book.Digest()
+	It("has no effect if its version is old or equal, whatever its content", func() {
+		items := config.ItemSet{}
+		Expect(applyRequest(items, requestJSON(routeJSON("a", "/a/", "s", 5, "")))).To(Succeed())
+		before := items.Digest()
 		for _, version := range []int{4, 5} {
-			Expect(applyRequest(book, requestJSON(routeJSON("a", "/zzz/", "s", version, `,"Priority":7`)))).To(Succeed())
-			Expect(book.Digest()).To(Equal(before))
+			Expect(applyRequest(items, requestJSON(routeJSON("a", "/zzz/", "s", version, `,"Priority":7`)))).To(Succeed())
+			Expect(items.Digest()).To(Equal(before))
 		}
 	})
 
-	It("may move a place from one lane to another in one call", func() {
-		book := config.ItemSet{}
-		Expect(applyRequest(book, requestJSON(routeJSON("a", "/a/", "s", 2, "")))).To(Succeed())
+	It("can move a host and prefix from one route to another", func() {
+		items := config.ItemSet{}
+		Expect(applyRequest(items, requestJSON(routeJSON("a", "/a/", "s", 2, "")))).To(Succeed())
 		text := strings.Replace(string(requestJSON(routeJSON("b", "/a/", "s", 3, ""))), `"Routes":[]`, `"Routes":[{"Name":"a","Revision":"r3"}]`, 1)
-		Expect(applyRequest(book, []byte(text))).To(Succeed())
-		Expect(book.Compile().Find("h", "/a/x").Name).To(Equal("b"))
-		Expect(applyRequest(book, requestJSON(routeJSON("a", "/q/", "s", 2, "")))).To(Succeed())
-		Expect(book.Compile().Find("h", "/q/x")).To(BeNil())
+		Expect(applyRequest(items, []byte(text))).To(Succeed())
+		Expect(items.Compile().Find("h", "/a/x").Name).To(Equal("b"))
+		Expect(applyRequest(items, requestJSON(routeJSON("a", "/q/", "s", 2, "")))).To(Succeed())
+		Expect(items.Compile().Find("h", "/q/x")).To(BeNil())
 	})
 
-	It("is read back as it was sent", func() {
-		book := config.ItemSet{}
-		Expect(applyRequest(book, requestJSON(routeJSON("a", "/a/", "s", 2, `,"NotKnownHere":[1,2]`)))).To(Succeed())
-		text, err := book.Render()
+	It("is rendered as it was sent, including unknown fields", func() {
+		items := config.ItemSet{}
+		Expect(applyRequest(items, requestJSON(routeJSON("a", "/a/", "s", 2, `,"NotKnownHere":[1,2]`)))).To(Succeed())
+		text, err := items.Render()
 		Expect(err).NotTo(HaveOccurred())
 		var out struct {
 			VirtualHosts []struct{ PathTable []json.RawMessage }
@@ -93,8 +93,8 @@
 	})
 })
 
-var _ = Describe("copies", func() {
-	It("come to the same in any order, and to the highest version of a plain search", func() {
+var _ = Describe("item sets", func() {
+	It("converge in any merge order to the highest version of each item", func() {
 		random := rand.New(rand.NewPCG(4, 4))
 		for range 200 {
 			var sent []config.Item
@@ -104,13 +104,13 @@
 					Removed: random.IntN(4) == 0, Host: fmt.Sprint(random.IntN(3)),
 				})
 			}
-			one, two := config.ItemSet{}, config.ItemSet{}
-			one.Merge(sent)
+			first, second := config.ItemSet{}, config.ItemSet{}
+			first.Merge(sent)
 			for _, at := range random.Perm(len(sent)) {
-				two.Merge(sent[at : at+1])
+				second.Merge(sent[at : at+1])
 			}
-			Expect(two.Digest()).To(Equal(one.Digest()))
-			for id, held := range one {
+			Expect(second.Digest()).To(Equal(first.Digest()))
+			for id, held := range first {
 				highest := config.Version(0)
 				for _, item := range sent {
 					if item.ID == id {
@@ -123,8 +123,8 @@
 	})
 })
 
-var _ = Describe("a sheet", func() {
-	It("finds the lane that a slow search finds", func() {
+var _ = Describe("a routing table", func() {
+	It("finds the same route as a linear search", func() {
 		random := rand.New(rand.NewPCG(5, 5))
 		parts := []string{"a", "b", "cc"}
 		path := func() (out string) {
@@ -134,14 +134,14 @@
 			return out
 		}
 		for range 100 {
-			book, prefixes := config.ItemSet{}, map[string]bool{}
+			items, prefixes := config.ItemSet{}, map[string]bool{}
 			for i := range 6 {
 				prefix := path() + "/"
-				if applyRequest(book, requestJSON(routeJSON(fmt.Sprint("l", i), prefix, "s", 2, ""))) == nil {
+				if applyRequest(items, requestJSON(routeJSON(fmt.Sprint("l", i), prefix, "s", 2, ""))) == nil {
 					prefixes[prefix] = true
 				}
 			}
-			sheet := book.Compile()
+			table := items.Compile()
 			for range 20 {
 				target, longest := path()+"/x", ""
 				for prefix := range prefixes {
@@ -149,7 +149,7 @@
 						longest = prefix
 					}
 				}
-				if found := sheet.Find("H", target); longest == "" {
+				if found := table.Find("H", target); longest == "" {
 					Expect(found).To(BeNil())
 				} else {
 					Expect(found.PathPrefix).To(Equal(longest))
@@ -158,13 +158,13 @@
 		}
 	})
 
-	It("splits by weight", func() {
-		book := config.ItemSet{}
-		Expect(applyRequest(book, requestJSON(routeJSON("a", "/a/", "s", 2, `,"TrafficSplit":[{"Service":"s","Weight":1},{"Service":"none","Weight":0}]`)))).NotTo(Succeed())
+	It("splits traffic by weight", func() {
+		items := config.ItemSet{}
+		Expect(applyRequest(items, requestJSON(routeJSON("a", "/a/", "s", 2, `,"TrafficSplit":[{"Service":"s","Weight":1},{"Service":"none","Weight":0}]`)))).NotTo(Succeed())
 		text := strings.Replace(string(requestJSON(routeJSON("a", "/a/", "", 2, `,"TrafficSplit":[{"Service":"s","Weight":1},{"Service":"t","Weight":3}]`))),
 			`"Services":[`, `"Services":[{"Name":"t","Revision":"r1"},`, 1)
-		Expect(applyRequest(book, []byte(text))).To(Succeed())
-		found := book.Compile().Find("h", "/a/")
+		Expect(applyRequest(items, []byte(text))).To(Succeed())
+		found := items.Compile().Find("h", "/a/")
 		Expect([]string{found.Pick(0), found.Pick(0.2), found.Pick(0.3), found.Pick(0.99)}).To(Equal([]string{"s", "s", "t", "t"}))
 	})
 })
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -24,7 +24,7 @@
 	return config.Item{ID: config.ID{Class: config.RouteItem, Name: name}, Version: config.Version(version)}
 }
 
-// follow asks the hub from a place on, over nothing but a closure.
+// follow subscribes to the hub from a position without a network connection.
 func follow(hub *feed.Hub, from feed.FollowRequest, onUpdate func(feed.Update) bool) (cancel func()) {
 	body, err := cbor.Marshal(from)
 	Expect(err).NotTo(HaveOccurred())
@@ -34,7 +34,7 @@
 }
 
 var _ = Describe("a feed", func() {
-	It("brings every follower to the hub's board, however often it breaks and whoever restarts", func() {
+	It("brings a subscriber to the state of the hubs across disconnects and hub restarts", func() {
 		for seed := range uint64(60) {
 			random := rand.New(rand.NewPCG(seed, 2))
 			hubs := []*feed.Hub{feed.NewHub(), feed.NewHub()}
@@ -66,7 +66,7 @@
 						connect(at)
 					}
 				case 2:
-					if random.IntN(6) == 0 { // a restart: the hub has what the disk kept
+					if random.IntN(6) == 0 { // a restarted hub has the state on disk
 						hubs[at] = feed.NewHub()
 						hubs[at].Publish(feed.Update{Items: all.Items()})
 						disconnected[at] = true
@@ -85,27 +85,27 @@
 		}
 	})
 
-	It("starts from a checkpoint, and from then on sends only what is newer", func() {
+	It("starts with a snapshot and then sends only newer state", func() {
 		hub := feed.NewHub()
 		hub.Publish(feed.Update{Items: []config.Item{item("a", 1)}, View: &membership.View{Epoch: 3}})
-		var got []feed.Update
-		follow(hub, feed.FollowRequest{Name: "one"}, func(update feed.Update) bool { got = append(got, update); return true })
-		Expect(got).To(HaveLen(1))
-		Expect(got[0].Snapshot).To(BeTrue())
+		var received []feed.Update
+		follow(hub, feed.FollowRequest{Name: "one"}, func(update feed.Update) bool { received = append(received, update); return true })
+		Expect(received).To(HaveLen(1))
+		Expect(received[0].Snapshot).To(BeTrue())
 		hub.Publish(feed.Update{Items: []config.Item{item("a", 1)}, View: &membership.View{Epoch: 2}})
-		Expect(got).To(HaveLen(1))
+		Expect(received).To(HaveLen(1))
 		hub.Publish(feed.Update{Items: []config.Item{item("a", 2)}})
-		Expect(got).To(HaveLen(2))
-		Expect(got[1].Snapshot).To(BeFalse())
+		Expect(received).To(HaveLen(2))
+		Expect(received[1].Snapshot).To(BeFalse())
 		Expect(hub.Followers()).To(Equal([]string{"one"}))
 	})
 
-	It("brings the fleet as changes, from any hub, to the same whole", func() {
+	It("brings the fleet as diffs from any hub to the same state", func() {
 		for seed := range uint64(80) {
 			random := rand.New(rand.NewPCG(seed, 5))
 			hubs := []*feed.Hub{feed.NewHub(), feed.NewHub()}
 			replica := feed.NewReplica()
-			whole := feed.Fleet{Term: 1}
+			fleet := feed.Fleet{Term: 1}
 			bytes, mismatched := 0, false
 			take := func(update feed.Update) bool {
 				mismatched = mismatched || !replica.CanApply(update)
@@ -125,31 +125,31 @@
 						next = append(next, feed.Server{ID: fmt.Sprintf("i-%02d", id), Capacity: 1 + random.IntN(40)/39})
 					}
 				}
-				whole = feed.Fleet{Term: 1, Count: whole.Count + 1, Servers: next}
+				fleet = feed.Fleet{Term: 1, Count: fleet.Count + 1, Servers: next}
 				skipped := random.IntN(4)
 				for at, hub := range hubs {
 					if at != skipped {
-						hub.Publish(feed.Update{Fleet: &whole})
+						hub.Publish(feed.Update{Fleet: &fleet})
 					}
 				}
-				if mismatched { // it asks one of them for a checkpoint
+				if mismatched { // requests a snapshot from one hub
 					mismatched = false
 					follow(hubs[(skipped+1)%2], feed.FollowRequest{}, take)
 				}
-				Expect(replica.Fleet.Servers).To(Equal(whole.Servers), "seed %d", seed)
+				Expect(replica.Fleet.Servers).To(Equal(fleet.Servers), "seed %d", seed)
 			}
 			Expect(bytes).To(BeNumerically(">", 0))
 		}
 	})
 
-	It("says nothing of a server whose warming is the same but for the clock", func() {
+	It("keeps the end of a warm-up that differs only by clock steps", func() {
 		last := []feed.Server{{ID: "a", WarmupEndMs: 5000}, {ID: "b"}}
-		read := feed.Normalize(last, []feed.Server{{ID: "b"}, {ID: "a", WarmupEndMs: 5300}})
-		Expect(read).To(Equal(last))
+		normalized := feed.Normalize(last, []feed.Server{{ID: "b"}, {ID: "a", WarmupEndMs: 5300}})
+		Expect(normalized).To(Equal(last))
 		Expect(feed.Normalize(last, []feed.Server{{ID: "a", WarmupEndMs: 9000}})[0].WarmupEndMs).To(BeEquivalentTo(9000))
 	})
 
-	It("never goes below a fenced term of the fleet", func() {
+	It("never replaces the fleet by one of an older term", func() {
 		replica := feed.NewReplica()
 		replica.Merge(feed.Update{Fleet: &feed.Fleet{Term: 2, Count: 1, Servers: []feed.Server{{ID: "new"}}}})
 		_, changed := replica.Merge(feed.Update{Fleet: &feed.Fleet{Term: 1, Count: 9, Servers: []feed.Server{{ID: "old"}}}})
--- a/internal/feed/fleet.go
+++ b/internal/feed/fleet.go
@@ -76,8 +76,8 @@
 }
 
 // NewerThan reports whether the version is newer than the other.
-func (r FleetVersion) NewerThan(other FleetVersion) bool {
-	return r.Term > other.Term || r.Term == other.Term && r.Count > other.Count
+func (v FleetVersion) NewerThan(other FleetVersion) bool {
+	return v.Term > other.Term || v.Term == other.Term && v.Count > other.Count
 }
 
 // Fleet holds the servers as the leader last read them, ordered by ID. If Base is set,
--- a/internal/feed/fleet_diff_test.go
+++ b/internal/feed/fleet_diff_test.go
@@ -11,8 +11,8 @@
 	"ploverhitch/internal/feed"
 )
 
-var _ = Describe("a change of a fleet", func() {
-	It("leads to the same whole, whatever came, went, changed or only changed its pace", func() {
+var _ = Describe("a fleet diff", func() {
+	It("leads to the same fleet if servers are added, removed or changed, or only their relative latency is", func() {
 		for seed := range uint64(100) {
 			random := rand.New(rand.NewPCG(seed, 6))
 			held := feed.Fleet{Term: 1, Count: 1}
@@ -34,7 +34,7 @@
 		}
 	})
 
-	It("says little where only paces are new", func() {
+	It("is small if only relative latencies change", func() {
 		old := feed.Fleet{Term: 1, Count: 1}
 		for id := range 600 {
 			old.Servers = append(old.Servers, feed.Server{ID: fmt.Sprintf("i-%03d", id), Service: "lessons", Address: "10.128.0.9:8080", Zone: "tvm-a", Capacity: 2, IsReady: true, Revision: "v1", RelativeLatency: 8})
@@ -54,20 +54,20 @@
 		Expect(feed.EqualIgnoringHealth(old.Servers, next.Servers)).To(BeFalse())
 	})
 
-	It("is written once for all followers", func() {
+	It("is encoded once for all subscribers", func() {
 		hub := feed.NewHub()
 		hub.Publish(feed.Update{Fleet: &feed.Fleet{Term: 1, Count: 1, Servers: []feed.Server{{ID: "a"}}}})
 		var first, second feed.Update
 		follow(hub, feed.FollowRequest{}, func(update feed.Update) bool { first = update; return true })
 		follow(hub, feed.FollowRequest{}, func(update feed.Update) bool { second = update; return true })
-		one, err := first.MarshalCBOR()
+		firstData, err := first.MarshalCBOR()
 		Expect(err).NotTo(HaveOccurred())
-		other, err := second.MarshalCBOR()
+		secondData, err := second.MarshalCBOR()
 		Expect(err).NotTo(HaveOccurred())
-		Expect(&one[0]).To(BeIdenticalTo(&other[0]))
-		var read feed.Update
-		Expect(cbor.Unmarshal(one, &read)).To(Succeed())
-		Expect(read.Fleet.Servers).To(Equal(first.Fleet.Servers))
+		Expect(&firstData[0]).To(BeIdenticalTo(&secondData[0]))
+		var decoded feed.Update
+		Expect(cbor.Unmarshal(firstData, &decoded)).To(Succeed())
+		Expect(decoded.Fleet.Servers).To(Equal(first.Fleet.Servers))
 		hub.Publish(feed.Update{Fleet: &feed.Fleet{Term: 1, Count: 2, Servers: []feed.Server{{ID: "b"}}}})
 		follow(hub, feed.FollowRequest{}, func(update feed.Update) bool { second = update; return true })
 		Expect(second.Fleet.Servers[0].ID).To(Equal("b"))
--- a/internal/feed/follower_test.go
+++ b/internal/feed/follower_test.go
@@ -15,7 +15,7 @@
 )
 
 var _ = Describe("a follower", func() {
-	// run follows a server of feeds until the test ends.
+	// run subscribes to a local server until the test ends.
 	run := func(handle func(rpc.Call), onUpdate func(feed.Update)) *feed.Follower {
 		listener, err := net.Listen("tcp4", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
@@ -29,31 +29,32 @@
 	}
 	publish := func(hub *feed.Hub, version int) { hub.Publish(feed.Update{Items: []config.Item{item("a", version)}}) }
 
-	It("gets the checkpoint that it asked for, whatever the earlier feed still brings", func() {
+	It("receives the snapshot that it requests, despite late updates of the previous subscription", func() {
 		hub := feed.NewHub()
 		publish(hub, 1)
-		got, release := make(chan feed.Update, 16), make(chan struct{})
+		received, release := make(chan feed.Update, 16), make(chan struct{})
 		follower := run(hub.Handle, func(update feed.Update) {
-			got <- update
+			received <- update
 			if !update.Snapshot {
 				<-release
 			}
 		})
-		Eventually(got).Should(Receive(HaveField("IsCheckpoint", true)))
+		Eventually(received).Should(Receive(HaveField("Snapshot", true)))
 		publish(hub, 2)
-		Eventually(got).Should(Receive(HaveField("IsCheckpoint", false)))
-		// The earlier feed is being taken still as the follower begins anew.
+		Eventually(received).Should(Receive(HaveField("Snapshot", false)))
+		// An update of the previous subscription is still being handled when the follower
+		// resubscribes.
 		follower.RequestSnapshot()
 		time.Sleep(50 * time.Millisecond)
 		close(release)
-		Eventually(got).Should(Receive(HaveField("IsCheckpoint", true)))
+		Eventually(received).Should(Receive(HaveField("Snapshot", true)))
 	})
 
-	It("skips no news that it cannot read, and leaves no feed behind", func() {
+	It("resubscribes after an update that it cannot decode, and ends the previous subscription", func() {
 		hub := feed.NewHub()
 		publish(hub, 1)
 		requests, ended := make(chan feed.FollowRequest, 16), make(chan struct{}, 16)
-		got := make(chan feed.Update, 16)
+		received := make(chan feed.Update, 16)
 		var passThrough atomic.Bool
 		follower := run(func(call rpc.Call) {
 			var from feed.FollowRequest
@@ -66,15 +67,15 @@
 				return
 			}
 			call.Reply(feed.Update{Incarnation: 7, Sequence: 1})
-			call.Reply("no news at all")
+			call.Reply("not an update")
 			call.Reply(feed.Update{Incarnation: 7, Sequence: 3})
 			go func() { <-call.Ended; ended <- struct{}{} }()
-		}, func(update feed.Update) { got <- update })
-		Eventually(requests).Should(Receive(HaveField("Place", uint64(0))))
-		Eventually(got).Should(Receive(HaveField("Place", uint64(1))))
-		Eventually(requests).Should(Receive(HaveField("Place", uint64(1))))
+		}, func(update feed.Update) { received <- update })
+		Eventually(requests).Should(Receive(HaveField("Sequence", uint64(0))))
+		Eventually(received).Should(Receive(HaveField("Sequence", uint64(1))))
+		Eventually(requests).Should(Receive(HaveField("Sequence", uint64(1))))
 		Eventually(ended).Should(Receive())
-		Eventually(got).Should(Receive(HaveField("IsCheckpoint", true)))
+		Eventually(received).Should(Receive(HaveField("Snapshot", true)))
 		Expect(hub.Followers()).To(Equal([]string{"one"}))
 		Eventually(follower.DisconnectedFor).Should(BeZero())
 	})
--- a/internal/feed/leaving_test.go
+++ b/internal/feed/leaving_test.go
@@ -9,35 +9,35 @@
 	"ploverhitch/internal/feed"
 )
 
-var _ = Describe("the news that servers leave", func() {
+var _ = Describe("the report of leaving servers", func() {
 	fleetOf := func(count uint64, servers ...feed.Server) *feed.Fleet {
 		return &feed.Fleet{Term: 1, Count: count, Servers: servers}
 	}
 	ready := func(id string) feed.Server { return feed.Server{ID: id, IsReady: true} }
 	draining := func(id string) feed.Server { return feed.Server{ID: id} }
 
-	It("names those that the fleet still calls ready or that nobody has seen leave, and no others", func() {
+	It("names only servers that the fleet still lists as ready or that were not seen leaving before", func() {
 		replica := feed.NewReplica()
 		replica.Merge(feed.Update{Fleet: fleetOf(1, ready("a"), draining("b"), ready("c"))})
 		listed := []feed.Server{draining("a"), draining("b"), ready("c"), draining("d")}
 		Expect(replica.UnreportedLeaving(listed)).To(Equal([]string{"a", "d"}))
 		replica.Merge(feed.Update{Leaving: []string{"a", "d"}})
-		// What was told of a server that the fleet calls ready may be lost on its way.
+		// A report on a server that the fleet lists as ready may have been lost.
 		Expect(replica.UnreportedLeaving(listed)).To(Equal([]string{"a"}))
 		replica.Merge(feed.Update{Fleet: fleetOf(2, draining("a"), draining("b"), ready("c"))})
 		Expect(replica.UnreportedLeaving(listed)).To(BeEmpty())
 	})
 
-	It("is passed on once, stands in a checkpoint, and is undone by no fleet", func() {
+	It("is forwarded once, is part of snapshots, and is not reverted by any fleet", func() {
 		hub := feed.NewHub()
 		hub.Publish(feed.Update{Fleet: fleetOf(1, ready("a"), ready("b"))})
-		var got []feed.Update
-		follow(hub, feed.FollowRequest{}, func(update feed.Update) bool { got = append(got, update); return true })
+		var received []feed.Update
+		follow(hub, feed.FollowRequest{}, func(update feed.Update) bool { received = append(received, update); return true })
 		for range 2 {
 			hub.Publish(feed.Update{Leaving: []string{"a", "unknown"}})
 		}
-		Expect(got).To(HaveLen(2))
-		Expect(got[1].Leaving).To(Equal([]string{"a", "unknown"}))
+		Expect(received).To(HaveLen(2))
+		Expect(received[1].Leaving).To(Equal([]string{"a", "unknown"}))
 		var snapshot feed.Update
 		readSnapshot := func() {
 			follow(hub, feed.FollowRequest{}, func(update feed.Update) bool { snapshot = update; return true })
@@ -53,8 +53,8 @@
 			})
 			return out
 		}
-		// Neither one that was read before, nor one that says so itself, nor an older
-		// list under a new term.
+		// The fleets: one that was read earlier, one that shows the server leaving, and an
+		// older list under a new term.
 		for count, fleet := range []*feed.Fleet{
 			fleetOf(2, ready("a"), ready("b"), ready("c")), fleetOf(3, draining("a"), draining("b")),
 			{Term: 2, Count: 1, Servers: []feed.Server{ready("a"), ready("b"), ready("c")}},
@@ -66,11 +66,11 @@
 		}
 		Expect(readiness()).To(Equal(map[string]bool{"a": false, "b": false, "c": true}))
 		hub.Read(func(replica *feed.Replica) {
-			Expect(replica.Fleet.Servers).To(HaveEach(HaveField("IsReady", true)), "the fleet itself stays as it was told, as changes are told against it")
+			Expect(replica.Fleet.Servers).To(HaveEach(HaveField("IsReady", true)), "the fleet itself stays as received, as diffs apply to it")
 		})
 	})
 
-	It("is remembered for a bounded number of servers, the newest of them", func() {
+	It("is remembered for a bounded number of servers, the most recent ones", func() {
 		replica := feed.NewReplica()
 		const reported = 5000
 		for i := range reported {
@@ -82,8 +82,8 @@
 	})
 })
 
-var _ = Describe("a list that changed while it was paged", func() {
-	It("names a server once, and one that any page shows leaving as leaving", func() {
+var _ = Describe("a listing that changed while it was paged", func() {
+	It("contains each server once, as leaving if any page shows it leaving", func() {
 		listed := []feed.Server{{ID: "b", IsReady: true}, {ID: "a", IsReady: true}, {ID: "b"}, {ID: "c", IsReady: true}, {ID: "c", IsReady: true}}
 		Expect(feed.Normalize(nil, listed)).To(Equal([]feed.Server{{ID: "a", IsReady: true}, {ID: "b"}, {ID: "c", IsReady: true}}))
 	})
--- a/internal/feed/replica.go
+++ b/internal/feed/replica.go
@@ -79,12 +79,12 @@
 		changed = true
 	}
 	if update.Fleet != nil && r.CanApply(update) && update.Fleet.Version().NewerThan(r.Fleet.Version()) {
-		whole := *update.Fleet
-		if whole.Base != nil {
-			whole = r.Fleet.Apply(whole)
+		fleet := *update.Fleet
+		if fleet.Base != nil {
+			fleet = r.Fleet.Apply(fleet)
 		}
-		r.Fleet, fresh.Fleet, changed = whole, &whole, true
-		r.addLeavingFrom(whole.Servers)
+		r.Fleet, fresh.Fleet, changed = fleet, &fleet, true
+		r.addLeavingFrom(fleet.Servers)
 	}
 	if fresh.Leaving = r.addLeaving(update.Leaving); len(fresh.Leaving) > 0 {
 		changed = true
--- a/internal/feed/replica_fuzz_test.go
+++ b/internal/feed/replica_fuzz_test.go
@@ -8,8 +8,8 @@
 	"ploverhitch/internal/feed"
 )
 
-// FuzzMerge holds that no news that can be read, whatever it claims, brings a board
-// down, and that a board never goes back.
+// FuzzMerge checks that no decodable update, whatever its content, makes a replica panic
+// or replaces its fleet by an older one.
 func FuzzMerge(f *testing.F) {
 	held := feed.Fleet{Term: 1, Count: 1, Servers: []feed.Server{{ID: "a"}, {ID: "b", RelativeLatency: 3}}}
 	next := feed.Fleet{Term: 1, Count: 2, Servers: []feed.Server{{ID: "b", RelativeLatency: 4}, {ID: "c"}}}
@@ -34,7 +34,7 @@
 		before := replica.Fleet.Version()
 		replica.Merge(update)
 		if before.NewerThan(replica.Fleet.Version()) {
-			t.Fatalf("the fleet went back from %v to %v", before, replica.Fleet.Version())
+			t.Fatalf("the fleet version went back from %v to %v", before, replica.Fleet.Version())
 		}
 		_ = replica.Snapshot()
 	})
