--- a/internal/balancer/siding.go
+++ b/internal/balancer/siding.go
@@ -105,7 +105,7 @@
 //
 // Example:
 //
-//	siding.End(balancer.Served, took, usual, clock.Steady())
+//	siding.End(balancer.Served, took, usual, clock.Monotonic())
 func (s *Siding) End(outcome Outcome, took, usual time.Duration, now clock.Instant) {
 	s.atWork.Add(-1)
 	switch outcome {
--- a/internal/balancer/yard.go
+++ b/internal/balancer/yard.go
@@ -69,7 +69,7 @@
 //
 // Example:
 //
-//	if feed.IsKeptAs(fleet.Servers, servers) { yard.Hear(fleet) }
+//	if feed.EqualIgnoringHealth(fleet.Servers, servers) { yard.Hear(fleet) }
 func (y *Yard) Hear(fleet feed.Fleet) {
 	for _, server := range fleet.Servers {
 		if siding := y.byID[server.ID]; siding != nil {
--- a/internal/control/lease/grantor.go
+++ b/internal/control/lease/grantor.go
@@ -38,7 +38,7 @@
 //
 // Example:
 //
-//	grantor.Wait(clock.Steady())
+//	grantor.Wait(clock.Monotonic())
 func (g *Grantor) Wait(now clock.Instant) {
 	g.promisedTo, g.until = "", max(g.until, now+g.span)
 }
@@ -49,7 +49,7 @@
 //
 // Example:
 //
-//	isGranted := grantor.Claim(held, wanted, clock.Steady())
+//	isGranted := grantor.Claim(held, wanted, clock.Monotonic())
 func (g *Grantor) Claim(held, wanted membership.Term, now clock.Instant) bool {
 	if wanted.Number <= held.Number {
 		return false
@@ -67,7 +67,7 @@
 //
 // Example:
 //
-//	isRenewed := grantor.Renew(held, term, clock.Steady())
+//	isRenewed := grantor.Renew(held, term, clock.Monotonic())
 func (g *Grantor) Renew(held, term membership.Term, now clock.Instant) bool {
 	if held != term {
 		return false
--- a/internal/control/lease/holder.go
+++ b/internal/control/lease/holder.go
@@ -49,7 +49,7 @@
 //
 // Example:
 //
-//	round := holder.Start(term, view, clock.Steady())
+//	round := holder.Start(term, view, clock.Monotonic())
 func (h *Holder) Start(term uint64, view membership.View, now clock.Instant) Round {
 	if term <= h.ended {
 		return 0
@@ -91,7 +91,7 @@
 //
 // Example:
 //
-//	if holder.Remaining(term, clock.Steady()) == 0 { return }
+//	if holder.Remaining(term, clock.Monotonic()) == 0 { return }
 func (h *Holder) Remaining(term uint64, now clock.Instant) time.Duration {
 	if term == 0 || term != h.term || now >= h.until {
 		return 0
--- a/internal/control/listing/pace.go
+++ b/internal/control/listing/pace.go
@@ -39,7 +39,7 @@
 //
 // Example:
 //
-//	wait := window.Reserve(clock.Steady(), pace.Burst())
+//	wait := window.Reserve(clock.Monotonic(), pace.Burst())
 func (p Pace) Burst() float64 { return p.Rate * burst }
 
 // Next is when the reading after one of so many calls begins. The calls of a reading
--- a/internal/control/listing/watch.go
+++ b/internal/control/listing/watch.go
@@ -35,7 +35,7 @@
 //
 // Example:
 //
-//	watch := listing.NewWatch(clock.Steady())
+//	watch := listing.NewWatch(clock.Monotonic())
 func NewWatch(now clock.Instant) *Watch {
 	return &Watch{began: now, heard: map[string]clock.Instant{}, due: map[string]clock.Instant{}}
 }
@@ -45,7 +45,7 @@
 //
 // Example:
 //
-//	watch.Hear("10.0.0.2:7200", 800*time.Millisecond, clock.Steady())
+//	watch.Hear("10.0.0.2:7200", 800*time.Millisecond, clock.Monotonic())
 func (w *Watch) Hear(member string, next time.Duration, now clock.Instant) {
 	// What was told earlier may come later, over a line that was made anew.
 	w.due[member], w.heard[member] = max(w.due[member], now+clock.Instant(next)), now
@@ -55,7 +55,7 @@
 //
 // Example:
 //
-//	watch.Read(180*time.Millisecond, clock.Steady())
+//	watch.Read(180*time.Millisecond, clock.Monotonic())
 func (w *Watch) Read(age time.Duration, now clock.Instant) {
 	if began := now - clock.Instant(age); !w.isRead || began > w.readAt {
 		w.readAt, w.isRead = began, true
@@ -67,7 +67,7 @@
 //
 // Example:
 //
-//	age, ok := watch.Age(clock.Steady())
+//	age, ok := watch.Age(clock.Monotonic())
 func (w *Watch) Age(now clock.Instant) (age time.Duration, ok bool) {
 	return time.Duration(now - w.readAt), w.isRead
 }
@@ -76,7 +76,7 @@
 //
 // Example:
 //
-//	isAlone := watch.Silence(self, clock.Steady()) > 4*time.Second
+//	isAlone := watch.Silence(self, clock.Monotonic()) > 4*time.Second
 func (w *Watch) Silence(self string, now clock.Instant) time.Duration {
 	latest := w.began
 	for member, at := range w.heard {
@@ -108,7 +108,7 @@
 //
 // Example:
 //
-//	if share := watch.Share(view, holder, self, clock.Steady()); share > 0 { read(share) }
+//	if share := watch.Share(view, holder, self, clock.Monotonic()); share > 0 { read(share) }
 func (w *Watch) Share(view membership.View, holder, self string, now clock.Instant) float64 {
 	rank := Rank(view, holder, self)
 	if rank < 0 {
--- a/internal/control/listing/window.go
+++ b/internal/control/listing/window.go
@@ -21,7 +21,7 @@
 //
 // Example:
 //
-//	wait := window.Reserve(clock.Steady(), 30)
+//	wait := window.Reserve(clock.Monotonic(), 30)
 func (w *Window) Reserve(now clock.Instant, perSecond float64) (wait time.Duration) {
 	for len(w.reserved) > 0 && w.reserved[0]+windowSpan <= now {
 		w.reserved = w.reserved[1:]
--- a/internal/control/registry/genesis.go
+++ b/internal/control/registry/genesis.go
@@ -27,7 +27,7 @@
 }
 
 // losers are the routes whose host and prefix another route holds: the one of
-// the higher version, then of the greater name, as config.Compile has it.
+// the higher version, then of the greater name, as config.ItemSet.Compile has it.
 func losers(book config.ItemSet) (out []config.Item) {
 	holders := map[string]config.Item{}
 	for _, item := range book.Items() {
--- a/internal/trial/state.go
+++ b/internal/trial/state.go
@@ -145,7 +145,7 @@
 //
 // Example:
 //
-//	next, isDone := state.Order("v2", clock.Span(12*time.Second))
+//	next, isDone := state.Order("v2", clock.Duration(12*time.Second))
 func (s State) Order(target string, duration clock.Duration) (next State, isDone bool) {
 	if next, isDone = s.Step(Ordered, "", 0); !isDone {
 		return s, false
