--- a/cmd/measure/measures.go
+++ b/cmd/measure/measures.go
@@ -8,13 +8,13 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"ploverhitch/internal/balancer"
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/idempotency"
 	"ploverhitch/internal/outlier"
 	"ploverhitch/internal/rpc"
 	"ploverhitch/internal/shedding"
-	"ploverhitch/internal/timetable"
 )
 
 func measures() []measure {
@@ -36,11 +36,11 @@
 }
 
 func fleetOf(count int, reading uint64, pace int) feed.Fleet {
-	fleet := feed.Fleet{Term: 1, Count: reading, Holder: "10.1.0.42:7200", Proxies: 100}
+	fleet := feed.Fleet{Term: 1, Count: reading, Leader: "10.1.0.42:7200", Proxies: 100}
 	for id := range count {
 		fleet.Servers = append(fleet.Servers, feed.Server{
 			ID: fmt.Sprintf("i-%010x", id), Service: fmt.Sprint("service-", id%(count/32)), Address: fmt.Sprintf("10.%d.%d.%d:8080", id>>16&255, id>>8&255, id&255),
-			Cell: fmt.Sprint("cell-", id%20), Capacity: 2, IsReady: true, Revision: "v1", Pace: pace,
+			Zone: fmt.Sprint("cell-", id%20), Capacity: 2, IsReady: true, Revision: "v1", RelativeLatency: pace,
 		})
 	}
 	return fleet
@@ -61,7 +61,7 @@
 
 func paces(size int) result {
 	old, next := fleetOf(size, 1, 8), fleetOf(size, 2, 9)
-	return result{written(next.ChangeOf(old)), repeated(func() { old.With(next.ChangeOf(old)) })}
+	return result{written(next.DiffFrom(old)), repeated(func() { old.Apply(next.DiffFrom(old)) })}
 }
 
 func yard(size int) result {
@@ -82,17 +82,17 @@
 	return result{0, repeated(func() { laid.UpdateHealth(next) })}
 }
 
-func bookOf(size int) config.Book {
+func bookOf(size int) config.ItemSet {
 	var items []config.Item
 	for at := range size {
 		name := fmt.Sprint("lane-", at)
 		body, _ := json.Marshal(config.RouteSpec{
-			Name: name, PathPrefix: "/" + name + "/", RouteType: config.Safe, Timeout: timetable.Span(time.Second), TargetLatency: timetable.Span(time.Second),
+			Name: name, PathPrefix: "/" + name + "/", RouteType: config.Safe, Timeout: clock.Duration(time.Second), TargetLatency: clock.Duration(time.Second),
 			Service: fmt.Sprint("service-", at%40), MaxAttempts: 2, Revision: 1,
 		})
 		items = append(items, config.Item{ID: config.ID{Class: config.RouteItem, Name: name}, Version: 1, Host: fmt.Sprint("h", at%400, ".example"), Body: body})
 	}
-	book := config.Book{}
+	book := config.ItemSet{}
 	book.Merge(items)
 	return book
 }
@@ -104,7 +104,7 @@
 }
 
 func book(size int) result {
-	bytes, kept := held(func() config.Book { return bookOf(size) })
+	bytes, kept := held(func() config.ItemSet { return bookOf(size) })
 	return result{bytes, repeated(func() { kept.Digest() })}
 }
 
@@ -136,24 +136,24 @@
 func followers(size int) result {
 	fleet := fleetOf(1000, 1, 8)
 	hub := feed.NewHub()
-	hub.Publish(feed.News{Fleet: &fleet})
+	hub.Publish(feed.Update{Fleet: &fleet})
 	bytes := 0
-	follow, _ := cbor.Marshal(feed.Follow{Name: "edge"})
+	follow, _ := cbor.Marshal(feed.FollowRequest{Name: "edge"})
 	for range size {
 		hub.Handle(rpc.Call{Body: follow, Ended: make(chan struct{}), Reply: func(news any) bool {
-			bytes += len(news.(feed.News).Packed())
+			bytes += len(news.(feed.Update).Encoded())
 			return true
 		}})
 	}
 	bytes = 0
 	next := fleetOf(1000, 2, 9)
-	hub.Publish(feed.News{Fleet: &next})
+	hub.Publish(feed.Update{Fleet: &next})
 	sent := bytes
 	reading, pace := uint64(2), 8
 	return result{sent, repeated(func() {
 		reading, pace = reading+1, 17-pace
 		fleet := fleetOf(1000, reading, pace)
-		hub.Publish(feed.News{Fleet: &fleet})
+		hub.Publish(feed.Update{Fleet: &fleet})
 	})}
 }
 
@@ -166,7 +166,7 @@
 }
 
 func reports(size int) result {
-	court, number := outlier.NewAggregator(timetable.Real()), uint64(0)
+	court, number := outlier.NewAggregator(clock.Real()), uint64(0)
 	bytes := 0
 	for proxy := range size {
 		bytes += written(reportOf(proxy, 1))
@@ -181,7 +181,7 @@
 }
 
 func cutoff(size int) result {
-	gauge := shedding.NewGauge(timetable.Real(), func() uint64 { return 1 })
+	gauge := shedding.NewGauge(clock.Real(), func() uint64 { return 1 })
 	loads := []shedding.Load{{Service: "a", Offered: 9, Sent: 9, Turned: 3}, {Service: "b", Tier: 1, Offered: 9, Sent: 9}}
 	return result{size * written(loads), repeated(func() {
 		for proxy := range size {
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -9,13 +9,13 @@
 
 	"github.com/juju/errors"
 
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/membership"
 	"ploverhitch/internal/messages"
 	"ploverhitch/internal/rpc"
 	"ploverhitch/internal/settings"
-	"ploverhitch/internal/timetable"
 )
 
 const (
@@ -31,23 +31,23 @@
 // told is one piece of news and the core node that told it.
 type told struct {
 	from string
-	news feed.News
+	news feed.Update
 }
 
 // desk owns what the agent knows.
 type desk struct {
 	set       *settings.Settings
-	clock     timetable.Clock
+	clock     clock.Clock
 	hub       *feed.Hub
-	loop      *timetable.Loop[told]
+	loop      *clock.Loop[told]
 	following map[string]context.CancelFunc
 	lines     map[string]*rpc.Line
 	followers map[string]*feed.Follower
 	// gaps are the readings that a node told changes of, and that did not fit.
-	gaps map[string]feed.Reading
+	gaps map[string]feed.FleetVersion
 	// heard are the nodes that gave their checkpoint.
 	heard map[string]bool
-	began timetable.Steady
+	began clock.Instant
 	whole bool
 	note  Note
 	next  chan *settings.Settings
@@ -55,7 +55,7 @@
 	// chosen; wellAt is since when all of the chosen have told.
 	spareFor membership.Epoch
 	spares   int
-	wellAt   timetable.Steady
+	wellAt   clock.Instant
 }
 
 // LoopbackAddress is where the agent of a machine feeds its proxy.
@@ -74,11 +74,11 @@
 //	err := agent.Run(ctx, set, path, note)
 func Run(ctx context.Context, set *settings.Settings, path string, note Note) error {
 	d := &desk{
-		set: set, clock: timetable.Real(), hub: feed.NewHub(), loop: timetable.NewLoop[told](256),
+		set: set, clock: clock.Real(), hub: feed.NewHub(), loop: clock.NewLoop[told](256),
 		note: note, following: map[string]context.CancelFunc{}, lines: map[string]*rpc.Line{}, heard: map[string]bool{},
-		followers: map[string]*feed.Follower{}, gaps: map[string]feed.Reading{}, next: make(chan *settings.Settings, 1),
+		followers: map[string]*feed.Follower{}, gaps: map[string]feed.FleetVersion{}, next: make(chan *settings.Settings, 1),
 	}
-	d.began = d.clock.Steady()
+	d.began = d.clock.Monotonic()
 	listener, err := net.Listen("tcp4", LoopbackAddress(set))
 	if err != nil {
 		return errors.Annotate(err, "loopback")
@@ -95,13 +95,13 @@
 // make what is published whole.
 func (d *desk) merge(batch []told) {
 	for _, t := range batch {
-		t.news.IsWhole = false
+		t.news.Complete = false
 		isFitting := true
-		if d.hub.Read(func(board *feed.Board) { isFitting = board.Fits(t.news) }); !isFitting {
-			d.gaps[t.from] = t.news.Fleet.Reading()
+		if d.hub.Read(func(board *feed.Replica) { isFitting = board.CanApply(t.news) }); !isFitting {
+			d.gaps[t.from] = t.news.Fleet.Version()
 		}
 		d.hub.Publish(t.news)
-		if t.news.IsCheckpoint {
+		if t.news.Snapshot {
 			d.heard[t.from] = true
 			d.retell(t)
 		}
@@ -112,10 +112,10 @@
 // retell brings a core node the items that it lacks and this agent holds,
 // as after a loss that was larger than the core can mend by itself.
 func (d *desk) retell(t told) {
-	lacking := config.Book{}
+	lacking := config.ItemSet{}
 	lacking.Merge(t.news.Items)
 	var items []config.Item
-	d.hub.Read(func(board *feed.Board) { items = lacking.Newer(board.Book.Items()) })
+	d.hub.Read(func(board *feed.Replica) { items = lacking.Newer(board.Items.Items()) })
 	if line := d.lines[t.from]; line != nil && len(items) > 0 {
 		d.note("info", "retelling items", "to", t.from, "items", len(items))
 		line.Send(messages.KindOffer, messages.Offer{Items: items}, nil)
@@ -125,23 +125,23 @@
 // fill asks for a checkpoint where a change did not fit and nobody else has
 // brought what it led to by now.
 func (d *desk) fill() {
-	var held feed.Reading
-	d.hub.Read(func(board *feed.Board) { held = board.Fleet.Reading() })
+	var held feed.FleetVersion
+	d.hub.Read(func(board *feed.Replica) { held = board.Fleet.Version() })
 	for address, reading := range d.gaps {
-		if follower := d.followers[address]; follower != nil && reading.Outranks(held) {
-			follower.Again()
+		if follower := d.followers[address]; follower != nil && reading.NewerThan(held) {
+			follower.RequestSnapshot()
 		}
 		delete(d.gaps, address)
 	}
 }
 
 func (d *desk) view() (view membership.View) {
-	d.hub.Read(func(board *feed.Board) { view = board.View })
+	d.hub.Read(func(board *feed.Replica) { view = board.View })
 	return view
 }
 
 func (d *desk) holdsItems() (isHeld bool) {
-	d.hub.Read(func(board *feed.Board) { isHeld = len(board.Book) > 0 })
+	d.hub.Read(func(board *feed.Replica) { isHeld = len(board.Items) > 0 })
 	return isHeld
 }
 
@@ -159,10 +159,10 @@
 	// A core without a majority can keep nothing new; after a while what one
 	// node tells is better than serving nobody.
 	// Without any items, though, every answer would be a wrong 404.
-	isLate := d.clock.Steady()-d.began > timetable.Steady(d.set.Platform.Bounds.Contact) && len(d.heard) > 0 && d.holdsItems()
+	isLate := d.clock.Monotonic()-d.began > clock.Instant(d.set.Platform.Bounds.Contact) && len(d.heard) > 0 && d.holdsItems()
 	if d.whole = isMajority || isLate; d.whole {
 		d.note("info", "the news is whole", "heard", count, "late", isLate)
-		d.hub.Publish(feed.News{IsWhole: true})
+		d.hub.Publish(feed.Update{Complete: true})
 	}
 }
 
@@ -198,7 +198,7 @@
 	line := rpc.NewLine(address, connectSpan, silenceSpan)
 	d.lines[address] = line
 	name := d.set.Platform.NodeName + "@" + d.set.InternalAddress(d.set.Platform.Ip, 1)
-	follower := feed.NewFollower(name, line, func(news feed.News) { d.loop.Put(told{address, news}) }, followPause)
+	follower := feed.NewFollower(name, line, func(news feed.Update) { d.loop.Put(told{address, news}) }, followPause)
 	d.followers[address] = follower
 	go follower.Run(follow)
 }
--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -9,8 +9,8 @@
 	. "github.com/onsi/gomega"
 
 	"ploverhitch/internal/balancer"
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/feed"
-	"ploverhitch/internal/timetable"
 )
 
 func TestBalancer(t *testing.T) {
@@ -29,7 +29,7 @@
 	It("never allows more retries in a window than its share of the requests", func() {
 		const ratio, floor, window = 0.2, 2.0, 10 * time.Second
 		random := rand.New(rand.NewPCG(6, 6))
-		clock := &timetable.Hand{}
+		clock := &clock.Manual{}
 		budget := balancer.NewRetryBudget(ratio, window, func() float64 { return floor }, clock)
 		var requests, retries []time.Duration
 		within := func(times []time.Duration, from time.Duration) (count float64) {
@@ -72,10 +72,10 @@
 var emptySet = balancer.NewServerSet(balancer.Locality{Node: "n", Zone: "c1"})
 
 func server(id, zone string) feed.Server {
-	return feed.Server{ID: id, Service: "s", Address: "127.0.0.1:1", Cell: zone, Capacity: 2, IsReady: true}
+	return feed.Server{ID: id, Service: "s", Address: "127.0.0.1:1", Zone: zone, Capacity: 2, IsReady: true}
 }
 
-func countChoices(set *balancer.ServerSet, criteria balancer.Criteria, clock *timetable.Hand) map[string]int {
+func countChoices(set *balancer.ServerSet, criteria balancer.Criteria, clock *clock.Manual) map[string]int {
 	counts := map[string]int{}
 	for range 200 {
 		if endpoint := set.Choose(criteria, clock); endpoint != nil {
@@ -87,7 +87,7 @@
 
 var _ = Describe("Choose", func() {
 	It("respects readiness, failures, misdirected responses, earlier attempts and zones", func() {
-		clock := &timetable.Hand{}
+		clock := &clock.Manual{}
 		criteria := balancer.Criteria{Service: "s", ZoneCost: 5 * time.Millisecond}
 		draining := server("d", "c1")
 		draining.IsReady = false
@@ -95,21 +95,21 @@
 		Expect(countChoices(set, criteria, clock)).To(Equal(map[string]int{"a": 200}))
 		local := set.Choose(criteria, clock)
 		local.Begin()
-		local.End(balancer.Failed, time.Second, 0, clock.Steady())
+		local.End(balancer.Failed, time.Second, 0, clock.Monotonic())
 		Expect(countChoices(set, criteria, clock)).To(Equal(map[string]int{"b": 200}))
 		clock.Sleep(time.Second)
 		Expect(countChoices(set, criteria, clock)).To(Equal(map[string]int{"a": 200}))
 		local.Begin()
-		local.End(balancer.Misdirected, 0, 0, clock.Steady())
+		local.End(balancer.Misdirected, 0, 0, clock.Monotonic())
 		Expect(countChoices(set, criteria, clock)).To(Equal(map[string]int{"b": 200}))
 		criteria.Tried = []*balancer.Endpoint{set.Choose(criteria, clock)}
 		Expect(set.Choose(criteria, clock)).To(BeNil())
 	})
 
 	It("prefers servers that are neither warming nor busy", func() {
-		clock := &timetable.Hand{}
+		clock := &clock.Manual{}
 		warming := server("w", "c1")
-		warming.WarmMs = clock.Wall().Add(time.Second).UnixMilli()
+		warming.WarmupEndMs = clock.Wall().Add(time.Second).UnixMilli()
 		set := emptySet.WithFleet(fleet(server("a", "c1"), warming))
 		criteria := balancer.Criteria{Service: "s"}
 		Expect(countChoices(set, criteria, clock)).To(Equal(map[string]int{"a": 200}))
@@ -121,7 +121,7 @@
 	})
 
 	It("does not exceed the limit of requests in flight to a server", func() {
-		clock := &timetable.Hand{}
+		clock := &clock.Manual{}
 		set := emptySet.WithFleet(fleet(server("a", "c1")))
 		criteria := balancer.Criteria{Service: "s", MaxInFlight: 2}
 		first := set.Choose(criteria, clock)
@@ -130,31 +130,31 @@
 		Expect(set.Choose(criteria, clock)).To(BeNil())
 		criteria.HasPosition = true
 		Expect(set.Choose(criteria, clock)).To(BeNil())
-		first.End(balancer.Served, time.Millisecond, 0, clock.Steady())
+		first.End(balancer.Served, time.Millisecond, 0, clock.Monotonic())
 		Expect(set.Choose(criteria, clock)).NotTo(BeNil())
 	})
 
 	It("counts the local zone as degraded by lost and failing servers, not by overloaded ones", func() {
-		clock := &timetable.Hand{}
+		clock := &clock.Manual{}
 		set := emptySet.WithFleet(fleet(server("a", "c1"), server("b", "c1"), server("z", "c2")))
 		criteria := balancer.Criteria{Service: "s"}
 		Expect(set.LocalZoneDegraded("s")).To(BeFalse())
 		first := set.Choose(criteria, clock)
 		first.Begin()
-		first.End(balancer.Overloaded, 0, 0, clock.Steady())
+		first.End(balancer.Overloaded, 0, 0, clock.Monotonic())
 		Expect(set.LocalZoneDegraded("s")).To(BeFalse())
 		first.Begin()
-		first.End(balancer.Failed, 0, 0, clock.Steady())
+		first.End(balancer.Failed, 0, 0, clock.Monotonic())
 		Expect(set.LocalZoneDegraded("s")).To(BeTrue())
 		first.Begin()
-		first.End(balancer.Served, time.Millisecond, 0, clock.Steady())
+		first.End(balancer.Served, time.Millisecond, 0, clock.Monotonic())
 		Expect(set.LocalZoneDegraded("s")).To(BeFalse())
 		Expect(set.WithFleet(fleet(server("z", "c2"))).LocalZoneDegraded("s")).To(BeTrue())
 		Expect(emptySet.WithFleet(fleet(server("z", "c2"))).LocalZoneDegraded("s")).To(BeFalse())
 	})
 
 	It("keeps the observed state of a server when its listing changes", func() {
-		clock := &timetable.Hand{}
+		clock := &clock.Manual{}
 		set := emptySet.WithFleet(fleet(server("a", "c1")))
 		set.Choose(balancer.Criteria{Service: "s"}, clock).End(balancer.Misdirected, 0, 0, 0)
 		changed := server("a", "c1")
--- a/internal/balancer/choose.go
+++ b/internal/balancer/choose.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"time"
 
-	"ploverhitch/internal/timetable"
+	"ploverhitch/internal/clock"
 )
 
 // Criteria describe which server a request needs.
@@ -49,7 +49,7 @@
 type selection struct {
 	criteria                Criteria
 	zone                    string
-	now                     timetable.Steady
+	now                     clock.Instant
 	wallTime                time.Time
 	best, first             *Endpoint
 	bestCost                float64
@@ -73,7 +73,7 @@
 	}
 	switch {
 	case cost >= float64(time.Minute):
-	case endpoint.Cell == c.zone:
+	case endpoint.Zone == c.zone:
 		c.localCount++
 	default:
 		c.remoteCount++
@@ -85,8 +85,8 @@
 // sample of the node's subset, or, for an operation with a ring position, its home
 // server and the servers that follow on the ring. The home server is kept unless it is
 // clearly worse.
-func (s *ServerSet) Choose(criteria Criteria, clock timetable.Clock) *Endpoint {
-	c := &selection{criteria: criteria, zone: s.locality.Zone, now: clock.Steady(), wallTime: clock.Wall(), bestCost: math.Inf(1)}
+func (s *ServerSet) Choose(criteria Criteria, clock clock.Clock) *Endpoint {
+	c := &selection{criteria: criteria, zone: s.locality.Zone, now: clock.Monotonic(), wallTime: clock.Wall(), bestCost: math.Inf(1)}
 	service := s.service(criteria.Service)
 	if criteria.Canary {
 		service = s.service(canaryName(criteria.Service))
--- a/internal/balancer/endpoint.go
+++ b/internal/balancer/endpoint.go
@@ -5,8 +5,8 @@
 	"sync/atomic"
 	"time"
 
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/feed"
-	"ploverhitch/internal/timetable"
 	"ploverhitch/internal/upstream"
 )
 
@@ -65,14 +65,14 @@
 
 // updateHealth applies the parts of the listing that may change without a new Endpoint.
 func (e *Endpoint) updateHealth(server feed.Server) {
-	e.fleetLatencyRatio.Store(int64(server.Pace))
-	e.ejected.Store(server.IsAside)
+	e.fleetLatencyRatio.Store(int64(server.RelativeLatency))
+	e.ejected.Store(server.Ejected)
 }
 
 // sameListing reports whether the listing is unchanged except for what updateHealth
 // applies.
 func (e *Endpoint) sameListing(server feed.Server) bool {
-	server.Pace, server.IsAside = e.Pace, e.IsAside
+	server.RelativeLatency, server.Ejected = e.RelativeLatency, e.Ejected
 	return e.Server == server
 }
 
@@ -98,7 +98,7 @@
 
 // End records the outcome and the latency of an attempt; usual is the usual latency of
 // the route's responses, or 0 if unknown.
-func (e *Endpoint) End(outcome Outcome, latency, usual time.Duration, now timetable.Steady) {
+func (e *Endpoint) End(outcome Outcome, latency, usual time.Duration, now clock.Instant) {
 	e.inFlight.Add(-1)
 	switch outcome {
 	case Served:
@@ -132,13 +132,13 @@
 
 // cost returns the expected delay of one more request, in nanoseconds. An avoided or
 // ejected server costs an hour more.
-func (e *Endpoint) cost(now timetable.Steady, wallTime time.Time, zone string, criteria Criteria) float64 {
+func (e *Endpoint) cost(now clock.Instant, wallTime time.Time, zone string, criteria Criteria) float64 {
 	latency := e.combinedLatencyRatio() * float64(max(criteria.UsualLatency, minUsualLatency))
 	cost := latency * (1 + float64(e.inFlight.Load())/float64(max(1, e.Capacity)))
-	if e.WarmLeft(wallTime) > 0 {
+	if e.WarmupRemaining(wallTime) > 0 {
 		cost += latency * warmingPenalty
 	}
-	if e.Cell != zone {
+	if e.Zone != zone {
 		cost += float64(criteria.ZoneCost)
 	}
 	ejected := e.ejected.Load()
--- a/internal/balancer/leaving_server_test.go
+++ b/internal/balancer/leaving_server_test.go
@@ -7,15 +7,15 @@
 	. "github.com/onsi/gomega"
 
 	"ploverhitch/internal/balancer"
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/feed"
-	"ploverhitch/internal/timetable"
 )
 
 var _ = Describe("a server that is reported to be leaving", func() {
 	It("is never chosen again, with or without a ring position, even if the fleet state lists it as ready for an hour", func() {
-		clock := &timetable.Hand{Now: time.Hour}
+		clock := &clock.Manual{Now: time.Hour}
 		fleet := feed.Fleet{Term: 1, Count: 1, Servers: []feed.Server{
-			{ID: "a", Service: "s", Cell: "z", Capacity: 2, IsReady: true}, {ID: "b", Service: "s", Cell: "z", Capacity: 2, IsReady: true},
+			{ID: "a", Service: "s", Zone: "z", Capacity: 2, IsReady: true}, {ID: "b", Service: "s", Zone: "z", Capacity: 2, IsReady: true},
 		}}
 		set := balancer.NewServerSet(balancer.Locality{Node: "n", Zone: "z"}).WithFleet(fleet)
 		set.MarkLeaving([]string{"a", "unknown"})
--- a/internal/balancer/retry_budget.go
+++ b/internal/balancer/retry_budget.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"ploverhitch/internal/timetable"
+	"ploverhitch/internal/clock"
 )
 
 // RetryBudget limits one node's retries for one service to a ratio of its own requests
@@ -15,12 +15,12 @@
 type RetryBudget struct {
 	ratio       float64
 	minimum     func() float64
-	bucketWidth timetable.Steady
+	bucketWidth clock.Instant
 	mu          sync.Mutex
 	current     int64
 	requests    [budgetBuckets]float64
 	retries     [budgetBuckets]float64
-	now         func() timetable.Steady
+	now         func() clock.Instant
 }
 
 const (
@@ -49,8 +49,8 @@
 
 // NewRetryBudget returns an empty budget. minimum returns the number of retries per
 // window that are allowed regardless of the number of requests.
-func NewRetryBudget(ratio float64, window time.Duration, minimum func() float64, clock timetable.Clock) *RetryBudget {
-	return &RetryBudget{ratio: ratio, minimum: minimum, bucketWidth: timetable.Steady(window) / (budgetBuckets - 1), now: clock.Steady}
+func NewRetryBudget(ratio float64, window time.Duration, minimum func() float64, timeSource clock.Clock) *RetryBudget {
+	return &RetryBudget{ratio: ratio, minimum: minimum, bucketWidth: clock.Instant(window) / (budgetBuckets - 1), now: timeSource.Monotonic}
 }
 
 // advance moves to the current bucket, clears the buckets passed on the way and returns
--- a/internal/balancer/retry_budget_test.go
+++ b/internal/balancer/retry_budget_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/gomega"
 
 	"ploverhitch/internal/balancer"
-	"ploverhitch/internal/timetable"
+	"ploverhitch/internal/clock"
 )
 
 // arrivals counts events per millisecond.
@@ -33,7 +33,7 @@
 		)
 		for seed := uint64(1); seed <= 20; seed++ {
 			random := rand.New(rand.NewPCG(seed, 5))
-			clock := &timetable.Hand{}
+			clock := &clock.Manual{}
 			budget := balancer.NewRetryBudget(ratio, window, func() float64 { return 0 }, clock)
 			requests, retries := make(arrivals, (length+maxDelay).Milliseconds()+1), make(arrivals, (length+maxDelay).Milliseconds()+1)
 			bursts := [][2]time.Duration{}
--- a/internal/balancer/ring.go
+++ b/internal/balancer/ring.go
@@ -114,7 +114,7 @@
 	adding := map[string]bool{}
 	for _, text := range change.Add {
 		added := &Endpoint{endpointState: &endpointState{}}
-		added.ID, added.Cell, _ = strings.Cut(text, "@")
+		added.ID, added.Zone, _ = strings.Cut(text, "@")
 		endpoints, adding[added.ID] = append(endpoints, added), true
 	}
 	for _, endpoint := range s.service(change.Service).all {
--- a/internal/balancer/server_set.go
+++ b/internal/balancer/server_set.go
@@ -39,8 +39,8 @@
 		endpoint.updateHealth(server)
 		next.byID[server.ID] = endpoint
 		switch {
-		case !server.IsReady || server.Grade == feed.Shut:
-		case server.Grade == feed.OnTrial:
+		case !server.IsReady || server.Admission == feed.Blocked:
+		case server.Admission == feed.OnTrial:
 			byService[canaryName(server.Service)] = append(byService[canaryName(server.Service)], endpoint)
 		default:
 			byService[server.Service] = append(byService[server.Service], endpoint)
--- a/internal/balancer/service_endpoints.go
+++ b/internal/balancer/service_endpoints.go
@@ -35,7 +35,7 @@
 	rank := map[string]RingPosition{}
 	for _, endpoint := range endpoints {
 		rank[endpoint.ID] = RingPositionOf(locality.Node, endpoint.ID)
-		if endpoint.Cell == locality.Zone {
+		if endpoint.Zone == locality.Zone {
 			next.local = append(next.local, endpoint)
 		} else {
 			next.remote = append(next.remote, endpoint)
--- a/internal/config/item.go
+++ b/internal/config/item.go
@@ -1,5 +1,5 @@
-// Package config holds the operator's configuration: named items, each with
-// a version of its own, merged item by item.
+// Package config holds the operator's configuration as items that are versioned and
+// merged one by one, and compiles them into a routing table.
 package config
 
 import (
@@ -13,14 +13,10 @@
 	"github.com/juju/errors"
 )
 
-// Version is an item's version; r12 on the wire.
+// Version is the version of an item, written as r12.
 type Version uint64
 
-// UnmarshalText reads r12.
-//
-// Example:
-//
-//	err := version.UnmarshalText([]byte("r12"))
+// UnmarshalText reads a version such as r12.
 func (v *Version) UnmarshalText(text []byte) error {
 	if len(text) < 2 || text[0] != 'r' {
 		return errors.NotValidf("version %q", text)
@@ -33,16 +29,12 @@
 	return nil
 }
 
-// MarshalText writes r12.
-//
-// Example:
-//
-//	text, err := config.Version(12).MarshalText() // "r12"
+// MarshalText writes a version such as r12.
 func (v Version) MarshalText() ([]byte, error) {
 	return []byte("r" + strconv.FormatUint(uint64(v), 10)), nil
 }
 
-// Class tells the kinds of item apart.
+// Class is the kind of an item.
 type Class uint8
 
 // The classes of items.
@@ -50,46 +42,42 @@
 	RouteItem Class = iota + 1
 	ServiceItem
 	LimitsItem
-	// SiteItem is a site of the hierarchy, which the protocol's own calls do
-	// not know of.
+	// SiteItem is a site of the site hierarchy. Sites, plans and mirrors are extensions
+	// with requests of their own: the configuration protocol does not cover them.
 	SiteItem
-	// PlanItem is the operator's plan tiers, MirrorItem an order to copy
-	// conversations to a shadow; the protocol's calls do not know of them either.
+	// PlanItem is the operator's plan of load shedding tiers; MirrorItem copies traffic to
+	// a shadow service.
 	PlanItem
 	MirrorItem
 )
 
-// ID names one item among all.
+// ID identifies an item.
 type ID struct {
 	Class Class  `cbor:"1,keyasint"`
 	Name  string `cbor:"2,keyasint,omitempty"`
 }
 
-// Item is one version of one item, as the operator sent it. A dropped item
-// stays as a mark, so that an older version of it cannot come back.
+// Item is one version of an item as the operator sent it. A removed item stays as a
+// tombstone, so that an older version cannot reappear.
 type Item struct {
 	ID      ID              `cbor:"1,keyasint"`
 	Version Version         `cbor:"2,keyasint"`
-	Dropped bool            `cbor:"3,keyasint,omitempty"`
+	Removed bool            `cbor:"3,keyasint,omitempty"`
 	Host    string          `cbor:"4,keyasint,omitempty"`
 	Body    json.RawMessage `cbor:"5,keyasint,omitempty"`
 }
 
-func (i Item) content() string {
-	sum := sha256.Sum256(append([]byte(i.Host+"\x00"+strconv.FormatBool(i.Dropped)+"\x00"), i.Body...))
+func (i Item) contentHash() string {
+	sum := sha256.Sum256(append([]byte(i.Host+"\x00"+strconv.FormatBool(i.Removed)+"\x00"), i.Body...))
 	return string(sum[:])
 }
 
-// fingerprintBytes is how much of the content's hash tells two contents of one
-// version apart.
+// fingerprintBytes is the length of the hash prefix that distinguishes two contents of
+// one version.
 const fingerprintBytes = 16
 
-// Fingerprint is the same for two items exactly if they have the same content;
-// white space and the order of fields in the body do not count.
-//
-// Example:
-//
-//	isRepeat := sent.Fingerprint() == held.Fingerprint()
+// Fingerprint is equal for two items exactly if their contents are equal. White space
+// and the order of fields in the body do not count.
 func (i Item) Fingerprint() string {
 	decoder := json.NewDecoder(bytes.NewReader(i.Body))
 	decoder.UseNumber()
@@ -99,97 +87,73 @@
 			i.Body = text
 		}
 	}
-	return hex.EncodeToString([]byte(i.content())[:fingerprintBytes])
+	return hex.EncodeToString([]byte(i.contentHash())[:fingerprintBytes])
 }
 
-// Outranks tells whether the item holds against the other: the higher version
-// does; of two that raced under one version, the one whose content's hash is
-// the greater, so that every copy comes to the same.
-//
-// Example:
-//
-//	if incoming.Outranks(held) { book[id] = incoming }
-func (i Item) Outranks(other Item) bool {
+// Supersedes reports whether the item replaces the other: the higher version wins. Of
+// two concurrent updates with the same version, the one with the greater content hash
+// wins, so that all replicas converge.
+func (i Item) Supersedes(other Item) bool {
 	if i.Version != other.Version {
 		return i.Version > other.Version
 	}
-	return i.content() > other.content()
+	return i.contentHash() > other.contentHash()
 }
 
-// Book is a copy of all items. It has one owner; readers take a Clone.
-type Book map[ID]Item
+// ItemSet is a set of items by ID. It has a single owner; readers take a Clone.
+type ItemSet map[ID]Item
 
-// Merge takes the items that outrank what is held and returns them.
-//
-// Example:
-//
-//	news := book.Merge(items)
-func (b Book) Merge(items []Item) (news []Item) {
+// Merge adds the items that supersede the present ones and returns them.
+func (s ItemSet) Merge(items []Item) (changed []Item) {
 	for _, item := range items {
-		held, isHeld := b[item.ID]
-		if !isHeld || item.Outranks(held) {
-			b[item.ID] = item
-			news = append(news, item)
+		held, found := s[item.ID]
+		if !found || item.Supersedes(held) {
+			s[item.ID] = item
+			changed = append(changed, item)
 		}
 	}
-	return news
+	return changed
 }
 
-// Newer returns the items whose version is above the held one: of a call, these
-// alone have an effect.
-//
-// Example:
-//
-//	changes := book.Newer(call.Items)
-func (b Book) Newer(items []Item) (newer []Item) {
+// Newer returns the items whose version is above the present one: only these items of a
+// request have an effect.
+func (s ItemSet) Newer(items []Item) (newer []Item) {
 	for _, item := range items {
-		if held, isHeld := b[item.ID]; !isHeld || item.Version > held.Version {
+		if held, found := s[item.ID]; !found || item.Version > held.Version {
 			newer = append(newer, item)
 		}
 	}
 	return newer
 }
 
-// Clone copies the book.
-//
-// Example:
-//
-//	trial := book.Clone()
-func (b Book) Clone() Book {
-	out := make(Book, len(b))
-	for id, item := range b {
+// Clone returns a copy of the set.
+func (s ItemSet) Clone() ItemSet {
+	out := make(ItemSet, len(s))
+	for id, item := range s {
 		out[id] = item
 	}
 	return out
 }
 
-// Items lists the book in a settled order.
-//
-// Example:
-//
-//	for _, item := range book.Items() { send(item) }
-func (b Book) Items() []Item {
-	out := make([]Item, 0, len(b))
-	for _, item := range b {
+// Items returns the items ordered by class and name.
+func (s ItemSet) Items() []Item {
+	out := make([]Item, 0, len(s))
+	for _, item := range s {
 		out = append(out, item)
 	}
 	sort.Slice(out, func(i, j int) bool {
-		a, z := out[i].ID, out[j].ID
-		return a.Class < z.Class || a.Class == z.Class && a.Name < z.Name
+		a, b := out[i].ID, out[j].ID
+		return a.Class < b.Class || a.Class == b.Class && a.Name < b.Name
 	})
 	return out
 }
 
-// Digest is the same for two books exactly if they hold the same items.
-//
-// Example:
-//
-//	isSame := ours.Digest() == theirs
-func (b Book) Digest() string {
-	sum := sha256.New()
-	for _, item := range b.Items() {
-		sum.Write([]byte(strconv.Itoa(int(item.ID.Class)) + item.ID.Name + "\x00" + strconv.FormatUint(uint64(item.Version), 10)))
-		sum.Write([]byte(item.content()))
+// Digest is equal for two sets exactly if they hold the same items.
+func (s ItemSet) Digest() string {
+	hash := sha256.New()
+	for _, item := range s.Items() {
+		hash.Write([]byte(strconv.Itoa(int(item.ID.Class)) + item.ID.Name + "\x00" + strconv.FormatUint(uint64(item.Version), 10)))
+		hash.Write([]byte(item.contentHash()))
 	}
-	return hex.EncodeToString(sum.Sum(nil)[:16])
+	return hex.EncodeToString(hash.Sum(nil)[:16])
 }
--- a/internal/config/spec.go
+++ b/internal/config/spec.go
@@ -7,41 +7,41 @@
 	validation "github.com/go-ozzo/ozzo-validation/v4"
 
 	"ploverhitch/internal/apierror"
-	"ploverhitch/internal/timetable"
+	"ploverhitch/internal/clock"
 )
 
-// RouteKind says how often a request on a route may run.
-type RouteKind string
+// RouteType states how often a request on a route may run.
+type RouteType string
 
-// The kinds of routes.
+// The types of routes.
 const (
-	Safe       RouteKind = "safe"
-	Unsafe     RouteKind = "unsafe"
-	Idempotent RouteKind = "idempotent"
-	Download   RouteKind = "download"
+	Safe       RouteType = "safe"
+	Unsafe     RouteType = "unsafe"
+	Idempotent RouteType = "idempotent"
+	Download   RouteType = "download"
 )
 
-// Share is one service's part of a split.
-type Share struct {
+// WeightedService is a service with its weight in a traffic split.
+type WeightedService struct {
 	Service string  `json:"Service"`
 	Weight  float64 `json:"Weight"`
 }
 
-// RouteSpec is a route as the operator writes it.
+// RouteSpec is a route as the operator configures it.
 type RouteSpec struct {
-	Name          string         `json:"Name"`
-	PathPrefix    string         `json:"PathPrefix"`
-	RouteType     RouteKind      `json:"RouteType"`
-	Timeout       timetable.Span `json:"Timeout"`
-	TargetLatency timetable.Span `json:"TargetLatency"`
-	Priority      int            `json:"Priority"`
-	Service       string         `json:"Service"`
-	TrafficSplit  []Share        `json:"TrafficSplit"`
-	MaxAttempts   int            `json:"MaxAttempts"`
-	Revision      Version        `json:"Revision"`
+	Name          string            `json:"Name"`
+	PathPrefix    string            `json:"PathPrefix"`
+	RouteType     RouteType         `json:"RouteType"`
+	Timeout       clock.Duration    `json:"Timeout"`
+	TargetLatency clock.Duration    `json:"TargetLatency"`
+	Priority      int               `json:"Priority"`
+	Service       string            `json:"Service"`
+	TrafficSplit  []WeightedService `json:"TrafficSplit"`
+	MaxAttempts   int               `json:"MaxAttempts"`
+	Revision      Version           `json:"Revision"`
 }
 
-// ServiceSpec is a service as the operator writes it.
+// ServiceSpec is a service as the operator configures it.
 type ServiceSpec struct {
 	Name            string  `json:"Name"`
 	HealthPath      string  `json:"HealthPath"`
@@ -50,39 +50,39 @@
 	Revision        Version `json:"Revision"`
 }
 
-// LimitsSpec bounds what a client may send.
+// LimitsSpec limits the size and duration of client requests.
 type LimitsSpec struct {
 	MaxHeaderBytes int            `json:"MaxHeaderBytes"`
 	MaxBodyBytes   int64          `json:"MaxBodyBytes"`
-	HeaderTimeout  timetable.Span `json:"HeaderTimeout"`
-	IdleTimeout    timetable.Span `json:"IdleTimeout"`
+	HeaderTimeout  clock.Duration `json:"HeaderTimeout"`
+	IdleTimeout    clock.Duration `json:"IdleTimeout"`
 	Revision       Version        `json:"Revision"`
 }
 
-func (l *RouteSpec) check() error {
+func (r *RouteSpec) check() error {
 	weights := 0.0
-	for _, share := range l.TrafficSplit {
+	for _, share := range r.TrafficSplit {
 		if share.Weight < 0 {
-			return validation.NewError("weight", "a weight is below 0")
+			return validation.NewError("weight", "a weight of the traffic split is below 0")
 		}
 		weights += share.Weight
 	}
-	if len(l.TrafficSplit) > 0 && weights <= 0 {
-		return validation.NewError("weight", "the weights sum to 0")
+	if len(r.TrafficSplit) > 0 && weights <= 0 {
+		return validation.NewError("weight", "the weights of the traffic split sum to 0")
 	}
-	return validation.ValidateStruct(l,
-		validation.Field(&l.Name, validation.Required),
-		validation.Field(&l.PathPrefix, validation.Required, validation.By(isPrefix)),
-		validation.Field(&l.RouteType, validation.Required, validation.In(Safe, Unsafe, Idempotent, Download)),
-		validation.Field(&l.Timeout, validation.Required),
-		validation.Field(&l.MaxAttempts, validation.Min(0)),
-		validation.Field(&l.Service, validation.When(len(l.TrafficSplit) == 0, validation.Required)),
-		validation.Field(&l.Revision, validation.Required),
+	return validation.ValidateStruct(r,
+		validation.Field(&r.Name, validation.Required),
+		validation.Field(&r.PathPrefix, validation.Required, validation.By(validPrefix)),
+		validation.Field(&r.RouteType, validation.Required, validation.In(Safe, Unsafe, Idempotent, Download)),
+		validation.Field(&r.Timeout, validation.Required),
+		validation.Field(&r.MaxAttempts, validation.Min(0)),
+		validation.Field(&r.Service, validation.When(len(r.TrafficSplit) == 0, validation.Required)),
+		validation.Field(&r.Revision, validation.Required),
 	)
 }
 
-func isPrefix(value any) error {
-	if p := value.(string); !strings.HasPrefix(p, "/") || !strings.HasSuffix(p, "/") {
+func validPrefix(value any) error {
+	if prefix := value.(string); !strings.HasPrefix(prefix, "/") || !strings.HasSuffix(prefix, "/") {
 		return validation.NewError("prefix", "must begin and end with a slash")
 	}
 	return nil
@@ -104,72 +104,56 @@
 	)
 }
 
-// Services names the services that a route may lead to.
-//
-// Example:
-//
-//	for _, name := range route.Services() { look(name) }
-func (l *RouteSpec) Services() []string {
-	if len(l.TrafficSplit) == 0 {
-		return []string{l.Service}
+// Services returns the names of the services that the route may deliver to.
+func (r *RouteSpec) Services() []string {
+	if len(r.TrafficSplit) == 0 {
+		return []string{r.Service}
 	}
-	out := make([]string, 0, len(l.TrafficSplit))
-	for _, share := range l.TrafficSplit {
+	out := make([]string, 0, len(r.TrafficSplit))
+	for _, share := range r.TrafficSplit {
 		out = append(out, share.Service)
 	}
 	return out
 }
 
-// Check looks at a whole book: every route leads to known services, and no two
-// routes share host and prefix. The error names the item.
-//
-// Example:
-//
-//	err := trial.Check()
-func (b Book) Check() error { return b.CheckRoutes(b.Items()) }
-
-// CheckRoutes checks the routes among the items against the book's services and
-// against each other.
-//
-// Example:
-//
-//	err := book.CheckRoutes(call.Items)
-func (b Book) CheckRoutes(items []Item) error {
-	places := map[string]string{}
+// Check validates the routes of the set: every route delivers to known services, and no
+// two routes share host and prefix. The error names the item.
+func (s ItemSet) Check() error { return s.CheckRoutes(s.Items()) }
+
+// CheckRoutes validates the routes among the items against the set's services and against
+// each other.
+func (s ItemSet) CheckRoutes(items []Item) error {
+	names := map[string]string{}
 	for _, item := range items {
-		if item.ID.Class != RouteItem || item.Dropped {
+		if item.ID.Class != RouteItem || item.Removed {
 			continue
 		}
-		var lane RouteSpec
-		if err := json.Unmarshal(item.Body, &lane); err != nil {
-			return apierror.New(apierror.BadManifest, "lane "+item.ID.Name+": "+err.Error())
+		var route RouteSpec
+		if err := json.Unmarshal(item.Body, &route); err != nil {
+			return apierror.New(apierror.BadManifest, "route "+item.ID.Name+": "+err.Error())
 		}
-		for _, name := range lane.Services() {
-			if service, isKnown := b[ID{ServiceItem, name}]; !isKnown || service.Dropped {
-				return apierror.New(apierror.BadManifest, "lane "+lane.Name+" names the unknown service "+name)
+		for _, name := range route.Services() {
+			if service, found := s[ID{ServiceItem, name}]; !found || service.Removed {
+				return apierror.New(apierror.BadManifest, "route "+route.Name+" names the unknown service "+name)
 			}
 		}
-		place := item.Host + lane.PathPrefix
-		if other, isTaken := places[place]; isTaken {
-			return apierror.New(apierror.BadManifest, "lanes "+other+" and "+lane.Name+" share host and prefix")
+		location := item.Host + route.PathPrefix
+		if other, taken := names[location]; taken {
+			return apierror.New(apierror.BadManifest, "routes "+other+" and "+route.Name+" share host and prefix")
 		}
-		places[place] = lane.Name
+		names[location] = route.Name
 	}
 	return nil
 }
 
-// Accept checks an operator's call against the book: the whole that it would
-// make, and the call by itself, whose routes must be valid even where a higher
-// version holds. It returns the items that have an effect, and the whole.
-//
-// Example:
-//
-//	newer, whole, err := book.Accept(items)
-func (b Book) Accept(items []Item) (newer []Item, whole Book, err error) {
-	newer, whole = b.Newer(items), b.Clone()
-	whole.Merge(newer)
-	if err = whole.Check(); err == nil {
-		err = whole.CheckRoutes(items)
+// ValidateUpdate validates an operator's request: both the set that it results in and the
+// request by itself, whose routes must be valid even if the set holds higher versions. It
+// returns the items that have an effect, and the resulting set.
+func (s ItemSet) ValidateUpdate(items []Item) (newer []Item, merged ItemSet, err error) {
+	newer, merged = s.Newer(items), s.Clone()
+	merged.Merge(newer)
+	if err = merged.Check(); err == nil {
+		err = merged.CheckRoutes(items)
 	}
-	return newer, whole, err
+	return newer, merged, err
 }
--- a/internal/control/commands.go
+++ b/internal/control/commands.go
@@ -4,9 +4,9 @@
 	"time"
 
 	"ploverhitch/internal/apierror"
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/messages"
-	"ploverhitch/internal/timetable"
 	"ploverhitch/internal/trial"
 )
 
@@ -14,11 +14,11 @@
 // result. A command that waited longer than its caller does has no effect: the operator
 // was told that it failed and may have sent another since.
 func (n *node) runCommand(reply func(messages.Ordered), run func(c *coordinator) (apierror.Kind, string)) {
-	c, receivedAt := n.coordinator, n.clock.Steady()
+	c, receivedAt := n.coordinator, n.clock.Monotonic()
 	enqueued := c.loop.Offer(func() {
 		kind, detail := apierror.Gone, "this node is not the leader"
 		switch {
-		case time.Duration(c.clock.Steady()-receivedAt) >= commandTimeout:
+		case time.Duration(c.clock.Monotonic()-receivedAt) >= commandTimeout:
 			detail = "the command waited too long"
 		case c.ensureLeading():
 			kind, detail = run(c)
@@ -41,7 +41,7 @@
 		serviceExists := false
 		c.store.read(func(t *tables) {
 			item, found := t.configuration()[config.ID{Class: config.ServiceItem, Name: in.Service}]
-			serviceExists = found && !item.Dropped
+			serviceExists = found && !item.Removed
 		})
 		if !serviceExists {
 			return apierror.UnknownSubject, in.Service
@@ -49,13 +49,13 @@
 		state.Subject = in.Service
 	}
 	switch {
-	case state.IsRepeat(in.Target, timetable.Span(in.Duration), c.sinceCommand(state), c.rolloutPlan()):
+	case state.IsRepeat(in.Target, clock.Duration(in.Duration), c.sinceCommand(state), c.rolloutPlan()):
 		c.recordRepeat(state)
 		return apierror.None, ""
 	case state.Phase.IsActive():
 		return apierror.OtherOrder, "the rollout of version " + state.Target + " is in progress"
 	}
-	next, permitted := state.Order(in.Target, timetable.Span(in.Duration))
+	next, permitted := state.Order(in.Target, clock.Duration(in.Duration))
 	if !permitted {
 		return apierror.OtherOrder, ""
 	}
@@ -79,7 +79,7 @@
 // repeatedCommand is the time of the last repetition of an accepted command.
 type repeatedCommand struct {
 	number uint64
-	at     timetable.Steady
+	at     clock.Instant
 }
 
 // sinceCommand returns the time since the command of a rollout was last received. An
@@ -89,9 +89,9 @@
 	if repeated := c.repeatedCommands[state.Subject]; repeated.number == state.Number {
 		last = max(last, repeated.at)
 	}
-	return time.Duration(c.clock.Steady() - last)
+	return time.Duration(c.clock.Monotonic() - last)
 }
 
 func (c *coordinator) recordRepeat(state trial.State) {
-	c.repeatedCommands[state.Subject] = repeatedCommand{state.Number, c.clock.Steady()}
+	c.repeatedCommands[state.Subject] = repeatedCommand{state.Number, c.clock.Monotonic()}
 }
--- a/internal/control/commands_test.go
+++ b/internal/control/commands_test.go
@@ -6,37 +6,37 @@
 	"time"
 
 	"ploverhitch/internal/apierror"
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/messages"
 	"ploverhitch/internal/settings"
-	"ploverhitch/internal/timetable"
 	"ploverhitch/internal/trial"
 )
 
 // newTestCoordinator returns the coordinator of a leader that stores the state of a rollout.
-func newTestCoordinator(state trial.State) (*coordinator, *timetable.Hand) {
-	clock := &timetable.Hand{Now: time.Hour}
-	n := &node{self: "self", clock: clock, log: func(string, string, ...any) {}}
+func newTestCoordinator(state trial.State) (*coordinator, *clock.Manual) {
+	manualClock := &clock.Manual{Now: time.Hour}
+	n := &node{self: "self", clock: manualClock, log: func(string, string, ...any) {}}
 	set := &settings.Settings{}
-	set.Platform.Bounds.Ack = timetable.Span(10 * time.Second)
+	set.Platform.Bounds.Ack = clock.Duration(10 * time.Second)
 	n.settings.Store(set)
 	n.coordinator = newCoordinator(n)
 	n.coordinator.states[state.Subject] = state
-	n.rolloutStarts.Store(state.Subject, rolloutStart{state.Number, clock.Steady()})
-	return n.coordinator, clock
+	n.rolloutStarts.Store(state.Subject, rolloutStart{state.Number, manualClock.Monotonic()})
+	return n.coordinator, manualClock
 }
 
 func TestRepeatedStartCommandStartsNoSecondRollout(t *testing.T) {
-	duration := timetable.Span(9 * time.Second)
-	c, clock := newTestCoordinator(trial.State{Subject: "s", Number: 1, Target: "v2", Duration: duration, Phase: trial.Reverted})
+	duration := clock.Duration(9 * time.Second)
+	c, manualClock := newTestCoordinator(trial.State{Subject: "s", Number: 1, Target: "v2", Duration: duration, Phase: trial.Reverted})
 	for range 5 {
-		clock.Now += 15 * time.Second
+		manualClock.Now += 15 * time.Second
 		kind, detail := c.startRollout(messages.Order{Service: "s", Target: "v2", Duration: int64(duration)})
 		if kind != apierror.None || c.states["s"].Number != 1 {
 			t.Fatalf("got %v %q, number %d", kind, detail, c.states["s"].Number)
 		}
 	}
-	clock.Now += 20 * time.Second
+	manualClock.Now += 20 * time.Second
 	if state := c.states["s"]; state.IsRepeat("v2", duration, c.sinceCommand(state), c.rolloutPlan()) {
 		t.Fatal("a command received twice the acknowledgement time after the last one counts as a repetition")
 	}
@@ -45,9 +45,9 @@
 func TestRepeatedStagedStartAndHaltAreAccepted(t *testing.T) {
 	items := []config.Item{{ID: config.ID{Class: config.RouteItem, Name: "l"}, Version: 2}}
 	subject := trial.StagePrefix + "change"
-	c, clock := newTestCoordinator(trial.State{Subject: subject, Number: 1, Items: items, Phase: trial.Reverted, Reason: haltedByOperator})
+	c, manualClock := newTestCoordinator(trial.State{Subject: subject, Number: 1, Items: items, Phase: trial.Reverted, Reason: haltedByOperator})
 	for range 3 {
-		clock.Now += 15 * time.Second
+		manualClock.Now += 15 * time.Second
 		if kind, detail := c.startStagedChange(messages.StageOrder{Name: "change", Items: items}); kind != apierror.None {
 			t.Fatalf("start: got %v %q", kind, detail)
 		}
@@ -59,7 +59,7 @@
 
 func TestCommandThatWaitedLongerThanItsCallerHasNoEffect(t *testing.T) {
 	for wait, late := range map[time.Duration]bool{commandTimeout - time.Millisecond: false, commandTimeout: true} {
-		c, clock := newTestCoordinator(trial.State{Subject: "s"})
+		c, manualClock := newTestCoordinator(trial.State{Subject: "s"})
 		c.isLeader.Store(true)
 		results := make(chan messages.Ordered, 1)
 		executed := false
@@ -67,7 +67,7 @@
 			executed = true
 			return apierror.None, ""
 		})
-		clock.Now += wait
+		manualClock.Now += wait
 		ctx, stop := context.WithCancel(context.Background())
 		go c.loop.Run(ctx, runAll, 0, nil)
 		result := <-results
--- a/internal/control/coordinator.go
+++ b/internal/control/coordinator.go
@@ -6,11 +6,11 @@
 	"time"
 
 	"ploverhitch/internal/apierror"
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/outlier"
 	"ploverhitch/internal/shedding"
 	"ploverhitch/internal/sites"
-	"ploverhitch/internal/timetable"
 	"ploverhitch/internal/trial"
 )
 
@@ -18,7 +18,7 @@
 // proxies' reports, and advances the rollouts. Only its loop accesses its fields.
 type coordinator struct {
 	*node
-	loop     *timetable.Loop[func()]
+	loop     *clock.Loop[func()]
 	detector *outlier.Aggregator
 	// term is the term under which states was read, 0 while this node is not the leader.
 	term     uint64
@@ -29,16 +29,16 @@
 	listedServers []feed.Server
 	lastFleet     feed.Fleet
 	// lastCountAt is when a fleet with a new count was last published.
-	lastCountAt timetable.Steady
+	lastCountAt clock.Instant
 	// recentFleets holds the last published fleets, from which differences are computed.
 	recentFleets []feed.Fleet
 	// relativeLatencies holds the servers' relative latencies as last published, and
 	// latenciesReadAt when they were read; termStartedAt is when this node took over.
 	relativeLatencies map[string]int
-	latenciesReadAt   timetable.Steady
-	termStartedAt     timetable.Steady
+	latenciesReadAt   clock.Instant
+	termStartedAt     clock.Instant
 	// fleetBuiltAt is when the fleet was last built.
-	fleetBuiltAt timetable.Steady
+	fleetBuiltAt clock.Instant
 	// proxyZones maps proxies to their zones. siteTree is the tree of sites of the
 	// configuration with the digest siteTreeDigest; allocator allocates the capacity of
 	// the sites under allocatorTerm.
@@ -47,8 +47,8 @@
 	siteTreeDigest   string
 	allocator        *sites.Allocator
 	allocatorTerm    uint64
-	allocatedReading feed.Reading
-	allocatedAt      timetable.Steady
+	allocatedReading feed.FleetVersion
+	allocatedAt      clock.Instant
 	// loadGauge measures the load and decides on the cutoffs. activeMirrors holds the
 	// mirrors in force; eraCount is the number of eras started for them.
 	loadGauge     *shedding.Gauge
@@ -63,9 +63,9 @@
 	number         uint64
 	phase          trial.Phase
 	wave           int
-	phaseStartedAt timetable.Steady
+	phaseStartedAt clock.Instant
 	// fullShareReading is the first fleet reading that gives the target all requests.
-	fullShareReading feed.Reading
+	fullShareReading feed.FleetVersion
 	finding          outlier.Evaluation
 	// knownDuplicates is the number of keys with duplicate executions that this node
 	// knew of when it began to advance the rollout: those counted in an earlier term
@@ -89,7 +89,7 @@
 
 func newCoordinator(n *node) *coordinator {
 	return &coordinator{
-		node: n, loop: timetable.NewLoop[func()](1024), detector: outlier.NewAggregator(n.clock),
+		node: n, loop: clock.NewLoop[func()](1024), detector: outlier.NewAggregator(n.clock),
 		states: map[string]trial.State{}, progress: map[string]*rolloutProgress{}, proxyZones: map[string]string{},
 		activeMirrors: map[string]*activeMirror{}, loadGauge: shedding.NewGauge(n.clock, rand.Uint64), repeatedCommands: map[string]repeatedCommand{},
 	}
@@ -117,9 +117,9 @@
 			c.advanceRollout(state)
 		}
 	}
-	cutoffsChanged, now := c.updateCutoffs(), c.clock.Steady()
+	cutoffsChanged, now := c.updateCutoffs(), c.clock.Monotonic()
 	switch {
-	case cutoffsChanged, c.lastFleet.HoldsGrants(), time.Duration(now-c.fleetBuiltAt) >= publishInterval:
+	case cutoffsChanged, c.lastFleet.HasGrants(), time.Duration(now-c.fleetBuiltAt) >= publishInterval:
 		c.publish()
 	case c.lastFleet.Term == c.term:
 		c.sendFleet(c.lastFleet)
@@ -157,7 +157,7 @@
 			return false
 		}
 	}
-	c.term, c.states, c.progress, c.termStartedAt = term, states, map[string]*rolloutProgress{}, c.clock.Steady()
+	c.term, c.states, c.progress, c.termStartedAt = term, states, map[string]*rolloutProgress{}, c.clock.Monotonic()
 	clear(c.activeMirrors)
 	c.resetLoadGauge()
 	var fleet feed.Fleet
@@ -209,7 +209,7 @@
 	if previous != nil && previous.number == state.Number && previous.phase == state.Phase && previous.wave == state.Wave {
 		return previous
 	}
-	next := &rolloutProgress{number: state.Number, phase: state.Phase, wave: state.Wave, phaseStartedAt: c.clock.Steady()}
+	next := &rolloutProgress{number: state.Number, phase: state.Phase, wave: state.Wave, phaseStartedAt: c.clock.Monotonic()}
 	if previous != nil && previous.number == state.Number {
 		next.fullShareReading, next.finding, next.knownDuplicates = previous.fullShareReading, previous.finding, previous.knownDuplicates
 	} else {
@@ -221,7 +221,7 @@
 
 // facts collects the facts that decide on the next phase of a rollout.
 func (c *coordinator) facts(state trial.State, progress *rolloutProgress) trial.Facts {
-	now := c.clock.Steady()
+	now := c.clock.Monotonic()
 	facts := trial.Facts{
 		Elapsed: time.Duration(now - c.rolloutStartedAt(state)), InPhase: time.Duration(now - progress.phaseStartedAt),
 		Finding: c.detector.Evaluate(state.Subject, state.Number, 0),
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -13,7 +13,7 @@
 	if !c.ensureLeading() {
 		return
 	}
-	c.listedServers = feed.Settle(c.listedServers, servers)
+	c.listedServers = feed.Normalize(c.listedServers, servers)
 	known := map[string]bool{}
 	for _, server := range c.listedServers {
 		known[server.ID] = true
@@ -62,19 +62,19 @@
 	if !c.holdsLease(c.term) {
 		return
 	}
-	now := c.clock.Steady()
+	now := c.clock.Monotonic()
 	c.fleetBuiltAt = now
-	next := feed.Fleet{Term: c.term, Count: c.lastFleet.Count, Servers: slices.Clone(c.serversWithoutLeaving()), Holder: c.self}
+	next := feed.Fleet{Term: c.term, Count: c.lastFleet.Count, Servers: slices.Clone(c.serversWithoutLeaving()), Leader: c.self}
 	if next.Servers == nil {
 		return
 	}
 	next.Proxies = c.proxyCount()
 	c.assignGrades(&next)
 	next.Stages, next.Cutoffs, next.Mirrors = c.stageGrants(), c.cutoffs(), c.mirrorGrants()
-	unchanged := c.lastFleet.Term == c.term && c.lastFleet.Proxies == next.Proxies && c.lastFleet.Holder == next.Holder &&
+	unchanged := c.lastFleet.Term == c.term && c.lastFleet.Proxies == next.Proxies && c.lastFleet.Leader == next.Leader &&
 		slices.Equal(c.lastFleet.Shares, next.Shares) && sameStages(c.lastFleet.Stages, next.Stages) && slices.Equal(c.lastFleet.Servers, next.Servers) &&
 		slices.Equal(c.lastFleet.Cutoffs, next.Cutoffs) && slices.Equal(c.lastFleet.Mirrors, next.Mirrors)
-	renewal := next.HoldsGrants() && time.Duration(now-c.lastCountAt) >= grantRenewalInterval
+	renewal := next.HasGrants() && time.Duration(now-c.lastCountAt) >= grantRenewalInterval
 	if !unchanged || renewal {
 		next.Count++
 		c.lastFleet, c.lastCountAt = next, now
@@ -82,8 +82,8 @@
 			c.recentFleets = slices.Clone(c.recentFleets[1:])
 		}
 		for _, share := range next.Shares {
-			if progress := c.progress[share.Service]; progress != nil && share.Part >= 1 && progress.fullShareReading.Term == 0 {
-				progress.fullShareReading = next.Reading()
+			if progress := c.progress[share.Service]; progress != nil && share.Fraction >= 1 && progress.fullShareReading.Term == 0 {
+				progress.fullShareReading = next.Version()
 			}
 		}
 	}
@@ -93,7 +93,7 @@
 // serversWithoutLeaving is the server list, corrected by the draining servers that this
 // node's feed knows of: another member may have read the list later than this node.
 func (c *coordinator) serversWithoutLeaving() (servers []feed.Server) {
-	c.hub.Read(func(board *feed.Board) { servers = board.WithoutLeaving(c.listedServers) })
+	c.hub.Read(func(board *feed.Replica) { servers = board.MarkLeaving(c.listedServers) })
 	return servers
 }
 
@@ -102,7 +102,7 @@
 // a term it is at least the last leader's count until proxyReportMaxAge has passed.
 func (c *coordinator) proxyCount() int {
 	count := max(len(c.hub.Followers()), c.detector.ProxyCount(proxyReportMaxAge))
-	if c.lastFleet.Term == c.term || time.Duration(c.clock.Steady()-c.termStartedAt) < proxyReportMaxAge {
+	if c.lastFleet.Term == c.term || time.Duration(c.clock.Monotonic()-c.termStartedAt) < proxyReportMaxAge {
 		count = max(count, c.lastFleet.Proxies)
 	}
 	return count
@@ -114,8 +114,8 @@
 func (c *coordinator) sendFleet(fleet feed.Fleet) {
 	for _, member := range c.view().Members {
 		value, _ := c.memberReadings.Load(member)
-		confirmed, known := value.(feed.Reading)
-		if known && !fleet.Reading().Outranks(confirmed) {
+		confirmed, known := value.(feed.FleetVersion)
+		if known && !fleet.Version().NewerThan(confirmed) {
 			continue
 		}
 		if _, sending := c.sendingReadings.LoadOrStore(member, true); sending {
@@ -123,8 +123,8 @@
 		}
 		message := fleet
 		for _, previous := range c.recentFleets {
-			if known && previous.Reading() == confirmed {
-				message = fleet.ChangeOf(previous)
+			if known && previous.Version() == confirmed {
+				message = fleet.DiffFrom(previous)
 			}
 		}
 		go func() {
@@ -135,7 +135,7 @@
 			var done messages.Done
 			switch err := c.call(member, messages.KindFleet, message, &done, callTimeout); {
 			case err == nil && done.OK:
-				c.memberReadings.Store(member, fleet.Reading())
+				c.memberReadings.Store(member, fleet.Version())
 			case err == nil:
 				// The member does not have the assumed fleet; send the complete one next time.
 				c.memberReadings.Delete(member)
--- a/internal/control/grades.go
+++ b/internal/control/grades.go
@@ -18,9 +18,9 @@
 		state, known := c.states[server.Service]
 		switch {
 		case !c.tracksVersions() || !known || state.InForce == "" || server.Revision == state.InForce:
-			fleet.Servers[i].Grade = feed.Open
+			fleet.Servers[i].Admission = feed.Open
 		default:
-			fleet.Servers[i].Grade = feed.Shut
+			fleet.Servers[i].Admission = feed.Blocked
 		}
 		if server.IsReady {
 			group := server.Service + " " + server.Revision
@@ -33,15 +33,15 @@
 			ejected[id] = true
 		}
 	}
-	if now := c.clock.Steady(); c.relativeLatencies == nil || time.Duration(now-c.latenciesReadAt) >= latencyPublishInterval {
+	if now := c.clock.Monotonic(); c.relativeLatencies == nil || time.Duration(now-c.latenciesReadAt) >= latencyPublishInterval {
 		c.relativeLatencies, c.latenciesReadAt = make(map[string]int, len(fleet.Servers)), now
 		for _, server := range fleet.Servers {
 			c.relativeLatencies[server.ID] = c.detector.LatencyRatio(server.ID)
 		}
 	}
 	for i := range fleet.Servers {
-		fleet.Servers[i].IsAside = ejected[fleet.Servers[i].ID]
-		fleet.Servers[i].Pace = c.relativeLatencies[fleet.Servers[i].ID]
+		fleet.Servers[i].Ejected = ejected[fleet.Servers[i].ID]
+		fleet.Servers[i].RelativeLatency = c.relativeLatencies[fleet.Servers[i].ID]
 	}
 	for subject, state := range c.states {
 		if progress := c.progress[subject]; state.Phase.IsActive() && !state.IsStaged() && progress != nil && progress.number == state.Number {
@@ -54,16 +54,16 @@
 // grantShare grants the target version of a rollout its share of the requests, on as many
 // servers as make each of them about as busy as one that runs the version in force.
 func (c *coordinator) grantShare(fleet *feed.Fleet, state trial.State, progress *rolloutProgress) {
-	inPhase := time.Duration(c.clock.Steady() - progress.phaseStartedAt)
+	inPhase := time.Duration(c.clock.Monotonic() - progress.phaseStartedAt)
 	share := state.Share(c.rolloutPlan(), trial.Facts{InPhase: inPhase, Finding: progress.finding})
-	fleet.Shares = append(fleet.Shares, feed.Share{Service: state.Subject, Number: state.Number, Part: share})
+	fleet.Shares = append(fleet.Shares, feed.CanaryShare{Service: state.Subject, Number: state.Number, Fraction: share})
 	current, target := splitByVersion(fleet.Servers, state)
 	count := max(2, int(math.Ceil(share*float64(len(current))*serverCountFactor)))
 	if share >= allServersShare {
 		count = len(target)
 	}
 	for _, i := range alternateZones(fleet.Servers, target)[:min(count, len(target))] {
-		fleet.Servers[i].Grade = feed.OnTrial
+		fleet.Servers[i].Admission = feed.OnTrial
 	}
 }
 
@@ -103,7 +103,7 @@
 func alternateZones(servers []feed.Server, indexes []int) (ordered []int) {
 	byZone := map[string][]int{}
 	for _, i := range indexes {
-		byZone[servers[i].Cell] = append(byZone[servers[i].Cell], i)
+		byZone[servers[i].Zone] = append(byZone[servers[i].Zone], i)
 	}
 	zones := make([]string, 0, len(byZone))
 	for zone, list := range byZone {
--- a/internal/control/leader_lease_test.go
+++ b/internal/control/leader_lease_test.go
@@ -8,6 +8,7 @@
 	. "github.com/onsi/gomega"
 
 	"ploverhitch/internal/apierror"
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/control/lease"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/idempotency"
@@ -16,22 +17,21 @@
 	"ploverhitch/internal/rpc"
 	"ploverhitch/internal/settings"
 	"ploverhitch/internal/storage"
-	"ploverhitch/internal/timetable"
 	"ploverhitch/internal/trial"
 )
 
 // newTestMember returns a trusted member "a" of a view. The other members are unreachable
 // unless the test listens on their addresses.
-func newTestMember(clock *timetable.Hand, view membership.View) *node {
+func newTestMember(manualClock *clock.Manual, view membership.View) *node {
 	n := &node{
-		self: "a", clock: clock, hub: feed.NewHub(), log: func(string, string, ...any) {}, connections: map[string]*rpc.Line{},
-		memberLoop: timetable.NewLoop[func()](256), livenessWatch: membership.NewWatch(clock, time.Second), lease: newLeaderLease(testLeaseDuration),
-		listWatch: newListTracker(clock.Steady()),
+		self: "a", clock: manualClock, hub: feed.NewHub(), log: func(string, string, ...any) {}, connections: map[string]*rpc.Line{},
+		memberLoop: clock.NewLoop[func()](256), livenessWatch: membership.NewWatch(manualClock, time.Second), lease: newLeaderLease(testLeaseDuration),
+		listWatch: newListTracker(manualClock.Monotonic()),
 	}
 	n.settings.Store(&settings.Settings{Tuning: settings.Defaults()})
 	disk, err := storage.Folder(GinkgoT().TempDir())
 	Expect(err).NotTo(HaveOccurred())
-	n.store, err = openStore(disk, idempotency.Policy{OpenLimit: 10, KeyWindow: time.Minute}, clock, func(err error) { Expect(err).NotTo(HaveOccurred()) })
+	n.store, err = openStore(disk, idempotency.Policy{OpenLimit: 10, KeyWindow: time.Minute}, manualClock, func(err error) { Expect(err).NotTo(HaveOccurred()) })
 	Expect(err).NotTo(HaveOccurred())
 	n.store.tables.grantor = lease.NewGrantor(testLeaseDuration)
 	n.callHandlers = n.newHandlers()
@@ -48,7 +48,7 @@
 
 var _ = Describe("the leader lease at a member", func() {
 	var n *node
-	var clock *timetable.Hand
+	var manualClock *clock.Manual
 	view := membership.View{Epoch: 1, Members: []string{"a", "b", "c"}}
 	termOf := func(holder string, number uint64) membership.Term {
 		return membership.Term{Number: number, Holder: holder}
@@ -66,18 +66,18 @@
 	}
 
 	BeforeEach(func() {
-		clock = &timetable.Hand{Now: time.Hour}
-		n = newTestMember(clock, view)
+		manualClock = &clock.Manual{Now: time.Hour}
+		n = newTestMember(manualClock, view)
 	})
 
 	It("is refused to another member while the leader renews it, and granted once the last promise has expired", func() {
 		Expect(claim(1, termOf("b", 1))).To(BeTrue())
-		clock.Now += testLeaseDuration - time.Millisecond
+		manualClock.Now += testLeaseDuration - time.Millisecond
 		Expect(claim(1, termOf("c", 2))).To(BeFalse())
 		Expect(renew(1, termOf("b", 1))).To(BeTrue())
-		clock.Now += testLeaseDuration - time.Millisecond
+		manualClock.Now += testLeaseDuration - time.Millisecond
 		Expect(claim(1, termOf("c", 2))).To(BeFalse())
-		clock.Now += time.Millisecond
+		manualClock.Now += time.Millisecond
 		Expect(claim(1, termOf("c", 2))).To(BeTrue())
 		Expect(renew(1, termOf("b", 1))).To(BeFalse(), "the former leader is not rejected")
 	})
@@ -88,7 +88,7 @@
 		Expect(renew(2, termOf("b", 1))).To(BeFalse())
 		n.distrust()
 		Expect(renew(1, termOf("b", 1))).To(BeFalse())
-		clock.Now += testLeaseDuration
+		manualClock.Now += testLeaseDuration
 		Expect(claim(1, termOf("c", 2))).To(BeFalse())
 	})
 
@@ -101,14 +101,16 @@
 	Describe("held by this node", func() {
 		// acquireLease acquires the lease with the votes of this member and one more.
 		acquireLease := func(number uint64) {
-			round := n.lease.startRound(number, view, clock.Steady())
+			round := n.lease.startRound(number, view, manualClock.Monotonic())
 			n.lease.acknowledge(round, "a")
 			Expect(n.lease.acknowledge(round, "b")).To(BeTrue())
 			n.ownTerm.Store(number)
 			n.isLeader.Store(true)
 			n.coordinator.term = number
 		}
-		published := func() []feed.Reading { return []feed.Reading{n.coordinator.lastFleet.Reading(), n.fleet().Reading()} }
+		published := func() []feed.FleetVersion {
+			return []feed.FleetVersion{n.coordinator.lastFleet.Version(), n.fleet().Version()}
+		}
 
 		BeforeEach(func() {
 			Expect(claim(1, termOf("a", 1))).To(BeTrue())
@@ -123,13 +125,13 @@
 		})
 
 		It("stops publishing and writing when it expires by the monotonic clock, without any message", func() {
-			clock.Now += testLeaseDuration
+			manualClock.Now += testLeaseDuration
 			Expect(n.coordinator.ensureLeading()).To(BeFalse())
 			before := published()
 			n.coordinator.publish()
 			n.coordinator.updateServers([]feed.Server{{ID: "i-2", Service: "fees", IsReady: true}})
 			n.coordinator.sendFleet(feed.Fleet{Term: 1, Count: 9})
-			Consistently(func() []feed.Reading { return published() }, "100ms").Should(Equal(before))
+			Consistently(func() []feed.FleetVersion { return published() }, "100ms").Should(Equal(before))
 			Expect(n.coordinator.commitState(trial.State{Subject: "fees"})).NotTo(Succeed())
 			Expect(n.coordinator.states).To(BeEmpty())
 			var stored int
@@ -142,7 +144,7 @@
 		})
 
 		It("continues under the same term with the same state once a majority renews it", func() {
-			clock.Now += testLeaseDuration
+			manualClock.Now += testLeaseDuration
 			Expect(n.coordinator.ensureLeading()).To(BeFalse())
 			acquireLease(1)
 			Expect(n.coordinator.ensureLeading()).To(BeTrue())
@@ -152,13 +154,13 @@
 		It("ends when the node steps down, and a later round of the same term doesn't restore it", func() {
 			n.stepDown()
 			Eventually(func() bool { return n.holdsLease(1) }).Should(BeFalse())
-			Expect(n.lease.startRound(1, view, clock.Steady())).To(BeZero())
+			Expect(n.lease.startRound(1, view, manualClock.Monotonic())).To(BeZero())
 			Expect(n.coordinator.ensureLeading()).To(BeFalse())
 		})
 
 		It("does not depend on the wall clock", func() {
 			// The clock panics if the wall time is read.
-			n.clock = monotonicOnly{clock}
+			n.clock = monotonicOnly{manualClock}
 			Expect(n.holdsLease(1)).To(BeTrue())
 			Expect(renew(1, termOf("a", 1))).To(BeTrue())
 			n.refreshQuorumContact()
@@ -168,7 +170,7 @@
 })
 
 // monotonicOnly is a clock that panics if its wall time is read.
-type monotonicOnly struct{ timetable.Clock }
+type monotonicOnly struct{ clock.Clock }
 
 // Wall panics.
 func (monotonicOnly) Wall() time.Time { panic("the leader lease read the wall clock") }
@@ -176,26 +178,26 @@
 var _ = Describe("the lease promises of a process that has just started", func() {
 	// granted reports whether a claim of leadership is granted now.
 	granted := func(n *node) bool {
-		return n.store.tables.grantor.Claim(membership.Term{Number: 3, Holder: "b"}, membership.Term{Number: 4, Holder: "c"}, n.clock.Steady())
+		return n.store.tables.grantor.Claim(membership.Term{Number: 3, Holder: "b"}, membership.Term{Number: 4, Holder: "c"}, n.clock.Monotonic())
 	}
-	open := func(clock *timetable.Hand, folder string, isBootstrap bool) *node {
+	open := func(manualClock *clock.Manual, folder string, isBootstrap bool) *node {
 		set := &settings.Settings{Tuning: settings.Defaults()}
 		set.Platform.DataDir, set.Platform.Bootstrap = folder, isBootstrap
-		n := &node{self: "a", clock: clock, log: func(string, string, ...any) {}}
+		n := &node{self: "a", clock: manualClock, log: func(string, string, ...any) {}}
 		Expect(n.openDisk(set)).To(Succeed())
 		return n
 	}
 
 	It("are empty in a newly bootstrapped system, and unknown for one lease duration in any other", func() {
-		clock, folder := &timetable.Hand{Now: time.Hour}, GinkgoT().TempDir()
-		first := open(clock, folder, true)
+		manualClock, folder := &clock.Manual{Now: time.Hour}, GinkgoT().TempDir()
+		first := open(manualClock, folder, true)
 		Expect(granted(first)).To(BeTrue())
 		first.store.handle([]command{{apply: func(*tables) []record { return []record{{Term: &membership.Term{Number: 4, Holder: "c"}}} }}})
 		for _, folder := range []string{folder, GinkgoT().TempDir()} {
-			clock.Now += time.Hour
-			restarted := open(clock, folder, false)
+			manualClock.Now += time.Hour
+			restarted := open(manualClock, folder, false)
 			Expect(granted(restarted)).To(BeFalse())
-			clock.Now += leaseDuration(settings.Defaults())
+			manualClock.Now += leaseDuration(settings.Defaults())
 			Expect(granted(restarted)).To(BeTrue())
 		}
 	})
--- a/internal/control/lease/grantor.go
+++ b/internal/control/lease/grantor.go
@@ -9,8 +9,8 @@
 import (
 	"time"
 
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/membership"
-	"ploverhitch/internal/timetable"
 )
 
 // Grantor is a member's side of the lease: the holder to which it has promised the
@@ -18,29 +18,29 @@
 // those that were lost. The member persists the highest term that it has seen, and
 // passes it in as current.
 type Grantor struct {
-	duration timetable.Steady
+	duration clock.Instant
 	// promisedTo is empty while no claim may be granted before until.
 	promisedTo string
-	until      timetable.Steady
+	until      clock.Instant
 }
 
 // NewGrantor returns a grantor without promises, as in a system that has never run
 // before.
 func NewGrantor(duration time.Duration) *Grantor {
-	return &Grantor{duration: timetable.Steady(duration)}
+	return &Grantor{duration: clock.Instant(duration)}
 }
 
 // DenyClaims denies all claims for one lease duration. It is called after a start,
 // and by a member that is new in the view, when promises that the member doesn't know
 // of may still be valid.
-func (g *Grantor) DenyClaims(now timetable.Steady) {
+func (g *Grantor) DenyClaims(now clock.Instant) {
 	g.promisedTo, g.until = "", max(g.until, now+g.duration)
 }
 
 // Claim decides on a claim of the lease under a new term, and promises the lease to
 // the claimant if it grants the claim. A claimant that already has the promise need
 // not wait until it expires.
-func (g *Grantor) Claim(current, claimed membership.Term, now timetable.Steady) bool {
+func (g *Grantor) Claim(current, claimed membership.Term, now clock.Instant) bool {
 	if claimed.Number <= current.Number {
 		return false
 	}
@@ -54,7 +54,7 @@
 // Renew extends the promise to the holder of the current term. Only a holder whose
 // claim a majority granted renews, so a promise to a holder of a lower term is no
 // longer relevant.
-func (g *Grantor) Renew(current, term membership.Term, now timetable.Steady) bool {
+func (g *Grantor) Renew(current, term membership.Term, now clock.Instant) bool {
 	if current != term {
 		return false
 	}
@@ -70,6 +70,6 @@
 	}
 }
 
-func (g *Grantor) promise(holder string, now timetable.Steady) {
+func (g *Grantor) promise(holder string, now clock.Instant) {
 	g.promisedTo, g.until = holder, max(g.until, now+g.duration)
 }
--- a/internal/control/lease/holder.go
+++ b/internal/control/lease/holder.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/membership"
-	"ploverhitch/internal/timetable"
 )
 
 // driftDivisor sets the margin for clocks that run at different rates: the holder's
@@ -18,17 +18,17 @@
 // another. The lease is valid for one duration after the sending of the newest round
 // that a majority of the view has acknowledged.
 type Holder struct {
-	duration timetable.Steady
+	duration clock.Instant
 	term     uint64
 	// endedTerm is the highest term that was given up.
 	endedTerm uint64
-	until     timetable.Steady
+	until     clock.Instant
 	lastRound Round
 	rounds    map[Round]*round
 }
 
 type round struct {
-	sentAt       timetable.Steady
+	sentAt       clock.Instant
 	view         membership.View
 	acknowledged map[string]bool
 }
@@ -36,14 +36,14 @@
 // NewHolder returns a holder without a lease. The duration is that of the grantors.
 func NewHolder(duration time.Duration) *Holder {
 	shortened := duration - duration/driftDivisor
-	return &Holder{duration: timetable.Steady(shortened), rounds: map[Round]*round{}}
+	return &Holder{duration: clock.Instant(shortened), rounds: map[Round]*round{}}
 }
 
 // Start starts a round of requests to the members of the view; it must be called
 // before the first request is sent. A round of another term ends the previous lease.
 // For a term that was given up Start returns 0, as members may receive the release
 // after the request.
-func (h *Holder) Start(term uint64, view membership.View, now timetable.Steady) Round {
+func (h *Holder) Start(term uint64, view membership.View, now clock.Instant) Round {
 	if term <= h.endedTerm {
 		return 0
 	}
@@ -77,7 +77,7 @@
 }
 
 // Remaining returns how much longer the lease of the term is valid, or 0 if it isn't.
-func (h *Holder) Remaining(term uint64, now timetable.Steady) time.Duration {
+func (h *Holder) Remaining(term uint64, now clock.Instant) time.Duration {
 	if term == 0 || term != h.term || now >= h.until {
 		return 0
 	}
--- a/internal/control/lease/lease_test.go
+++ b/internal/control/lease/lease_test.go
@@ -7,9 +7,9 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/control/lease"
 	"ploverhitch/internal/membership"
-	"ploverhitch/internal/timetable"
 )
 
 func TestLease(t *testing.T) {
@@ -20,7 +20,7 @@
 const leaseDuration = 900 * time.Millisecond
 
 // atMillis returns a reading of a monotonic clock, given in milliseconds.
-func atMillis(ms int) timetable.Steady { return timetable.Steady(time.Duration(ms) * time.Millisecond) }
+func atMillis(ms int) clock.Instant { return clock.Instant(time.Duration(ms) * time.Millisecond) }
 
 var _ = Describe("a member's promises", func() {
 	old, next := membership.Term{Number: 4, Holder: "a"}, membership.Term{Number: 5, Holder: "b"}
--- a/internal/control/lease/safety_test.go
+++ b/internal/control/lease/safety_test.go
@@ -7,9 +7,9 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/control/lease"
 	"ploverhitch/internal/membership"
-	"ploverhitch/internal/timetable"
 )
 
 const (
@@ -20,14 +20,14 @@
 // grantorWithoutPromises grants every claim with a higher term.
 type grantorWithoutPromises struct{ *lease.Grantor }
 
-func (g grantorWithoutPromises) Claim(current, claimed membership.Term, _ timetable.Steady) bool {
+func (g grantorWithoutPromises) Claim(current, claimed membership.Term, _ clock.Instant) bool {
 	return claimed.Number > current.Number
 }
 
 // grantorWithoutWait doesn't wait until promises from before a restart have expired.
 type grantorWithoutWait struct{ *lease.Grantor }
 
-func (g grantorWithoutWait) DenyClaims(timetable.Steady) {}
+func (g grantorWithoutWait) DenyClaims(clock.Instant) {}
 
 func correctOptions() options {
 	return options{
--- a/internal/control/lease/simulation_test.go
+++ b/internal/control/lease/simulation_test.go
@@ -7,17 +7,17 @@
 	"slices"
 	"time"
 
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/control/lease"
 	"ploverhitch/internal/membership"
-	"ploverhitch/internal/timetable"
 )
 
 // leaseGrantor is the member's side of the lease; simulations may use deliberately
 // faulty implementations.
 type leaseGrantor interface {
-	DenyClaims(now timetable.Steady)
-	Claim(current, claimed membership.Term, now timetable.Steady) bool
-	Renew(current, term membership.Term, now timetable.Steady) bool
+	DenyClaims(now clock.Instant)
+	Claim(current, claimed membership.Term, now clock.Instant) bool
+	Renew(current, term membership.Term, now clock.Instant) bool
 	Release(current, term membership.Term)
 }
 
@@ -123,8 +123,8 @@
 	}
 }
 
-func (s *simulation) clock(n *node) timetable.Steady {
-	return timetable.Steady(n.clockOffset + time.Duration(n.clockRate*float64(s.now)))
+func (s *simulation) clock(n *node) clock.Instant {
+	return clock.Instant(n.clockOffset + time.Duration(n.clockRate*float64(s.now)))
 }
 
 func (s *simulation) schedule(delay time.Duration, action func()) {
--- a/internal/control/legacy_test.go
+++ b/internal/control/legacy_test.go
@@ -7,9 +7,9 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/membership"
-	"ploverhitch/internal/timetable"
 )
 
 var _ = Describe("items that an older build stored without an index", func() {
@@ -20,7 +20,7 @@
 	service := config.Item{ID: config.ID{Class: config.ServiceItem, Name: "s"}, Version: 1, Body: []byte(`{"Name":"s","Revision":"r1"}`)}
 
 	It("become the first change, which is valid and complete, and dropped routes are logged", func() {
-		n := newTestMember(&timetable.Hand{Now: time.Hour}, membership.View{Epoch: 1, Members: []string{"a"}})
+		n := newTestMember(&clock.Manual{Now: time.Hour}, membership.View{Epoch: 1, Members: []string{"a"}})
 		logged := make(chan string, 16)
 		n.log = func(_, message string, pairs ...any) {
 			if len(pairs) == 2 {
@@ -44,7 +44,7 @@
 		n.store.read(func(t *tables) {
 			Expect(t.registry.Index).To(BeEquivalentTo(1))
 			Expect(t.configuration().Check()).To(Succeed())
-			Expect(t.configuration()[route("left", 1).ID].Dropped).To(BeTrue())
+			Expect(t.configuration()[route("left", 1).ID].Removed).To(BeTrue())
 			Expect(string(t.configuration()[route("right", 2).ID].Body)).To(ContainSubstring(`"RouteType":"safe"`))
 		})
 		// A second proposal makes no further change.
--- a/internal/control/listing/pace.go
+++ b/internal/control/listing/pace.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"ploverhitch/internal/timetable"
+	"ploverhitch/internal/clock"
 )
 
 // Shares of the platform's rate limit, and intervals of the reads.
@@ -41,10 +41,10 @@
 // Next returns when the read that follows one with the given number of calls starts. The
 // calls of a read come in quick succession, so the rate is an average from one start to
 // the next.
-func (p Pace) Next(startedAt, endedAt timetable.Steady, calls int) timetable.Steady {
+func (p Pace) Next(startedAt, endedAt clock.Instant, calls int) clock.Instant {
 	interval := p.MinInterval
 	if p.Rate > 0 {
 		interval = max(interval, time.Duration(float64(calls)/p.Rate*float64(time.Second)))
 	}
-	return max(startedAt+timetable.Steady(interval), endedAt+timetable.Steady(minPause))
+	return max(startedAt+clock.Instant(interval), endedAt+clock.Instant(minPause))
 }
--- a/internal/control/listing/read_tracker.go
+++ b/internal/control/listing/read_tracker.go
@@ -4,8 +4,8 @@
 	"slices"
 	"time"
 
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/membership"
-	"ploverhitch/internal/timetable"
 )
 
 const (
@@ -22,42 +22,42 @@
 
 // ReadTracker tracks when each member's next page of the list is due.
 type ReadTracker struct {
-	startedAt timetable.Steady
-	pageDueAt map[string]timetable.Steady
+	startedAt clock.Instant
+	pageDueAt map[string]clock.Instant
 	// reportedAt is when each member last reported a page.
-	reportedAt map[string]timetable.Steady
+	reportedAt map[string]clock.Instant
 	// listReadAt is when the newest known complete read started.
-	listReadAt timetable.Steady
+	listReadAt clock.Instant
 	listRead   bool
 }
 
 // NewReadTracker returns a tracker that starts at the given time.
-func NewReadTracker(now timetable.Steady) *ReadTracker {
-	return &ReadTracker{startedAt: now, reportedAt: map[string]timetable.Steady{}, pageDueAt: map[string]timetable.Steady{}}
+func NewReadTracker(now clock.Instant) *ReadTracker {
+	return &ReadTracker{startedAt: now, reportedAt: map[string]clock.Instant{}, pageDueAt: map[string]clock.Instant{}}
 }
 
 // RecordPage records that a member has read a page, and within which time its next page
 // is due.
-func (t *ReadTracker) RecordPage(member string, next time.Duration, now timetable.Steady) {
+func (t *ReadTracker) RecordPage(member string, next time.Duration, now clock.Instant) {
 	// Reports may arrive out of order, over a connection that was established again.
-	t.pageDueAt[member], t.reportedAt[member] = max(t.pageDueAt[member], now+timetable.Steady(next)), now
+	t.pageDueAt[member], t.reportedAt[member] = max(t.pageDueAt[member], now+clock.Instant(next)), now
 }
 
 // RecordList records a complete read, which started the given time ago.
-func (t *ReadTracker) RecordList(age time.Duration, now timetable.Steady) {
-	if startedAt := now - timetable.Steady(age); !t.listRead || startedAt > t.listReadAt {
+func (t *ReadTracker) RecordList(age time.Duration, now clock.Instant) {
+	if startedAt := now - clock.Instant(age); !t.listRead || startedAt > t.listReadAt {
 		t.listReadAt, t.listRead = startedAt, true
 	}
 }
 
 // Age returns the time since the start of the newest complete read; ok is false before
 // the first one.
-func (t *ReadTracker) Age(now timetable.Steady) (age time.Duration, ok bool) {
+func (t *ReadTracker) Age(now clock.Instant) (age time.Duration, ok bool) {
 	return time.Duration(now - t.listReadAt), t.listRead
 }
 
 // SinceOtherReport returns the time since another member last reported a page.
-func (t *ReadTracker) SinceOtherReport(self string, now timetable.Steady) time.Duration {
+func (t *ReadTracker) SinceOtherReport(self string, now clock.Instant) time.Duration {
 	latest := t.startedAt
 	for member, reportedAt := range t.reportedAt {
 		if member != self {
@@ -80,16 +80,16 @@
 // read a page in time and none with a lower rank has started to read, as then no other
 // member uses the rate limit. The standby reader with rank 0 also reads concurrently with a
 // leader whose pages arrive in time, while the newest complete list is too old.
-func (t *ReadTracker) StandbyShare(view membership.View, leader, self string, now timetable.Steady) float64 {
+func (t *ReadTracker) StandbyShare(view membership.View, leader, self string, now clock.Instant) float64 {
 	rank := StandbyRank(view, leader, self)
 	if rank < 0 {
 		return 0
 	}
-	wait := timetable.Steady(standbyDelay + time.Duration(rank)*rankDelay)
+	wait := clock.Instant(standbyDelay + time.Duration(rank)*rankDelay)
 	switch {
 	case now > t.othersDueAt(self)+wait:
 		return LeaderShare
-	case rank == 0 && t.listRead && now > t.listReadAt+timetable.Steady(maxListAge)+wait:
+	case rank == 0 && t.listRead && now > t.listReadAt+clock.Instant(maxListAge)+wait:
 		return concurrentShare
 	default:
 		return 0
@@ -97,7 +97,7 @@
 }
 
 // othersDueAt returns the latest time at which a page from another member is due.
-func (t *ReadTracker) othersDueAt(self string) (latest timetable.Steady) {
+func (t *ReadTracker) othersDueAt(self string) (latest clock.Instant) {
 	reported := false
 	for member, due := range t.pageDueAt {
 		if member != self && (!reported || due > latest) {
@@ -105,7 +105,7 @@
 		}
 	}
 	if !reported {
-		return t.startedAt + timetable.Steady(startupGrace)
+		return t.startedAt + clock.Instant(startupGrace)
 	}
 	return latest
 }
--- a/internal/control/listing/read_tracker_test.go
+++ b/internal/control/listing/read_tracker_test.go
@@ -7,9 +7,9 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/control/listing"
 	"ploverhitch/internal/membership"
-	"ploverhitch/internal/timetable"
 )
 
 func TestListing(t *testing.T) {
@@ -20,7 +20,7 @@
 var _ = Describe("the tracker of list reads", func() {
 	const leader = "10.0.0.1:1"
 	view := membership.View{Epoch: 1, Members: []string{leader, "10.0.0.2:1", "10.0.0.3:1", "10.0.0.4:1"}}
-	start := timetable.Steady(time.Hour)
+	start := clock.Instant(time.Hour)
 	// memberWithRank returns the member with a standby rank.
 	memberWithRank := func(rank int) string {
 		for _, member := range view.Members {
@@ -30,8 +30,8 @@
 		}
 		panic("no such rank")
 	}
-	after := func(elapsed time.Duration) timetable.Steady { return start + timetable.Steady(elapsed) }
-	standbyReaders := func(tracker *listing.ReadTracker, now timetable.Steady) (ranks []int) {
+	after := func(elapsed time.Duration) clock.Instant { return start + clock.Instant(elapsed) }
+	standbyReaders := func(tracker *listing.ReadTracker, now clock.Instant) (ranks []int) {
 		for _, member := range view.Members {
 			if tracker.StandbyShare(view, leader, member, now) > 0 {
 				ranks = append(ranks, listing.StandbyRank(view, leader, member))
@@ -71,18 +71,18 @@
 		tracker.RecordList(200*time.Millisecond, start)
 		reportedAt := after(0)
 		for reportedAt < after(1900*time.Millisecond) {
-			reportedAt += timetable.Steady(100 * time.Millisecond)
+			reportedAt += clock.Instant(100 * time.Millisecond)
 			tracker.RecordPage(leader, 300*time.Millisecond, reportedAt)
 		}
 		Expect(standbyReaders(tracker, reportedAt)).To(BeEmpty())
 		for reportedAt < after(2100*time.Millisecond) {
-			reportedAt += timetable.Steady(100 * time.Millisecond)
+			reportedAt += clock.Instant(100 * time.Millisecond)
 			tracker.RecordPage(leader, 300*time.Millisecond, reportedAt)
 		}
 		Expect(standbyReaders(tracker, reportedAt)).To(ConsistOf(0))
 		concurrent := tracker.StandbyShare(view, leader, memberWithRank(0), reportedAt)
 		Expect(concurrent+listing.LeaderShare).To(BeNumerically("<=", 1), "the leader reads too")
-		silent := tracker.StandbyShare(view, leader, memberWithRank(0), reportedAt+timetable.Steady(time.Second))
+		silent := tracker.StandbyShare(view, leader, memberWithRank(0), reportedAt+clock.Instant(time.Second))
 		Expect(silent).To(Equal(listing.LeaderShare), "no other member reads")
 		tracker.RecordList(300*time.Millisecond, reportedAt)
 		Expect(standbyReaders(tracker, reportedAt)).To(BeEmpty())
--- a/internal/control/listing/window.go
+++ b/internal/control/listing/window.go
@@ -3,22 +3,22 @@
 import (
 	"time"
 
-	"ploverhitch/internal/timetable"
+	"ploverhitch/internal/clock"
 )
 
 // windowLength is the time over which the platform counts calls.
-const windowLength = timetable.Steady(time.Second)
+const windowLength = clock.Instant(time.Second)
 
 // Window is a sliding-window rate limiter for calls. The zones are read concurrently, so
 // without it the calls of a read would all be made at once.
 type Window struct {
 	// callTimes are the times of the calls of the last second, and of future calls.
-	callTimes []timetable.Steady
+	callTimes []clock.Instant
 }
 
 // Reserve reserves the next time for a call and returns how long to wait until then.
 // perSecond is the largest number of calls in any second; 0 means no limit.
-func (w *Window) Reserve(now timetable.Steady, perSecond float64) (wait time.Duration) {
+func (w *Window) Reserve(now clock.Instant, perSecond float64) (wait time.Duration) {
 	for len(w.callTimes) > 0 && w.callTimes[0]+windowLength <= now {
 		w.callTimes = w.callTimes[1:]
 	}
--- a/internal/control/load.go
+++ b/internal/control/load.go
@@ -5,11 +5,11 @@
 	"math/rand/v2"
 	"time"
 
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/idempotency"
 	"ploverhitch/internal/settings"
 	"ploverhitch/internal/shedding"
-	"ploverhitch/internal/timetable"
 )
 
 // loadGaugeOn reports whether the settings enable load measurement.
@@ -23,7 +23,7 @@
 func (c *coordinator) resetLoadGauge() {
 	c.loadGauge = shedding.NewGauge(c.clock, rand.Uint64)
 	c.store.read(func(t *tables) {
-		if t.fleetFresh(c.clock.Steady(), cutoffsMaxAge) {
+		if t.fleetFresh(c.clock.Monotonic(), cutoffsMaxAge) {
 			c.loadGauge.Hold(t.fleet.Cutoffs)
 		}
 	})
@@ -55,8 +55,8 @@
 // sheds reports whether this member refuses its vote for a new intent because the service
 // is overloaded. Existing intents are never shed, so that they can still be replayed,
 // resumed and recorded.
-func (t *tables) sheds(intent idempotency.Intent, now timetable.Steady) bool {
-	if len(t.fleet.Cutoffs) == 0 || !t.fleetFresh(now, feed.GrantSpan) || t.voter.Find(intent.Key) != nil {
+func (t *tables) sheds(intent idempotency.Intent, now clock.Instant) bool {
+	if len(t.fleet.Cutoffs) == 0 || !t.fleetFresh(now, feed.GrantDuration) || t.voter.Find(intent.Key) != nil {
 		return false
 	}
 	for _, cutoff := range t.fleet.Cutoffs {
@@ -88,7 +88,7 @@
 	})
 	n.store.read(func(t *tables) {
 		page.Order = append(page.Order, t.compiledConfiguration().Order.Rungs()...)
-		if t.fleetFresh(n.clock.Steady(), feed.GrantSpan) {
+		if t.fleetFresh(n.clock.Monotonic(), feed.GrantDuration) {
 			page.Cutoffs = append(page.Cutoffs, t.fleet.Cutoffs...)
 		}
 	})
--- a/internal/control/member_test.go
+++ b/internal/control/member_test.go
@@ -8,6 +8,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/control/lease"
 	"ploverhitch/internal/control/registry"
@@ -17,22 +18,21 @@
 	"ploverhitch/internal/messages"
 	"ploverhitch/internal/shedding"
 	"ploverhitch/internal/storage"
-	"ploverhitch/internal/timetable"
 	"ploverhitch/internal/trial"
 )
 
 var _ = Describe("requests that a control plane member refuses", func() {
 	var n *node
-	var clock *timetable.Hand
+	var manualClock *clock.Manual
 	const leaseDuration = 900 * time.Millisecond
 	view := membership.View{Epoch: 3, Members: []string{"a", "b", "c"}}
 
 	BeforeEach(func() {
-		clock = &timetable.Hand{Now: time.Hour}
-		n = &node{self: "a", clock: clock, hub: feed.NewHub(), log: func(string, string, ...any) {}, listWatch: newListTracker(clock.Steady())}
+		manualClock = &clock.Manual{Now: time.Hour}
+		n = &node{self: "a", clock: manualClock, hub: feed.NewHub(), log: func(string, string, ...any) {}, listWatch: newListTracker(manualClock.Monotonic())}
 		disk, err := storage.Folder(GinkgoT().TempDir())
 		Expect(err).NotTo(HaveOccurred())
-		n.store, err = openStore(disk, idempotency.Policy{OpenLimit: 10, KeyWindow: time.Minute}, clock, func(err error) { Expect(err).NotTo(HaveOccurred()) })
+		n.store, err = openStore(disk, idempotency.Policy{OpenLimit: 10, KeyWindow: time.Minute}, manualClock, func(err error) { Expect(err).NotTo(HaveOccurred()) })
 		Expect(err).NotTo(HaveOccurred())
 		ctx, cancel := context.WithCancel(context.Background())
 		DeferCleanup(cancel)
@@ -81,16 +81,16 @@
 		Expect(claim(7)).To(BeFalse(), "the member is not trusted yet")
 		n.trust()
 		Expect(claim(7)).To(BeFalse(), "the member is new in the view and doesn't know which promises of the leader lease still run")
-		clock.Now += leaseDuration
+		manualClock.Now += leaseDuration
 		Expect(claim(7)).To(BeTrue())
 		Expect(claim(7)).To(BeFalse())
 		Expect(claim(6)).To(BeFalse())
-		Expect(sendFleet(feed.Fleet{Term: 6, Count: 9, Holder: "old"})).To(BeFalse())
-		Expect(sendFleet(feed.Fleet{Term: 7, Count: 1, Holder: "new"})).To(BeTrue())
-		Expect(n.fleet().Holder).To(Equal("new"))
+		Expect(sendFleet(feed.Fleet{Term: 6, Count: 9, Leader: "old"})).To(BeFalse())
+		Expect(sendFleet(feed.Fleet{Term: 7, Count: 1, Leader: "new"})).To(BeTrue())
+		Expect(n.fleet().Leader).To(Equal("new"))
 		// A delta to a reading that the member doesn't have can't be applied.
-		Expect(sendFleet(feed.Fleet{Term: 7, Count: 5, Holder: "later", Since: &feed.Reading{Term: 7, Count: 4}})).To(BeFalse())
-		Expect(n.fleet().Holder).To(Equal("new"))
+		Expect(sendFleet(feed.Fleet{Term: 7, Count: 5, Leader: "later", Base: &feed.FleetVersion{Term: 7, Count: 4}})).To(BeFalse())
+		Expect(n.fleet().Leader).To(Equal("new"))
 		Expect(writeRollout(6, 3)).To(BeFalse())
 		Expect(writeRollout(7, 2)).To(BeFalse())
 		Expect(writeRollout(7, 3)).To(BeTrue())
@@ -109,7 +109,7 @@
 		var held *idempotency.Intent
 		n.store.read(func(t *tables) { held = t.voter.Find(idempotency.Key{Tenant: "h", Key: "new"}) })
 		Expect(held).To(BeNil(), "a shed intent is not stored")
-		clock.Now += feed.GrantSpan + time.Millisecond
+		manualClock.Now += feed.GrantDuration + time.Millisecond
 		Expect(reserve(3, "new")).To(Equal(idempotency.Granted))
 	})
 })
--- a/internal/control/mirrors.go
+++ b/internal/control/mirrors.go
@@ -27,7 +27,7 @@
 type activeMirror struct {
 	grant loopline.Grant
 	// eraStart is the first reading of the era.
-	eraStart feed.Reading
+	eraStart feed.FleetVersion
 	// copied and lost are counted since the last reduction of the share, at
 	// shareReducedAt.
 	copied, lost   uint64
@@ -39,7 +39,7 @@
 func (c *coordinator) mirrorGrants() (grants []loopline.Grant) {
 	var mirrors []loopline.Mirror
 	var versions []config.Version
-	var compiled *config.Sheet
+	var compiled *config.RoutingTable
 	c.store.read(func(t *tables) {
 		if mirrors, versions = t.currentMirrors(); len(mirrors) > 0 {
 			compiled = t.compiledConfiguration()
@@ -52,7 +52,7 @@
 	lives := c.detector.CombineIncarnations(mirrorReportMaxAge, loopline.LifeOf)
 	inForce := map[string]bool{}
 	for i, mirror := range mirrors {
-		if !mirror.Until.After(c.clock.Wall()) || compiled.IsLive(mirror.Shadow) {
+		if !mirror.Until.After(c.clock.Wall()) || compiled.HasRouteTo(mirror.Shadow) {
 			continue
 		}
 		inForce[mirror.Name] = true
@@ -77,12 +77,12 @@
 		// The fleet that is being built gets the next count.
 		c.eraCount++
 		active.grant.Era, active.grant.Lives, active.grant.IsSettled = c.term<<32|c.eraCount, lives, false
-		active.eraStart = feed.Reading{Term: c.term, Count: c.lastFleet.Count + 1}
+		active.eraStart = feed.FleetVersion{Term: c.term, Count: c.lastFleet.Count + 1}
 	}
 	if touch := c.detector.Usage("", active.eraStart); !active.grant.IsSettled && touch.Proxies > 0 && touch.Outdated == 0 {
 		active.grant.IsSettled = true
 	}
-	now := time.Duration(c.clock.Steady())
+	now := time.Duration(c.clock.Monotonic())
 	if active.lost >= minLostCopies && float64(active.lost) > maxLossRatio*float64(active.copied+active.lost) && now-active.shareReducedAt >= shareReductionInterval {
 		active.grant.Share *= shareReductionFactor
 		active.copied, active.lost, active.shareReducedAt = 0, 0, now
@@ -115,7 +115,7 @@
 	mirrors, _ := configuration.Mirrors()
 	page.Mirrors = append(page.Mirrors, mirrors...)
 	n.store.read(func(t *tables) {
-		if t.fleetFresh(n.clock.Steady(), feed.GrantSpan) {
+		if t.fleetFresh(n.clock.Monotonic(), feed.GrantDuration) {
 			page.Grants = append(page.Grants, t.fleet.Mirrors...)
 		}
 	})
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -10,6 +10,7 @@
 
 	"github.com/juju/errors"
 
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/control/lease"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/idempotency"
@@ -17,7 +18,6 @@
 	"ploverhitch/internal/rpc"
 	"ploverhitch/internal/settings"
 	"ploverhitch/internal/storage"
-	"ploverhitch/internal/timetable"
 )
 
 const (
@@ -31,7 +31,7 @@
 type node struct {
 	settings     atomic.Pointer[settings.Settings]
 	self         string
-	clock        timetable.Clock
+	clock        clock.Clock
 	log          func(level, text string, pairs ...any)
 	store        *store
 	hub          *feed.Hub
@@ -43,9 +43,9 @@
 	// livenessWatch and joining are accessed only by the membership loop; joining holds
 	// the time of the last request of each address that asked to join.
 	livenessWatch *membership.Watch
-	memberLoop    *timetable.Loop[func()]
-	joining       map[string]timetable.Steady
-	startedAt     timetable.Steady
+	memberLoop    *clock.Loop[func()]
+	joining       map[string]clock.Instant
+	startedAt     clock.Instant
 	// eligible is whether this node may become the leader.
 	eligible atomic.Bool
 	isLeader atomic.Bool
@@ -84,12 +84,12 @@
 	ctx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	n := &node{
-		self: set.InternalAddress(set.Platform.Ip, 0), clock: timetable.Real(), log: log, hub: feed.NewHub(),
-		connections: map[string]*rpc.Line{}, memberLoop: timetable.NewLoop[func()](256), joining: map[string]timetable.Steady{},
+		self: set.InternalAddress(set.Platform.Ip, 0), clock: clock.Real(), log: log, hub: feed.NewHub(),
+		connections: map[string]*rpc.Line{}, memberLoop: clock.NewLoop[func()](256), joining: map[string]clock.Instant{},
 	}
 	n.settings.Store(set)
 	n.proposerID = newProposerID(n.self)
-	n.startedAt = n.clock.Steady()
+	n.startedAt = n.clock.Monotonic()
 	n.livenessWatch = membership.NewWatch(n.clock, set.Tuning.SilentAfter.Std())
 	n.lease = newLeaderLease(leaseDuration(set.Tuning))
 	n.listWatch = newListTracker(n.startedAt)
@@ -112,7 +112,7 @@
 	go n.store.run(ctx)
 	n.publishState()
 	go rpc.Serve(internalListener, n.callHandlers, silenceTimeout)
-	go timetable.Every(ctx, set.Tuning.Beat.Std()/contactChecksPerHeartbeat, n.refreshQuorumContact)
+	go clock.Every(ctx, set.Tuning.Beat.Std()/contactChecksPerHeartbeat, n.refreshQuorumContact)
 	go n.memberLoop.Run(ctx, runAll, set.Tuning.Beat.Std(), n.heartbeat)
 	go n.recoverState(ctx)
 	go n.configReplicator.run(ctx)
@@ -151,7 +151,7 @@
 	n.store.self = n.self
 	n.store.tables.grantor = lease.NewGrantor(leaseDuration(t))
 	if newSystem := p.Bootstrap && n.store.tables.empty; !newSystem {
-		n.store.tables.grantor.DenyClaims(n.clock.Steady())
+		n.store.tables.grantor.DenyClaims(n.clock.Monotonic())
 	}
 	return nil
 }
@@ -170,7 +170,7 @@
 func (n *node) publishState() {
 	n.store.read(func(t *tables) {
 		view, fleet := t.view, t.fleet
-		n.hub.Publish(feed.News{Items: t.configuration().Items(), View: &view, Fleet: &fleet})
+		n.hub.Publish(feed.Update{Items: t.configuration().Items(), View: &view, Fleet: &fleet})
 	})
 }
 
@@ -187,7 +187,7 @@
 		}
 		r := record{View: &view}
 		t.apply(r)
-		n.hub.Publish(feed.News{View: &view})
+		n.hub.Publish(feed.Update{View: &view})
 		return []record{r}
 	}, 2*time.Second)
 }
--- a/internal/control/page_client.go
+++ b/internal/control/page_client.go
@@ -10,8 +10,8 @@
 
 	"github.com/juju/errors"
 
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/feed"
-	"ploverhitch/internal/timetable"
 )
 
 // listedInstance is one server in the platform's list.
@@ -23,7 +23,7 @@
 	Revision   string         `json:"Revision"`
 	Capacity   int            `json:"Capacity"`
 	State      string         `json:"State"`
-	WarmupLeft timetable.Span `json:"WarmupLeft"`
+	WarmupLeft clock.Duration `json:"WarmupLeft"`
 }
 
 // listPage is one page of the platform's list.
@@ -69,12 +69,12 @@
 // pageClient requests pages of the platform's list.
 type pageClient struct {
 	http  *http.Client
-	clock timetable.Clock
+	clock clock.Clock
 	// address returns the host and port of the platform.
 	address func() string
 }
 
-func newPageClient(clock timetable.Clock, address func() string) *pageClient {
+func newPageClient(clock clock.Clock, address func() string) *pageClient {
 	transport := &http.Transport{DisableCompression: true, MaxIdleConns: maxIdleConns, MaxIdleConnsPerHost: maxIdleConns}
 	return &pageClient{http: &http.Client{Transport: transport}, clock: clock, address: address}
 }
@@ -82,11 +82,11 @@
 // server converts the entry to the form in which the feed carries it.
 func (i listedInstance) server(now time.Time) feed.Server {
 	out := feed.Server{
-		ID: i.InstanceId, Service: i.Service, Address: i.Address, Cell: i.Zone, Capacity: i.Capacity,
+		ID: i.InstanceId, Service: i.Service, Address: i.Address, Zone: i.Zone, Capacity: i.Capacity,
 		IsReady: i.State == "ready", Revision: i.Revision,
 	}
 	if i.WarmupLeft > 0 {
-		out.WarmMs = now.Add(i.WarmupLeft.Std()).UnixMilli()
+		out.WarmupEndMs = now.Add(i.WarmupLeft.Std()).UnixMilli()
 	}
 	return out
 }
@@ -137,13 +137,13 @@
 
 // call makes one call for a page.
 func (c *pageClient) call(ctx context.Context, key pageKey) (out pageResult) {
-	started := c.clock.Steady()
+	started := c.clock.Monotonic()
 	address := "http://" + c.address() + "/instances"
 	if query := key.query(); query != "" {
 		address += "?" + query
 	}
 	out.page, out.err = c.get(ctx, address)
-	out.latency = time.Duration(c.clock.Steady() - started)
+	out.latency = time.Duration(c.clock.Monotonic() - started)
 	return out
 }
 
--- a/internal/control/quorum_contact.go
+++ b/internal/control/quorum_contact.go
@@ -8,9 +8,9 @@
 	"github.com/go-kit/kit/endpoint"
 
 	"ploverhitch/internal/apierror"
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/messages"
-	"ploverhitch/internal/timetable"
 )
 
 const (
@@ -31,11 +31,11 @@
 type quorumContact struct {
 	lock   sync.Mutex
 	known  bool
-	sentAt timetable.Steady
-	fleet  feed.Reading
+	sentAt clock.Instant
+	fleet  feed.FleetVersion
 }
 
-func (c *quorumContact) record(sentAt timetable.Steady, fleet feed.Reading) {
+func (c *quorumContact) record(sentAt clock.Instant, fleet feed.FleetVersion) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	if !c.known || sentAt > c.sentAt {
@@ -44,28 +44,28 @@
 }
 
 // age is the time since the last contact; ok is false before the first.
-func (c *quorumContact) age(now timetable.Steady) (age time.Duration, ok bool) {
+func (c *quorumContact) age(now clock.Instant) (age time.Duration, ok bool) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	return time.Duration(now - c.sentAt), c.known
 }
 
 // isBehind reports whether a majority had a newer fleet than the given one.
-func (c *quorumContact) isBehind(held feed.Reading) bool {
+func (c *quorumContact) isBehind(held feed.FleetVersion) bool {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	return c.fleet.Outranks(held)
+	return c.fleet.NewerThan(held)
 }
 
 func (n *node) hasQuorumContact() bool {
-	age, ok := n.contact.age(n.clock.Steady())
+	age, ok := n.contact.age(n.clock.Monotonic())
 	return ok && age <= maxContactAge
 }
 
 // isReadyToLead reports whether this node may become or stay the leader: it holds the lease,
 // or has quorum contact and the newest fleet of a majority, with the grants that the next
 // leader continues from.
-func (n *node) isReadyToLead(held feed.Reading) bool {
+func (n *node) isReadyToLead(held feed.FleetVersion) bool {
 	if n.holdsLease(n.ownTerm.Load()) {
 		return true
 	}
@@ -75,16 +75,16 @@
 // refreshQuorumContact asks the members of the view whether they serve in its epoch, unless
 // a majority confirmed that within the last heartbeat interval.
 func (n *node) refreshQuorumContact() {
-	if age, ok := n.contact.age(n.clock.Steady()); ok && age < n.settings.Load().Tuning.Beat.Std() {
+	if age, ok := n.contact.age(n.clock.Monotonic()); ok && age < n.settings.Load().Tuning.Beat.Std() {
 		return
 	}
-	view, sentAt, count := n.view(), n.clock.Steady(), 0
-	var newest feed.Reading
+	view, sentAt, count := n.view(), n.clock.Monotonic(), 0
+	var newest feed.FleetVersion
 	callAll(n, view.Members, messages.KindContact, messages.Contact{Epoch: view.Epoch}, callTimeout, func(_ string, answer messages.ContactTold) bool {
 		if !answer.OK {
 			return false
 		}
-		if count++; answer.Fleet.Outranks(newest) {
+		if count++; answer.Fleet.NewerThan(newest) {
 			newest = answer.Fleet
 		}
 		return count >= view.Majority()
@@ -104,7 +104,7 @@
 func (n *node) onContact(in messages.Contact, answer func(messages.ContactTold)) {
 	var out messages.ContactTold
 	n.store.enqueue(func(t *tables) []record {
-		out.OK, out.Fleet = n.canVote(t, in.Epoch), t.fleet.Reading()
+		out.OK, out.Fleet = n.canVote(t, in.Epoch), t.fleet.Version()
 		return nil
 	}, func() { answer(out) })
 }
@@ -126,14 +126,14 @@
 // waitForNewestFleet waits until this node has the newest fleet known to a majority, and
 // returns false at the timeout.
 func (n *node) waitForNewestFleet() bool {
-	started := n.clock.Steady()
+	started := n.clock.Monotonic()
 	for {
-		var held feed.Reading
-		n.store.read(func(t *tables) { held = t.fleet.Reading() })
+		var held feed.FleetVersion
+		n.store.read(func(t *tables) { held = t.fleet.Version() })
 		if !n.contact.isBehind(held) {
 			return true
 		}
-		if time.Duration(n.clock.Steady()-started) >= newestFleetTimeout {
+		if time.Duration(n.clock.Monotonic()-started) >= newestFleetTimeout {
 			return false
 		}
 		n.clock.Sleep(newestFleetCheckInterval)
--- a/internal/control/registry/cluster_test.go
+++ b/internal/control/registry/cluster_test.go
@@ -18,11 +18,11 @@
 }
 
 func removal(name string, version config.Version) config.Item {
-	return config.Item{ID: config.ID{Class: config.RouteItem, Name: name}, Version: version, Dropped: true}
+	return config.Item{ID: config.ID{Class: config.RouteItem, Name: name}, Version: version, Removed: true}
 }
 
 // check is the part of the program's validation that needs only the items.
-func check(book config.Book, _, unseen []config.Item) error {
+func check(book config.ItemSet, _, unseen []config.Item) error {
 	if err := book.Check(); err != nil {
 		return err
 	}
--- a/internal/control/registry/draft.go
+++ b/internal/control/registry/draft.go
@@ -9,7 +9,7 @@
 
 // Check validates the set that a proposal would produce. newer are the proposal's
 // items that take effect, unseen those that were not accepted before.
-type Check func(book config.Book, newer, unseen []config.Item) error
+type Check func(book config.ItemSet, newer, unseen []config.Item) error
 
 // ConflictError reports that the version which a proposal gives to an item was
 // accepted with different content.
@@ -29,7 +29,7 @@
 // has no effect on it.
 type Draft struct {
 	set  *Set
-	book config.Book
+	book config.ItemSet
 	// items are those of the proposals added so far, in the order of the proposals.
 	// They may hold several versions of an item, also versions without effect.
 	items        []config.Item
--- a/internal/control/registry/initial_set.go
+++ b/internal/control/registry/initial_set.go
@@ -15,7 +15,7 @@
 	replica.MergeLegacy(legacy)
 	set = replica.Set
 	for _, item := range duplicateRoutes(set.Items) {
-		item.Dropped, item.Body, item.Host = true, nil, ""
+		item.Removed, item.Body, item.Host = true, nil, ""
 		set.put(item)
 		dropped = append(dropped, item.ID.Name)
 	}
@@ -24,11 +24,11 @@
 
 // duplicateRoutes returns the routes whose host and prefix belong to another route:
 // the one with the higher version, then with the greater name, as in config.Compile.
-func duplicateRoutes(book config.Book) (duplicates []config.Item) {
+func duplicateRoutes(book config.ItemSet) (duplicates []config.Item) {
 	owners := map[string]config.Item{}
 	for _, item := range book.Items() {
 		var route config.RouteSpec
-		if item.ID.Class != config.RouteItem || item.Dropped || json.Unmarshal(item.Body, &route) != nil {
+		if item.ID.Class != config.RouteItem || item.Removed || json.Unmarshal(item.Body, &route) != nil {
 			continue
 		}
 		location := item.Host + route.PathPrefix
--- a/internal/control/registry/registry_test.go
+++ b/internal/control/registry/registry_test.go
@@ -53,7 +53,7 @@
 
 	It("is recognized as a repeat after newer versions, even if it would no longer be valid", func() {
 		Expect(submitItems(route("a", 7, "/a/", "t"))).To(Succeed())
-		Expect(submitItems(config.Item{ID: config.ID{Class: config.ServiceItem, Name: "s"}, Version: 9, Dropped: true})).To(Succeed())
+		Expect(submitItems(config.Item{ID: config.ID{Class: config.ServiceItem, Name: "s"}, Version: 9, Removed: true})).To(Succeed())
 		Expect(submitItems(route("a", 5, "/a/", "s"))).To(Succeed(), "it was accepted before its service was removed")
 		Expect(string(set.Items[config.ID{Class: config.RouteItem, Name: "a"}].Body)).To(ContainSubstring("r7"))
 		Expect(submitItems(route("a", 5, "/a/", "t"))).To(MatchError(ContainSubstring("r5")), "different content under the superseded version")
--- a/internal/control/registry/replica.go
+++ b/internal/control/registry/replica.go
@@ -147,7 +147,7 @@
 	for _, item := range items {
 		item = migrateFieldNames(item)
 		current, ok := r.Items[item.ID]
-		if !ok || item.Outranks(current) {
+		if !ok || item.Supersedes(current) {
 			r.put(item)
 			r.recordAccepted(item)
 		}
--- a/internal/control/registry/set.go
+++ b/internal/control/registry/set.go
@@ -27,7 +27,7 @@
 // Set is the item set after the change numbered Index.
 type Set struct {
 	Index   Index
-	Items   config.Book
+	Items   config.ItemSet
 	history map[config.ID][]AcceptedVersion
 	size    int
 }
@@ -49,14 +49,14 @@
 
 // NewSet returns an empty set.
 func NewSet() *Set {
-	return &Set{Items: config.Book{}, history: map[config.ID][]AcceptedVersion{}}
+	return &Set{Items: config.ItemSet{}, history: map[config.ID][]AcceptedVersion{}}
 }
 
 // apply applies the next change. A version that is not higher than the current one
 // is recorded as accepted and has no other effect.
 func (s *Set) apply(change Change) {
 	if change.ReplacesAll {
-		s.Items, s.size = config.Book{}, 0
+		s.Items, s.size = config.ItemSet{}, 0
 		s.history = map[config.ID][]AcceptedVersion{}
 	}
 	for _, item := range change.Items {
--- a/internal/control/repair_bench_test.go
+++ b/internal/control/repair_bench_test.go
@@ -6,13 +6,13 @@
 	"testing"
 	"time"
 
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/idempotency"
 	"ploverhitch/internal/membership"
 	"ploverhitch/internal/rpc"
 	"ploverhitch/internal/settings"
 	"ploverhitch/internal/storage"
-	"ploverhitch/internal/timetable"
 )
 
 // BenchmarkRepair rebuilds one of three members from a full key window: 37,000
@@ -50,7 +50,7 @@
 	}
 	b.Cleanup(func() { _ = listener.Close() })
 	m := &node{
-		self: listener.Addr().String(), clock: timetable.Real(), hub: feed.NewHub(), log: func(string, string, ...any) {},
+		self: listener.Addr().String(), clock: clock.Real(), hub: feed.NewHub(), log: func(string, string, ...any) {},
 		connections: map[string]*rpc.Line{}, store: newBenchStore(b),
 	}
 	m.settings.Store(&settings.Settings{Tuning: settings.Defaults()})
@@ -66,7 +66,7 @@
 		b.Fatal(err)
 	}
 	policy := idempotency.Policy{KeyWindow: time.Minute, Retention: time.Hour}
-	s, err := openStore(disk, policy, timetable.Real(), func(err error) { b.Error(err) })
+	s, err := openStore(disk, policy, clock.Real(), func(err error) { b.Error(err) })
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/control/rollout_replication.go
+++ b/internal/control/rollout_replication.go
@@ -2,15 +2,15 @@
 
 import (
 	"ploverhitch/internal/apierror"
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/messages"
-	"ploverhitch/internal/timetable"
 	"ploverhitch/internal/trial"
 )
 
 // rolloutStart is the latest possible start of a rollout on this node's monotonic clock.
 type rolloutStart struct {
 	number    uint64
-	startedAt timetable.Steady
+	startedAt clock.Instant
 }
 
 // onRollout persists a state of a rollout, unless it was written under a term lower than
@@ -35,7 +35,7 @@
 // recordRolloutStart records the start of a rollout that its elapsed time implies, if it is
 // earlier than the known one.
 func (n *node) recordRolloutStart(state trial.State) {
-	startedAt := n.clock.Steady() - timetable.Steady(state.Elapsed)
+	startedAt := n.clock.Monotonic() - clock.Instant(state.Elapsed)
 	if value, known := n.rolloutStarts.Load(state.Subject); known {
 		if start := value.(rolloutStart); start.number == state.Number {
 			startedAt = min(startedAt, start.startedAt)
@@ -45,13 +45,13 @@
 }
 
 // rolloutStartedAt returns the start time of a rollout as far as this node knows it.
-func (n *node) rolloutStartedAt(state trial.State) timetable.Steady {
+func (n *node) rolloutStartedAt(state trial.State) clock.Instant {
 	if value, known := n.rolloutStarts.Load(state.Subject); known {
 		if start := value.(rolloutStart); start.number == state.Number {
 			return start.startedAt
 		}
 	}
-	return n.clock.Steady() - timetable.Steady(state.Elapsed)
+	return n.clock.Monotonic() - clock.Instant(state.Elapsed)
 }
 
 func (n *node) onRollouts(in messages.Trials, reply func(messages.TrialsTold)) {
--- a/internal/control/rollouts.go
+++ b/internal/control/rollouts.go
@@ -9,15 +9,15 @@
 	validation "github.com/go-ozzo/ozzo-validation/v4"
 
 	"ploverhitch/internal/apierror"
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/messages"
-	"ploverhitch/internal/timetable"
 )
 
 // rolloutRequest is an operator's request to roll out a version of a service.
 type rolloutRequest struct {
 	Service       string         `json:"Service"`
 	TargetVersion string         `json:"TargetVersion"`
-	Duration      timetable.Span `json:"Duration"`
+	Duration      clock.Duration `json:"Duration"`
 }
 
 const (
--- a/internal/control/round_draft.go
+++ b/internal/control/round_draft.go
@@ -72,7 +72,7 @@
 
 // checkProposal validates the configuration that a proposal would produce, and the
 // proposal's own items.
-func (n *node) checkProposal(configuration config.Book, newer, unseen []config.Item) error {
+func (n *node) checkProposal(configuration config.ItemSet, newer, unseen []config.Item) error {
 	if err := configuration.Check(); err != nil {
 		return err
 	}
@@ -82,5 +82,5 @@
 	if err := n.checkSites(configuration); err != nil {
 		return err
 	}
-	return configuration.CheckOwn(newer, n.clock.Wall())
+	return configuration.CheckExtensions(newer, n.clock.Wall())
 }
--- a/internal/control/sites.go
+++ b/internal/control/sites.go
@@ -36,11 +36,11 @@
 // updateAllocation updates the tree of sites and allocates the sites' capacity if the
 // configuration, the term or the fleet has changed, and once per allocationInterval.
 func (c *coordinator) updateAllocation() {
-	tree, now, unchanged := c.siteTree, c.clock.Steady(), false
+	tree, now, unchanged := c.siteTree, c.clock.Monotonic(), false
 	c.store.read(func(t *tables) {
 		digest := t.configurationDigest()
 		// Servers finish their warm-up without an update, hence the interval.
-		unchanged = digest == c.siteTreeDigest && c.allocatorTerm == c.term && c.allocatedReading == c.lastFleet.Reading() && time.Duration(now-c.allocatedAt) < allocationInterval
+		unchanged = digest == c.siteTreeDigest && c.allocatorTerm == c.term && c.allocatedReading == c.lastFleet.Version() && time.Duration(now-c.allocatedAt) < allocationInterval
 		if digest != c.siteTreeDigest {
 			// Stored items have been validated. If zones have been removed from the
 			// settings since, the previous tree remains in use.
@@ -53,14 +53,14 @@
 	if tree == nil || unchanged {
 		return
 	}
-	c.siteTree, c.allocatedReading, c.allocatedAt = tree, c.lastFleet.Reading(), now
+	c.siteTree, c.allocatedReading, c.allocatedAt = tree, c.lastFleet.Version(), now
 	capacities := map[sites.Key]int{}
 	wall := c.clock.Wall()
 	for _, server := range c.lastFleet.Servers {
-		if !server.IsReady || server.Grade != feed.Open || server.IsAside || server.WarmLeft(wall) > 0 {
+		if !server.IsReady || server.Admission != feed.Open || server.Ejected || server.WarmupRemaining(wall) > 0 {
 			continue
 		}
-		capacities[sites.Key{Service: server.Service, Site: tree.SiteOf(server.ID, server.Cell)}] += server.Capacity
+		capacities[sites.Key{Service: server.Service, Site: tree.SiteOf(server.ID, server.Zone)}] += server.Capacity
 	}
 	if c.allocator == nil || c.allocatorTerm != c.term {
 		c.allocator, c.allocatorTerm = sites.NewAllocator(tree, c.clock), c.term
@@ -101,7 +101,7 @@
 }
 
 // checkSites returns an error if the sites of the configuration form no tree.
-func (n *node) checkSites(configuration config.Book) error {
+func (n *node) checkSites(configuration config.ItemSet) error {
 	_, err := configuration.Tree(n.settings.Load().Platform.Cells)
 	if err != nil {
 		return apierror.New(apierror.BadManifest, errors.Cause(err).Error())
--- a/internal/control/staged_coordinator.go
+++ b/internal/control/staged_coordinator.go
@@ -6,10 +6,10 @@
 	"time"
 
 	"ploverhitch/internal/apierror"
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/messages"
-	"ploverhitch/internal/timetable"
 	"ploverhitch/internal/trial"
 )
 
@@ -54,7 +54,7 @@
 	if err != nil {
 		return apierror.Gone, ""
 	}
-	newer, changed, err := configuration.Accept(in.Items)
+	newer, changed, err := configuration.ValidateUpdate(in.Items)
 	if err == nil {
 		err = c.checkSites(changed)
 	}
@@ -69,7 +69,7 @@
 		return apierror.UnknownSubject, "node " + in.First + " is not known or does not report"
 	}
 	state.Subject = subject
-	next, permitted := state.Order(in.Name, timetable.Span(in.Duration))
+	next, permitted := state.Order(in.Name, clock.Duration(in.Duration))
 	if !permitted {
 		return apierror.OtherOrder, ""
 	}
@@ -91,7 +91,7 @@
 	if !state.Phase.IsActive() && state.Reason == haltedByOperator {
 		return apierror.None, ""
 	}
-	next, permitted := state.Step(trial.Halted, haltedByOperator, time.Duration(c.clock.Steady()-c.rolloutStartedAt(state)))
+	next, permitted := state.Step(trial.Halted, haltedByOperator, time.Duration(c.clock.Monotonic()-c.rolloutStartedAt(state)))
 	if !permitted {
 		return apierror.OtherOrder, "the staged change has ended"
 	}
@@ -104,7 +104,7 @@
 
 func sameItems(a, b []config.Item) bool {
 	return slices.EqualFunc(a, b, func(x, y config.Item) bool {
-		return x.ID == y.ID && x.Version == y.Version && string(x.Body) == string(y.Body) && x.Host == y.Host && x.Dropped == y.Dropped
+		return x.ID == y.ID && x.Version == y.Version && string(x.Body) == string(y.Body) && x.Host == y.Host && x.Removed == y.Removed
 	})
 }
 
@@ -129,7 +129,7 @@
 // it.
 func (c *coordinator) advanceStagedChange(state trial.State) {
 	progress := c.progressOf(state)
-	now := c.clock.Steady()
+	now := c.clock.Monotonic()
 	facts := trial.StageFacts{
 		Elapsed: time.Duration(now - c.rolloutStartedAt(state)), InWave: time.Duration(now - progress.phaseStartedAt),
 		Finding: c.detector.Evaluate(state.Subject, state.Number, state.Wave),
@@ -172,11 +172,11 @@
 
 // stageGrant returns the form in which a staged change is published to the proxies: a
 // grant, like a share.
-func stageGrant(state trial.State) feed.Stage {
-	return feed.Stage{Subject: state.Subject, Number: state.Number, Wave: state.Wave, Nodes: state.Reached(), Items: state.Items}
+func stageGrant(state trial.State) feed.StagedChange {
+	return feed.StagedChange{Subject: state.Subject, Number: state.Number, Wave: state.Wave, Nodes: state.Reached(), Items: state.Items}
 }
 
-func (c *coordinator) stageGrants() (grants []feed.Stage) {
+func (c *coordinator) stageGrants() (grants []feed.StagedChange) {
 	for _, state := range c.states {
 		if state.IsStaged() && state.Phase.IsActive() {
 			grants = append(grants, stageGrant(state))
@@ -185,8 +185,8 @@
 	return grants
 }
 
-func sameStages(a, b []feed.Stage) bool {
-	return slices.EqualFunc(a, b, func(x, y feed.Stage) bool {
+func sameStages(a, b []feed.StagedChange) bool {
+	return slices.EqualFunc(a, b, func(x, y feed.StagedChange) bool {
 		return x.Subject == y.Subject && x.Number == y.Number && x.Wave == y.Wave && len(x.Nodes) == len(y.Nodes)
 	})
 }
--- a/internal/control/standby.go
+++ b/internal/control/standby.go
@@ -4,11 +4,11 @@
 	"sync"
 	"time"
 
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/control/listing"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/membership"
 	"ploverhitch/internal/messages"
-	"ploverhitch/internal/timetable"
 )
 
 // isolatedReadLimit is how long a node without quorum contact reads the list while it is
@@ -23,11 +23,11 @@
 	watch *listing.ReadTracker
 }
 
-func newListTracker(now timetable.Steady) *listTracker {
+func newListTracker(now clock.Instant) *listTracker {
 	return &listTracker{watch: listing.NewReadTracker(now)}
 }
 
-func (t *listTracker) record(progress messages.ListProgress, now timetable.Steady) {
+func (t *listTracker) record(progress messages.ListProgress, now clock.Instant) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	t.watch.RecordPage(progress.From, progress.Next.Std(), now)
@@ -36,7 +36,7 @@
 	}
 }
 
-func (t *listTracker) age(now timetable.Steady) (age time.Duration, ok bool) {
+func (t *listTracker) age(now clock.Instant) (age time.Duration, ok bool) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	return t.watch.Age(now)
@@ -44,7 +44,7 @@
 
 // share is the fraction of the platform's rate limit that this node may use as a standby
 // reader, or 0 if it must not read.
-func (t *listTracker) share(view membership.View, leader, self string, inContact bool, now timetable.Steady) float64 {
+func (t *listTracker) share(view membership.View, leader, self string, inContact bool, now clock.Instant) float64 {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	share := t.watch.StandbyShare(view, leader, self, now)
@@ -60,7 +60,7 @@
 
 // viewAndLeader returns the view and the leader that this node's feed last published.
 func (n *node) viewAndLeader() (view membership.View, leader string) {
-	n.hub.Read(func(board *feed.Board) { view, leader = board.View, board.Fleet.Holder })
+	n.hub.Read(func(board *feed.Replica) { view, leader = board.View, board.Fleet.Leader })
 	return view, leader
 }
 
@@ -73,7 +73,7 @@
 // standby reader, or 0 if it is none.
 func (n *node) standbyRateShare() float64 {
 	view, leader := n.viewAndLeader()
-	return n.listWatch.share(view, leader, n.self, n.hasQuorumContact(), n.clock.Steady())
+	return n.listWatch.share(view, leader, n.self, n.hasQuorumContact(), n.clock.Monotonic())
 }
 
 // publishLeaving notifies followers and members of the draining servers in the list that
@@ -81,25 +81,25 @@
 func (n *node) publishLeaving(servers []feed.Server) {
 	var view membership.View
 	var leaving messages.Leaving
-	n.hub.Read(func(board *feed.Board) { view, leaving.IDs = board.View, board.Untold(servers) })
+	n.hub.Read(func(board *feed.Replica) { view, leaving.IDs = board.View, board.UnreportedLeaving(servers) })
 	if len(leaving.IDs) == 0 {
 		return
 	}
 	for _, member := range view.Others(n.self) {
 		n.connection(member).Send(messages.KindLeaving, leaving, nil)
 	}
-	n.hub.Publish(feed.News{Leaving: leaving.IDs})
+	n.hub.Publish(feed.Update{Leaving: leaving.IDs})
 }
 
 // onLeaving publishes draining servers that another member found to this node's followers.
 func (n *node) onLeaving(in messages.Leaving, _ func(messages.Done)) {
-	n.hub.Publish(feed.News{Leaving: in.IDs})
+	n.hub.Publish(feed.Update{Leaving: in.IDs})
 }
 
 // sendListProgress tells the other members how far this node has read the list.
 func (n *node) sendListProgress(progress messages.ListProgress) {
 	progress.From = n.self
-	n.listWatch.record(progress, n.clock.Steady())
+	n.listWatch.record(progress, n.clock.Monotonic())
 	view, _ := n.viewAndLeader()
 	for _, member := range view.Others(n.self) {
 		n.connection(member).Send(messages.KindListProgress, progress, nil)
@@ -108,5 +108,5 @@
 
 // onListProgress records the progress of another member's read.
 func (n *node) onListProgress(in messages.ListProgress, _ func(messages.Done)) {
-	n.listWatch.record(in, n.clock.Steady())
+	n.listWatch.record(in, n.clock.Monotonic())
 }
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -89,8 +89,8 @@
 		}
 	})
 	status.Servers = len(n.fleet().Servers)
-	status.QuorumAgeMs, status.Lease = ageMs(n.contact.age(n.clock.Steady())), n.leaseStatus(status)
-	status.ListAgeMs = ageMs(n.listWatch.age(n.clock.Steady()))
+	status.QuorumAgeMs, status.Lease = ageMs(n.contact.age(n.clock.Monotonic())), n.leaseStatus(status)
+	status.ListAgeMs = ageMs(n.listWatch.age(n.clock.Monotonic()))
 	return status, nil
 }
 
@@ -105,7 +105,7 @@
 func (n *node) leaseStatus(status Status) LeaseStatus {
 	lease := LeaseStatus{Holder: status.Leader, Term: status.Term}
 	if status.Leader == n.self {
-		lease.RemainingMs = n.lease.remaining(status.Term, n.clock.Steady()).Milliseconds()
+		lease.RemainingMs = n.lease.remaining(status.Term, n.clock.Monotonic()).Milliseconds()
 	}
 	return lease
 }
--- a/internal/control/tables.go
+++ b/internal/control/tables.go
@@ -4,6 +4,7 @@
 	"iter"
 	"time"
 
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/control/lease"
 	"ploverhitch/internal/control/registry"
@@ -11,7 +12,6 @@
 	"ploverhitch/internal/idempotency"
 	"ploverhitch/internal/loopline"
 	"ploverhitch/internal/membership"
-	"ploverhitch/internal/timetable"
 	"ploverhitch/internal/trial"
 )
 
@@ -48,7 +48,7 @@
 	// power loss of all its members.
 	fleet feed.Fleet
 	// fleetReceivedAt is when the fleet was received, 0 if it was read from the disk.
-	fleetReceivedAt timetable.Steady
+	fleetReceivedAt clock.Instant
 	rollouts        map[string]trial.State
 	trusted         bool
 	empty           bool
@@ -56,7 +56,7 @@
 	// compiled is the compiled form of the configuration with the digest compiledDigest.
 	// mirrors and versions are the mirroring rules of the configuration with the digest
 	// mirrorsDigest.
-	compiled       *config.Sheet
+	compiled       *config.RoutingTable
 	compiledDigest string
 	mirrors        []loopline.Mirror
 	versions       []config.Version
@@ -115,17 +115,17 @@
 }
 
 // configuration returns the item set; callers must neither modify nor retain it.
-func (t *tables) configuration() config.Book { return t.registry.Items }
+func (t *tables) configuration() config.ItemSet { return t.registry.Items }
 
 // fleetFresh reports whether the fleet was received within maxAge; a fleet that was
 // read from the disk is not fresh.
-func (t *tables) fleetFresh(now timetable.Steady, maxAge time.Duration) bool {
+func (t *tables) fleetFresh(now clock.Instant, maxAge time.Duration) bool {
 	return t.fleetReceivedAt > 0 && time.Duration(now-t.fleetReceivedAt) <= maxAge
 }
 
 // compiledConfiguration returns the configuration compiled for lookups. It is compiled
 // again only after an item has changed.
-func (t *tables) compiledConfiguration() *config.Sheet {
+func (t *tables) compiledConfiguration() *config.RoutingTable {
 	if digest := t.configurationDigest(); t.compiled == nil || t.compiledDigest != digest {
 		t.compiled, t.compiledDigest = t.configuration().Compile(), digest
 	}
--- a/internal/emulator/departure/rest.go
+++ b/internal/emulator/departure/rest.go
@@ -10,7 +10,7 @@
 func (m *member) rate(isStandby bool) float64 {
 	share := listing.LeaderShare
 	if isStandby {
-		share = max(listing.IsolatedShare, m.watch.StandbyShare(m.world.view(), m.board.Fleet.Holder, m.name, m.world.steady()))
+		share = max(listing.IsolatedShare, m.watch.StandbyShare(m.world.view(), m.board.Fleet.Leader, m.name, m.world.steady()))
 	}
 	return m.world.options.Size.Rate * share
 }
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -24,32 +24,32 @@
 	return config.Item{ID: config.ID{Class: config.RouteItem, Name: name}, Version: config.Version(version)}
 }
 
-// follow asks the hub from a place on, over nothing but a closure.
-func follow(hub *feed.Hub, from feed.Follow, take func(feed.News) bool) (end func()) {
+// follow subscribes to the hub from a position without a network connection.
+func follow(hub *feed.Hub, from feed.FollowRequest, onUpdate func(feed.Update) bool) (cancel func()) {
 	body, err := cbor.Marshal(from)
 	Expect(err).NotTo(HaveOccurred())
 	ended := make(chan struct{})
-	hub.Handle(rpc.Call{Body: body, Ended: ended, Reply: func(news any) bool { return take(news.(feed.News)) }})
+	hub.Handle(rpc.Call{Body: body, Ended: ended, Reply: func(update any) bool { return onUpdate(update.(feed.Update)) }})
 	return func() { close(ended) }
 }
 
 var _ = Describe("a feed", func() {
-	It("brings every follower to the hub's board, however often it breaks and whoever restarts", func() {
+	It("brings a subscriber to the state of the hubs across disconnects and hub restarts", func() {
 		for seed := range uint64(60) {
 			random := rand.New(rand.NewPCG(seed, 2))
 			hubs := []*feed.Hub{feed.NewHub(), feed.NewHub()}
-			all := config.Book{}
-			board, reached := feed.NewBoard(), []feed.Follow{{}, {}}
-			ends := make([]func(), 2)
-			isCut := []bool{true, true}
+			all := config.ItemSet{}
+			replica, positions := feed.NewReplica(), []feed.FollowRequest{{}, {}}
+			cancels := make([]func(), 2)
+			disconnected := []bool{true, true}
 			connect := func(at int) {
-				isCut[at] = false
-				ends[at] = follow(hubs[at], reached[at], func(news feed.News) bool {
-					if isCut[at] {
+				disconnected[at] = false
+				cancels[at] = follow(hubs[at], positions[at], func(update feed.Update) bool {
+					if disconnected[at] {
 						return false
 					}
-					board.Merge(news)
-					reached[at].Life, reached[at].Place = news.Life, news.Place
+					replica.Merge(update)
+					positions[at].Incarnation, positions[at].Sequence = update.Incarnation, update.Sequence
 					return true
 				})
 			}
@@ -57,66 +57,66 @@
 				at := random.IntN(2)
 				switch random.IntN(8) {
 				case 0:
-					if !isCut[at] {
-						isCut[at] = true
-						ends[at]()
+					if !disconnected[at] {
+						disconnected[at] = true
+						cancels[at]()
 					}
 				case 1:
-					if isCut[at] {
+					if disconnected[at] {
 						connect(at)
 					}
 				case 2:
-					if random.IntN(6) == 0 { // a restart: the hub has what the disk kept
+					if random.IntN(6) == 0 { // a restarted hub has the state on disk
 						hubs[at] = feed.NewHub()
-						hubs[at].Publish(feed.News{Items: all.Items()})
-						isCut[at] = true
+						hubs[at].Publish(feed.Update{Items: all.Items()})
+						disconnected[at] = true
 					}
 				default:
-					news := feed.News{Items: []config.Item{item(fmt.Sprint(random.IntN(5)), step+1)}}
-					all.Merge(news.Items)
+					update := feed.Update{Items: []config.Item{item(fmt.Sprint(random.IntN(5)), step+1)}}
+					all.Merge(update.Items)
 					for _, hub := range hubs {
-						hub.Publish(news)
+						hub.Publish(update)
 					}
 				}
-				if !isCut[0] || !isCut[1] {
-					Expect(board.Book.Digest()).To(Equal(all.Digest()), "seed %d step %d", seed, step)
+				if !disconnected[0] || !disconnected[1] {
+					Expect(replica.Items.Digest()).To(Equal(all.Digest()), "seed %d step %d", seed, step)
 				}
 			}
 		}
 	})
 
-	It("starts from a checkpoint, and from then on sends only what is newer", func() {
+	It("starts with a snapshot and then sends only newer state", func() {
 		hub := feed.NewHub()
-		hub.Publish(feed.News{Items: []config.Item{item("a", 1)}, View: &membership.View{Epoch: 3}})
-		var got []feed.News
-		follow(hub, feed.Follow{Name: "one"}, func(news feed.News) bool { got = append(got, news); return true })
-		Expect(got).To(HaveLen(1))
-		Expect(got[0].IsCheckpoint).To(BeTrue())
-		hub.Publish(feed.News{Items: []config.Item{item("a", 1)}, View: &membership.View{Epoch: 2}})
-		Expect(got).To(HaveLen(1))
-		hub.Publish(feed.News{Items: []config.Item{item("a", 2)}})
-		Expect(got).To(HaveLen(2))
-		Expect(got[1].IsCheckpoint).To(BeFalse())
+		hub.Publish(feed.Update{Items: []config.Item{item("a", 1)}, View: &membership.View{Epoch: 3}})
+		var received []feed.Update
+		follow(hub, feed.FollowRequest{Name: "one"}, func(update feed.Update) bool { received = append(received, update); return true })
+		Expect(received).To(HaveLen(1))
+		Expect(received[0].Snapshot).To(BeTrue())
+		hub.Publish(feed.Update{Items: []config.Item{item("a", 1)}, View: &membership.View{Epoch: 2}})
+		Expect(received).To(HaveLen(1))
+		hub.Publish(feed.Update{Items: []config.Item{item("a", 2)}})
+		Expect(received).To(HaveLen(2))
+		Expect(received[1].Snapshot).To(BeFalse())
 		Expect(hub.Followers()).To(Equal([]string{"one"}))
 	})
 
-	It("brings the fleet as changes, from any hub, to the same whole", func() {
+	It("brings the fleet as diffs from any hub to the same state", func() {
 		for seed := range uint64(80) {
 			random := rand.New(rand.NewPCG(seed, 5))
 			hubs := []*feed.Hub{feed.NewHub(), feed.NewHub()}
-			board := feed.NewBoard()
-			whole := feed.Fleet{Term: 1}
-			bytes, isGap := 0, false
-			take := func(news feed.News) bool {
-				isGap = isGap || !board.Fits(news)
-				board.Merge(news)
-				text, err := cbor.Marshal(news)
+			replica := feed.NewReplica()
+			fleet := feed.Fleet{Term: 1}
+			bytes, mismatched := 0, false
+			take := func(update feed.Update) bool {
+				mismatched = mismatched || !replica.CanApply(update)
+				replica.Merge(update)
+				text, err := cbor.Marshal(update)
 				Expect(err).NotTo(HaveOccurred())
 				bytes += len(text)
 				return true
 			}
 			for _, hub := range hubs {
-				follow(hub, feed.Follow{}, take)
+				follow(hub, feed.FollowRequest{}, take)
 			}
 			for range 100 {
 				var next []feed.Server
@@ -125,35 +125,35 @@
 						next = append(next, feed.Server{ID: fmt.Sprintf("i-%02d", id), Capacity: 1 + random.IntN(40)/39})
 					}
 				}
-				whole = feed.Fleet{Term: 1, Count: whole.Count + 1, Servers: next}
-				isMissed := random.IntN(4)
+				fleet = feed.Fleet{Term: 1, Count: fleet.Count + 1, Servers: next}
+				skipped := random.IntN(4)
 				for at, hub := range hubs {
-					if at != isMissed {
-						hub.Publish(feed.News{Fleet: &whole})
+					if at != skipped {
+						hub.Publish(feed.Update{Fleet: &fleet})
 					}
 				}
-				if isGap { // it asks one of them for a checkpoint
-					isGap = false
-					follow(hubs[(isMissed+1)%2], feed.Follow{}, take)
+				if mismatched { // requests a snapshot from one hub
+					mismatched = false
+					follow(hubs[(skipped+1)%2], feed.FollowRequest{}, take)
 				}
-				Expect(board.Fleet.Servers).To(Equal(whole.Servers), "seed %d", seed)
+				Expect(replica.Fleet.Servers).To(Equal(fleet.Servers), "seed %d", seed)
 			}
 			Expect(bytes).To(BeNumerically(">", 0))
 		}
 	})
 
-	It("says nothing of a server whose warming is the same but for the clock", func() {
-		last := []feed.Server{{ID: "a", WarmMs: 5000}, {ID: "b"}}
-		read := feed.Settle(last, []feed.Server{{ID: "b"}, {ID: "a", WarmMs: 5300}})
-		Expect(read).To(Equal(last))
-		Expect(feed.Settle(last, []feed.Server{{ID: "a", WarmMs: 9000}})[0].WarmMs).To(BeEquivalentTo(9000))
+	It("keeps the end of a warm-up that differs only by clock steps", func() {
+		last := []feed.Server{{ID: "a", WarmupEndMs: 5000}, {ID: "b"}}
+		normalized := feed.Normalize(last, []feed.Server{{ID: "b"}, {ID: "a", WarmupEndMs: 5300}})
+		Expect(normalized).To(Equal(last))
+		Expect(feed.Normalize(last, []feed.Server{{ID: "a", WarmupEndMs: 9000}})[0].WarmupEndMs).To(BeEquivalentTo(9000))
 	})
 
-	It("never goes below a fenced term of the fleet", func() {
-		board := feed.NewBoard()
-		board.Merge(feed.News{Fleet: &feed.Fleet{Term: 2, Count: 1, Servers: []feed.Server{{ID: "new"}}}})
-		_, isNew := board.Merge(feed.News{Fleet: &feed.Fleet{Term: 1, Count: 9, Servers: []feed.Server{{ID: "old"}}}})
-		Expect(isNew).To(BeFalse())
-		Expect(board.Fleet.Servers[0].ID).To(Equal("new"))
+	It("never replaces the fleet by one of an older term", func() {
+		replica := feed.NewReplica()
+		replica.Merge(feed.Update{Fleet: &feed.Fleet{Term: 2, Count: 1, Servers: []feed.Server{{ID: "new"}}}})
+		_, changed := replica.Merge(feed.Update{Fleet: &feed.Fleet{Term: 1, Count: 9, Servers: []feed.Server{{ID: "old"}}}})
+		Expect(changed).To(BeFalse())
+		Expect(replica.Fleet.Servers[0].ID).To(Equal("new"))
 	})
 })
--- a/internal/feed/follower.go
+++ b/internal/feed/follower.go
@@ -7,101 +7,86 @@
 
 	"github.com/juju/errors"
 
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/rpc"
-	"ploverhitch/internal/timetable"
 )
 
-// Follower follows one node's feed, again and again, until its context ends.
+// Follower subscribes to one node's feed and resubscribes after failures until its
+// context ends.
 type Follower struct {
-	Name string
-	Line *rpc.Line
-	Take func(News)
-	// Pause is how long to wait after the feed broke.
-	Pause time.Duration
-	// brokeAt is since when no feed came, in nanoseconds of the steady clock; 0
-	// while one does.
-	brokeAt atomic.Int64
-	clock   timetable.Clock
-	// afresh asks for a checkpoint, as news did not fit what is held.
-	afresh chan struct{}
+	Name       string
+	Connection *rpc.Line
+	OnUpdate   func(Update)
+	// RetryDelay is the delay before resubscribing.
+	RetryDelay time.Duration
+	// disconnectedAt is when the subscription was lost, in nanoseconds of the monotonic
+	// clock; 0 while it is up.
+	disconnectedAt atomic.Int64
+	clock          clock.Clock
+	// snapshotRequests asks for a snapshot, as an update could not be applied.
+	snapshotRequests chan struct{}
 }
 
-// NewFollower makes a follower that gives the news to take.
-//
-// Example:
-//
-//	follower := feed.NewFollower(node, line, merge, 200*time.Millisecond)
-func NewFollower(name string, line *rpc.Line, take func(News), pause time.Duration) *Follower {
-	f := &Follower{Name: name, Line: line, Take: take, Pause: pause, afresh: make(chan struct{}, 1), clock: timetable.Real()}
-	f.brokeAt.Store(int64(f.clock.Steady()) + 1)
+// NewFollower makes a follower that passes updates to onUpdate.
+func NewFollower(name string, connection *rpc.Line, onUpdate func(Update), retryDelay time.Duration) *Follower {
+	f := &Follower{Name: name, Connection: connection, OnUpdate: onUpdate, RetryDelay: retryDelay, snapshotRequests: make(chan struct{}, 1), clock: clock.Real()}
+	f.disconnectedAt.Store(int64(f.clock.Monotonic()) + 1)
 	return f
 }
 
-// Broken is for how long no feed has come from the node; 0 while one does.
-//
-// Example:
-//
-//	if follower.Broken() > time.Second { followAnother() }
-func (f *Follower) Broken() time.Duration {
-	at := f.brokeAt.Load()
+// DisconnectedFor returns how long no feed has come from the node; 0 while it is up.
+func (f *Follower) DisconnectedFor() time.Duration {
+	at := f.disconnectedAt.Load()
 	if at == 0 {
 		return 0
 	}
-	return time.Duration(int64(f.clock.Steady()) - at)
+	return time.Duration(int64(f.clock.Monotonic()) - at)
 }
 
-// Again makes the follower ask for a checkpoint.
-//
-// Example:
-//
-//	if !board.Fits(news) { follower.Again() }
-func (f *Follower) Again() {
+// RequestSnapshot makes the follower resubscribe from a snapshot.
+func (f *Follower) RequestSnapshot() {
 	select {
-	case f.afresh <- struct{}{}:
+	case f.snapshotRequests <- struct{}{}:
 	default:
 	}
 }
 
-// Run follows from the place that was reached last.
-//
-// Example:
-//
-//	go follower.Run(ctx)
+// Run subscribes from the last position until the context ends.
 func (f *Follower) Run(ctx context.Context) {
-	reached := &reached{Follow: Follow{Name: f.Name}}
+	position := &position{FollowRequest: FollowRequest{Name: f.Name}}
 	for ctx.Err() == nil {
-		broke := make(chan error, 1)
-		from, number := reached.begin()
-		revoke := f.Line.SendRevocable(KindFollow, from, func(body []byte, err error) {
-			var news News
+		disconnected := make(chan error, 1)
+		from, generation := position.begin()
+		cancel := f.Connection.SendRevocable(KindFollow, from, func(body []byte, err error) {
+			var update Update
 			if err == nil {
-				err = rpc.Unpack(body, &news)
+				err = rpc.Unpack(body, &update)
 			}
-			if !reached.isCurrent(number) {
+			if !position.current(generation) {
 				return
 			}
 			if err != nil {
-				reached.end()
-				f.brokeAt.CompareAndSwap(0, int64(f.clock.Steady())+1)
-				broke <- err
+				position.end()
+				f.disconnectedAt.CompareAndSwap(0, int64(f.clock.Monotonic())+1)
+				disconnected <- err
 				return
 			}
-			f.brokeAt.Store(0)
-			f.Take(news)
-			reached.note(number, news)
+			f.disconnectedAt.Store(0)
+			f.OnUpdate(update)
+			position.advance(generation, update)
 		})
 		var err error
 		select {
 		case <-ctx.Done():
-		case <-f.afresh:
-			reached.reset()
-		case err = <-broke:
+		case <-f.snapshotRequests:
+			position.reset()
+		case err = <-disconnected:
 		}
-		reached.end()
-		revoke()
+		position.end()
+		cancel()
 		if !errors.Is(err, rpc.ErrCut) {
-			// The line ends, so that its other end stops the old feed.
-			f.Line.Close()
+			// Closing the connection makes the other end stop the old subscription.
+			f.Connection.Close()
 		}
 		if ctx.Err() == nil {
 			f.wait(ctx)
@@ -110,10 +95,10 @@
 }
 
 func (f *Follower) wait(ctx context.Context) {
-	pause := time.NewTimer(f.Pause)
-	defer pause.Stop()
+	timer := time.NewTimer(f.RetryDelay)
+	defer timer.Stop()
 	select {
 	case <-ctx.Done():
-	case <-pause.C:
+	case <-timer.C:
 	}
 }
--- a/internal/feed/follower_test.go
+++ b/internal/feed/follower_test.go
@@ -15,67 +15,68 @@
 )
 
 var _ = Describe("a follower", func() {
-	// run follows a server of feeds until the test ends.
-	run := func(handle func(rpc.Call), take func(feed.News)) *feed.Follower {
+	// run subscribes to a local server until the test ends.
+	run := func(handle func(rpc.Call), onUpdate func(feed.Update)) *feed.Follower {
 		listener, err := net.Listen("tcp4", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		ctx, stop := context.WithCancel(context.Background())
 		DeferCleanup(func() { stop(); _ = listener.Close() })
 		go rpc.Serve(listener, rpc.Handlers{feed.KindFollow: handle}, time.Second)
-		line := rpc.NewLine(listener.Addr().String(), time.Second, time.Second)
-		follower := feed.NewFollower("one", line, take, 10*time.Millisecond)
+		connection := rpc.NewLine(listener.Addr().String(), time.Second, time.Second)
+		follower := feed.NewFollower("one", connection, onUpdate, 10*time.Millisecond)
 		go follower.Run(ctx)
 		return follower
 	}
-	publish := func(hub *feed.Hub, version int) { hub.Publish(feed.News{Items: []config.Item{item("a", version)}}) }
+	publish := func(hub *feed.Hub, version int) { hub.Publish(feed.Update{Items: []config.Item{item("a", version)}}) }
 
-	It("gets the checkpoint that it asked for, whatever the earlier feed still brings", func() {
+	It("receives the snapshot that it requests, despite late updates of the previous subscription", func() {
 		hub := feed.NewHub()
 		publish(hub, 1)
-		got, hold := make(chan feed.News, 16), make(chan struct{})
-		follower := run(hub.Handle, func(news feed.News) {
-			got <- news
-			if !news.IsCheckpoint {
-				<-hold
+		received, release := make(chan feed.Update, 16), make(chan struct{})
+		follower := run(hub.Handle, func(update feed.Update) {
+			received <- update
+			if !update.Snapshot {
+				<-release
 			}
 		})
-		Eventually(got).Should(Receive(HaveField("IsCheckpoint", true)))
+		Eventually(received).Should(Receive(HaveField("Snapshot", true)))
 		publish(hub, 2)
-		Eventually(got).Should(Receive(HaveField("IsCheckpoint", false)))
-		// The earlier feed is being taken still as the follower begins anew.
-		follower.Again()
+		Eventually(received).Should(Receive(HaveField("Snapshot", false)))
+		// An update of the previous subscription is still being handled when the follower
+		// resubscribes.
+		follower.RequestSnapshot()
 		time.Sleep(50 * time.Millisecond)
-		close(hold)
-		Eventually(got).Should(Receive(HaveField("IsCheckpoint", true)))
+		close(release)
+		Eventually(received).Should(Receive(HaveField("Snapshot", true)))
 	})
 
-	It("skips no news that it cannot read, and leaves no feed behind", func() {
+	It("resubscribes after an update that it cannot decode, and ends the previous subscription", func() {
 		hub := feed.NewHub()
 		publish(hub, 1)
-		reached, ended := make(chan feed.Follow, 16), make(chan struct{}, 16)
-		got := make(chan feed.News, 16)
-		var isGood atomic.Bool
+		requests, ended := make(chan feed.FollowRequest, 16), make(chan struct{}, 16)
+		received := make(chan feed.Update, 16)
+		var passThrough atomic.Bool
 		follower := run(func(call rpc.Call) {
-			var from feed.Follow
+			var from feed.FollowRequest
 			if rpc.Unpack(call.Body, &from) != nil {
 				return
 			}
-			reached <- from
-			if isGood.Swap(true) {
+			requests <- from
+			if passThrough.Swap(true) {
 				hub.Handle(call)
 				return
 			}
-			call.Reply(feed.News{Life: 7, Place: 1})
-			call.Reply("no news at all")
-			call.Reply(feed.News{Life: 7, Place: 3})
+			call.Reply(feed.Update{Incarnation: 7, Sequence: 1})
+			call.Reply("not an update")
+			call.Reply(feed.Update{Incarnation: 7, Sequence: 3})
 			go func() { <-call.Ended; ended <- struct{}{} }()
-		}, func(news feed.News) { got <- news })
-		Eventually(reached).Should(Receive(HaveField("Place", uint64(0))))
-		Eventually(got).Should(Receive(HaveField("Place", uint64(1))))
-		Eventually(reached).Should(Receive(HaveField("Place", uint64(1))))
+		}, func(update feed.Update) { received <- update })
+		Eventually(requests).Should(Receive(HaveField("Sequence", uint64(0))))
+		Eventually(received).Should(Receive(HaveField("Sequence", uint64(1))))
+		Eventually(requests).Should(Receive(HaveField("Sequence", uint64(1))))
 		Eventually(ended).Should(Receive())
-		Eventually(got).Should(Receive(HaveField("IsCheckpoint", true)))
+		Eventually(received).Should(Receive(HaveField("Snapshot", true)))
 		Expect(hub.Followers()).To(Equal([]string{"one"}))
-		Eventually(follower.Broken).Should(BeZero())
+		Eventually(follower.DisconnectedFor).Should(BeZero())
 	})
 })
--- a/internal/feed/hub.go
+++ b/internal/feed/hub.go
@@ -8,121 +8,106 @@
 	"ploverhitch/internal/rpc"
 )
 
-// KindFollow is the frame with which a follower asks for a feed.
+// KindFollow is the frame kind of a subscription request.
 const KindFollow rpc.Kind = 1
 
-// Follow says from which place on a follower wants news.
-type Follow struct {
-	Life  uint64 `cbor:"1,keyasint"`
-	Place uint64 `cbor:"2,keyasint"`
-	Name  string `cbor:"3,keyasint"`
+// FollowRequest subscribes to a feed after a position.
+type FollowRequest struct {
+	Incarnation uint64 `cbor:"1,keyasint"`
+	Sequence    uint64 `cbor:"2,keyasint"`
+	Name        string `cbor:"3,keyasint"`
 }
 
-const keptNews = 128
+// maxHistory is how many updates the hub keeps for subscribers that resume.
+const maxHistory = 128
 
-// GrantSpan is how long a share is granted for, from when it was heard of.
-const GrantSpan = 1200 * time.Millisecond
+// GrantDuration is how long a grant is valid after its receipt.
+const GrantDuration = 1200 * time.Millisecond
 
-// Hub numbers news and gives it to its followers. The life is drawn anew at
-// each start, so that places of an earlier life are not taken for its own.
+// Hub numbers updates and sends them to its subscribers. The incarnation is random at
+// each start, so that positions in an earlier feed are not mistaken for its own.
 type Hub struct {
-	life  uint64
-	lock  sync.Mutex
-	board *Board
-	place uint64
-	kept  []News
-	next  uint64
-	out   map[uint64]func(any) bool
-	names map[uint64]string
-	now   func() time.Time
-	// fleetAt is when the fleet was last told.
-	fleetAt time.Time
-	// checkpoint is the last one made, while nothing has changed.
-	checkpoint *News
+	incarnation uint64
+	lock        sync.Mutex
+	replica     *Replica
+	sequence    uint64
+	history     []Update
+	lastID      uint64
+	subscribers map[uint64]func(any) bool
+	names       map[uint64]string
+	now         func() time.Time
+	// fleetPublishedAt is when the fleet was last published.
+	fleetPublishedAt time.Time
+	// cachedSnapshot is the last snapshot; nil after a change.
+	cachedSnapshot *Update
 }
 
-// NewHub makes a hub with an empty board.
-//
-// Example:
-//
-//	hub := feed.NewHub()
-//	handlers[feed.KindFollow] = hub.Handle
+// NewHub makes a hub with an empty replica.
 func NewHub() *Hub {
-	return &Hub{life: rand.Uint64(), board: NewBoard(), out: map[uint64]func(any) bool{}, names: map[uint64]string{}, now: time.Now}
+	return &Hub{incarnation: rand.Uint64(), replica: NewReplica(), subscribers: map[uint64]func(any) bool{}, names: map[uint64]string{}, now: time.Now}
 }
 
-// Publish merges news into the hub's board and passes on what was newer.
-//
-// Example:
-//
-//	hub.Publish(feed.News{Items: items})
-func (h *Hub) Publish(news News) (fresh News, isNew bool) {
+// Publish merges an update into the hub's replica and sends the newer parts to the
+// subscribers.
+func (h *Hub) Publish(update Update) (fresh Update, changed bool) {
 	h.lock.Lock()
 	defer h.lock.Unlock()
-	held := h.board.Fleet
-	fresh, isNew = h.board.Merge(news)
-	if !isNew {
+	previous := h.replica.Fleet
+	fresh, changed = h.replica.Merge(update)
+	if !changed {
 		return fresh, false
 	}
-	h.place++
-	whole := fresh.Fleet
-	if whole != nil {
-		h.fleetAt = h.now()
+	h.sequence++
+	fleet := fresh.Fleet
+	if fleet != nil {
+		h.fleetPublishedAt = h.now()
 	}
-	if whole != nil && held.Count > 0 {
-		// Followers are told what has changed, not the fleet once more.
-		change := whole.ChangeOf(held)
+	if fleet != nil && previous.Count > 0 {
+		// Subscribers receive a diff instead of the full fleet.
+		change := fleet.DiffFrom(previous)
 		fresh.Fleet = &change
 	}
-	fresh.Life, fresh.Place = h.life, h.place
-	fresh, h.checkpoint = fresh.pack(), nil
-	if h.kept = append(h.kept, fresh); len(h.kept) > keptNews {
-		h.kept = append([]News(nil), h.kept[len(h.kept)-keptNews/2:]...)
+	fresh.Incarnation, fresh.Sequence = h.incarnation, h.sequence
+	fresh, h.cachedSnapshot = fresh.encode(), nil
+	if h.history = append(h.history, fresh); len(h.history) > maxHistory {
+		h.history = append([]Update(nil), h.history[len(h.history)-maxHistory/2:]...)
 	}
-	for number, send := range h.out {
+	for id, send := range h.subscribers {
 		if !send(fresh) {
-			delete(h.out, number)
-			delete(h.names, number)
+			delete(h.subscribers, id)
+			delete(h.names, id)
 		}
 	}
-	fresh.Fleet, fresh.packed = whole, nil
+	fresh.Fleet, fresh.encoded = fleet, nil
 	return fresh, true
 }
 
-// whole is the checkpoint of the hub's place. It is written once for all that ask
-// while nothing changes, as after a restart of everything.
-func (h *Hub) whole() News {
-	isLapsed := h.now().Sub(h.fleetAt) > GrantSpan
-	if h.checkpoint != nil && !(isLapsed && h.checkpoint.Fleet.HoldsGrants()) {
-		return *h.checkpoint
+// snapshot returns a snapshot at the hub's position. It is encoded once for all
+// subscribers while nothing changes, as after a restart of the whole system.
+func (h *Hub) snapshot() Update {
+	grantsExpired := h.now().Sub(h.fleetPublishedAt) > GrantDuration
+	if h.cachedSnapshot != nil && !(grantsExpired && h.cachedSnapshot.Fleet.HasGrants()) {
+		return *h.cachedSnapshot
 	}
-	made := h.board.Checkpoint()
-	if isLapsed {
-		// Grants that lapsed here are no grants to a newcomer.
-		made.Fleet.Shares, made.Fleet.Stages, made.Fleet.Cutoffs, made.Fleet.Mirrors = nil, nil, nil, nil
+	snapshot := h.replica.Snapshot()
+	if grantsExpired {
+		// Grants that expired here must not reach a new subscriber.
+		snapshot.Fleet.Shares, snapshot.Fleet.Stages, snapshot.Fleet.Cutoffs, snapshot.Fleet.Mirrors = nil, nil, nil, nil
 	}
-	made.Life, made.Place = h.life, h.place
-	made = made.pack()
-	h.checkpoint = &made
-	return made
+	snapshot.Incarnation, snapshot.Sequence = h.incarnation, h.sequence
+	snapshot = snapshot.encode()
+	h.cachedSnapshot = &snapshot
+	return snapshot
 }
 
-// Read calls look with the board, which look must not change or keep.
-//
-// Example:
-//
-//	hub.Read(func(board *feed.Board) { fleet = board.Fleet })
-func (h *Hub) Read(look func(*Board)) {
+// Read calls inspect with the replica, which inspect must not change or retain.
+func (h *Hub) Read(inspect func(*Replica)) {
 	h.lock.Lock()
 	defer h.lock.Unlock()
-	look(h.board)
+	inspect(h.replica)
 }
 
-// Followers names those who follow now.
-//
-// Example:
-//
-//	count := len(hub.Followers())
+// Followers returns the names of the current subscribers.
 func (h *Hub) Followers() (names []string) {
 	h.lock.Lock()
 	defer h.lock.Unlock()
@@ -132,35 +117,31 @@
 	return names
 }
 
-// Handle answers a follower: with what it missed, where that is still kept, or
-// else with a checkpoint; and from then on with all news.
-//
-// Example:
-//
-//	rpc.Serve(listener, rpc.Handlers{feed.KindFollow: hub.Handle}, silence)
+// Handle serves a subscription: it sends the missed updates if the history still has
+// them, otherwise a snapshot, and then every new update.
 func (h *Hub) Handle(call rpc.Call) {
-	var follow Follow
-	if rpc.Unpack(call.Body, &follow) != nil {
+	var request FollowRequest
+	if rpc.Unpack(call.Body, &request) != nil {
 		return
 	}
 	h.lock.Lock()
 	defer h.lock.Unlock()
-	missed := h.place - follow.Place
-	if follow.Life == h.life && follow.Place <= h.place && missed <= uint64(len(h.kept)) {
-		for _, news := range h.kept[uint64(len(h.kept))-missed:] {
-			call.Reply(news)
+	missed := h.sequence - request.Sequence
+	if request.Incarnation == h.incarnation && request.Sequence <= h.sequence && missed <= uint64(len(h.history)) {
+		for _, update := range h.history[uint64(len(h.history))-missed:] {
+			call.Reply(update)
 		}
 	} else {
-		call.Reply(h.whole())
+		call.Reply(h.snapshot())
 	}
-	h.next++
-	number := h.next
-	h.out[number], h.names[number] = call.Reply, follow.Name
+	h.lastID++
+	id := h.lastID
+	h.subscribers[id], h.names[id] = call.Reply, request.Name
 	go func() {
 		<-call.Ended
 		h.lock.Lock()
 		defer h.lock.Unlock()
-		delete(h.out, number)
-		delete(h.names, number)
+		delete(h.subscribers, id)
+		delete(h.names, id)
 	}()
 }
--- a/internal/messages/telegram.go
+++ b/internal/messages/telegram.go
@@ -3,11 +3,11 @@
 package messages
 
 import (
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/idempotency"
 	"ploverhitch/internal/membership"
 	"ploverhitch/internal/rpc"
-	"ploverhitch/internal/timetable"
 )
 
 // The kinds of frames; feed.KindFollow is the first.
@@ -100,9 +100,9 @@
 // reading began.
 type ListProgress struct {
 	From    string         `cbor:"1,keyasint"`
-	Next    timetable.Span `cbor:"2,keyasint"`
+	Next    clock.Duration `cbor:"2,keyasint"`
 	IsWhole bool           `cbor:"3,keyasint,omitempty"`
-	Age     timetable.Span `cbor:"4,keyasint,omitempty"`
+	Age     clock.Duration `cbor:"4,keyasint,omitempty"`
 }
 
 // Join says that a node with an empty place waits to become a member.
--- a/internal/objects/objects.go
+++ b/internal/objects/objects.go
@@ -15,8 +15,8 @@
 	"github.com/juju/errors"
 	"sigs.k8s.io/yaml"
 
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/config"
-	"ploverhitch/internal/timetable"
 )
 
 // APIVersion is the one that the objects must name.
@@ -37,9 +37,9 @@
 	Spec   struct {
 		Host          string           `json:"host"`
 		PathPrefix    string           `json:"pathPrefix"`
-		Type          config.RouteKind `json:"type"`
-		Timeout       timetable.Span   `json:"timeout"`
-		TargetLatency timetable.Span   `json:"targetLatency"`
+		Type          config.RouteType `json:"type"`
+		Timeout       clock.Duration   `json:"timeout"`
+		TargetLatency clock.Duration   `json:"targetLatency"`
 		Priority      int              `json:"priority"`
 		MaxAttempts   int              `json:"maxAttempts"`
 		BackendRefs   []struct {
@@ -63,8 +63,8 @@
 	Spec   struct {
 		MaxHeaderBytes int            `json:"maxHeaderBytes"`
 		MaxBodyBytes   int64          `json:"maxBodyBytes"`
-		HeaderTimeout  timetable.Span `json:"headerTimeout"`
-		IdleTimeout    timetable.Span `json:"idleTimeout"`
+		HeaderTimeout  clock.Duration `json:"headerTimeout"`
+		IdleTimeout    clock.Duration `json:"idleTimeout"`
 	} `json:"spec"`
 }
 
@@ -132,7 +132,7 @@
 			body, err = json.Marshal(map[string]any{"Upsert": out.own[path]})
 		}
 		if err == nil {
-			_, err = config.Parser(ownPaths[path])(body)
+			_, err = config.ModifyParser(ownPaths[path])(body)
 		}
 		own = append(own, Own{path, body})
 	}
@@ -167,7 +167,7 @@
 		lane.Service = o.Spec.BackendRefs[0].Name
 	} else {
 		for _, backend := range o.Spec.BackendRefs {
-			lane.TrafficSplit = append(lane.TrafficSplit, config.Share{Service: backend.Name, Weight: backend.Weight})
+			lane.TrafficSplit = append(lane.TrafficSplit, config.WeightedService{Service: backend.Name, Weight: backend.Weight})
 		}
 	}
 	for i := range c.Upsert.VirtualHosts {
--- a/internal/outlier/aggregator.go
+++ b/internal/outlier/aggregator.go
@@ -4,25 +4,25 @@
 	"maps"
 	"time"
 
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/feed"
-	"ploverhitch/internal/timetable"
 )
 
 // proxyReport is the last report of a proxy's current incarnation.
 type proxyReport struct {
 	report     Report
-	receivedAt timetable.Steady
+	receivedAt clock.Instant
 }
 
 // windowSample is the sum of all rows at a point in time.
 type windowSample struct {
-	at   timetable.Steady
+	at   clock.Instant
 	rows map[Label]Counts
 }
 
 // Aggregator sums reports. It is not safe for concurrent use.
 type Aggregator struct {
-	clock   timetable.Clock
+	clock   clock.Clock
 	proxies map[string]*proxyReport
 	// ended holds the rows of previous incarnations.
 	ended   map[Label]Counts
@@ -42,13 +42,13 @@
 )
 
 // NewAggregator returns an aggregator without reports.
-func NewAggregator(clock timetable.Clock) *Aggregator {
+func NewAggregator(clock clock.Clock) *Aggregator {
 	return &Aggregator{clock: clock, proxies: map[string]*proxyReport{}, ended: map[Label]Counts{}, health: newServerHealth()}
 }
 
 // AddReport adds a report. A report that was added before has no effect.
 func (a *Aggregator) AddReport(report Report) {
-	now := a.clock.Steady()
+	now := a.clock.Monotonic()
 	proxy := a.proxies[report.Node]
 	switch {
 	case proxy == nil:
@@ -68,17 +68,17 @@
 // UpdateWindow advances the sliding window. It is called every few hundred
 // milliseconds.
 func (a *Aggregator) UpdateWindow() {
-	now := a.clock.Steady()
+	now := a.clock.Monotonic()
 	for node, proxy := range a.proxies {
-		if now-proxy.receivedAt > timetable.Steady(reportRetention) {
+		if now-proxy.receivedAt > clock.Instant(reportRetention) {
 			delete(a.proxies, node)
 		}
 	}
-	if len(a.samples) > 0 && now-a.samples[len(a.samples)-1].at < timetable.Steady(sampleInterval) {
+	if len(a.samples) > 0 && now-a.samples[len(a.samples)-1].at < clock.Instant(sampleInterval) {
 		return
 	}
 	oldest := 0
-	for oldest+1 < len(a.samples) && now-a.samples[oldest+1].at >= timetable.Steady(window) {
+	for oldest+1 < len(a.samples) && now-a.samples[oldest+1].at >= clock.Instant(window) {
 		oldest++
 	}
 	a.samples = append(a.samples[oldest:], windowSample{now, a.sum()})
@@ -105,7 +105,7 @@
 // ReportedWithin reports whether the proxy sent a report within the span.
 func (a *Aggregator) ReportedWithin(node string, span time.Duration) bool {
 	proxy := a.proxies[node]
-	return proxy != nil && time.Duration(a.clock.Steady()-proxy.receivedAt) <= span
+	return proxy != nil && time.Duration(a.clock.Monotonic()-proxy.receivedAt) <= span
 }
 
 // ProxyCount returns the number of proxies that sent a report within the span.
@@ -143,14 +143,14 @@
 func (u Usage) Drained() bool { return u.Proxies > 0 && u.Outdated == 0 && u.InFlight == 0 }
 
 // Usage sums the reports of the proxies in contact.
-func (a *Aggregator) Usage(subject string, reading feed.Reading) (usage Usage) {
-	now := a.clock.Steady()
+func (a *Aggregator) Usage(subject string, reading feed.FleetVersion) (usage Usage) {
+	now := a.clock.Monotonic()
 	for _, proxy := range a.proxies {
-		if now-proxy.receivedAt > timetable.Steady(contactTimeout) {
+		if now-proxy.receivedAt > clock.Instant(contactTimeout) {
 			continue
 		}
 		usage.Proxies++
-		if reading.Outranks(feed.Reading{Term: proxy.report.Term, Count: proxy.report.Count}) {
+		if reading.NewerThan(feed.FleetVersion{Term: proxy.report.Term, Count: proxy.report.Count}) {
 			usage.Outdated++
 		}
 		for _, inFlight := range proxy.report.InFlight {
--- a/internal/outlier/evaluation.go
+++ b/internal/outlier/evaluation.go
@@ -48,7 +48,7 @@
 			previous := start[route]
 			recent[route] = [2]Counts{sides[0].Subtract(previous[0]), sides[1].Subtract(previous[1])}
 		}
-		if span := time.Duration(a.clock.Steady() - a.samples[0].at); span > 0 {
+		if span := time.Duration(a.clock.Monotonic() - a.samples[0].at); span > 0 {
 			totals := sumRoutes(recent)
 			out.Rate = float64(totals[0].Total()+totals[1].Total()) / span.Seconds()
 		}
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -9,8 +9,8 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/outlier"
-	"ploverhitch/internal/timetable"
 )
 
 func TestOutlier(t *testing.T) {
@@ -54,7 +54,7 @@
 	It("counts each outcome once despite restarted proxies and lost or repeated reports", func() {
 		for seed := range uint64(50) {
 			random := rand.New(rand.NewPCG(seed, 4))
-			aggregator := outlier.NewAggregator(&timetable.Hand{})
+			aggregator := outlier.NewAggregator(&clock.Manual{})
 			recorders, incarnations := make([]*outlier.Recorder, 4), make([]int, 4)
 			reported := make([]uint32, 4) // counts of all incarnations, as reported
 			ended := make([]uint32, 4)    // counts of previous incarnations
@@ -99,7 +99,7 @@
 	})
 
 	It("fails a single bad route and waits for a route with few requests", func() {
-		aggregator := outlier.NewAggregator(&timetable.Hand{})
+		aggregator := outlier.NewAggregator(&clock.Manual{})
 		recorder := outlier.NewRecorder()
 		record := func(route string, onTrial bool, successes, failures int) {
 			for range successes {
@@ -125,7 +125,7 @@
 	})
 
 	It("ejects a server that fails more than its group, but never a whole group", func() {
-		clock := &timetable.Hand{}
+		clock := &clock.Manual{}
 		aggregator := outlier.NewAggregator(clock)
 		ids := []string{"a", "b", "c", "d", "e", "f", "g", "h"}
 		incarnation := 0
--- a/internal/outlier/server_health.go
+++ b/internal/outlier/server_health.go
@@ -4,7 +4,7 @@
 	"math"
 	"time"
 
-	"ploverhitch/internal/timetable"
+	"ploverhitch/internal/clock"
 )
 
 // serverStats holds what is known of one server: counts with exponential decay, and
@@ -13,14 +13,14 @@
 	total, failed float64
 	// attempts are the finished attempts, overloaded those that were rejected or late.
 	attempts, overloaded float64
-	updatedAt            timetable.Steady
+	updatedAt            clock.Instant
 	// latencyRatioSum and latencySamples are the sum and the number of the latency
 	// ratios; published is the last published ratio, in eighths.
 	latencyRatioSum, latencySamples float64
 	published                       int
-	publishedAt                     timetable.Steady
+	publishedAt                     clock.Instant
 	// ejectedAt is the time of the last ejection, ejections the number of ejections.
-	ejectedAt timetable.Steady
+	ejectedAt clock.Instant
 	ejections int
 	ejected   bool
 }
@@ -44,7 +44,7 @@
 	ejectionRateFactor = 4
 )
 
-func (h *ServerHealth) add(rows []ServerCounts, now timetable.Steady) {
+func (h *ServerHealth) add(rows []ServerCounts, now clock.Instant) {
 	for _, row := range rows {
 		s := h.servers[row.ID]
 		if s == nil {
@@ -64,7 +64,7 @@
 // ejected as outliers: those that fail far more often than the others of the group. It
 // ejects at most maxEjectedShare of the group.
 func (a *Aggregator) Ejected(group []string) map[string]bool {
-	now := a.clock.Steady()
+	now := a.clock.Monotonic()
 	total, failed := 0.0, 0.0
 	for _, id := range group {
 		if s := a.health.servers[id]; s != nil {
@@ -111,7 +111,7 @@
 // eighths: 8 is usual, 16 is twice as long, and 0 means too few samples. It changes in
 // steps to keep fleet updates rare.
 func (a *Aggregator) LatencyRatio(id string) int {
-	s, now := a.health.servers[id], a.clock.Steady()
+	s, now := a.health.servers[id], a.clock.Monotonic()
 	if s == nil {
 		return 0
 	}
@@ -135,7 +135,7 @@
 // OverloadedShare returns the share of overloaded servers among the servers of the
 // group that had recent attempts.
 func (a *Aggregator) OverloadedShare(group []string) float64 {
-	attempted, overloaded, now := 0, 0, a.clock.Steady()
+	attempted, overloaded, now := 0, 0, a.clock.Monotonic()
 	for _, id := range group {
 		s := a.health.servers[id]
 		if s == nil || s.attempts*math.Exp2(-float64(now-s.updatedAt)/float64(halfLife)) < overloadMinAttempts {
--- a/internal/proxy/canary.go
+++ b/internal/proxy/canary.go
@@ -9,11 +9,11 @@
 	"github.com/juju/errors"
 
 	"ploverhitch/internal/balancer"
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/messages"
 	"ploverhitch/internal/outlier"
 	"ploverhitch/internal/settings"
-	"ploverhitch/internal/timetable"
 	"ploverhitch/internal/upstream"
 )
 
@@ -30,13 +30,13 @@
 )
 
 // grantsValid reports whether the grants in the last fleet state have not expired.
-func (s *snapshot) grantsValid(now timetable.Steady) bool {
-	return time.Duration(now-s.fleetReceivedAt) <= feed.GrantSpan
+func (s *snapshot) grantsValid(now clock.Instant) bool {
+	return time.Duration(now-s.fleetReceivedAt) <= feed.GrantDuration
 }
 
 // canaryShare returns the traffic share of the service's canary version while its
 // grant is valid.
-func (s *snapshot) canaryShare(service string, now timetable.Steady) (share feed.Share, granted bool) {
+func (s *snapshot) canaryShare(service string, now clock.Instant) (share feed.CanaryShare, granted bool) {
 	if !s.grantsValid(now) {
 		return share, false
 	}
@@ -45,7 +45,7 @@
 			return share, true
 		}
 	}
-	return feed.Share{}, false
+	return feed.CanaryShare{}, false
 }
 
 // admitToCanary decides whether a request may go to the canary version.
@@ -53,8 +53,8 @@
 	if len(req.snapshot.trialShares) == 0 {
 		return
 	}
-	if share, granted := req.snapshot.canaryShare(req.service, p.clock.Steady()); granted {
-		req.trialEligible = p.canaryAllowance(req.service).Take(share.Number, share.Part, req.route.Name)
+	if share, granted := req.snapshot.canaryShare(req.service, p.clock.Monotonic()); granted {
+		req.trialEligible = p.canaryAllowance(req.service).Take(share.Number, share.Fraction, req.route.Name)
 	}
 }
 
@@ -70,15 +70,15 @@
 	if !d.request.trialEligible {
 		return false
 	}
-	share, granted := s.canaryShare(d.request.service, d.clock.Steady())
-	return granted && (len(d.tried) == 0 || share.Part >= 1)
+	share, granted := s.canaryShare(d.request.service, d.clock.Monotonic())
+	return granted && (len(d.tried) == 0 || share.Fraction >= 1)
 }
 
 // recordOutcome counts the outcome of an attempt for its server and for the canary
 // that it belongs to.
 func (d *forwarder) recordOutcome(server *balancer.Endpoint, mark outlier.Label, response *upstream.Response, err error, latency, usualLatency time.Duration) {
 	outcome := outlier.Success
-	warming := server.WarmLeft(d.clock.Wall()) > 0
+	warming := server.WarmupRemaining(d.clock.Wall()) > 0
 	slow := usualLatency > 0 && latency > max(slowFactor*usualLatency, slowMin)
 	var netErr net.Error
 	switch {
@@ -108,8 +108,8 @@
 // canaryMark identifies the canary that was active when an attempt was sent. The
 // outcome of the attempt counts for it.
 func (d *forwarder) canaryMark(server *balancer.Endpoint) (mark outlier.Label) {
-	if share, granted := d.snapshot.Load().canaryShare(d.request.service, d.clock.Steady()); granted {
-		mark = outlier.Label{Subject: d.request.service, Number: share.Number, Route: d.request.route.Name, OnTrial: server.Grade == feed.OnTrial}
+	if share, granted := d.snapshot.Load().canaryShare(d.request.service, d.clock.Monotonic()); granted {
+		mark = outlier.Label{Subject: d.request.service, Number: share.Number, Route: d.request.route.Name, OnTrial: server.Admission == feed.OnTrial}
 	}
 	return mark
 }
@@ -119,14 +119,14 @@
 // otherwise.
 func (p *proxy) reportPeriodically(ctx context.Context) {
 	periods := 0
-	timetable.Every(ctx, reportPeriod, func() {
+	clock.Every(ctx, reportPeriod, func() {
 		periods++
 		s := p.snapshot.Load()
 		overloaded := p.updateGauge()
 		if s.holder == "" || len(s.trialShares)+len(s.stagedChanges) == 0 && !p.needsSlots() && !overloaded && periods%idleReportPeriods > 0 {
 			return
 		}
-		conf, sentAt := p.settings.Load(), p.clock.Steady()
+		conf, sentAt := p.settings.Load(), p.clock.Monotonic()
 		evidence := p.outcomes.Report(conf.Platform.NodeName, p.incarnation)
 		evidence.Term, evidence.Count = s.fleetVersion.Term, s.fleetVersion.Count
 		for _, share := range s.trialShares {
--- a/internal/proxy/cancellation_test.go
+++ b/internal/proxy/cancellation_test.go
@@ -13,24 +13,24 @@
 
 	"ploverhitch/internal/apierror"
 	"ploverhitch/internal/balancer"
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/idempotency"
 	"ploverhitch/internal/settings"
 	"ploverhitch/internal/standin"
-	"ploverhitch/internal/timetable"
 	"ploverhitch/internal/upstream"
 )
 
 // newTestRequest returns a request on a route of the given type whose service has the
 // given servers, and its proxy.
-func newTestRequest(routeType config.RouteKind, servers ...*standin.Server) (*proxy, *clientRequest) {
+func newTestRequest(routeType config.RouteType, servers ...*standin.Server) (*proxy, *clientRequest) {
 	conf := &settings.Settings{}
 	conf.Tuning.BufferBytes = 1 << 20
 	conf.Platform.Bounds.RetryBudgetRatio = 1
 	conf.Platform.Bounds.RetrySlack = 100
-	conf.Platform.Bounds.RetryWindow = timetable.Span(10 * time.Second)
-	p := newProxy(conf, timetable.Real(), func(string, string, ...any) {})
+	conf.Platform.Bounds.RetryWindow = clock.Duration(10 * time.Second)
+	p := newProxy(conf, clock.Real(), func(string, string, ...any) {})
 	serverSet := balancer.NewServerSet(balancer.Locality{Node: "n", SubsetSize: 8})
 	fleet := feed.Fleet{Term: 1, Count: 1, Proxies: 1}
 	for _, server := range servers {
@@ -53,7 +53,7 @@
 		DeferCleanup(server.Close)
 	})
 	It("ends when its client disconnects, except for a request with an idempotency key", func() {
-		for routeType, canceled := range map[config.RouteKind]bool{config.Safe: true, config.Unsafe: true, config.Idempotent: false} {
+		for routeType, canceled := range map[config.RouteType]bool{config.Safe: true, config.Unsafe: true, config.Idempotent: false} {
 			server.Next(standin.Silent)
 			p, req := newTestRequest(routeType, server)
 			ctx, cancel := context.WithCancel(context.Background())
@@ -102,7 +102,7 @@
 		p, req := newTestRequest(config.Idempotent, server)
 		a := &keyedAttempt{proxy: p, request: req, ungranted: map[string]bool{}}
 		a.intent = idempotency.Intent{Key: idempotency.Key{Tenant: "h", Key: "k"}, State: idempotency.Reserved}
-		a.round = idempotency.NewRound(a.intent.RequestHash, 1, p.clock.Steady(), timetable.Steady(time.Second))
+		a.round = idempotency.NewRound(a.intent.RequestHash, 1, p.clock.Monotonic(), clock.Instant(time.Second))
 		partial := &upstream.Response{Status: 200, Header: http.Header{}, Body: []byte("part"), Remainder: io.NopCloser(strings.NewReader("rest"))}
 		reply, err := a.execute(context.Background(), func(context.Context, any) (any, error) { return partial, nil })
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/proxy/eligibility_test.go
+++ b/internal/proxy/eligibility_test.go
@@ -10,11 +10,11 @@
 	. "github.com/onsi/gomega"
 
 	"ploverhitch/internal/balancer"
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/settings"
 	"ploverhitch/internal/standin"
-	"ploverhitch/internal/timetable"
 	"ploverhitch/internal/upstream"
 )
 
@@ -29,7 +29,7 @@
 	// updateServers replaces the proxy's list of servers.
 	updateServers := func(list ...feed.Server) {
 		updated := *p.snapshot.Load()
-		updated.applyFleet(feed.Fleet{Term: 1, Count: updated.fleetVersion.Count + 1, Servers: list}, p.clock.Steady())
+		updated.applyFleet(feed.Fleet{Term: 1, Count: updated.fleetVersion.Count + 1, Servers: list}, p.clock.Monotonic())
 		p.snapshot.Store(&updated)
 	}
 	findServer := func(id string) *balancer.Endpoint {
@@ -38,7 +38,7 @@
 		return server
 	}
 	// newForwarder returns a forwarder for a route that allows one attempt.
-	newForwarder := func(routeType config.RouteKind) *forwarder {
+	newForwarder := func(routeType config.RouteType) *forwarder {
 		req := &clientRequest{
 			Request: &upstream.Request{Method: http.MethodGet, Target: "/a", Host: "h", Header: http.Header{upstream.HeaderAttempt: {"try-1"}}, Attempt: "try-1"},
 			route:   &config.Route{RouteSpec: config.RouteSpec{Name: "fee", RouteType: routeType, MaxAttempts: 1}}, service: service,
@@ -64,7 +64,7 @@
 			DeferCleanup(server.Close)
 			servers[id] = server
 		}
-		p = newProxy(&settings.Settings{Tuning: settings.Tuning{BufferBytes: 1 << 20}}, timetable.Real(), func(string, string, ...any) {})
+		p = newProxy(&settings.Settings{Tuning: settings.Tuning{BufferBytes: 1 << 20}}, clock.Real(), func(string, string, ...any) {})
 		updateServers(listedServer("x-1"), listedServer("x-2"))
 	})
 
@@ -77,7 +77,7 @@
 		"is no longer listed": func() { updateServers(listedServer("x-2")) },
 		"runs a version that was shut": func() {
 			shut := listedServer("x-1")
-			shut.Grade = feed.Shut
+			shut.Admission = feed.Blocked
 			updateServers(shut, listedServer("x-2"))
 		},
 		"has lost its address to another server": func() {
@@ -88,7 +88,7 @@
 		"is reported to be leaving": func() { p.snapshot.Load().balancer.MarkLeaving([]string{"x-1"}) },
 	}
 	for condition, removeServer := range departures {
-		for _, routeType := range []config.RouteKind{config.Safe, config.Unsafe, config.Idempotent} {
+		for _, routeType := range []config.RouteType{config.Safe, config.Unsafe, config.Idempotent} {
 			It("sends a "+string(routeType)+" request to another server, without charging an attempt, when the first "+condition, func() {
 				fwd := newForwarder(routeType)
 				server := findServer("x-1")
@@ -109,10 +109,10 @@
 	}
 
 	It("learns from a feed update that a server is leaving", func() {
-		p.applyUpdates([]feed.News{{Fleet: &feed.Fleet{Term: 1, Count: 9, Servers: []feed.Server{listedServer("x-1"), listedServer("x-2")}}}})
+		p.applyUpdates([]feed.Update{{Fleet: &feed.Fleet{Term: 1, Count: 9, Servers: []feed.Server{listedServer("x-1"), listedServer("x-2")}}}})
 		server := findServer("x-1")
 		Expect(p.acceptsRequests(server)).To(BeTrue())
-		p.applyUpdates([]feed.News{{Leaving: []string{"x-1"}}})
+		p.applyUpdates([]feed.Update{{Leaving: []string{"x-1"}}})
 		Expect(p.acceptsRequests(server)).To(BeFalse())
 		Expect(p.acceptsRequests(findServer("x-2"))).To(BeTrue())
 	})
--- a/internal/proxy/mirror_send.go
+++ b/internal/proxy/mirror_send.go
@@ -9,9 +9,9 @@
 	"github.com/juju/errors"
 
 	"ploverhitch/internal/balancer"
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/loopline"
-	"ploverhitch/internal/timetable"
 	"ploverhitch/internal/upstream"
 )
 
@@ -19,7 +19,7 @@
 // ends.
 func (p *proxy) startMirrorWorkers(ctx context.Context) {
 	for range mirrorWorkers {
-		go timetable.Each(ctx, p.trafficMirror.queue, p.sendMirrored)
+		go clock.Consume(ctx, p.trafficMirror.queue, p.sendMirrored)
 	}
 }
 
@@ -72,7 +72,7 @@
 		return false
 	}
 	_, granted := s.mirrorGrant(m)
-	return granted && s.grantsValid(p.clock.Steady()) && !s.manifest.IsLive(m.Shadow)
+	return granted && s.grantsValid(p.clock.Monotonic()) && !s.manifest.HasRouteTo(m.Shadow)
 }
 
 // compare classifies the result of a mirrored request against the original.
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -17,6 +17,7 @@
 	"ploverhitch/internal/agent"
 	"ploverhitch/internal/balancer"
 	"ploverhitch/internal/bandwidth"
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/loopline"
@@ -26,7 +27,6 @@
 	"ploverhitch/internal/settings"
 	"ploverhitch/internal/shedding"
 	"ploverhitch/internal/sites"
-	"ploverhitch/internal/timetable"
 )
 
 // LogFunc writes a log line of the given level with key-value pairs.
@@ -35,7 +35,7 @@
 // snapshot is the configuration and fleet state that a request is handled with. It is
 // replaced as a whole.
 type snapshot struct {
-	manifest *config.Sheet
+	manifest *config.RoutingTable
 	balancer *balancer.ServerSet
 	// localSite is this node's site.
 	sites          *sites.Tree
@@ -46,10 +46,10 @@
 	proxyCount     int
 	// trialShares, holder and fleetVersion come from the fleet state received at
 	// fleetReceivedAt; holder is the address that reports are sent to.
-	trialShares     []feed.Share
+	trialShares     []feed.CanaryShare
 	holder          string
-	fleetVersion    feed.Reading
-	fleetReceivedAt timetable.Steady
+	fleetVersion    feed.FleetVersion
+	fleetReceivedAt clock.Instant
 	// stagedChanges are the staged changes in progress.
 	stagedChanges []stagedChange
 	// complete is set once the whole configuration has been received.
@@ -63,11 +63,11 @@
 // proxy is the state of one proxy process.
 type proxy struct {
 	settings   atomic.Pointer[settings.Settings]
-	clock      timetable.Clock
+	clock      clock.Clock
 	log        LogFunc
 	snapshot   atomic.Pointer[snapshot]
-	updateLoop *timetable.Loop[feed.News]
-	replica    *feed.Board
+	updateLoop *clock.Loop[feed.Update]
+	replica    *feed.Replica
 	follower   *feed.Follower
 	// draining is set on SIGTERM.
 	draining       atomic.Bool
@@ -109,7 +109,7 @@
 // Run runs a proxy until ctx ends and then drains it. It reloads the settings on SIGHUP
 // or when the file at settingsPath changes.
 func Run(ctx context.Context, cfg *settings.Settings, settingsPath string, log LogFunc) error {
-	p := newProxy(cfg, timetable.Real(), log)
+	p := newProxy(cfg, clock.Real(), log)
 	tcpListener, err := net.Listen("tcp4", cfg.Platform.Bind.ClientHttp)
 	if err != nil {
 		return errors.Annotate(err, "listen on the client address")
@@ -151,32 +151,32 @@
 	return p.shutDown(server)
 }
 
-func newProxy(cfg *settings.Settings, clock timetable.Clock, log LogFunc) *proxy {
+func newProxy(cfg *settings.Settings, timeSource clock.Clock, log LogFunc) *proxy {
 	p := &proxy{
-		clock: clock, log: log, updateLoop: timetable.NewLoop[feed.News](256), replica: feed.NewBoard(),
-		connections: map[string]*rpc.Line{}, retryBudgets: map[string]*balancer.RetryBudget{}, incarnation: newIncarnation(), outcomes: outlier.NewRecorder(), siteCapacity: sites.NewNodeLeases(clock),
-		shedder: newLoadShedder(clock), trafficMirror: newMirrorSender(),
+		clock: timeSource, log: log, updateLoop: clock.NewLoop[feed.Update](256), replica: feed.NewReplica(),
+		connections: map[string]*rpc.Line{}, retryBudgets: map[string]*balancer.RetryBudget{}, incarnation: newIncarnation(), outcomes: outlier.NewRecorder(), siteCapacity: sites.NewNodeLeases(timeSource),
+		shedder: newLoadShedder(timeSource), trafficMirror: newMirrorSender(),
 	}
 	p.settings.Store(cfg)
 	locality := balancer.Locality{Node: cfg.Platform.NodeName, Zone: cfg.Platform.Cell, SubsetSize: cfg.Tuning.WorkingSet}
-	p.inbound = bandwidth.NewTrack(cfg.Platform.Limits.LinkMbps, clock)
-	p.outbound = bandwidth.NewTrack(cfg.Platform.Limits.LinkMbps, clock)
+	p.inbound = bandwidth.NewTrack(cfg.Platform.Limits.LinkMbps, timeSource)
+	p.outbound = bandwidth.NewTrack(cfg.Platform.Limits.LinkMbps, timeSource)
 	p.downloads = bandwidth.NewPassing(p.outbound)
-	p.snapshot.Store(&snapshot{manifest: config.Book{}.Compile(), balancer: balancer.NewServerSet(locality)})
+	p.snapshot.Store(&snapshot{manifest: config.ItemSet{}.Compile(), balancer: balancer.NewServerSet(locality)})
 	p.serve = endpoint.Chain(p.admissionMiddleware, p.limitingDownloads, p.idempotencyMiddleware)(p.forward)
 	return p
 }
 
 // applyUpdates merges a batch of updates into the replica and stores a new snapshot. Only
 // the update loop calls it, so it needs no lock on the replica.
-func (p *proxy) applyUpdates(batch []feed.News) {
+func (p *proxy) applyUpdates(batch []feed.Update) {
 	previous := p.snapshot.Load()
 	next := *previous
 	changed := false
 	var leavingIDs []string
 	for _, update := range batch {
-		if !p.replica.Fits(update) {
-			p.follower.Again()
+		if !p.replica.CanApply(update) {
+			p.follower.RequestSnapshot()
 		}
 		merged, updated := p.replica.Merge(update)
 		changed = changed || updated
@@ -184,7 +184,7 @@
 			next.manifest = nil
 		}
 		if merged.Fleet != nil {
-			next.applyFleet(p.replica.Serving(), p.clock.Steady())
+			next.applyFleet(p.replica.ServingFleet(), p.clock.Monotonic())
 			p.trafficMirror.closeUnlisted(next.servers)
 		}
 		leavingIDs = append(leavingIDs, merged.Leaving...)
@@ -195,23 +195,23 @@
 	}
 	manifestChanged := next.manifest == nil
 	if manifestChanged {
-		next.manifest, next.manifestDigest = p.replica.Book.Compile(), p.replica.Book.Digest()
+		next.manifest, next.manifestDigest = p.replica.Items.Compile(), p.replica.Items.Digest()
 		platform := p.settings.Load().Platform
-		if sites, err := p.replica.Book.Tree(platform.Cells); err == nil {
+		if sites, err := p.replica.Items.Tree(platform.Cells); err == nil {
 			next.sites, next.localSite = sites, sites.SiteOf("", platform.Cell)
 		}
 	}
 	if len(next.stagedChanges)+len(p.replica.Fleet.Stages) > 0 {
-		next.updateStaged(p.replica.Fleet.Stages, p.replica.Book, manifestChanged, p.settings.Load().Platform.NodeName)
+		next.updateStaged(p.replica.Fleet.Stages, p.replica.Items, manifestChanged, p.settings.Load().Platform.NodeName)
 	}
-	next.complete = p.replica.IsWhole
+	next.complete = p.replica.Complete
 	if p.replica.View.Epoch > next.view.Epoch {
 		next.view = p.replica.View
 	}
 	wasReady := p.isReady()
 	p.snapshot.Store(&next)
 	if !wasReady && p.isReady() {
-		p.log("info", "proxy is ready", "routes", next.manifest.Lanes, "servers", next.balancer.Size())
+		p.log("info", "proxy is ready", "routes", next.manifest.RouteCount, "servers", next.balancer.Size())
 	}
 }
 
@@ -219,7 +219,7 @@
 // server, and is not draining.
 func (p *proxy) isReady() bool {
 	s := p.snapshot.Load()
-	return s.complete && s.manifest.Lanes > 0 && s.balancer.Size() > 0 && !p.draining.Load()
+	return s.complete && s.manifest.RouteCount > 0 && s.balancer.Size() > 0 && !p.draining.Load()
 }
 
 // connection returns the connection to a control node, created on first use.
--- a/internal/proxy/selection.go
+++ b/internal/proxy/selection.go
@@ -46,7 +46,7 @@
 
 // slotShare is the share of the slots at another site that the request may use.
 func (s *snapshot) slotShare(req *clientRequest) float64 {
-	if req.route.Priority <= s.manifest.HighestRank(req.service) {
+	if req.route.Priority <= s.manifest.HighestPriority(req.service) {
 		return 1
 	}
 	return lowPriorityShare
@@ -65,12 +65,12 @@
 		// requests themselves.
 		server := s.balancer.Choose(criteria, d.clock)
 		if server != nil {
-			d.siteReservations.Store(server, d.siteCapacity.AcquireUnleased(service, s.sites.SiteOf(server.ID, server.Cell)))
+			d.siteReservations.Store(server, d.siteCapacity.AcquireUnleased(service, s.sites.SiteOf(server.ID, server.Zone)))
 		}
 		return server
 	}
 	criteria.Allowed = func(server *balancer.Endpoint) bool {
-		site := s.sites.SiteOf(server.ID, server.Cell)
+		site := s.sites.SiteOf(server.ID, server.Zone)
 		if site == s.localSite {
 			// A server that failed its last request is not worth waiting for:
 			// without free slots elsewhere the request is rejected at once.
@@ -84,7 +84,7 @@
 			d.siteCapacity.RecordRejection(service, max(d.stats.mean(), time.Millisecond))
 			return nil
 		}
-		if release, ok := d.siteCapacity.Acquire(service, s.sites.SiteOf(server.ID, server.Cell), s.localSite, share); ok {
+		if release, ok := d.siteCapacity.Acquire(service, s.sites.SiteOf(server.ID, server.Zone), s.localSite, share); ok {
 			d.siteReservations.Store(server, release)
 			return server
 		}
--- a/internal/proxy/staged.go
+++ b/internal/proxy/staged.go
@@ -8,24 +8,24 @@
 	"github.com/juju/errors"
 
 	"ploverhitch/internal/apierror"
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/outlier"
-	"ploverhitch/internal/timetable"
 	"ploverhitch/internal/upstream"
 )
 
 // stagedChange is a staged change with the configuration that results from it.
 // applies tells whether this node serves by it.
 type stagedChange struct {
-	feed.Stage
-	compiled *config.Sheet
+	feed.StagedChange
+	compiled *config.RoutingTable
 	applies  bool
 }
 
 // updateStaged compiles the published staged changes. A change that is only renewed
 // keeps its compiled configuration, unless the items have changed.
-func (s *snapshot) updateStaged(published []feed.Stage, items config.Book, configChanged bool, node string) {
+func (s *snapshot) updateStaged(published []feed.StagedChange, items config.ItemSet, configChanged bool, node string) {
 	previous := s.stagedChanges
 	s.stagedChanges = nil
 	for _, change := range published {
@@ -54,7 +54,7 @@
 
 // findRoute finds the route of a request: that of the configuration, or that of a
 // staged change which applies to this node and whose grant is valid.
-func (s *snapshot) findRoute(req *clientRequest, host, path string, hasKey bool, now timetable.Steady) {
+func (s *snapshot) findRoute(req *clientRequest, host, path string, hasKey bool, now clock.Instant) {
 	req.route = s.manifest.Find(host, path)
 	if len(s.stagedChanges) == 0 || !s.grantsValid(now) {
 		return
--- a/internal/sites/allocator.go
+++ b/internal/sites/allocator.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"ploverhitch/internal/timetable"
+	"ploverhitch/internal/clock"
 )
 
 // Usage is what one node uses of a service at one site, or lacks.
@@ -52,29 +52,29 @@
 // nodeState is the last report of a node and the leases granted in reply.
 type nodeState struct {
 	site       string
-	reportedAt timetable.Steady
+	reportedAt clock.Instant
 	inFlight   map[Key]int
 	leases     map[Key]int
-	expiresAt  timetable.Steady
+	expiresAt  clock.Instant
 }
 
 // Allocator leases spare capacity of the sites to nodes at other sites. It runs at the
 // term holder and is not safe for concurrent use. The sum of all unexpired leases and
 // of the site's own requests in flight never exceeds the usable capacity of a site.
 type Allocator struct {
-	clock timetable.Clock
+	clock clock.Clock
 	tree  *Tree
 	// grantsFrom is when the leases of the previous allocator have expired.
-	grantsFrom timetable.Steady
+	grantsFrom clock.Instant
 	capacity   map[Key]int
 	nodes      map[string]*nodeState
 }
 
 // NewAllocator returns an allocator that grants nothing until the leases of its
 // predecessor have expired.
-func NewAllocator(tree *Tree, clock timetable.Clock) *Allocator {
+func NewAllocator(tree *Tree, timeSource clock.Clock) *Allocator {
 	return &Allocator{
-		clock: clock, tree: tree, grantsFrom: clock.Steady() + timetable.Steady(LeaseDuration+leaseMargin),
+		clock: timeSource, tree: tree, grantsFrom: timeSource.Monotonic() + clock.Instant(LeaseDuration+leaseMargin),
 		capacity: map[Key]int{}, nodes: map[string]*nodeState{},
 	}
 }
@@ -89,7 +89,7 @@
 
 // HandleReport records what a node uses and lacks, and returns its new leases.
 func (a *Allocator) HandleReport(node, site string, usages []Usage) (leases []Lease) {
-	now := a.clock.Steady()
+	now := a.clock.Monotonic()
 	state := a.nodes[node]
 	if state == nil {
 		state = &nodeState{}
@@ -113,7 +113,7 @@
 	if now < a.grantsFrom {
 		return nil
 	}
-	state.leases, state.expiresAt = map[Key]int{}, now+timetable.Steady(LeaseDuration+leaseMargin)
+	state.leases, state.expiresAt = map[Key]int{}, now+clock.Instant(LeaseDuration+leaseMargin)
 	services := map[string]bool{}
 	for key := range a.capacity {
 		services[key.Service] = true
@@ -140,10 +140,10 @@
 
 // freeSlots returns the slots at a site that are left for a node beside all others.
 func (a *Allocator) freeSlots(key Key, node string) int {
-	now, ownLoad, reserved := a.clock.Steady(), 0, 0
+	now, ownLoad, reserved := a.clock.Monotonic(), 0, 0
 	for name, state := range a.nodes {
 		switch {
-		case now-state.reportedAt > timetable.Steady(reportTimeout):
+		case now-state.reportedAt > clock.Instant(reportTimeout):
 			delete(a.nodes, name)
 		case state.site == key.Site:
 			ownLoad += state.inFlight[key]
@@ -186,7 +186,7 @@
 
 // Statuses returns the state of all sites and services, in the order of their names.
 func (a *Allocator) Statuses() (statuses []Status) {
-	now := a.clock.Steady()
+	now := a.clock.Monotonic()
 	for key, capacity := range a.capacity {
 		status := Status{Site: key.Site, Parent: a.tree.sites[key.Site].Parent, Service: key.Service, Capacity: capacity, RemoteBySite: map[string]int{}}
 		for _, state := range a.nodes {
--- a/internal/sites/node_leases.go
+++ b/internal/sites/node_leases.go
@@ -5,34 +5,34 @@
 	"sync"
 	"time"
 
-	"ploverhitch/internal/timetable"
+	"ploverhitch/internal/clock"
 )
 
 // NodeLeases holds the leases granted to a node and its requests in flight by site.
 type NodeLeases struct {
-	clock     timetable.Clock
+	clock     clock.Clock
 	mu        sync.Mutex
 	leases    map[Key]int
-	expiresAt timetable.Steady
+	expiresAt clock.Instant
 	inFlight  map[Key]int
 	// rejected sums, by service, the usual latencies of the requests that found no
 	// slot.
 	rejected map[string]time.Duration
 	// reportedAt is when the last report was made.
-	reportedAt timetable.Steady
+	reportedAt clock.Instant
 }
 
 // NewNodeLeases returns an empty set of leases.
-func NewNodeLeases(clock timetable.Clock) *NodeLeases {
-	return &NodeLeases{clock: clock, leases: map[Key]int{}, inFlight: map[Key]int{}, rejected: map[string]time.Duration{}, reportedAt: clock.Steady()}
+func NewNodeLeases(clock clock.Clock) *NodeLeases {
+	return &NodeLeases{clock: clock, leases: map[Key]int{}, inFlight: map[Key]int{}, rejected: map[string]time.Duration{}, reportedAt: clock.Monotonic()}
 }
 
 // Apply replaces the leases by those in the reply to the report sent at sentAt. Replies
 // to earlier reports than the last applied one are ignored.
-func (l *NodeLeases) Apply(leases []Lease, sentAt timetable.Steady) {
+func (l *NodeLeases) Apply(leases []Lease, sentAt clock.Instant) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	expiresAt := sentAt + timetable.Steady(LeaseDuration)
+	expiresAt := sentAt + clock.Instant(LeaseDuration)
 	if expiresAt < l.expiresAt {
 		return
 	}
@@ -52,7 +52,7 @@
 }
 
 func (l *NodeLeases) hasSlot(key Key, share float64) bool {
-	return l.clock.Steady() < l.expiresAt && l.inFlight[key] < int(share*float64(l.leases[key])+1e-9)
+	return l.clock.Monotonic() < l.expiresAt && l.inFlight[key] < int(share*float64(l.leases[key])+1e-9)
 }
 
 // Acquire takes a slot at a site and returns the function that releases it. A slot at
@@ -99,7 +99,7 @@
 	for key, count := range l.inFlight {
 		usages = append(usages, Usage{Service: key.Service, Site: key.Site, InFlight: count})
 	}
-	now := l.clock.Steady()
+	now := l.clock.Monotonic()
 	span := max(time.Duration(now-l.reportedAt), time.Millisecond)
 	for service, latency := range l.rejected {
 		usages = append(usages, Usage{Service: service, Wanted: int(math.Ceil(float64(latency) / float64(span)))})
--- a/internal/sites/simulation_test.go
+++ b/internal/sites/simulation_test.go
@@ -5,14 +5,14 @@
 	"math/rand/v2"
 	"time"
 
+	"ploverhitch/internal/clock"
 	"ploverhitch/internal/sites"
-	"ploverhitch/internal/timetable"
 )
 
 // simulation is a simple model of sites whose servers count their load, and of nodes
 // whose reports and leases arrive late or not at all.
 type simulation struct {
-	clock     *timetable.Hand
+	clock     *clock.Manual
 	random    *rand.Rand
 	tree      *sites.Tree
 	allocator *sites.Allocator
@@ -51,7 +51,7 @@
 )
 
 func newSimulation(seed uint64, useLeases bool) *simulation {
-	s := &simulation{clock: &timetable.Hand{Now: time.Hour}, random: rand.New(rand.NewPCG(seed, 7)), useLeases: useLeases}
+	s := &simulation{clock: &clock.Manual{Now: time.Hour}, random: rand.New(rand.NewPCG(seed, 7)), useLeases: useLeases}
 	s.tree, _ = sites.Build(regions, nil)
 	s.capacity = map[string]int{"a": 40, "b": 40, "c": 60}
 	s.load, s.maxExcess, s.served, s.rejected = map[string]int{}, map[string]int{}, map[bool]int{}, map[bool]int{}
@@ -133,7 +133,7 @@
 				}
 			}
 			if s.random.IntN(25) == 0 && !s.allocatorDown {
-				sentAt, usages, allocator := s.clock.Steady(), n.leases.Usages(), s.allocator
+				sentAt, usages, allocator := s.clock.Monotonic(), n.leases.Usages(), s.allocator
 				if s.random.IntN(10) == 0 {
 					continue // the report is lost
 				}
