--- a/cmd/measure/agreement.go
+++ b/cmd/measure/agreement.go
@@ -72,7 +72,7 @@
 		item.Version = revision
 		round := registry.Round{
 			Epoch: 1, Index: m.replicas[0].Next(), Majority: size/2 + 1,
-			Ballot: membership.Number{Round: uint64(revision), Node: "10.1.0.1:7200#1a2b3c4d5e6f7"},
+			Ballot: membership.Ballot{Round: uint64(revision), Node: "10.1.0.1:7200#1a2b3c4d5e6f7"},
 			Draft: func([]config.Item) (registry.Change, bool) {
 				draft := m.replicas[0].Draft(func(config.Book, []config.Item, []config.Item) error { return nil })
 				if err := draft.Add([]config.Item{item}); err != nil {
--- a/internal/agent/choose.go
+++ b/internal/agent/choose.go
@@ -25,7 +25,7 @@
 	if view.Epoch != d.spareFor {
 		d.spareFor, d.spares, d.wellAt = view.Epoch, 0, now
 	}
-	order := membership.Followed(view.Members, d.set.Platform.NodeName)
+	order := membership.FollowOrder(view.Members, d.set.Platform.NodeName)
 	chosen := min(len(order), max(followedLeast, view.Majority()))
 	ailing := 0
 	for _, member := range order[:chosen] {
--- a/internal/agent/choose_test.go
+++ b/internal/agent/choose_test.go
@@ -66,7 +66,7 @@
 	It("has a spare for each that does not tell, for a while after, and the seeds if most are silent", func() {
 		view := membership.View{Epoch: 1, Members: members(5)}
 		d, hand := newDesk("edge-1", view)
-		order := membership.Followed(view.Members, "edge-1")
+		order := membership.FollowOrder(view.Members, "edge-1")
 		for _, member := range order[:3] {
 			d.followers[member] = feed.NewFollower("edge-1", rpc.NewLine(member, time.Second, time.Second), func(feed.News) {}, time.Second)
 		}
@@ -108,7 +108,7 @@
 		const changeSpan = 2 * time.Second
 		view := membership.View{Epoch: 1, Members: members(5)}
 		d, _ := newDesk("edge-1", view)
-		dead := membership.Followed(view.Members, "edge-1")[0]
+		dead := membership.FollowOrder(view.Members, "edge-1")[0]
 		d.followers[dead] = feed.NewFollower("edge-1", rpc.NewLine(dead, time.Second, time.Second), func(feed.News) {}, time.Second)
 		Eventually(func() int { return len(d.wanted()) }, ailingSpan+lookPeriod).Should(Equal(4))
 		// It is seen at the next look, and connected within the bound of a call.
--- a/internal/control/catchup.go
+++ b/internal/control/catchup.go
@@ -66,7 +66,7 @@
 func (n *node) onState(in messages.State, reply func(registry.State)) {
 	var state registry.State
 	n.store.enqueue(func(t *tables) []record {
-		if t.view.Epoch != in.Epoch || !t.view.Has(n.self) {
+		if t.view.Epoch != in.Epoch || !t.view.Contains(n.self) {
 			state.View = newerView(t, in.Epoch)
 			return nil
 		}
--- a/internal/control/config_replicator.go
+++ b/internal/control/config_replicator.go
@@ -60,7 +60,7 @@
 	catchingUp chan struct{}
 	// undecidedBallot is the ballot of the accepted change last seen without its
 	// decision, undecidedSince when it was first seen; only maintain accesses them.
-	undecidedBallot membership.Number
+	undecidedBallot membership.Ballot
 	undecidedSince  timetable.Steady
 }
 
@@ -94,7 +94,7 @@
 
 // canVote reports whether this node votes in the epoch.
 func (n *node) canVote(t *tables, epoch membership.Epoch) bool {
-	return t.trusted && t.view.Epoch == epoch && t.view.Has(n.self)
+	return t.trusted && t.view.Epoch == epoch && t.view.Contains(n.self)
 }
 
 // submit queues a proposal at this node and waits for its result.
@@ -152,7 +152,7 @@
 		return false, false
 	}
 	r.round++
-	round.Ballot = membership.Number{Round: r.round, Node: n.proposerID}
+	round.Ballot = membership.Ballot{Round: r.round, Node: n.proposerID}
 	draft := &roundDraft{node: n, proposals: proposals, index: round.Index}
 	round.Draft = draft.build
 	outcome := round.Run(&roundTransport{node: n, view: view, startedAt: n.clock.Steady()})
@@ -208,7 +208,7 @@
 // has no index yet.
 func (r *configReplicator) maintain() {
 	n := r.node
-	var accepted membership.Number
+	var accepted membership.Ballot
 	rank, undecided, legacy := 0, false, false
 	n.store.read(func(t *tables) {
 		if !n.canVote(t, t.view.Epoch) {
--- a/internal/control/handlers.go
+++ b/internal/control/handlers.go
@@ -65,7 +65,7 @@
 func (n *node) onReserve(in messages.Reserve, reply func(messages.Vote)) {
 	var vote messages.Vote
 	n.store.enqueue(func(t *tables) []record {
-		if !t.trusted || in.Epoch != t.view.Epoch || !t.view.Has(n.self) {
+		if !t.trusted || in.Epoch != t.view.Epoch || !t.view.Contains(n.self) {
 			vote.Ballot.Verdict = idempotency.Refused
 			if t.view.Epoch > in.Epoch {
 				view := t.view
@@ -105,7 +105,7 @@
 	}, func() { reply(found) })
 }
 
-func (n *node) onMotion(in membership.Motion, reply func(membership.Response)) {
+func (n *node) onMotion(in membership.Proposal, reply func(membership.Response)) {
 	var response membership.Response
 	n.store.enqueue(func(t *tables) []record {
 		if !t.trusted {
@@ -113,7 +113,7 @@
 			return nil
 		}
 		var changed bool
-		if response, changed = t.acceptor.On(t.view, in); !changed {
+		if response, changed = t.acceptor.Respond(t.view, in); !changed {
 			return nil
 		}
 		acceptor := t.acceptor
--- a/internal/control/leader_lease.go
+++ b/internal/control/leader_lease.go
@@ -177,7 +177,7 @@
 	}, func() {
 		answer(messages.Done{OK: true})
 		n.memberLoop.Offer(func() {
-			n.livenessWatch.Hear(membership.Beat{From: in.Term.Holder})
+			n.livenessWatch.Observe(membership.Heartbeat{From: in.Term.Holder})
 			n.heartbeat()
 		})
 	})
--- a/internal/control/leader_lease_test.go
+++ b/internal/control/leader_lease_test.go
@@ -25,7 +25,7 @@
 func newTestMember(clock *timetable.Hand, view membership.View) *node {
 	n := &node{
 		self: "a", clock: clock, hub: feed.NewHub(), log: func(string, string, ...any) {}, connections: map[string]*rpc.Line{},
-		memberLoop: timetable.NewLoop[func()](256), livenessWatch: membership.NewWatch(clock, time.Second), lease: newLeaderLease(testLeaseDuration),
+		memberLoop: timetable.NewLoop[func()](256), livenessWatch: membership.NewLivenessWatch(clock, time.Second), lease: newLeaderLease(testLeaseDuration),
 		listWatch: newListTracker(clock.Steady()),
 	}
 	n.settings.Store(&settings.Settings{Tuning: settings.Defaults()})
--- a/internal/control/leadership.go
+++ b/internal/control/leadership.go
@@ -43,7 +43,7 @@
 	var term membership.Term
 	var index registry.Index
 	var trusted bool
-	directlySeen := n.livenessWatch.Direct()
+	directlySeen := n.livenessWatch.DirectlySeen()
 	var heldFleet feed.Reading
 	eligible := n.eligible.Load()
 	candidate := ""
@@ -53,18 +53,18 @@
 		return nil
 	}, func() {
 		eligible = eligible && trusted && n.isReadyToLead(heldFleet)
-		beat := membership.Beat{From: n.self, View: view, Term: term, Index: uint64(index), Seen: directlySeen, IsFit: eligible}
+		beat := membership.Heartbeat{From: n.self, View: view, Term: term, Index: uint64(index), Seen: directlySeen, Eligible: eligible}
 		fleet := n.fleet()
 		beat.FleetTerm, beat.FleetCount = fleet.Term, fleet.Count
-		for _, watcher := range membership.Watchers(view.Members, n.self, heartbeatTargetCount) {
+		for _, watcher := range membership.RingSuccessors(view.Members, n.self, heartbeatTargetCount) {
 			n.connection(watcher).Send(messages.KindBeat, beat, nil)
 		}
 		n.memberLoop.Offer(func() {
-			if !view.Has(n.self) || !trusted {
+			if !view.Contains(n.self) || !trusted {
 				n.stepDown()
 				return
 			}
-			candidate = n.livenessWatch.First(view, n.self, eligible)
+			candidate = n.livenessWatch.Candidate(view, n.self, eligible)
 			n.updateLeadership(view, term, candidate)
 			if n.isLeader.Load() {
 				n.maintainView(view)
@@ -112,8 +112,8 @@
 
 // onHeartbeat records a heartbeat of a member and adopts its view and term if they are
 // newer. If the member's configuration is ahead, this node fetches the changes from it.
-func (n *node) onHeartbeat(beat membership.Beat, _ func(messages.Done)) {
-	n.memberLoop.Offer(func() { n.livenessWatch.Hear(beat) })
+func (n *node) onHeartbeat(beat membership.Heartbeat, _ func(messages.Done)) {
+	n.memberLoop.Offer(func() { n.livenessWatch.Observe(beat) })
 	n.memberReadings.Store(beat.From, feed.Reading{Term: beat.FleetTerm, Count: beat.FleetCount})
 	behind := false
 	n.store.enqueue(func(t *tables) (out []record) {
@@ -146,7 +146,7 @@
 	replacement := ""
 	for address, lastSeen := range n.joining {
 		recent := time.Duration(now-lastSeen) < current.Tuning.SilentAfter.Std()
-		if recent && !view.Has(address) && (replacement == "" || address < replacement) {
+		if recent && !view.Contains(address) && (replacement == "" || address < replacement) {
 			replacement = address
 		}
 	}
@@ -163,7 +163,7 @@
 	if lost == "" && len(view.Members) >= 2*current.Platform.FaultTolerance.Machines+1 {
 		return
 	}
-	go n.changeView(view, view.Swap(lost, replacement))
+	go n.changeView(view, view.Replace(lost, replacement))
 }
 
 // changeView proposes a new view to the members of the present one, one proposal at a time.
@@ -172,8 +172,8 @@
 		return
 	}
 	defer n.proposingView.Store(false)
-	number := membership.Number{Round: n.viewRound.Add(1), Node: n.proposerID}
-	ask := func(motion membership.Motion) []membership.Response { return n.requestViewChange(view, motion) }
+	number := membership.Ballot{Round: n.viewRound.Add(1), Node: n.proposerID}
+	ask := func(motion membership.Proposal) []membership.Response { return n.requestViewChange(view, motion) }
 	decided, highest, ok := membership.Propose(view, proposed, number, ask)
 	n.viewRound.Store(max(n.viewRound.Load(), highest.Round))
 	if ok {
@@ -183,10 +183,10 @@
 }
 
 // requestViewChange sends a proposal for the next view to all members.
-func (n *node) requestViewChange(view membership.View, motion membership.Motion) []membership.Response {
+func (n *node) requestViewChange(view membership.View, motion membership.Proposal) []membership.Response {
 	return callRound(n, view, messages.KindMotion, motion, n.clock.Steady(),
 		func(response *membership.Response) *bool { return &response.OK },
-		func(response membership.Response) bool { return motion.Number.Below(response.Promised) })
+		func(response membership.Response) bool { return motion.Ballot.Less(response.Promised) })
 }
 
 // onJoin records a node that asks to become a member.
--- a/internal/control/lease/acts_test.go
+++ b/internal/control/lease/acts_test.go
@@ -19,7 +19,7 @@
 	for range 2 {
 		w.gossip(n, w.nodes[w.random.IntN(len(w.nodes))].name)
 	}
-	if !n.view.Has(n.name) {
+	if !n.view.Contains(n.name) {
 		w.stepDown(n)
 		n.isTrusted = false
 		return
@@ -131,7 +131,7 @@
 		return
 	}
 	n.read[from] = term
-	if len(n.read) < view.ReadSet() {
+	if len(n.read) < view.ReadQuorum() {
 		return
 	}
 	for _, told := range n.read {
@@ -188,7 +188,7 @@
 // untrusted is how many members of the newest view have yet to rebuild.
 func (w *world) untrusted() (count int) {
 	for _, name := range w.newest.Members {
-		if n := w.node(name); !n.isTrusted || n.view.Epoch < w.newest.Epoch && !n.view.Has(name) {
+		if n := w.node(name); !n.isTrusted || n.view.Epoch < w.newest.Epoch && !n.view.Contains(name) {
 			count++
 		}
 	}
@@ -208,9 +208,9 @@
 		return
 	}
 	for _, n := range w.nodes {
-		if !w.newest.Has(n.name) && !n.isTrusted && n.isUp {
+		if !w.newest.Contains(n.name) && !n.isTrusted && n.isUp {
 			out := w.newest.Members[w.random.IntN(len(w.newest.Members))]
-			w.newest = w.newest.Swap(out, n.name)
+			w.newest = w.newest.Replace(out, n.name)
 			deciding[w.random.IntN(len(deciding))].view = w.newest
 			return
 		}
--- a/internal/control/lease/holder.go
+++ b/internal/control/lease/holder.go
@@ -76,7 +76,7 @@
 //	isHeld := holder.Acknowledge(round, member)
 func (h *Holder) Acknowledge(number Round, member string) bool {
 	r := h.rounds[number]
-	if r == nil || !r.view.Has(member) {
+	if r == nil || !r.view.Contains(member) {
 		return false
 	}
 	r.acknowledged[member] = true
--- a/internal/control/lease/world_test.go
+++ b/internal/control/lease/world_test.go
@@ -89,7 +89,7 @@
 	}
 	w.newest = membership.FirstView(names)
 	for _, n := range w.nodes {
-		n.view, n.isTrusted = w.newest, w.newest.Has(n.name)
+		n.view, n.isTrusted = w.newest, w.newest.Contains(n.name)
 		w.tickLater(n)
 	}
 	return w
@@ -186,7 +186,7 @@
 }
 
 func (n *node) votesIn(epoch membership.Epoch) bool {
-	return n.isTrusted && n.view.Epoch == epoch && n.view.Has(n.name)
+	return n.isTrusted && n.view.Epoch == epoch && n.view.Contains(n.name)
 }
 
 // event is something that happens at a moment; events of one moment keep their order.
--- a/internal/control/leave.go
+++ b/internal/control/leave.go
@@ -21,7 +21,7 @@
 // node that shuts down cannot know whether it will be started again.
 func (n *node) leave() {
 	view := n.view()
-	if !view.Has(n.self) {
+	if !view.Contains(n.self) {
 		return
 	}
 	var calls sync.WaitGroup
--- a/internal/control/listing/watch.go
+++ b/internal/control/listing/watch.go
@@ -94,10 +94,10 @@
 //
 //	isFirst := listing.Rank(view, holder, self) == 0
 func Rank(view membership.View, holder, member string) int {
-	if holder == "" || member == holder || !view.Has(member) {
+	if holder == "" || member == holder || !view.Contains(member) {
 		return -1
 	}
-	return slices.Index(membership.Watchers(view.Members, holder, len(view.Members)), member)
+	return slices.Index(membership.RingSuccessors(view.Members, holder, len(view.Members)), member)
 }
 
 // Share is the part of the platform's rate with which a member is to read the list now in
--- a/internal/control/modify.go
+++ b/internal/control/modify.go
@@ -59,13 +59,13 @@
 	n.store.read(func(t *tables) { view, leader, canVote = t.view, t.term.Holder, n.canVote(t, t.view.Epoch) })
 	leaderLive := false
 	n.runInMemberLoop(func() { leaderLive = n.livenessWatch.IsLive(leader) })
-	if leader != n.self && view.Has(leader) && (leaderLive || !canVote) {
+	if leader != n.self && view.Contains(leader) && (leaderLive || !canVote) {
 		members = append(members, leader)
 	}
 	if canVote {
 		return append(members, n.self)
 	}
-	for _, member := range membership.Followed(view.Members, n.self) {
+	for _, member := range membership.FollowOrder(view.Members, n.self) {
 		if member != leader && member != n.self {
 			members = append(members, member)
 		}
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -42,7 +42,7 @@
 
 	// livenessWatch and joining are accessed only by the membership loop; joining holds
 	// the time of the last request of each address that asked to join.
-	livenessWatch *membership.Watch
+	livenessWatch *membership.LivenessWatch
 	memberLoop    *timetable.Loop[func()]
 	joining       map[string]timetable.Steady
 	startedAt     timetable.Steady
@@ -90,7 +90,7 @@
 	n.settings.Store(set)
 	n.proposerID = newProposerID(n.self)
 	n.startedAt = n.clock.Steady()
-	n.livenessWatch = membership.NewWatch(n.clock, set.Tuning.SilentAfter.Std())
+	n.livenessWatch = membership.NewLivenessWatch(n.clock, set.Tuning.SilentAfter.Std())
 	n.lease = newLeaderLease(leaseDuration(set.Tuning))
 	n.listWatch = newListTracker(n.startedAt)
 	if err := n.openDisk(set); err != nil {
--- a/internal/control/read_config.go
+++ b/internal/control/read_config.go
@@ -100,7 +100,7 @@
 		return false
 	})
 	// If all other members have answered, no member is left that could know more.
-	if allAnswered := len(states) == len(view.Members)-1; complete < view.ReadSet() && !allAnswered {
+	if allAnswered := len(states) == len(view.Members)-1; complete < view.ReadQuorum() && !allAnswered {
 		return false
 	}
 	for _, member := range sources {
--- a/internal/control/recovery.go
+++ b/internal/control/recovery.go
@@ -19,7 +19,7 @@
 	p := n.settings.Load().Platform
 	var empty bool
 	n.store.read(func(t *tables) { empty = t.empty })
-	if first := membership.FirstView(n.seedAddresses()); empty && p.Bootstrap && first.Has(n.self) {
+	if first := membership.FirstView(n.seedAddresses()); empty && p.Bootstrap && first.Contains(n.self) {
 		n.adoptView(first)
 		n.trust()
 	}
@@ -31,9 +31,9 @@
 		view, trusted := n.view(), false
 		n.store.read(func(t *tables) { trusted = t.trusted })
 		switch {
-		case view.Has(n.self) && trusted:
+		case view.Contains(n.self) && trusted:
 			n.clock.Sleep(10 * recoveryInterval)
-		case view.Has(n.self):
+		case view.Contains(n.self):
 			// Twice the vote timeout covers the round and its messages in transit.
 			if wait := 2*n.voteTimeout() - time.Duration(n.clock.Steady()-untrustedSince); wait > 0 {
 				n.clock.Sleep(wait)
@@ -96,15 +96,15 @@
 			n.log("info", "cannot read the state of a member for the rebuild", "member", member, "error", err)
 			continue
 		}
-		if progress.add(trusted); progress.trusted >= view.ReadSet() {
+		if progress.add(trusted); progress.trusted >= view.ReadQuorum() {
 			break
 		}
 	}
 	if !progress.sufficient(view) || !n.configReplicator.rebuild(view) {
 		return false
 	}
-	if progress.trusted < view.ReadSet() {
-		n.log("error", "more members lost their disks than the view tolerates; continuing with the remaining state", "trusted", progress.trusted, "needed", view.ReadSet())
+	if progress.trusted < view.ReadQuorum() {
+		n.log("error", "more members lost their disks than the view tolerates; continuing with the remaining state", "trusted", progress.trusted, "needed", view.ReadQuorum())
 	}
 	n.publishState()
 	return n.view().Epoch == view.Epoch
@@ -125,7 +125,7 @@
 // votes it gave. If all other members were read and too few of them are trusted, no
 // further source of state is left and waiting would only keep the system down.
 func (r *readProgress) sufficient(view membership.View) bool {
-	return r.trusted >= view.ReadSet() || r.complete >= len(view.Members)-1
+	return r.trusted >= view.ReadQuorum() || r.complete >= len(view.Members)-1
 }
 
 // copyMember copies the state of a member and reports whether that member is trusted.
@@ -154,7 +154,7 @@
 		records = append(records, record{Term: &term})
 	}
 	if a := page.Acceptor; t.acceptor.Behind(a) {
-		t.acceptor = t.acceptor.Join(a)
+		t.acceptor = t.acceptor.Merge(a)
 		joined := t.acceptor
 		records = append(records, record{Acceptor: &joined})
 	}
--- a/internal/control/registry/acceptor.go
+++ b/internal/control/registry/acceptor.go
@@ -19,17 +19,17 @@
 
 // Acceptor is one replica's part in deciding the change that follows its set.
 type Acceptor struct {
-	Promised membership.Number `cbor:"1,keyasint"`
-	Accepted membership.Number `cbor:"2,keyasint"`
+	Promised membership.Ballot `cbor:"1,keyasint"`
+	Accepted membership.Ballot `cbor:"2,keyasint"`
 	Change   *Change           `cbor:"3,keyasint,omitempty"`
 }
 
 // join takes the later promise and the later acceptance of the two.
 func (a Acceptor) join(other Acceptor) Acceptor {
-	if a.Promised.Below(other.Promised) {
+	if a.Promised.Less(other.Promised) {
 		a.Promised = other.Promised
 	}
-	if a.Accepted.Below(other.Accepted) {
+	if a.Accepted.Less(other.Accepted) {
 		a.Accepted, a.Change = other.Accepted, other.Change
 	}
 	return a
@@ -40,7 +40,7 @@
 type Prepare struct {
 	Epoch  membership.Epoch  `cbor:"1,keyasint"`
 	Index  Index             `cbor:"2,keyasint"`
-	Ballot membership.Number `cbor:"3,keyasint"`
+	Ballot membership.Ballot `cbor:"3,keyasint"`
 }
 
 // Promise answers a Prepare. Where it is not OK, Index and Acceptor tell what
@@ -68,13 +68,13 @@
 //
 //	if promise.IsLost(prepare) { tryAgain() }
 func (p Promise) IsLost(prepare Prepare) bool {
-	return !p.OK && (p.Index >= prepare.Index || prepare.Ballot.Below(p.Acceptor.Promised))
+	return !p.OK && (p.Index >= prepare.Index || prepare.Ballot.Less(p.Acceptor.Promised))
 }
 
 // Accept asks a replica to accept a change under a ballot.
 type Accept struct {
 	Epoch  membership.Epoch  `cbor:"1,keyasint"`
-	Ballot membership.Number `cbor:"2,keyasint"`
+	Ballot membership.Ballot `cbor:"2,keyasint"`
 	Change Change            `cbor:"3,keyasint"`
 	// Incarnations are those under which the members promised the ballot: a
 	// replica that has lost its memory since must not act on that promise.
@@ -85,7 +85,7 @@
 type Acceptance struct {
 	OK       bool              `cbor:"1,keyasint"`
 	Index    Index             `cbor:"2,keyasint"`
-	Promised membership.Number `cbor:"3,keyasint"`
+	Promised membership.Ballot `cbor:"3,keyasint"`
 }
 
 // IsLost tells whether the answer shows that the round's change is decided already,
@@ -95,7 +95,7 @@
 //
 //	if acceptance.IsLost(accept) { tryAgain() }
 func (a Acceptance) IsLost(accept Accept) bool {
-	return !a.OK && (a.Index >= accept.Change.Index || accept.Ballot.Below(a.Promised))
+	return !a.OK && (a.Index >= accept.Change.Index || accept.Ballot.Less(a.Promised))
 }
 
 // State is what a replica tells about its place, for a quorum read or a rebuild.
--- a/internal/control/registry/cluster_test.go
+++ b/internal/control/registry/cluster_test.go
@@ -65,7 +65,7 @@
 }
 
 // propose plays one round for an order from one replica's set.
-func (c *cluster) propose(from string, ballot membership.Number, order ...config.Item) (outcome registry.Outcome, err error) {
+func (c *cluster) propose(from string, ballot membership.Ballot, order ...config.Item) (outcome registry.Outcome, err error) {
 	set := c.replicas[from].Set
 	round := registry.Round{Index: set.Index + 1, Ballot: ballot, Majority: 2, Draft: func([]config.Item) (registry.Change, bool) {
 		draft := set.Draft(check)
--- a/internal/control/registry/proposer.go
+++ b/internal/control/registry/proposer.go
@@ -16,7 +16,7 @@
 type Round struct {
 	Epoch    membership.Epoch
 	Index    Index
-	Ballot   membership.Number
+	Ballot   membership.Ballot
 	Majority int
 	// Draft is called once a majority has promised and none of them has accepted
 	// a change yet; legacy are unnumbered items that they hold.
@@ -31,7 +31,7 @@
 	// there was none to propose.
 	IsQuiet bool
 	// Highest is the highest ballot met, Ahead the highest index of a member.
-	Highest membership.Number
+	Highest membership.Ballot
 	Ahead   Index
 	// AheadOf is the member of that index.
 	AheadOf string
@@ -62,7 +62,7 @@
 		}
 		accept.Incarnations[promise.Member] = promise.Incarnation
 		legacy = append(legacy, promise.Legacy...)
-		if promise.Acceptor.Change != nil && (accepted.Change == nil || accepted.Accepted.Below(promise.Acceptor.Accepted)) {
+		if promise.Acceptor.Change != nil && (accepted.Change == nil || accepted.Accepted.Less(promise.Acceptor.Accepted)) {
 			accepted = promise.Acceptor
 		}
 	}
@@ -88,7 +88,7 @@
 		if acceptance.OK {
 			count++
 		}
-		if outcome.Highest.Below(acceptance.Promised) {
+		if outcome.Highest.Less(acceptance.Promised) {
 			outcome.Highest = acceptance.Promised
 		}
 	}
@@ -101,7 +101,7 @@
 // hear notes what a promise, or its refusal, tells beside the promise itself.
 func (o *Outcome) hear(index Index, promise Promise) {
 	o.Heard++
-	if o.Highest.Below(promise.Acceptor.Promised) {
+	if o.Highest.Less(promise.Acceptor.Promised) {
 		o.Highest = promise.Acceptor.Promised
 	}
 	if promise.Index+1 < index && promise.Member != "" {
--- a/internal/control/registry/registry_test.go
+++ b/internal/control/registry/registry_test.go
@@ -94,27 +94,27 @@
 var _ = Describe("a round", func() {
 	It("decides one change for a number, and a later proposer finishes an earlier one's", func() {
 		c := newCluster("a", "b", "c")
-		_, err := c.propose("a", membership.Number{Round: 1, Node: "a#1"}, service("s", 1))
+		_, err := c.propose("a", membership.Ballot{Round: 1, Node: "a#1"}, service("s", 1))
 		Expect(err).NotTo(HaveOccurred())
 		// Only c accepts the change; the proposer is lost before anybody else does.
 		lost := registry.Change{Index: 2, Items: []config.Item{route("x", 1, "/x/", "s")}}
-		_, _ = c.replicas["c"].Promise(registry.Prepare{Index: 2, Ballot: membership.Number{Round: 2, Node: "a#1"}})
-		acceptance, isChanged := c.replicas["c"].Accept("c", registry.Accept{Ballot: membership.Number{Round: 2, Node: "a#1"}, Change: lost})
+		_, _ = c.replicas["c"].Promise(registry.Prepare{Index: 2, Ballot: membership.Ballot{Round: 2, Node: "a#1"}})
+		acceptance, isChanged := c.replicas["c"].Accept("c", registry.Accept{Ballot: membership.Ballot{Round: 2, Node: "a#1"}, Change: lost})
 		Expect(acceptance.OK && isChanged).To(BeTrue())
 		c.away["a"] = true
-		outcome, _ := c.propose("b", membership.Number{Round: 3, Node: "b#1"}, route("y", 1, "/x/", "s"))
+		outcome, _ := c.propose("b", membership.Ballot{Round: 3, Node: "b#1"}, route("y", 1, "/x/", "s"))
 		Expect(outcome.Decided.Items[0].ID.Name).To(Equal("x"))
-		_, err = c.propose("b", membership.Number{Round: 4, Node: "b#1"}, route("y", 1, "/x/", "s"))
+		_, err = c.propose("b", membership.Ballot{Round: 4, Node: "b#1"}, route("y", 1, "/x/", "s"))
 		Expect(err).To(MatchError(ContainSubstring("share host and prefix")))
 		// The old proposer's late messages change nothing.
-		late, _ := c.replicas["b"].Accept("b", registry.Accept{Ballot: membership.Number{Round: 1, Node: "a#1"}, Change: registry.Change{Index: 2}})
+		late, _ := c.replicas["b"].Accept("b", registry.Accept{Ballot: membership.Ballot{Round: 1, Node: "a#1"}, Change: registry.Change{Index: 2}})
 		Expect(late.OK).To(BeFalse())
 	})
 
 	It("decides nothing without a majority", func() {
 		c := newCluster("a", "b", "c")
 		c.away["b"], c.away["c"] = true, true
-		outcome, _ := c.propose("a", membership.Number{Round: 1, Node: "a#1"}, service("s", 1))
+		outcome, _ := c.propose("a", membership.Ballot{Round: 1, Node: "a#1"}, service("s", 1))
 		Expect(outcome.Decided).To(BeNil())
 		Expect(outcome.IsQuiet).To(BeFalse())
 		Expect(outcome.Heard).To(Equal(1))
@@ -122,7 +122,7 @@
 
 	It("is lost where a replica promised a higher ballot or knows the decision, and only there", func() {
 		c := newCluster("a", "b", "c")
-		low, high := membership.Number{Round: 1, Node: "a#1"}, membership.Number{Round: 9, Node: "b#1"}
+		low, high := membership.Ballot{Round: 1, Node: "a#1"}, membership.Ballot{Round: 9, Node: "b#1"}
 		prepare := registry.Prepare{Index: 1, Ballot: low}
 		_, _ = c.replicas["b"].Promise(registry.Prepare{Index: 1, Ballot: high})
 		refused, _ := c.replicas["b"].Promise(prepare)
@@ -139,7 +139,7 @@
 
 	It("does not act on a promise that a replica has lost since", func() {
 		c := newCluster("a", "b", "c")
-		ballot := membership.Number{Round: 1, Node: "a#1"}
+		ballot := membership.Ballot{Round: 1, Node: "a#1"}
 		promise, _ := c.replicas["b"].Promise(registry.Prepare{Index: 1, Ballot: ballot})
 		accept := registry.Accept{Ballot: ballot, Change: registry.Change{Index: 1}, Incarnations: map[string]uint64{"b": promise.Incarnation}}
 		c.replicas["b"] = registry.NewReplica()
@@ -203,7 +203,7 @@
 	It("takes over what a majority promised and accepted, and is not whole behind it", func() {
 		c := newCluster("a", "b", "c")
 		change := registry.Change{Index: 1, Items: []config.Item{service("s", 1)}}
-		ballot := membership.Number{Round: 4, Node: "a#1"}
+		ballot := membership.Ballot{Round: 4, Node: "a#1"}
 		for _, name := range []string{"a", "b"} {
 			_, _ = c.replicas[name].Promise(registry.Prepare{Index: 1, Ballot: ballot})
 			_, _ = c.replicas[name].Accept(name, registry.Accept{Ballot: ballot, Change: change})
--- a/internal/control/registry/replica.go
+++ b/internal/control/registry/replica.go
@@ -50,7 +50,7 @@
 //	promise, isChanged := replica.Promise(prepare)
 func (r *Replica) Promise(prepare Prepare) (promise Promise, isChanged bool) {
 	promise = Promise{Incarnation: r.Incarnation, Index: r.Index, Acceptor: r.Acceptor}
-	if prepare.Index != r.Next() || prepare.Ballot.Below(r.Acceptor.Promised) {
+	if prepare.Index != r.Next() || prepare.Ballot.Less(r.Acceptor.Promised) {
 		return promise, false
 	}
 	isChanged = r.Acceptor.Promised != prepare.Ballot
@@ -72,7 +72,7 @@
 	acceptance = Acceptance{Index: r.Index, Promised: r.Acceptor.Promised}
 	incarnation, isNamed := accept.Incarnations[member]
 	isForgotten := isNamed && incarnation != r.Incarnation
-	if accept.Change.Index != r.Next() || accept.Ballot.Below(r.Acceptor.Promised) || isForgotten {
+	if accept.Change.Index != r.Next() || accept.Ballot.Less(r.Acceptor.Promised) || isForgotten {
 		return acceptance, false
 	}
 	isChanged = r.Acceptor.Accepted != accept.Ballot || r.Acceptor.Change == nil
--- a/internal/control/replicate.go
+++ b/internal/control/replicate.go
@@ -62,7 +62,7 @@
 		trusted := false
 		n.store.read(func(t *tables) { view, trusted = t.view, t.trusted })
 		others := view.Others(n.self)
-		if !trusted || !view.Has(n.self) || len(others) == 0 {
+		if !trusted || !view.Contains(n.self) || len(others) == 0 {
 			continue
 		}
 		next++
--- a/internal/control/round_transport_test.go
+++ b/internal/control/round_transport_test.go
@@ -24,7 +24,7 @@
 var _ = Describe("a round with unresponsive members", func() {
 	var n *node
 	var view membership.View
-	low, high := membership.Number{Round: 2, Node: "a#1"}, membership.Number{Round: 9, Node: "b#1"}
+	low, high := membership.Ballot{Round: 2, Node: "a#1"}, membership.Ballot{Round: 9, Node: "b#1"}
 
 	BeforeEach(func() {
 		view = membership.View{Epoch: 1, Members: []string{"a", unresponsiveMember(), unresponsiveMember()}}
@@ -72,9 +72,9 @@
 	})
 
 	It("fails immediately on a higher ballot for a new view as well", func() {
-		n.store.read(func(t *tables) { _, _ = t.acceptor.On(t.view, membership.Motion{Epoch: 1, Number: high}) })
+		n.store.read(func(t *tables) { _, _ = t.acceptor.Respond(t.view, membership.Proposal{Epoch: 1, Ballot: high}) })
 		withoutWaiting(func() {
-			responses := n.requestViewChange(view, membership.Motion{Epoch: 1, Number: low})
+			responses := n.requestViewChange(view, membership.Proposal{Epoch: 1, Ballot: low})
 			Expect(responses).To(HaveLen(1))
 			Expect(responses[0].Promised).To(Equal(high))
 		})
--- a/internal/control/standby_test.go
+++ b/internal/control/standby_test.go
@@ -34,7 +34,9 @@
 		n.hub.Read(func(board *feed.Board) { out = maps.Clone(board.Leaving) })
 		return out
 	}
-	sendHeartbeat := func() { n.runInMemberLoop(func() { n.livenessWatch.Hear(membership.Beat{From: leader, IsFit: true}) }) }
+	sendHeartbeat := func() {
+		n.runInMemberLoop(func() { n.livenessWatch.Observe(membership.Heartbeat{From: leader, Eligible: true}) })
+	}
 	// reportRead reports a complete read by the leader.
 	reportRead := func() {
 		n.onListProgress(messages.ListProgress{From: leader, IsWhole: true, Age: timetable.Span(100 * time.Millisecond), Next: timetable.Span(next)}, nil)
@@ -47,7 +49,7 @@
 		n = &node{
 			self: self, clock: clock, hub: feed.NewHub(), log: func(string, string, ...any) {},
 			connections: map[string]*rpc.Line{},
-			memberLoop:  timetable.NewLoop[func()](8), livenessWatch: membership.NewWatch(clock, silentAfter), startedAt: clock.Steady(),
+			memberLoop:  timetable.NewLoop[func()](8), livenessWatch: membership.NewLivenessWatch(clock, silentAfter), startedAt: clock.Steady(),
 			listWatch: newListTracker(clock.Steady()), lease: newLeaderLease(testLeaseDuration),
 		}
 		n.settings.Store(&settings.Settings{Tuning: settings.Tuning{SilentAfter: timetable.Span(silentAfter)}})
--- a/internal/control/trials.go
+++ b/internal/control/trials.go
@@ -19,7 +19,7 @@
 	isTaken := false
 	n.store.enqueue(func(t *tables) []record {
 		state := in.State
-		if !t.trusted || in.Epoch != t.view.Epoch || !t.view.Has(n.self) || state.Term < t.term.Number {
+		if !t.trusted || in.Epoch != t.view.Epoch || !t.view.Contains(n.self) || state.Term < t.term.Number {
 			return nil
 		}
 		held := t.trials[state.Subject]
@@ -55,7 +55,7 @@
 func (n *node) onTrials(in messages.Trials, answer func(messages.TrialsTold)) {
 	var out messages.TrialsTold
 	n.store.enqueue(func(t *tables) []record {
-		out.OK, out.Fence = t.trusted && in.Epoch == t.view.Epoch && t.view.Has(n.self), t.term.Number
+		out.OK, out.Fence = t.trusted && in.Epoch == t.view.Epoch && t.view.Contains(n.self), t.term.Number
 		for _, state := range t.trials {
 			out.States = append(out.States, state)
 		}
--- a/internal/emulator/exploration/memo.go
+++ b/internal/emulator/exploration/memo.go
@@ -7,7 +7,7 @@
 	kind                 string
 	acceptor             acceptor
 	incarnation          uint8
-	number               membership.Number
+	number               membership.Ballot
 	value, promisedUnder uint8
 	promises             [memberCount]promise
 }
@@ -38,7 +38,7 @@
 	return known
 }
 
-func (m *memo) prepare(held acceptor, incarnation uint8, number membership.Number) (after acceptor, isOK bool) {
+func (m *memo) prepare(held acceptor, incarnation uint8, number membership.Ballot) (after acceptor, isOK bool) {
 	q := question{kind: "prepare", acceptor: held, incarnation: incarnation, number: number}
 	r := m.answer(q, func() (r response) {
 		r.after, r.isOK = m.Protocol.prepare(held, incarnation, number)
@@ -47,7 +47,7 @@
 	return r.after, r.isOK
 }
 
-func (m *memo) propose(number membership.Number, wanted uint8, promises [memberCount]promise) (value uint8, isAny bool) {
+func (m *memo) propose(number membership.Ballot, wanted uint8, promises [memberCount]promise) (value uint8, isAny bool) {
 	q := question{kind: "propose", number: number, value: wanted, promises: promises}
 	r := m.answer(q, func() (r response) {
 		r.value, r.isOK = m.Protocol.propose(number, wanted, promises)
@@ -56,7 +56,7 @@
 	return r.value, r.isOK
 }
 
-func (m *memo) accept(held acceptor, incarnation uint8, number membership.Number, value, promisedUnder uint8) (after acceptor, isOK bool) {
+func (m *memo) accept(held acceptor, incarnation uint8, number membership.Ballot, value, promisedUnder uint8) (after acceptor, isOK bool) {
 	q := question{kind: "accept", acceptor: held, incarnation: incarnation, number: number, value: value, promisedUnder: promisedUnder}
 	r := m.answer(q, func() (r response) {
 		r.after, r.isOK = m.Protocol.accept(held, incarnation, number, value, promisedUnder)
--- a/internal/emulator/exploration/model.go
+++ b/internal/emulator/exploration/model.go
@@ -64,10 +64,10 @@
 
 // Protocol is what is explored: the real types behind a common form.
 type Protocol interface {
-	prepare(m acceptor, incarnation uint8, number membership.Number) (after acceptor, isOK bool)
+	prepare(m acceptor, incarnation uint8, number membership.Ballot) (after acceptor, isOK bool)
 	// propose is the value that a proposer sends for acceptance, given promises.
-	propose(number membership.Number, wanted uint8, promises [memberCount]promise) (value uint8, isAny bool)
-	accept(m acceptor, incarnation uint8, number membership.Number, value, promisedUnder uint8) (after acceptor, isOK bool)
+	propose(number membership.Ballot, wanted uint8, promises [memberCount]promise) (value uint8, isAny bool)
+	accept(m acceptor, incarnation uint8, number membership.Ballot, value, promisedUnder uint8) (after acceptor, isOK bool)
 	rebuild(read []acceptor) acceptor
 }
 
@@ -92,8 +92,8 @@
 
 // number is that of a proposal. The first and the last are of one proposer, which
 // crashes in between.
-func (m Model) number(at int) membership.Number {
-	numbers := [proposalCount]membership.Number{{Round: 1, Node: "p#1"}, {Round: 1, Node: "q#1"}, {Round: 2, Node: "p#2"}}
+func (m Model) number(at int) membership.Ballot {
+	numbers := [proposalCount]membership.Ballot{{Round: 1, Node: "p#1"}, {Round: 1, Node: "q#1"}, {Round: 2, Node: "p#2"}}
 	if m.IsBallotReused {
 		numbers[2] = numbers[0]
 	}
--- a/internal/emulator/exploration/protocols.go
+++ b/internal/emulator/exploration/protocols.go
@@ -18,9 +18,9 @@
 
 // numbers are those that the models use; an acceptor names them by their place,
 // counted from 1.
-var numbers = []membership.Number{{}, {Round: 1, Node: "p#1"}, {Round: 1, Node: "q#1"}, {Round: 2, Node: "p#2"}}
+var numbers = []membership.Ballot{{}, {Round: 1, Node: "p#1"}, {Round: 1, Node: "q#1"}, {Round: 2, Node: "p#2"}}
 
-func placeOf(number membership.Number) uint8 {
+func placeOf(number membership.Ballot) uint8 {
 	for place, known := range numbers {
 		if known == number {
 			return uint8(place)
@@ -60,13 +60,13 @@
 	return m
 }
 
-func (r registryProtocol) prepare(m acceptor, incarnation uint8, number membership.Number) (after acceptor, isOK bool) {
+func (r registryProtocol) prepare(m acceptor, incarnation uint8, number membership.Ballot) (after acceptor, isOK bool) {
 	replica := r.replica(m, incarnation)
 	answer, _ := replica.Promise(registry.Prepare{Index: 1, Ballot: number})
 	return r.acceptor(replica), answer.OK
 }
 
-func (r registryProtocol) accept(m acceptor, incarnation uint8, number membership.Number, value, promisedUnder uint8) (after acceptor, isOK bool) {
+func (r registryProtocol) accept(m acceptor, incarnation uint8, number membership.Ballot, value, promisedUnder uint8) (after acceptor, isOK bool) {
 	replica := r.replica(m, incarnation)
 	accept := registry.Accept{Ballot: number, Change: changeOf(value), Incarnations: map[string]uint64{}}
 	if promisedUnder != 0 {
@@ -91,7 +91,7 @@
 	return nil
 }
 
-func (r registryProtocol) propose(number membership.Number, wanted uint8, promises [memberCount]promise) (value uint8, isAny bool) {
+func (r registryProtocol) propose(number membership.Ballot, wanted uint8, promises [memberCount]promise) (value uint8, isAny bool) {
 	peers := &recorded{}
 	for at, p := range promises {
 		if !p.IsThere {
--- a/internal/emulator/exploration/views.go
+++ b/internal/emulator/exploration/views.go
@@ -12,10 +12,10 @@
 var present = membership.FirstView([]string{"a", "b", "c"})
 
 // viewOf is the view that a value stands for.
-func viewOf(value uint8) membership.View { return present.Swap("c", fmt.Sprint("new-", value)) }
+func viewOf(value uint8) membership.View { return present.Replace("c", fmt.Sprint("new-", value)) }
 
 func (viewProtocol) acceptorOf(m acceptor) membership.Acceptor {
-	held := membership.Acceptor{Promised: numbers[m.Promised], Number: numbers[m.Accepted]}
+	held := membership.Acceptor{Promised: numbers[m.Promised], Accepted: numbers[m.Accepted]}
 	if m.Value != 0 {
 		view := viewOf(m.Value)
 		held.Value = &view
@@ -33,30 +33,30 @@
 }
 
 func (viewProtocol) acceptor(held membership.Acceptor) acceptor {
-	m := acceptor{Promised: placeOf(held.Promised), Accepted: placeOf(held.Number)}
+	m := acceptor{Promised: placeOf(held.Promised), Accepted: placeOf(held.Accepted)}
 	if held.Value != nil {
 		m.Value = valueOf(*held.Value)
 	}
 	return m
 }
 
-func (v viewProtocol) on(m acceptor, motion membership.Motion) (after acceptor, isOK bool) {
+func (v viewProtocol) on(m acceptor, motion membership.Proposal) (after acceptor, isOK bool) {
 	held := v.acceptorOf(m)
-	response, _ := held.On(present, motion)
+	response, _ := held.Respond(present, motion)
 	return v.acceptor(held), response.OK
 }
 
-func (v viewProtocol) prepare(m acceptor, _ uint8, number membership.Number) (after acceptor, isOK bool) {
-	return v.on(m, membership.Motion{Epoch: present.Epoch, Number: number})
+func (v viewProtocol) prepare(m acceptor, _ uint8, number membership.Ballot) (after acceptor, isOK bool) {
+	return v.on(m, membership.Proposal{Epoch: present.Epoch, Ballot: number})
 }
 
-func (v viewProtocol) accept(m acceptor, _ uint8, number membership.Number, value, _ uint8) (after acceptor, isOK bool) {
+func (v viewProtocol) accept(m acceptor, _ uint8, number membership.Ballot, value, _ uint8) (after acceptor, isOK bool) {
 	view := viewOf(value)
-	return v.on(m, membership.Motion{Epoch: present.Epoch, Number: number, Value: &view})
+	return v.on(m, membership.Proposal{Epoch: present.Epoch, Ballot: number, Value: &view})
 }
 
-func (v viewProtocol) propose(number membership.Number, wanted uint8, promises [memberCount]promise) (value uint8, isAny bool) {
-	ask := func(motion membership.Motion) (responses []membership.Response) {
+func (v viewProtocol) propose(number membership.Ballot, wanted uint8, promises [memberCount]promise) (value uint8, isAny bool) {
+	ask := func(motion membership.Proposal) (responses []membership.Response) {
 		if motion.Value != nil {
 			value, isAny = valueOf(*motion.Value), true
 			return nil
@@ -66,7 +66,7 @@
 				continue
 			}
 			held := v.acceptorOf(p.Acceptor)
-			responses = append(responses, membership.Response{OK: true, Promised: held.Promised, Number: held.Number, Value: held.Value, View: present})
+			responses = append(responses, membership.Response{OK: true, Promised: held.Promised, Accepted: held.Accepted, Value: held.Value, View: present})
 		}
 		return responses
 	}
@@ -78,7 +78,7 @@
 	var lost membership.Acceptor
 	for _, m := range read {
 		if told := v.acceptorOf(m); lost.Behind(told) {
-			lost = lost.Join(told)
+			lost = lost.Merge(told)
 		}
 	}
 	return v.acceptor(lost)
--- a/internal/emulator/simulation/faults.go
+++ b/internal/emulator/simulation/faults.go
@@ -214,7 +214,7 @@
 	view := w.checks.newest
 	out, in := f.any().name, f.any().name
 	proposer := w.members[view.Members[w.random.IntN(len(view.Members))]]
-	if !view.Has(out) || view.Has(in) || out == proposer.name || f.isReplacing() || !w.checks.mayLose(w.members[out]) {
+	if !view.Contains(out) || view.Contains(in) || out == proposer.name || f.isReplacing() || !w.checks.mayLose(w.members[out]) {
 		return
 	}
 	f.replacing, f.replacedAt = view.Epoch, w.Now
--- a/internal/emulator/simulation/handlers.go
+++ b/internal/emulator/simulation/handlers.go
@@ -104,11 +104,11 @@
 
 func (m *member) onView(_ struct{}, answer func(membership.View)) { answer(m.view) }
 
-func (m *member) onMotion(motion membership.Motion, answer func(membership.Response)) {
+func (m *member) onMotion(motion membership.Proposal, answer func(membership.Response)) {
 	if !m.isTrusted {
 		return
 	}
-	response, isChanged := m.viewAcceptor.On(m.view, motion)
+	response, isChanged := m.viewAcceptor.Respond(m.view, motion)
 	if !isChanged {
 		m.keep(func() { answer(response) })
 		return
--- a/internal/emulator/simulation/proposer.go
+++ b/internal/emulator/simulation/proposer.go
@@ -104,7 +104,7 @@
 func (p *proposer) attempt(t *task, orders []*pendingOrder) bool {
 	m := p.member
 	p.round++
-	ballot := membership.Number{Round: p.round, Node: p.name}
+	ballot := membership.Ballot{Round: p.round, Node: p.name}
 	index, isDrafted := m.replica.Next(), false
 	verdicts := make([]Verdict, len(orders))
 	round := registry.Round{Epoch: m.view.Epoch, Index: index, Ballot: ballot, Majority: m.view.Majority()}
--- a/internal/emulator/simulation/reading.go
+++ b/internal/emulator/simulation/reading.go
@@ -74,7 +74,7 @@
 func (m *member) complete(t *task, index registry.Index) bool {
 	p := &m.proposer
 	p.round++
-	ballot := membership.Number{Round: p.round, Node: p.name}
+	ballot := membership.Ballot{Round: p.round, Node: p.name}
 	round := registry.Round{Epoch: m.view.Epoch, Index: index, Ballot: ballot, Majority: m.view.Majority()}
 	round.Draft = func([]config.Item) (registry.Change, bool) { return registry.Change{}, false }
 	outcome := round.Run(&peers{task: t, member: m, view: m.view})
--- a/internal/emulator/simulation/repair.go
+++ b/internal/emulator/simulation/repair.go
@@ -16,7 +16,7 @@
 	began := m.world.Now
 	for {
 		m.findView(t)
-		if m.view.Has(m.name) && !m.isTrusted {
+		if m.view.Contains(m.name) && !m.isTrusted {
 			wait := 2*voteSpan - (m.world.Now - began)
 			if wait > 0 && m.world.has(WaitAfterWipe) {
 				t.sleep(wait)
@@ -45,7 +45,7 @@
 	m.view, m.viewAcceptor = view, membership.Acceptor{}
 	m.keep(nil, record{View: &view})
 	m.world.checks.adopted(view)
-	if !view.Has(m.name) {
+	if !view.Contains(m.name) {
 		m.setTrust(false, nil)
 	}
 }
@@ -74,7 +74,7 @@
 		highest = max(highest, told.state.Index)
 		read++
 	}
-	if read < view.ReadSet() || !m.catchUp(t, highest) || m.view.Epoch != view.Epoch {
+	if read < view.ReadQuorum() || !m.catchUp(t, highest) || m.view.Epoch != view.Epoch {
 		return
 	}
 	if !m.replica.Rebuilt(states, m.random.Uint64()) {
@@ -94,7 +94,7 @@
 		m.keepEntry(&entry, nil)
 	}
 	if m.viewAcceptor.Behind(told.viewAcceptor) {
-		m.viewAcceptor = m.viewAcceptor.Join(told.viewAcceptor)
+		m.viewAcceptor = m.viewAcceptor.Merge(told.viewAcceptor)
 		acceptor := m.viewAcceptor
 		m.keep(nil, record{ViewAcceptor: &acceptor})
 	}
@@ -107,15 +107,15 @@
 	m.spawn(func(t *task) {
 		view, p := m.view, &m.proposer
 		for range 6 {
-			if m.view.Epoch != view.Epoch || !view.Has(request.out) || view.Has(request.in) {
+			if m.view.Epoch != view.Epoch || !view.Contains(request.out) || view.Contains(request.in) {
 				return
 			}
-			propose := func(motion membership.Motion) []membership.Response {
+			propose := func(motion membership.Proposal) []membership.Response {
 				return gather(t, view.Members, voteSpan, motion, (*member).onMotion, func([]membership.Response) bool { return false })
 			}
 			p.viewRound++
-			number := membership.Number{Round: p.viewRound, Node: p.name}
-			decided, highest, isDecided := membership.Propose(view, view.Swap(request.out, request.in), number, propose)
+			number := membership.Ballot{Round: p.viewRound, Node: p.name}
+			decided, highest, isDecided := membership.Propose(view, view.Replace(request.out, request.in), number, propose)
 			p.viewRound = max(p.viewRound, highest.Round)
 			if isDecided {
 				m.adopt(decided)
--- a/internal/emulator/simulation/world.go
+++ b/internal/emulator/simulation/world.go
@@ -82,7 +82,7 @@
 		m := newMember(w, name)
 		w.members[name] = m
 		m.start()
-		if first.Has(name) {
+		if first.Contains(name) {
 			m.view = first
 			m.keep(nil, record{View: &first})
 			m.setTrust(true, nil)
--- a/internal/membership/accord.go
+++ b/internal/membership/accord.go
@@ -2,7 +2,7 @@
 
 // Number orders the proposals for one view: the higher round, then the greater
 // name, so that two proposers never share one.
-type Number struct {
+type Ballot struct {
 	Round uint64 `cbor:"1,keyasint"`
 	Node  string `cbor:"2,keyasint"`
 }
@@ -12,15 +12,15 @@
 // Example:
 //
 //	if motion.Number.Below(acceptor.Promised) { refuse() }
-func (n Number) Below(other Number) bool {
-	return n.Round < other.Round || n.Round == other.Round && n.Node < other.Node
+func (b Ballot) Less(other Ballot) bool {
+	return b.Round < other.Round || b.Round == other.Round && b.Node < other.Node
 }
 
 // Motion is a proposer's message: with no Value it asks for a promise, with
 // one for its acceptance. It concerns the view that follows Epoch.
-type Motion struct {
+type Proposal struct {
 	Epoch  Epoch  `cbor:"1,keyasint"`
-	Number Number `cbor:"2,keyasint"`
+	Ballot Ballot `cbor:"2,keyasint"`
 	Value  *View  `cbor:"3,keyasint,omitempty"`
 }
 
@@ -28,8 +28,8 @@
 // what stands against the motion.
 type Response struct {
 	OK       bool   `cbor:"1,keyasint"`
-	Promised Number `cbor:"2,keyasint"`
-	Number   Number `cbor:"3,keyasint"`
+	Promised Ballot `cbor:"2,keyasint"`
+	Accepted Ballot `cbor:"3,keyasint"`
 	Value    *View  `cbor:"4,keyasint,omitempty"`
 	View     View   `cbor:"5,keyasint"`
 }
@@ -37,8 +37,8 @@
 // Acceptor is one member's part in agreeing on the view that follows its own.
 // It is kept on disk before a response is told.
 type Acceptor struct {
-	Promised Number `cbor:"1,keyasint"`
-	Number   Number `cbor:"2,keyasint"`
+	Promised Ballot `cbor:"1,keyasint"`
+	Accepted Ballot `cbor:"2,keyasint"`
 	Value    *View  `cbor:"3,keyasint,omitempty"`
 }
 
@@ -48,14 +48,14 @@
 // Example:
 //
 //	response, isChanged := acceptor.On(view, motion)
-func (a *Acceptor) On(view View, motion Motion) (response Response, isChanged bool) {
-	response = Response{Promised: a.Promised, Number: a.Number, Value: a.Value, View: view}
-	if motion.Epoch != view.Epoch || motion.Number.Below(a.Promised) {
+func (a *Acceptor) Respond(view View, proposal Proposal) (response Response, changed bool) {
+	response = Response{Promised: a.Promised, Accepted: a.Accepted, Value: a.Value, View: view}
+	if proposal.Epoch != view.Epoch || proposal.Ballot.Less(a.Promised) {
 		return response, false
 	}
-	a.Promised = motion.Number
-	if motion.Value != nil {
-		a.Number, a.Value = motion.Number, motion.Value
+	a.Promised = proposal.Ballot
+	if proposal.Value != nil {
+		a.Accepted, a.Value = proposal.Ballot, proposal.Value
 	}
 	response.OK, response.Promised = true, a.Promised
 	return response, true
@@ -68,37 +68,37 @@
 // Example:
 //
 //	decided, isDecided := membership.Propose(view, wanted, number, ask)
-func Propose(view, wanted View, number Number, ask func(Motion) []Response) (decided View, highest Number, isDecided bool) {
-	highest = number
-	count := func(responses []Response) (oks int) {
+func Propose(view, wanted View, ballot Ballot, send func(Proposal) []Response) (decided View, highest Ballot, ok bool) {
+	highest = ballot
+	count := func(responses []Response) (approvals int) {
 		for _, r := range responses {
 			if r.View.Epoch > view.Epoch {
-				decided, isDecided = r.View, true
+				decided, ok = r.View, true
 			}
 			if r.OK {
-				oks++
+				approvals++
 			}
-			if highest.Below(r.Promised) {
+			if highest.Less(r.Promised) {
 				highest = r.Promised
 			}
 		}
-		return oks
+		return approvals
 	}
-	promises := ask(Motion{Epoch: view.Epoch, Number: number})
-	if oks := count(promises); isDecided || oks < view.Majority() {
-		return decided, highest, isDecided
+	promises := send(Proposal{Epoch: view.Epoch, Ballot: ballot})
+	if approvals := count(promises); ok || approvals < view.Majority() {
+		return decided, highest, ok
 	}
-	value, best := wanted, Number{}
+	proposed, highestAccepted := wanted, Ballot{}
 	for _, r := range promises {
-		if r.OK && r.Value != nil && best.Below(r.Number) {
-			value, best = *r.Value, r.Number
+		if r.OK && r.Value != nil && highestAccepted.Less(r.Accepted) {
+			proposed, highestAccepted = *r.Value, r.Accepted
 		}
 	}
-	accepts := ask(Motion{Epoch: view.Epoch, Number: number, Value: &value})
-	if oks := count(accepts); isDecided || oks < view.Majority() {
-		return decided, highest, isDecided
+	acceptances := send(Proposal{Epoch: view.Epoch, Ballot: ballot, Value: &proposed})
+	if approvals := count(acceptances); ok || approvals < view.Majority() {
+		return decided, highest, ok
 	}
-	return value, highest, true
+	return proposed, highest, true
 }
 
 // Behind tells whether another member's acceptor knows of a later motion.
@@ -107,7 +107,7 @@
 //
 //	if lost.Behind(told) { lost = lost.Join(told) }
 func (a Acceptor) Behind(other Acceptor) bool {
-	return a.Promised.Below(other.Promised) || a.Number.Below(other.Number)
+	return a.Promised.Less(other.Promised) || a.Accepted.Less(other.Accepted)
 }
 
 // Join is what a member that lost its acceptor takes from another's: the later
@@ -116,12 +116,12 @@
 // Example:
 //
 //	lost = lost.Join(told)
-func (a Acceptor) Join(other Acceptor) Acceptor {
-	if a.Promised.Below(other.Promised) {
+func (a Acceptor) Merge(other Acceptor) Acceptor {
+	if a.Promised.Less(other.Promised) {
 		a.Promised = other.Promised
 	}
-	if a.Number.Below(other.Number) {
-		a.Number, a.Value = other.Number, other.Value
+	if a.Accepted.Less(other.Accepted) {
+		a.Accepted, a.Value = other.Accepted, other.Value
 	}
 	return a
 }
--- a/internal/membership/roster_test.go
+++ b/internal/membership/roster_test.go
@@ -13,7 +13,7 @@
 	"ploverhitch/internal/timetable"
 )
 
-func TestRoster(t *testing.T) {
+func TestMembership(t *testing.T) {
 	RegisterFailHandler(Fail)
 	RunSpecs(t, "roster")
 }
@@ -29,7 +29,7 @@
 			// A rival's whole proposal may come between any two messages.
 			var depth int
 			var propose func(node string, round uint64)
-			ask := func(motion membership.Motion) (out []membership.Response) {
+			ask := func(proposal membership.Proposal) (out []membership.Response) {
 				for _, member := range view.Members {
 					if random.IntN(4) == 0 {
 						continue
@@ -37,7 +37,7 @@
 					if depth < 3 && random.IntN(6) == 0 {
 						propose(fmt.Sprint("rival", depth), uint64(1+random.IntN(5)))
 					}
-					response, _ := acceptors[member].On(view, motion)
+					response, _ := acceptors[member].Respond(view, proposal)
 					if random.IntN(5) > 0 {
 						out = append(out, response)
 					}
@@ -46,8 +46,8 @@
 			}
 			propose = func(node string, round uint64) {
 				depth++
-				wanted := view.Swap("c", node)
-				if out, _, isDecided := membership.Propose(view, wanted, membership.Number{Round: round, Node: node}, ask); isDecided {
+				wanted := view.Replace("c", node)
+				if out, _, ok := membership.Propose(view, wanted, membership.Ballot{Round: round, Node: node}, ask); ok {
 					decided[fmt.Sprint(out)] = true
 				}
 				depth--
@@ -56,7 +56,7 @@
 				propose("n", 1+round*2)
 				if random.IntN(3) == 0 {
 					var lost membership.Acceptor
-					lost = lost.Join(*acceptors["b"]).Join(*acceptors["c"])
+					lost = lost.Merge(*acceptors["b"]).Merge(*acceptors["c"])
 					acceptors["a"] = &lost
 				}
 			}
@@ -67,16 +67,16 @@
 	})
 
 	It("tells a proposer of an older view which one it missed", func() {
-		old := membership.FirstView([]string{"a", "b", "c"})
-		present := old.Swap("a", "d")
+		oldView := membership.FirstView([]string{"a", "b", "c"})
+		currentView := oldView.Replace("a", "d")
 		acceptor := membership.Acceptor{}
-		out, _, isDecided := membership.Propose(old, old.Swap("b", "e"), membership.Number{Round: 1, Node: "a"}, func(motion membership.Motion) []membership.Response {
-			response, isChanged := acceptor.On(present, motion)
-			Expect(isChanged).To(BeFalse())
+		out, _, ok := membership.Propose(oldView, oldView.Replace("b", "e"), membership.Ballot{Round: 1, Node: "a"}, func(proposal membership.Proposal) []membership.Response {
+			response, changed := acceptor.Respond(currentView, proposal)
+			Expect(changed).To(BeFalse())
 			return []membership.Response{response}
 		})
-		Expect(isDecided).To(BeTrue())
-		Expect(out).To(Equal(present))
+		Expect(ok).To(BeTrue())
+		Expect(out).To(Equal(currentView))
 	})
 })
 
@@ -89,52 +89,52 @@
 			}
 			view := membership.FirstView(members)
 			// A majority that counted the reader has Majority-1 others.
-			Expect(view.ReadSet() + view.Majority() - 1).To(BeNumerically(">", size-1))
+			Expect(view.ReadQuorum() + view.Majority() - 1).To(BeNumerically(">", size-1))
 		}
 	})
 
 	It("names watchers on the ring that cover every node", func() {
 		members := []string{"a", "b", "c", "d", "e"}
-		watched := map[string]int{}
+		targeted := map[string]int{}
 		for _, member := range members {
-			watchers := membership.Watchers(members, member, 2)
+			watchers := membership.RingSuccessors(members, member, 2)
 			Expect(watchers).To(HaveLen(2))
 			Expect(watchers).NotTo(ContainElement(member))
 			for _, watcher := range watchers {
-				watched[watcher]++
+				targeted[watcher]++
 			}
 		}
 		for _, member := range members {
-			Expect(watched[member]).To(Equal(2))
+			Expect(targeted[member]).To(Equal(2))
 		}
 	})
 })
 
 var _ = Describe("the watch", func() {
 	It("gives the duty to the first live and fit member in the agreed order", func() {
-		hand := &timetable.Hand{}
-		watch := membership.NewWatch(hand, time.Second)
+		clock := &timetable.Hand{}
+		watch := membership.NewLivenessWatch(clock, time.Second)
 		view := membership.FirstView([]string{"a", "b", "c"})
-		Expect(watch.First(view, "c", true)).To(Equal("c"))
-		watch.Hear(membership.Beat{From: "a", IsFit: true})
-		Expect(watch.First(view, "c", true)).To(Equal("a"))
-		hand.Sleep(900 * time.Millisecond)
-		watch.Hear(membership.Beat{From: "b", IsFit: true})
-		Expect(watch.First(view, "c", true)).To(Equal("a"))
-		hand.Sleep(200 * time.Millisecond)
-		Expect(watch.First(view, "c", true)).To(Equal("b"))
-		watch.Hear(membership.Beat{From: "b", IsFit: false})
-		Expect(watch.First(view, "c", true)).To(Equal("c"))
-		Expect(watch.First(view, "c", false)).To(BeEmpty())
+		Expect(watch.Candidate(view, "c", true)).To(Equal("c"))
+		watch.Observe(membership.Heartbeat{From: "a", Eligible: true})
+		Expect(watch.Candidate(view, "c", true)).To(Equal("a"))
+		clock.Sleep(900 * time.Millisecond)
+		watch.Observe(membership.Heartbeat{From: "b", Eligible: true})
+		Expect(watch.Candidate(view, "c", true)).To(Equal("a"))
+		clock.Sleep(200 * time.Millisecond)
+		Expect(watch.Candidate(view, "c", true)).To(Equal("b"))
+		watch.Observe(membership.Heartbeat{From: "b", Eligible: false})
+		Expect(watch.Candidate(view, "c", true)).To(Equal("c"))
+		Expect(watch.Candidate(view, "c", false)).To(BeEmpty())
 	})
 
 	It("takes a watcher's word for whom it heard", func() {
-		hand := &timetable.Hand{}
-		watch := membership.NewWatch(hand, time.Second)
-		watch.Hear(membership.Beat{From: "b", Seen: map[string]bool{"a": true}})
+		clock := &timetable.Hand{}
+		watch := membership.NewLivenessWatch(clock, time.Second)
+		watch.Observe(membership.Heartbeat{From: "b", Seen: map[string]bool{"a": true}})
 		Expect(watch.IsLive("a")).To(BeTrue())
-		hand.Sleep(600 * time.Millisecond)
+		clock.Sleep(600 * time.Millisecond)
 		Expect(watch.IsLive("a")).To(BeFalse())
-		Expect(watch.Direct()).To(BeEmpty())
+		Expect(watch.DirectlySeen()).To(BeEmpty())
 	})
 })
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -34,7 +34,7 @@
 // Example:
 //
 //	isOut := !view.Has(self)
-func (v View) Has(address string) bool { return slices.Contains(v.Members, address) }
+func (v View) Contains(address string) bool { return slices.Contains(v.Members, address) }
 
 // Others lists the members but for one.
 //
@@ -63,7 +63,7 @@
 // Example:
 //
 //	isWhole := len(read) >= view.ReadSet()
-func (v View) ReadSet() int { return len(v.Members) - v.Majority() + 1 }
+func (v View) ReadQuorum() int { return len(v.Members) - v.Majority() + 1 }
 
 // Swap is the next view, with one member given up for another; an empty name
 // leaves out that half.
@@ -71,15 +71,15 @@
 // Example:
 //
 //	next := view.Swap("10.0.0.2:7200", "10.0.0.9:7200")
-func (v View) Swap(out, in string) View {
+func (v View) Replace(removed, added string) View {
 	next := View{Epoch: v.Epoch + 1}
 	for _, member := range v.Members {
-		if member != out {
+		if member != removed {
 			next.Members = append(next.Members, member)
 		}
 	}
-	if in != "" {
-		next.Members = append(next.Members, in)
+	if added != "" {
+		next.Members = append(next.Members, added)
 	}
 	return next
 }
@@ -90,19 +90,19 @@
 // Example:
 //
 //	for _, watcher := range membership.Watchers(view.Members, self, 2) { beat(watcher) }
-func Watchers(members []string, self string, count int) []string {
+func RingSuccessors(members []string, self string, count int) []string {
 	ring := slices.Clone(members)
 	if !slices.Contains(ring, self) {
 		ring = append(ring, self)
 	}
 	sort.Slice(ring, func(i, j int) bool {
-		a, z := place(ring[i]), place(ring[j])
-		return a < z || a == z && ring[i] < ring[j]
+		hashI, hashJ := nameHash(ring[i]), nameHash(ring[j])
+		return hashI < hashJ || hashI == hashJ && ring[i] < ring[j]
 	})
-	at := slices.Index(ring, self)
+	selfIndex := slices.Index(ring, self)
 	var out []string
 	for step := 1; step < len(ring) && len(out) < count; step++ {
-		out = append(out, ring[(at+step)%len(ring)])
+		out = append(out, ring[(selfIndex+step)%len(ring)])
 	}
 	return out
 }
@@ -113,17 +113,17 @@
 // Example:
 //
 //	members := membership.Followed(view.Members, node)[:view.Majority()]
-func Followed(members []string, follower string) []string {
+func FollowOrder(members []string, follower string) []string {
 	out := slices.Clone(members)
 	sort.Slice(out, func(i, j int) bool {
-		a, z := place(follower+"\x00"+out[i]), place(follower+"\x00"+out[j])
-		return a < z || a == z && out[i] < out[j]
+		hashI, hashJ := nameHash(follower+"\x00"+out[i]), nameHash(follower+"\x00"+out[j])
+		return hashI < hashJ || hashI == hashJ && out[i] < out[j]
 	})
 	return out
 }
 
-func place(name string) uint64 {
-	sum := fnv.New64a()
-	_, _ = sum.Write([]byte(name))
-	return sum.Sum64()
+func nameHash(name string) uint64 {
+	hash := fnv.New64a()
+	_, _ = hash.Write([]byte(name))
+	return hash.Sum64()
 }
--- a/internal/membership/watch.go
+++ b/internal/membership/watch.go
@@ -15,7 +15,7 @@
 
 // Beat is a heartbeat: what a member tells its watchers about itself and about
 // those that it heard itself.
-type Beat struct {
+type Heartbeat struct {
 	From string `cbor:"1,keyasint"`
 	View View   `cbor:"2,keyasint"`
 	Term Term   `cbor:"3,keyasint"`
@@ -24,18 +24,18 @@
 	// Seen lists those that the sender heard itself, and whether each is fit.
 	Seen map[string]bool `cbor:"5,keyasint"`
 	// IsFit says that the member is repaired and reaches what the duty needs.
-	IsFit bool `cbor:"6,keyasint"`
+	Eligible bool `cbor:"6,keyasint"`
 	// FleetTerm and FleetCount name the reading of the fleet that it has.
 	FleetTerm  uint64 `cbor:"7,keyasint"`
 	FleetCount uint64 `cbor:"8,keyasint"`
 }
 
 // Watch keeps when each member was last heard of. It has one owner.
-type Watch struct {
-	clock timetable.Clock
-	after timetable.Steady
-	heard map[string]timetable.Steady
-	fit   map[string]bool
+type LivenessWatch struct {
+	clock       timetable.Clock
+	silentAfter timetable.Steady
+	lastHeard   map[string]timetable.Steady
+	eligible    map[string]bool
 }
 
 // NewWatch makes a watch that takes a member as gone after so long a silence.
@@ -43,8 +43,8 @@
 // Example:
 //
 //	watch := membership.NewWatch(clock, 1200*time.Millisecond)
-func NewWatch(clock timetable.Clock, silentAfter time.Duration) *Watch {
-	return &Watch{clock: clock, after: timetable.Steady(silentAfter), heard: map[string]timetable.Steady{}, fit: map[string]bool{}}
+func NewLivenessWatch(clock timetable.Clock, silentAfter time.Duration) *LivenessWatch {
+	return &LivenessWatch{clock: clock, silentAfter: timetable.Steady(silentAfter), lastHeard: map[string]timetable.Steady{}, eligible: map[string]bool{}}
 }
 
 // Hear notes a heartbeat. Who the sender heard counts as heard, a little less
@@ -53,12 +53,12 @@
 // Example:
 //
 //	watch.Hear(beat)
-func (w *Watch) Hear(beat Beat) {
+func (w *LivenessWatch) Observe(heartbeat Heartbeat) {
 	now := w.clock.Steady()
-	w.heard[beat.From], w.fit[beat.From] = now, beat.IsFit
-	for name, isFit := range beat.Seen {
-		if at, isHeard := w.heard[name]; !isHeard || at < now-w.after/2 {
-			w.heard[name], w.fit[name] = now-w.after/2, isFit
+	w.lastHeard[heartbeat.From], w.eligible[heartbeat.From] = now, heartbeat.Eligible
+	for member, eligible := range heartbeat.Seen {
+		if at, known := w.lastHeard[member]; !known || at < now-w.silentAfter/2 {
+			w.lastHeard[member], w.eligible[member] = now-w.silentAfter/2, eligible
 		}
 	}
 }
@@ -68,11 +68,11 @@
 // Example:
 //
 //	beat.Seen = watch.Direct()
-func (w *Watch) Direct() map[string]bool {
+func (w *LivenessWatch) DirectlySeen() map[string]bool {
 	now, out := w.clock.Steady(), map[string]bool{}
-	for name, at := range w.heard {
-		if now-at < w.after/2 {
-			out[name] = w.fit[name]
+	for member, at := range w.lastHeard {
+		if now-at < w.silentAfter/2 {
+			out[member] = w.eligible[member]
 		}
 	}
 	return out
@@ -83,9 +83,9 @@
 // Example:
 //
 //	if !watch.IsLive(holder) { claim() }
-func (w *Watch) IsLive(name string) bool {
-	at, isHeard := w.heard[name]
-	return isHeard && w.clock.Steady()-at <= w.after
+func (w *LivenessWatch) IsLive(member string) bool {
+	at, known := w.lastHeard[member]
+	return known && w.clock.Steady()-at <= w.silentAfter
 }
 
 // Silence is how long nothing was heard of the member, since began at most.
@@ -93,8 +93,8 @@
 // Example:
 //
 //	isLost := watch.Silence(member, began) > span
-func (w *Watch) Silence(name string, began timetable.Steady) time.Duration {
-	return time.Duration(w.clock.Steady() - max(w.heard[name], began))
+func (w *LivenessWatch) Silence(member string, since timetable.Steady) time.Duration {
+	return time.Duration(w.clock.Steady() - max(w.lastHeard[member], since))
 }
 
 // First is the first live and fit member in the agreed order, which is the
@@ -103,9 +103,9 @@
 // Example:
 //
 //	isMine := watch.First(view, self, isFit) == self
-func (w *Watch) First(view View, self string, isFit bool) string {
+func (w *LivenessWatch) Candidate(view View, self string, selfEligible bool) string {
 	for _, member := range view.Members {
-		if member == self && isFit || member != self && w.IsLive(member) && w.fit[member] {
+		if member == self && selfEligible || member != self && w.IsLive(member) && w.eligible[member] {
 			return member
 		}
 	}
