--- a/internal/membership/consensus.go
+++ b/internal/membership/consensus.go
@@ -1,31 +1,27 @@
 package membership
 
-// Number orders the proposals for one view: the higher round, then the greater
-// name, so that two proposers never share one.
+// Ballot orders the proposals for one view: by round, then by node name, so that
+// two proposers never use the same ballot.
 type Ballot struct {
 	Round uint64 `cbor:"1,keyasint"`
 	Node  string `cbor:"2,keyasint"`
 }
 
-// Below tells whether the number comes before the other.
-//
-// Example:
-//
-//	if motion.Number.Below(acceptor.Promised) { refuse() }
+// Less reports whether b comes before other.
 func (b Ballot) Less(other Ballot) bool {
 	return b.Round < other.Round || b.Round == other.Round && b.Node < other.Node
 }
 
-// Motion is a proposer's message: with no Value it asks for a promise, with
-// one for its acceptance. It concerns the view that follows Epoch.
+// Proposal is a proposer's request about the view that follows Epoch. Without a
+// Value it asks for a promise (prepare phase), with one for acceptance.
 type Proposal struct {
 	Epoch  Epoch  `cbor:"1,keyasint"`
 	Ballot Ballot `cbor:"2,keyasint"`
 	Value  *View  `cbor:"3,keyasint,omitempty"`
 }
 
-// Response is an acceptor's reply. Where it is not OK, Promised or View tell
-// what stands against the motion.
+// Response is an acceptor's response to a Proposal. If it is not OK, Promised or
+// View show why the proposal was rejected.
 type Response struct {
 	OK       bool   `cbor:"1,keyasint"`
 	Promised Ballot `cbor:"2,keyasint"`
@@ -34,20 +30,16 @@
 	View     View   `cbor:"5,keyasint"`
 }
 
-// Acceptor is one member's part in agreeing on the view that follows its own.
-// It is kept on disk before a response is told.
+// Acceptor is the Paxos acceptor state of one member for the view that follows its
+// own. It is written to disk before a response is sent.
 type Acceptor struct {
 	Promised Ballot `cbor:"1,keyasint"`
 	Accepted Ballot `cbor:"2,keyasint"`
 	Value    *View  `cbor:"3,keyasint,omitempty"`
 }
 
-// On answers a motion, given the view that the member is in; isChanged tells
-// whether the acceptor must be kept first.
-//
-// Example:
-//
-//	response, isChanged := acceptor.On(view, motion)
+// Respond handles a proposal in the member's current view. If changed is true, the
+// acceptor must be persisted before the response is sent.
 func (a *Acceptor) Respond(view View, proposal Proposal) (response Response, changed bool) {
 	response = Response{Promised: a.Promised, Accepted: a.Accepted, Value: a.Value, View: view}
 	if proposal.Epoch != view.Epoch || proposal.Ballot.Less(a.Promised) {
@@ -61,13 +53,10 @@
 	return response, true
 }
 
-// Propose seeks agreement on the view that follows: ask sends a motion to all
-// members of the view and returns the responses that came. It returns the view
-// that was decided, which may be another proposer's.
-//
-// Example:
-//
-//	decided, isDecided := membership.Propose(view, wanted, number, ask)
+// Propose runs one round of agreement on the view that follows view. send sends a
+// proposal to all members of the view and returns the responses received. Propose
+// returns the decided view, which may be another proposer's, and the highest ballot
+// seen.
 func Propose(view, wanted View, ballot Ballot, send func(Proposal) []Response) (decided View, highest Ballot, ok bool) {
 	highest = ballot
 	count := func(responses []Response) (approvals int) {
@@ -101,21 +90,13 @@
 	return proposed, highest, true
 }
 
-// Behind tells whether another member's acceptor knows of a later motion.
-//
-// Example:
-//
-//	if lost.Behind(told) { lost = lost.Join(told) }
+// Behind reports whether another member's acceptor has seen a later ballot.
 func (a Acceptor) Behind(other Acceptor) bool {
 	return a.Promised.Less(other.Promised) || a.Accepted.Less(other.Accepted)
 }
 
-// Join is what a member that lost its acceptor takes from another's: the later
-// promise and the later acceptance.
-//
-// Example:
-//
-//	lost = lost.Join(told)
+// Merge returns the later promise and the later accepted proposal of the two. A
+// member that lost its acceptor state rebuilds it from the others this way.
 func (a Acceptor) Merge(other Acceptor) Acceptor {
 	if a.Promised.Less(other.Promised) {
 		a.Promised = other.Promised
--- a/internal/membership/liveness.go
+++ b/internal/membership/liveness.go
@@ -6,31 +6,31 @@
 	"ploverhitch/internal/timetable"
 )
 
-// Term fences a duty: a holder's acts carry its term, and nobody goes below
-// the highest term it has seen.
+// Term fences leadership: every request of the leader carries its term, and a member
+// rejects terms lower than the highest it has seen. Holder is the leader's address.
 type Term struct {
 	Number uint64 `cbor:"1,keyasint"`
 	Holder string `cbor:"2,keyasint"`
 }
 
-// Beat is a heartbeat: what a member tells its watchers about itself and about
-// those that it heard itself.
+// Heartbeat carries a member's own state and the members that it heard from directly.
 type Heartbeat struct {
 	From string `cbor:"1,keyasint"`
 	View View   `cbor:"2,keyasint"`
 	Term Term   `cbor:"3,keyasint"`
-	// Index is that of the sender's item set.
+	// Index is the index of the sender's configuration.
 	Index uint64 `cbor:"4,keyasint"`
-	// Seen lists those that the sender heard itself, and whether each is fit.
+	// Seen maps each member that the sender heard from directly to its eligibility.
 	Seen map[string]bool `cbor:"5,keyasint"`
-	// IsFit says that the member is repaired and reaches what the duty needs.
+	// Eligible is true if the member is repaired and reaches what a leader needs.
 	Eligible bool `cbor:"6,keyasint"`
-	// FleetTerm and FleetCount name the reading of the fleet that it has.
+	// FleetTerm and FleetCount identify the sender's version of the fleet state.
 	FleetTerm  uint64 `cbor:"7,keyasint"`
 	FleetCount uint64 `cbor:"8,keyasint"`
 }
 
-// Watch keeps when each member was last heard of. It has one owner.
+// LivenessWatch records when each member was last heard from. It is not safe for
+// concurrent use.
 type LivenessWatch struct {
 	clock       timetable.Clock
 	silentAfter timetable.Steady
@@ -38,21 +38,15 @@
 	eligible    map[string]bool
 }
 
-// NewWatch makes a watch that takes a member as gone after so long a silence.
-//
-// Example:
-//
-//	watch := membership.NewWatch(clock, 1200*time.Millisecond)
+// NewLivenessWatch returns a LivenessWatch that regards a member as failed after
+// silentAfter without a heartbeat.
 func NewLivenessWatch(clock timetable.Clock, silentAfter time.Duration) *LivenessWatch {
 	return &LivenessWatch{clock: clock, silentAfter: timetable.Steady(silentAfter), lastHeard: map[string]timetable.Steady{}, eligible: map[string]bool{}}
 }
 
-// Hear notes a heartbeat. Who the sender heard counts as heard, a little less
-// recently, so that a watcher elsewhere on the ring is enough.
-//
-// Example:
-//
-//	watch.Hear(beat)
+// Observe records a heartbeat. Members in its Seen map count as heard from half the
+// silence limit ago, so a member stays live while any ring successor receives its
+// heartbeats.
 func (w *LivenessWatch) Observe(heartbeat Heartbeat) {
 	now := w.clock.Steady()
 	w.lastHeard[heartbeat.From], w.eligible[heartbeat.From] = now, heartbeat.Eligible
@@ -63,11 +57,9 @@
 	}
 }
 
-// Direct lists those that were heard themselves within half the silence.
-//
-// Example:
-//
-//	beat.Seen = watch.Direct()
+// DirectlySeen returns the members heard from within half the silence limit, and
+// whether each is eligible for leadership. Members known only through another
+// member's heartbeat are older than that.
 func (w *LivenessWatch) DirectlySeen() map[string]bool {
 	now, out := w.clock.Steady(), map[string]bool{}
 	for member, at := range w.lastHeard {
@@ -78,31 +70,20 @@
 	return out
 }
 
-// IsLive tells whether the member was heard of within the silence.
-//
-// Example:
-//
-//	if !watch.IsLive(holder) { claim() }
+// IsLive reports whether the member was heard from within the silence limit.
 func (w *LivenessWatch) IsLive(member string) bool {
 	at, known := w.lastHeard[member]
 	return known && w.clock.Steady()-at <= w.silentAfter
 }
 
-// Silence is how long nothing was heard of the member, since began at most.
-//
-// Example:
-//
-//	isLost := watch.Silence(member, began) > span
+// Silence returns the time since the member was last heard from, or since the given
+// time if that is later.
 func (w *LivenessWatch) Silence(member string, since timetable.Steady) time.Duration {
 	return time.Duration(w.clock.Steady() - max(w.lastHeard[member], since))
 }
 
-// First is the first live and fit member in the agreed order, which is the
-// view's; self counts as live.
-//
-// Example:
-//
-//	isMine := watch.First(view, self, isFit) == self
+// Candidate returns the first live and eligible member in the order of the view, or
+// an empty string if there is none. self counts as live.
 func (w *LivenessWatch) Candidate(view View, self string, selfEligible bool) string {
 	for _, member := range view.Members {
 		if member == self && selfEligible || member != self && w.IsLive(member) && w.eligible[member] {
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -15,18 +15,18 @@
 
 func TestMembership(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "roster")
+	RunSpecs(t, "membership")
 }
 
-var _ = Describe("the agreement on a view", func() {
-	It("comes to one view, with rival proposers, lost messages and a wiped member", func() {
+var _ = Describe("Propose", func() {
+	It("decides at most one view despite concurrent proposers, lost messages and a member that lost its disk", func() {
 		decidedRuns := 0
 		for seed := range uint64(500) {
 			random := rand.New(rand.NewPCG(seed, 11))
 			view := membership.FirstView([]string{"a", "b", "c"})
 			acceptors := map[string]*membership.Acceptor{"a": {}, "b": {}, "c": {}}
 			decided := map[string]bool{}
-			// A rival's whole proposal may come between any two messages.
+			// A concurrent proposer may run its whole proposal between any two messages.
 			var depth int
 			var propose func(node string, round uint64)
 			ask := func(proposal membership.Proposal) (out []membership.Response) {
@@ -66,7 +66,7 @@
 		Expect(decidedRuns).To(BeNumerically(">", 250))
 	})
 
-	It("tells a proposer of an older view which one it missed", func() {
+	It("returns the newer view to a proposer that is in an older one", func() {
 		oldView := membership.FirstView([]string{"a", "b", "c"})
 		currentView := oldView.Replace("a", "d")
 		acceptor := membership.Acceptor{}
@@ -80,20 +80,20 @@
 	})
 })
 
-var _ = Describe("a view", func() {
-	It("has a read set that meets every majority, the reader left out", func() {
+var _ = Describe("View", func() {
+	It("has a read quorum that intersects every majority, without counting the reader", func() {
 		for size := 1; size <= 7; size++ {
 			var members []string
 			for i := range size {
 				members = append(members, fmt.Sprint(i))
 			}
 			view := membership.FirstView(members)
-			// A majority that counted the reader has Majority-1 others.
+			// A majority that includes the reader has Majority-1 other members.
 			Expect(view.ReadQuorum() + view.Majority() - 1).To(BeNumerically(">", size-1))
 		}
 	})
 
-	It("names watchers on the ring that cover every node", func() {
+	It("gives every node the same number of ring predecessors that send it heartbeats", func() {
 		members := []string{"a", "b", "c", "d", "e"}
 		targeted := map[string]int{}
 		for _, member := range members {
@@ -110,8 +110,8 @@
 	})
 })
 
-var _ = Describe("the watch", func() {
-	It("gives the duty to the first live and fit member in the agreed order", func() {
+var _ = Describe("LivenessWatch", func() {
+	It("selects the first live and eligible member in view order as the leadership candidate", func() {
 		clock := &timetable.Hand{}
 		watch := membership.NewLivenessWatch(clock, time.Second)
 		view := membership.FirstView([]string{"a", "b", "c"})
@@ -128,7 +128,7 @@
 		Expect(watch.Candidate(view, "c", false)).To(BeEmpty())
 	})
 
-	It("takes a watcher's word for whom it heard", func() {
+	It("counts a member as live when another member reports having heard from it", func() {
 		clock := &timetable.Hand{}
 		watch := membership.NewLivenessWatch(clock, time.Second)
 		watch.Observe(membership.Heartbeat{From: "b", Seen: map[string]bool{"a": true}})
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -1,5 +1,6 @@
-// Package membership knows the core's members: the numbered view, the agreement by
-// which the view changes, the heartbeats on the ring, and who holds a duty.
+// Package membership tracks the members of the control plane: the numbered view, the
+// consensus protocol that changes it, the heartbeats between members, and the
+// candidate for leadership.
 package membership
 
 import (
@@ -11,36 +12,24 @@
 // Epoch numbers a view.
 type Epoch uint64
 
-// View is one numbered membership of the core. Members are the addresses at
-// which the nodes speak to each other.
+// View is one numbered membership of the control plane. Members are the internal
+// addresses of the nodes.
 type View struct {
 	Epoch   Epoch    `cbor:"1,keyasint"`
 	Members []string `cbor:"2,keyasint"`
 }
 
-// FirstView is the view that a whole new system starts with.
-//
-// Example:
-//
-//	view := membership.FirstView([]string{"10.0.0.1:7200", "10.0.0.2:7200"})
+// FirstView returns the initial view of a new system.
 func FirstView(members []string) View {
 	members = slices.Clone(members)
 	sort.Strings(members)
 	return View{Epoch: 1, Members: slices.Compact(members)}
 }
 
-// Has tells whether the address is a member.
-//
-// Example:
-//
-//	isOut := !view.Has(self)
+// Contains reports whether the address is a member.
 func (v View) Contains(address string) bool { return slices.Contains(v.Members, address) }
 
-// Others lists the members but for one.
-//
-// Example:
-//
-//	for _, member := range view.Others(self) { compare(member) }
+// Others returns all members except the given one.
 func (v View) Others(address string) (out []string) {
 	for _, member := range v.Members {
 		if member != address {
@@ -50,27 +39,15 @@
 	return out
 }
 
-// Majority is how many members decide.
-//
-// Example:
-//
-//	isDecided := votes >= view.Majority()
+// Majority returns the size of a majority quorum.
 func (v View) Majority() int { return len(v.Members)/2 + 1 }
 
-// ReadSet is how many of the other members must be read so that whatever a
-// majority holds is seen, even if the reader was itself one of that majority.
-//
-// Example:
-//
-//	isWhole := len(read) >= view.ReadSet()
+// ReadQuorum returns how many other members must be read to see everything that a
+// majority holds, even if the reader was itself part of that majority.
 func (v View) ReadQuorum() int { return len(v.Members) - v.Majority() + 1 }
 
-// Swap is the next view, with one member given up for another; an empty name
-// leaves out that half.
-//
-// Example:
-//
-//	next := view.Swap("10.0.0.2:7200", "10.0.0.9:7200")
+// Replace returns the next view, with one member removed and another added. If
+// either is empty, that change is left out.
 func (v View) Replace(removed, added string) View {
 	next := View{Epoch: v.Epoch + 1}
 	for _, member := range v.Members {
@@ -84,12 +61,8 @@
 	return next
 }
 
-// Watchers names the nodes to which a node sends its heartbeats: the few that
-// follow its place on the ring of hashes.
-//
-// Example:
-//
-//	for _, watcher := range membership.Watchers(view.Members, self, 2) { beat(watcher) }
+// RingSuccessors returns the count nodes that follow self on the hash ring of the
+// members. A node sends its heartbeats to its first successors.
 func RingSuccessors(members []string, self string, count int) []string {
 	ring := slices.Clone(members)
 	if !slices.Contains(ring, self) {
@@ -107,12 +80,8 @@
 	return out
 }
 
-// Followed orders the members for one follower: it keeps to the first of them, and
-// every follower's order is another, so that each member carries its part.
-//
-// Example:
-//
-//	members := membership.Followed(view.Members, node)[:view.Majority()]
+// FollowOrder returns the members in one follower's order of preference. The order
+// differs between followers, so that the load of followers is spread evenly.
 func FollowOrder(members []string, follower string) []string {
 	out := slices.Clone(members)
 	sort.Slice(out, func(i, j int) bool {
