--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -118,7 +118,7 @@
 	d.hub.Read(func(board *feed.Board) { items = lacking.Newer(board.Book.Items()) })
 	if line := d.lines[t.from]; line != nil && len(items) > 0 {
 		d.note("info", "retelling items", "to", t.from, "items", len(items))
-		line.Send(messages.KindOffer, messages.Offer{Items: items}, nil)
+		line.Send(messages.KindOfferItems, messages.OfferItems{Items: items}, nil)
 	}
 }
 
--- a/internal/control/call.go
+++ b/internal/control/call.go
@@ -96,7 +96,7 @@
 // that the request is done.
 func (n *node) majorityDone(view membership.View, kind rpc.Kind, request any, timeout time.Duration) bool {
 	count := 0
-	callAll(n, view.Members, kind, request, timeout, func(_ string, done messages.Done) bool {
+	callAll(n, view.Members, kind, request, timeout, func(_ string, done messages.Ack) bool {
 		if done.OK {
 			count++
 		}
@@ -114,7 +114,7 @@
 // callLeader forwards an operator's command to the leader, whichever node received it.
 func (n *node) callLeader(kind rpc.Kind, command any) error {
 	leader := n.leader()
-	var result messages.Ordered
+	var result messages.OrderResponse
 	if leader == "" || n.call(leader, kind, command, &result, orderSpan) != nil {
 		return apierror.New(apierror.Gone, "the leader does not answer")
 	}
--- a/internal/control/call_test.go
+++ b/internal/control/call_test.go
@@ -54,7 +54,7 @@
 	if err := n.call("self", messages.KindView, nil, nil, 10*time.Millisecond); err == nil {
 		t.Fatal("a call without a reply succeeded")
 	}
-	if err := n.call("self", messages.KindOrder, nil, nil, time.Second); err == nil {
+	if err := n.call("self", messages.KindStartRollout, nil, nil, time.Second); err == nil {
 		t.Fatal("a call of a kind without a handler succeeded")
 	}
 }
--- a/internal/control/catchup.go
+++ b/internal/control/catchup.go
@@ -55,7 +55,7 @@
 
 // onLearn enqueues the changes before it returns, so that a Prepare for the next
 // change, which follows on the same connection, finds them applied.
-func (n *node) onLearn(in messages.Learn, _ func(messages.Done)) {
+func (n *node) onLearn(in messages.Learn, _ func(messages.Ack)) {
 	n.learn(in.Changes, func(gap bool) {
 		if gap {
 			go n.configReplicator.catchUpFrom(in.From)
@@ -63,7 +63,7 @@
 	})
 }
 
-func (n *node) onState(in messages.State, reply func(registry.State)) {
+func (n *node) onState(in messages.ReplicaState, reply func(registry.State)) {
 	var state registry.State
 	n.store.enqueue(func(t *tables) []record {
 		if t.view.Epoch != in.Epoch || !t.view.Contains(n.self) {
@@ -76,16 +76,16 @@
 	}, func() { reply(state) })
 }
 
-func (n *node) onCatchUp(in messages.CatchUp, reply func(messages.Missed)) {
-	var missed messages.Missed
+func (n *node) onCatchUp(in messages.CatchUp, reply func(messages.CatchUpResponse)) {
+	var missed messages.CatchUpResponse
 	n.store.enqueue(func(t *tables) []record {
-		if in.IsPages {
+		if in.Paged {
 			page := t.registry.PageAfter(in.After, pageBytes)
 			missed.Page = &page
 			return nil
 		}
 		changes, available, cheaper := t.registry.Since(in.From, pageBytes)
-		if missed.IsPaged = !available || !cheaper && !in.IsTail; !missed.IsPaged {
+		if missed.Paged = !available || !cheaper && !in.ChangesOnly; !missed.Paged {
 			missed.Changes = changes
 		}
 		return nil
@@ -115,12 +115,12 @@
 	for range maxCatchUpPages {
 		var from registry.Index
 		n.store.read(func(t *tables) { from = t.registry.Index })
-		var missed messages.Missed
+		var missed messages.CatchUpResponse
 		if err := n.call(member, messages.KindCatchUp, messages.CatchUp{From: from}, &missed, callTimeout); err != nil {
 			return err
 		}
 		switch {
-		case missed.IsPaged:
+		case missed.Paged:
 			if err := n.catchUpByPages(member); err != nil {
 				return err
 			}
@@ -140,8 +140,8 @@
 	var after *config.ID
 	first := registry.Index(0)
 	for number := range maxCatchUpPages {
-		var missed messages.Missed
-		if err := n.call(member, messages.KindCatchUp, messages.CatchUp{IsPages: true, After: after}, &missed, callTimeout); err != nil {
+		var missed messages.CatchUpResponse
+		if err := n.call(member, messages.KindCatchUp, messages.CatchUp{Paged: true, After: after}, &missed, callTimeout); err != nil {
 			return err
 		}
 		if missed.Page == nil {
@@ -155,11 +155,11 @@
 		}
 	}
 	for index := first; ; {
-		var missed messages.Missed
-		if err := n.call(member, messages.KindCatchUp, messages.CatchUp{From: index, IsTail: true}, &missed, callTimeout); err != nil {
+		var missed messages.CatchUpResponse
+		if err := n.call(member, messages.KindCatchUp, messages.CatchUp{From: index, ChangesOnly: true}, &missed, callTimeout); err != nil {
 			return err
 		}
-		if missed.IsPaged || len(missed.Changes) == 0 {
+		if missed.Paged || len(missed.Changes) == 0 {
 			break
 		}
 		changes = append(changes, missed.Changes...)
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -132,7 +132,7 @@
 			if !c.holdsLease(fleet.Term) {
 				return
 			}
-			var done messages.Done
+			var done messages.Ack
 			switch err := c.call(member, messages.KindFleet, message, &done, callTimeout); {
 			case err == nil && done.OK:
 				c.memberReadings.Store(member, fleet.Reading())
--- a/internal/control/handlers.go
+++ b/internal/control/handlers.go
@@ -14,39 +14,39 @@
 // newHandlers maps the kinds of frames to their handlers.
 func (n *node) newHandlers() rpc.Handlers {
 	return rpc.Handlers{
-		feed.KindFollow:           n.hub.Handle,
-		messages.KindReserve:      typedHandler(n.onReserve),
-		messages.KindRecord:       typedHandler(n.onRecord),
-		messages.KindLookup:       typedHandler(n.onLookup),
-		messages.KindPrepare:      typedHandler(n.onPrepare),
-		messages.KindAccept:       typedHandler(n.onAccept),
-		messages.KindLearn:        typedHandler(n.onLearn),
-		messages.KindState:        typedHandler(n.onState),
-		messages.KindCatchUp:      typedHandler(n.onCatchUp),
-		messages.KindPropose:      typedHandler(n.onPropose),
-		messages.KindOffer:        typedHandler(n.onOffer),
-		messages.KindMotion:       typedHandler(n.onMotion),
-		messages.KindBeat:         typedHandler(n.onHeartbeat),
-		messages.KindClaim:        typedHandler(n.onClaim),
-		messages.KindFleet:        typedHandler(n.onFleet),
-		messages.KindDump:         typedHandler(n.onDump),
-		messages.KindDigests:      typedHandler(n.onDigests),
-		messages.KindBriefs:       typedHandler(n.onBriefs),
-		messages.KindEntries:      typedHandler(n.onEntries),
-		messages.KindLeave:        typedHandler(n.onLeave),
-		messages.KindView:         typedHandler(n.onView),
-		messages.KindJoin:         typedHandler(n.onJoin),
-		messages.KindTrial:        typedHandler(n.onTrial),
-		messages.KindTrials:       typedHandler(n.onTrials),
-		messages.KindOrder:        typedHandler(n.onOrder),
-		messages.KindReport:       typedHandler(n.onReport),
-		messages.KindStage:        typedHandler(n.onStage),
-		messages.KindEvidence:     typedHandler(n.onEvidence),
-		messages.KindRenew:        typedHandler(n.onRenew),
-		messages.KindRelease:      typedHandler(n.onRelease),
-		messages.KindContact:      typedHandler(n.onContact),
-		messages.KindLeaving:      typedHandler(n.onLeaving),
-		messages.KindListProgress: typedHandler(n.onListProgress),
+		feed.KindFollow:              n.hub.Handle,
+		messages.KindReserve:         typedHandler(n.onReserve),
+		messages.KindRecord:          typedHandler(n.onRecord),
+		messages.KindLookup:          typedHandler(n.onLookup),
+		messages.KindPrepare:         typedHandler(n.onPrepare),
+		messages.KindAccept:          typedHandler(n.onAccept),
+		messages.KindLearn:           typedHandler(n.onLearn),
+		messages.KindReplicaState:    typedHandler(n.onState),
+		messages.KindCatchUp:         typedHandler(n.onCatchUp),
+		messages.KindPropose:         typedHandler(n.onPropose),
+		messages.KindOfferItems:      typedHandler(n.onOffer),
+		messages.KindProposal:        typedHandler(n.onMotion),
+		messages.KindHeartbeat:       typedHandler(n.onHeartbeat),
+		messages.KindClaim:           typedHandler(n.onClaim),
+		messages.KindFleet:           typedHandler(n.onFleet),
+		messages.KindMemberState:     typedHandler(n.onDump),
+		messages.KindDigests:         typedHandler(n.onDigests),
+		messages.KindSummaries:       typedHandler(n.onBriefs),
+		messages.KindEntries:         typedHandler(n.onEntries),
+		messages.KindLeave:           typedHandler(n.onLeave),
+		messages.KindView:            typedHandler(n.onView),
+		messages.KindJoin:            typedHandler(n.onJoin),
+		messages.KindWriteRollout:    typedHandler(n.onTrial),
+		messages.KindReadRollouts:    typedHandler(n.onTrials),
+		messages.KindStartRollout:    typedHandler(n.onOrder),
+		messages.KindProxyReport:     typedHandler(n.onReport),
+		messages.KindStagedChange:    typedHandler(n.onStage),
+		messages.KindRolloutEvidence: typedHandler(n.onEvidence),
+		messages.KindRenew:           typedHandler(n.onRenew),
+		messages.KindRelease:         typedHandler(n.onRelease),
+		messages.KindContact:         typedHandler(n.onContact),
+		messages.KindLeavingServers:  typedHandler(n.onLeaving),
+		messages.KindListProgress:    typedHandler(n.onListProgress),
 	}
 }
 
@@ -66,7 +66,7 @@
 	var vote messages.Vote
 	n.store.enqueue(func(t *tables) []record {
 		if !t.trusted || in.Epoch != t.view.Epoch || !t.view.Contains(n.self) {
-			vote.Ballot.Verdict = idempotency.Refused
+			vote.Vote.Verdict = idempotency.Refused
 			if t.view.Epoch > in.Epoch {
 				view := t.view
 				vote.View = &view
@@ -74,18 +74,18 @@
 			return nil
 		}
 		if t.sheds(in.Intent, n.clock.Steady()) {
-			vote.Ballot.Verdict = idempotency.Shed
+			vote.Vote.Verdict = idempotency.Shed
 			return nil
 		}
 		var entry *idempotency.Entry
-		if vote.Ballot, entry = t.voter.Reserve(in.Intent); entry == nil {
+		if vote.Vote, entry = t.voter.Reserve(in.Intent); entry == nil {
 			return nil
 		}
 		return []record{{Entry: entry}}
 	}, func() { reply(vote) })
 }
 
-func (n *node) onRecord(in messages.Record, reply func(messages.Done)) {
+func (n *node) onRecord(in messages.Record, reply func(messages.Ack)) {
 	accepted := false
 	n.store.enqueue(func(t *tables) []record {
 		entry, err := t.voter.Record(in.Intent)
@@ -94,11 +94,11 @@
 			return nil
 		}
 		return []record{{Entry: entry}}
-	}, func() { reply(messages.Done{OK: accepted}) })
+	}, func() { reply(messages.Ack{OK: accepted}) })
 }
 
-func (n *node) onLookup(in messages.Lookup, reply func(messages.Found)) {
-	var found messages.Found
+func (n *node) onLookup(in messages.Lookup, reply func(messages.LookupResponse)) {
+	var found messages.LookupResponse
 	n.store.enqueue(func(t *tables) []record {
 		found.Intent = t.voter.Find(in.Key)
 		return nil
@@ -121,7 +121,7 @@
 	}, func() { reply(response) })
 }
 
-func (n *node) onFleet(in feed.Fleet, reply func(messages.Done)) {
+func (n *node) onFleet(in feed.Fleet, reply func(messages.Ack)) {
 	accepted := false
 	n.store.enqueue(func(t *tables) []record {
 		if accepted = in.Term >= t.term.Number; !accepted || !in.Reading().Outranks(t.fleet.Reading()) {
@@ -143,18 +143,18 @@
 		if accepted {
 			n.hub.Publish(feed.News{Fleet: &in})
 		}
-		reply(messages.Done{OK: accepted})
+		reply(messages.Ack{OK: accepted})
 	})
 }
 
 // onDump replies with this member's state other than the intents and the item set.
-func (n *node) onDump(in messages.Dump, reply func(messages.Page)) {
-	var page messages.Page
+func (n *node) onDump(in messages.MemberState, reply func(messages.MemberStateResponse)) {
+	var page messages.MemberStateResponse
 	n.store.enqueue(func(t *tables) []record {
 		if t.view.Epoch < in.Epoch {
 			return nil
 		}
-		page.OK, page.IsTrusted, page.Term, page.Trials = true, t.trusted, t.term, slices.Collect(maps.Values(t.trials))
+		page.OK, page.Trusted, page.Term, page.Rollouts = true, t.trusted, t.term, slices.Collect(maps.Values(t.trials))
 		if t.view.Epoch == in.Epoch {
 			page.Acceptor = t.acceptor
 		}
--- a/internal/control/leader_lease.go
+++ b/internal/control/leader_lease.go
@@ -92,7 +92,7 @@
 // majority agreed.
 func (n *node) requestLease(view membership.View, kind rpc.Kind, request any, round lease.Round) (held bool) {
 	sent := n.clock.Steady()
-	callAll(n, view.Members, kind, request, callTimeout, func(member string, done messages.Done) bool {
+	callAll(n, view.Members, kind, request, callTimeout, func(member string, done messages.Ack) bool {
 		held = done.OK && n.lease.acknowledge(round, member) || held
 		return held
 	})
@@ -133,7 +133,7 @@
 			others = append(others, member)
 		}
 	}
-	callAll(n, others, messages.KindRelease, release, releaseTimeout, func(string, messages.Done) bool { return false })
+	callAll(n, others, messages.KindRelease, release, releaseTimeout, func(string, messages.Ack) bool { return false })
 }
 
 // waitForEarlierPromises keeps a member that is new in a view from granting the lease for
@@ -147,7 +147,7 @@
 
 // onClaim grants the leader lease under a term higher than every term seen, unless a
 // promise to another leader is still valid.
-func (n *node) onClaim(in messages.Claim, answer func(messages.Done)) {
+func (n *node) onClaim(in messages.Claim, answer func(messages.Ack)) {
 	granted := false
 	n.store.enqueue(func(t *tables) []record {
 		if !n.canVote(t, in.Epoch) || !t.grantor.Claim(t.term, in.Term, n.clock.Steady()) {
@@ -155,27 +155,27 @@
 		}
 		granted, t.term = true, in.Term
 		return []record{{Term: &in.Term}}
-	}, func() { answer(messages.Done{OK: granted}) })
+	}, func() { answer(messages.Ack{OK: granted}) })
 }
 
 // onRenew extends the promise to the leader of the present term.
-func (n *node) onRenew(in messages.Renew, answer func(messages.Done)) {
+func (n *node) onRenew(in messages.Renew, answer func(messages.Ack)) {
 	renewed := false
 	n.store.enqueue(func(t *tables) []record {
 		renewed = n.canVote(t, in.Epoch) && t.grantor.Renew(t.term, in.Term, n.clock.Steady())
 		return nil
-	}, func() { answer(messages.Done{OK: renewed}) })
+	}, func() { answer(messages.Ack{OK: renewed}) })
 }
 
 // onRelease ends the promise to a leader that has stepped down, and treats that member as
 // ineligible until its next heartbeat, so that the next in the order claims leadership at
 // once.
-func (n *node) onRelease(in messages.Release, answer func(messages.Done)) {
+func (n *node) onRelease(in messages.Release, answer func(messages.Ack)) {
 	n.store.enqueue(func(t *tables) []record {
 		t.grantor.Release(t.term, in.Term)
 		return nil
 	}, func() {
-		answer(messages.Done{OK: true})
+		answer(messages.Ack{OK: true})
 		n.memberLoop.Offer(func() {
 			n.livenessWatch.Observe(membership.Heartbeat{From: in.Term.Holder})
 			n.heartbeat()
--- a/internal/control/leader_lease_test.go
+++ b/internal/control/leader_lease_test.go
@@ -53,16 +53,16 @@
 	termOf := func(holder string, number uint64) membership.Term {
 		return membership.Term{Number: number, Holder: holder}
 	}
-	done := func(call func(func(messages.Done))) bool {
-		got := make(chan messages.Done, 1)
-		call(func(done messages.Done) { got <- done })
+	done := func(call func(func(messages.Ack))) bool {
+		got := make(chan messages.Ack, 1)
+		call(func(done messages.Ack) { got <- done })
 		return (<-got).OK
 	}
 	claim := func(epoch membership.Epoch, term membership.Term) bool {
-		return done(func(answer func(messages.Done)) { n.onClaim(messages.Claim{Epoch: epoch, Term: term}, answer) })
+		return done(func(answer func(messages.Ack)) { n.onClaim(messages.Claim{Epoch: epoch, Term: term}, answer) })
 	}
 	renew := func(epoch membership.Epoch, term membership.Term) bool {
-		return done(func(answer func(messages.Done)) { n.onRenew(messages.Renew{Epoch: epoch, Term: term}, answer) })
+		return done(func(answer func(messages.Ack)) { n.onRenew(messages.Renew{Epoch: epoch, Term: term}, answer) })
 	}
 
 	BeforeEach(func() {
@@ -94,7 +94,7 @@
 
 	It("can be claimed by another member as soon as the leader releases it", func() {
 		Expect(claim(1, termOf("b", 1))).To(BeTrue())
-		Expect(done(func(answer func(messages.Done)) { n.onRelease(messages.Release{Term: termOf("b", 1)}, answer) })).To(BeTrue())
+		Expect(done(func(answer func(messages.Ack)) { n.onRelease(messages.Release{Term: termOf("b", 1)}, answer) })).To(BeTrue())
 		Expect(claim(1, termOf("c", 2))).To(BeTrue())
 	})
 
@@ -135,8 +135,8 @@
 			var stored int
 			n.store.read(func(t *tables) { stored = len(t.trials) })
 			Expect(stored).To(BeZero(), "a write was stored after the lease had expired")
-			ordered := make(chan messages.Ordered, 1)
-			n.decide(func(answer messages.Ordered) { ordered <- answer }, func(*coordinator) (apierror.Kind, string) { panic("decided without a valid lease") })
+			ordered := make(chan messages.OrderResponse, 1)
+			n.decide(func(answer messages.OrderResponse) { ordered <- answer }, func(*coordinator) (apierror.Kind, string) { panic("decided without a valid lease") })
 			go n.coordinator.run(GinkgoT().Context())
 			Eventually(ordered).Should(Receive(HaveField("Kind", apierror.Gone)))
 		})
--- a/internal/control/leadership.go
+++ b/internal/control/leadership.go
@@ -57,7 +57,7 @@
 		fleet := n.fleet()
 		beat.FleetTerm, beat.FleetCount = fleet.Term, fleet.Count
 		for _, watcher := range membership.RingSuccessors(view.Members, n.self, heartbeatTargetCount) {
-			n.connection(watcher).Send(messages.KindBeat, beat, nil)
+			n.connection(watcher).Send(messages.KindHeartbeat, beat, nil)
 		}
 		n.memberLoop.Offer(func() {
 			if !view.Contains(n.self) || !trusted {
@@ -112,7 +112,7 @@
 
 // onHeartbeat records a heartbeat of a member and adopts its view and term if they are
 // newer. If the member's configuration is ahead, this node fetches the changes from it.
-func (n *node) onHeartbeat(beat membership.Heartbeat, _ func(messages.Done)) {
+func (n *node) onHeartbeat(beat membership.Heartbeat, _ func(messages.Ack)) {
 	n.memberLoop.Offer(func() { n.livenessWatch.Observe(beat) })
 	n.memberReadings.Store(beat.From, feed.Reading{Term: beat.FleetTerm, Count: beat.FleetCount})
 	behind := false
@@ -184,12 +184,12 @@
 
 // requestViewChange sends a proposal for the next view to all members.
 func (n *node) requestViewChange(view membership.View, motion membership.Proposal) []membership.Response {
-	return callRound(n, view, messages.KindMotion, motion, n.clock.Steady(),
+	return callRound(n, view, messages.KindProposal, motion, n.clock.Steady(),
 		func(response *membership.Response) *bool { return &response.OK },
 		func(response membership.Response) bool { return motion.Ballot.Less(response.Promised) })
 }
 
 // onJoin records a node that asks to become a member.
-func (n *node) onJoin(in messages.Join, _ func(messages.Done)) {
+func (n *node) onJoin(in messages.Join, _ func(messages.Ack)) {
 	n.memberLoop.Offer(func() { n.joining[in.Address] = n.clock.Steady() })
 }
--- a/internal/control/leave.go
+++ b/internal/control/leave.go
@@ -27,7 +27,7 @@
 	var calls sync.WaitGroup
 	for _, member := range view.Others(n.self) {
 		calls.Go(func() {
-			var reply messages.Done
+			var reply messages.Ack
 			err := n.connection(member).Ask(messages.KindLeave, messages.Leave{Epoch: view.Epoch, Address: n.self}, &reply, leaveCallTimeout)
 			if err != nil || !reply.OK {
 				n.log("info", "shutting down; a member has not copied the missing outcomes", "member", member, "error", err)
@@ -45,9 +45,9 @@
 }
 
 // onLeave copies the outcomes that this node lacks from a member that shuts down.
-func (n *node) onLeave(in messages.Leave, answer func(messages.Done)) {
+func (n *node) onLeave(in messages.Leave, answer func(messages.Ack)) {
 	go func() {
 		_, err := n.copyIntents(in.Address, in.Epoch, copyMode{scope: idempotency.CompletedIntents})
-		answer(messages.Done{OK: err == nil})
+		answer(messages.Ack{OK: err == nil})
 	}()
 }
--- a/internal/control/list_poller.go
+++ b/internal/control/list_poller.go
@@ -82,7 +82,7 @@
 			p.coordinator.loop.Offer(func() { p.coordinator.updateServers(read.servers) })
 		}
 		p.sendListProgress(messages.ListProgress{
-			IsWhole: true, Age: timetable.Span(p.lastRead.ended - read.started), Next: timetable.Span(p.nextPageDue()),
+			Complete: true, Age: timetable.Span(p.lastRead.ended - read.started), Next: timetable.Span(p.nextPageDue()),
 		})
 	}
 	return min(delay, readCheckInterval)
--- a/internal/control/member_test.go
+++ b/internal/control/member_test.go
@@ -46,24 +46,24 @@
 		n.onReserve(messages.Reserve{Epoch: epoch, Intent: idempotency.Intent{
 			Key: idempotency.Key{Tenant: "h", Key: key}, Attempt: idempotency.Attempt("of " + key), Route: "fee", Service: "fees", Reservation: key,
 		}}, func(vote messages.Vote) { replies <- vote })
-		return (<-replies).Ballot.Verdict
+		return (<-replies).Vote.Verdict
 	}
-	done := func(call func(func(messages.Done))) bool {
-		replies := make(chan messages.Done, 1)
-		call(func(done messages.Done) { replies <- done })
+	done := func(call func(func(messages.Ack))) bool {
+		replies := make(chan messages.Ack, 1)
+		call(func(done messages.Ack) { replies <- done })
 		return (<-replies).OK
 	}
 	claim := func(number uint64) bool {
-		return done(func(answer func(messages.Done)) {
+		return done(func(answer func(messages.Ack)) {
 			n.onClaim(messages.Claim{Epoch: 3, Term: membership.Term{Number: number, Holder: "b"}}, answer)
 		})
 	}
 	sendFleet := func(fleet feed.Fleet) bool {
-		return done(func(answer func(messages.Done)) { n.onFleet(fleet, answer) })
+		return done(func(answer func(messages.Ack)) { n.onFleet(fleet, answer) })
 	}
 	writeTrial := func(term uint64, epoch membership.Epoch) bool {
-		return done(func(answer func(messages.Done)) {
-			n.onTrial(messages.Trial{Epoch: epoch, State: trial.State{Subject: "fees", Number: 1, Term: term, Count: 1}}, answer)
+		return done(func(answer func(messages.Ack)) {
+			n.onTrial(messages.WriteRollout{Epoch: epoch, State: trial.State{Subject: "fees", Number: 1, Term: term, Count: 1}}, answer)
 		})
 	}
 
--- a/internal/control/modify.go
+++ b/internal/control/modify.go
@@ -32,7 +32,7 @@
 		if member == n.self {
 			return n.configReplicator.submit(items)
 		}
-		var result messages.Ordered
+		var result messages.OrderResponse
 		if n.call(member, messages.KindPropose, messages.Propose{Items: items}, &result, forwardTimeout) != nil {
 			continue
 		}
@@ -44,7 +44,7 @@
 }
 
 // resultError converts the result that another node returned into an error.
-func resultError(result messages.Ordered) error {
+func resultError(result messages.OrderResponse) error {
 	if result.Kind == apierror.None {
 		return nil
 	}
--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -13,7 +13,7 @@
 // decide lets the holder's loop decide on an order, and answers what stands
 // against it. An order that waited longer than its caller does has no effect: the
 // operator was told so, and may have sent another since.
-func (n *node) decide(answer func(messages.Ordered), decide func(c *coordinator) (apierror.Kind, string)) {
+func (n *node) decide(answer func(messages.OrderResponse), decide func(c *coordinator) (apierror.Kind, string)) {
 	c, cameAt := n.coordinator, n.clock.Steady()
 	isTaken := c.loop.Offer(func() {
 		kind, detail := apierror.Gone, "the duty is not here"
@@ -23,19 +23,19 @@
 		case c.isMaster():
 			kind, detail = decide(c)
 		}
-		answer(messages.Ordered{Kind: kind, Detail: detail})
+		answer(messages.OrderResponse{Kind: kind, Detail: detail})
 	})
 	if !isTaken {
-		answer(messages.Ordered{Kind: apierror.Gone})
+		answer(messages.OrderResponse{Kind: apierror.Gone})
 	}
 }
 
-func (n *node) onOrder(in messages.Order, answer func(messages.Ordered)) {
+func (n *node) onOrder(in messages.StartRollout, answer func(messages.OrderResponse)) {
 	n.decide(answer, func(c *coordinator) (apierror.Kind, string) { return c.rollOut(in) })
 }
 
 // rollOut takes an order for a service's version.
-func (c *coordinator) rollOut(in messages.Order) (kind apierror.Kind, detail string) {
+func (c *coordinator) rollOut(in messages.StartRollout) (kind apierror.Kind, detail string) {
 	state, isKnown := c.states[in.Service]
 	if !isKnown {
 		isService := false
--- a/internal/control/orders_test.go
+++ b/internal/control/orders_test.go
@@ -31,7 +31,7 @@
 	c, hand := ordering(trial.State{Subject: "s", Number: 1, Target: "v2", Duration: duration, Phase: trial.Reverted})
 	for range 5 {
 		hand.Now += 15 * time.Second
-		kind, detail := c.rollOut(messages.Order{Service: "s", Target: "v2", Duration: int64(duration)})
+		kind, detail := c.rollOut(messages.StartRollout{Service: "s", Target: "v2", Duration: int64(duration)})
 		if kind != apierror.None || c.states["s"].Number != 1 {
 			t.Fatalf("got %v %q, number %d", kind, detail, c.states["s"].Number)
 		}
@@ -48,10 +48,10 @@
 	c, hand := ordering(trial.State{Subject: subject, Number: 1, Items: items, Phase: trial.Reverted, Reason: haltedReason})
 	for range 3 {
 		hand.Now += 15 * time.Second
-		if kind, detail := c.stage(messages.StageOrder{Name: "change", Items: items}); kind != apierror.None {
+		if kind, detail := c.stage(messages.StagedChange{Name: "change", Items: items}); kind != apierror.None {
 			t.Fatalf("stage: got %v %q", kind, detail)
 		}
-		if kind, detail := c.halt(messages.StageOrder{Name: "change", IsHalt: true}); kind != apierror.None {
+		if kind, detail := c.halt(messages.StagedChange{Name: "change", Halt: true}); kind != apierror.None {
 			t.Fatalf("halt: got %v %q", kind, detail)
 		}
 	}
@@ -61,9 +61,9 @@
 	for wait, isLate := range map[time.Duration]bool{orderSpan - time.Millisecond: false, orderSpan: true} {
 		c, hand := ordering(trial.State{Subject: "s"})
 		c.isLeader.Store(true)
-		answered := make(chan messages.Ordered, 1)
+		answered := make(chan messages.OrderResponse, 1)
 		isDecided := false
-		c.decide(func(ordered messages.Ordered) { answered <- ordered }, func(*coordinator) (apierror.Kind, string) {
+		c.decide(func(ordered messages.OrderResponse) { answered <- ordered }, func(*coordinator) (apierror.Kind, string) {
 			isDecided = true
 			return apierror.None, ""
 		})
--- a/internal/control/quorum_contact.go
+++ b/internal/control/quorum_contact.go
@@ -80,7 +80,7 @@
 	}
 	view, sentAt, count := n.view(), n.clock.Steady(), 0
 	var newest feed.Reading
-	callAll(n, view.Members, messages.KindContact, messages.Contact{Epoch: view.Epoch}, callTimeout, func(_ string, answer messages.ContactTold) bool {
+	callAll(n, view.Members, messages.KindContact, messages.Contact{Epoch: view.Epoch}, callTimeout, func(_ string, answer messages.ContactResponse) bool {
 		if !answer.OK {
 			return false
 		}
@@ -101,8 +101,8 @@
 }
 
 // onContact answers whether this node serves in the epoch, and which fleet it has.
-func (n *node) onContact(in messages.Contact, answer func(messages.ContactTold)) {
-	var out messages.ContactTold
+func (n *node) onContact(in messages.Contact, answer func(messages.ContactResponse)) {
+	var out messages.ContactResponse
 	n.store.enqueue(func(t *tables) []record {
 		out.OK, out.Fleet = n.canVote(t, in.Epoch), t.fleet.Reading()
 		return nil
--- a/internal/control/quorum_contact_test.go
+++ b/internal/control/quorum_contact_test.go
@@ -49,7 +49,7 @@
 		clock.Now += time.Millisecond
 		n.contact.record(clock.Steady(), feed.Reading{Term: 2, Count: 1})
 		Expect(get("/v1/fleet").Code).To(Equal(http.StatusServiceUnavailable))
-		n.onFleet(feed.Fleet{Term: 2, Count: 1}, func(messages.Done) {})
+		n.onFleet(feed.Fleet{Term: 2, Count: 1}, func(messages.Ack) {})
 		Expect(get("/v1/fleet").Code).To(Equal(http.StatusOK))
 	})
 
@@ -71,8 +71,8 @@
 		n := newTestMember(clock, membership.View{Epoch: 1, Members: []string{"a"}})
 		other := httptest.NewUnstartedServer(nil)
 		address := other.Listener.Addr().String()
-		go rpc.Serve(other.Listener, rpc.Handlers{messages.KindContact: typedHandler(func(in messages.Contact, answer func(messages.ContactTold)) {
-			answer(messages.ContactTold{OK: in.Epoch == 2})
+		go rpc.Serve(other.Listener, rpc.Handlers{messages.KindContact: typedHandler(func(in messages.Contact, answer func(messages.ContactResponse)) {
+			answer(messages.ContactResponse{OK: in.Epoch == 2})
 		})}, time.Second)
 		DeferCleanup(other.Listener.Close)
 		n.adoptView(membership.View{Epoch: 2, Members: []string{"a", address, "127.0.0.1:1"}})
--- a/internal/control/read_config.go
+++ b/internal/control/read_config.go
@@ -33,7 +33,7 @@
 	highest, source := registry.State{}, ""
 	var newer *membership.View
 	undecided := false
-	callAll(n, view.Members, messages.KindState, messages.State{Epoch: view.Epoch}, callTimeout, func(member string, state registry.State) bool {
+	callAll(n, view.Members, messages.KindReplicaState, messages.ReplicaState{Epoch: view.Epoch}, callTimeout, func(member string, state registry.State) bool {
 		if state.View != nil && (newer == nil || state.View.Epoch > newer.Epoch) {
 			newer = state.View
 		}
@@ -90,7 +90,7 @@
 	var states []registry.State
 	var sources []string
 	complete := 0
-	callAll(n, view.Members, messages.KindState, messages.State{Epoch: view.Epoch}, callTimeout, func(member string, state registry.State) bool {
+	callAll(n, view.Members, messages.KindReplicaState, messages.ReplicaState{Epoch: view.Epoch}, callTimeout, func(member string, state registry.State) bool {
 		if member == n.self || !state.OK && !state.IsRebuilding {
 			return false
 		}
--- a/internal/control/recovery.go
+++ b/internal/control/recovery.go
@@ -133,8 +133,8 @@
 	if _, err = n.copyIntents(member, epoch, copyAtOnce); err != nil {
 		return false, err
 	}
-	var page messages.Page
-	if err = n.connection(member).Ask(messages.KindDump, messages.Dump{Epoch: epoch}, &page, repairSpan); err != nil {
+	var page messages.MemberStateResponse
+	if err = n.connection(member).Ask(messages.KindMemberState, messages.MemberState{Epoch: epoch}, &page, repairSpan); err != nil {
 		return false, err
 	}
 	if !page.OK {
@@ -143,11 +143,11 @@
 	if !n.store.persist(func(t *tables) []record { return t.union(page) }, keepLongest) {
 		return false, errNotKept
 	}
-	return page.IsTrusted, nil
+	return page.Trusted, nil
 }
 
 // union merges in another member's state other than its intents.
-func (t *tables) union(page messages.Page) (records []record) {
+func (t *tables) union(page messages.MemberStateResponse) (records []record) {
 	if page.Term.Number > t.term.Number {
 		term := page.Term
 		t.term = term
--- a/internal/control/repair.go
+++ b/internal/control/repair.go
@@ -49,7 +49,7 @@
 // the rest in pieces, each asked for once the last is on disk. It returns how many
 // intents were lacking.
 func (n *node) copyIntents(member string, epoch membership.Epoch, mode copyMode) (lacking int, err error) {
-	var told messages.DigestsTold
+	var told messages.DigestsResponse
 	if err = n.connection(member).Ask(messages.KindDigests, messages.Digests{Epoch: epoch, Scope: mode.scope}, &told, repairSpan); err != nil {
 		return 0, err
 	}
@@ -75,8 +75,8 @@
 
 // lackingOf compares some ranges intent by intent.
 func (n *node) lackingOf(member string, epoch membership.Epoch, ranges []idempotency.Range, mode copyMode) (wanted []uint64, err error) {
-	var told messages.BriefsTold
-	if err = n.connection(member).Ask(messages.KindBriefs, messages.Briefs{Epoch: epoch, Ranges: ranges}, &told, repairSpan); err != nil {
+	var told messages.SummariesResponse
+	if err = n.connection(member).Ask(messages.KindSummaries, messages.Summaries{Epoch: epoch, Ranges: ranges}, &told, repairSpan); err != nil {
 		return nil, err
 	}
 	if !told.OK {
@@ -85,14 +85,14 @@
 	if mode.settle > 0 {
 		n.clock.Sleep(mode.settle)
 	}
-	n.store.read(func(t *tables) { wanted = t.voter.MissingKeys(ranges, told.Briefs, mode.scope) })
+	n.store.read(func(t *tables) { wanted = t.voter.MissingKeys(ranges, told.Summaries, mode.scope) })
 	return wanted, nil
 }
 
 // copyEntries reads the entries of a cursor piece by piece and keeps each.
 func (n *node) copyEntries(member string, epoch membership.Epoch, cursor idempotency.Cursor, mode copyMode) error {
 	for len(cursor.Ranges) > 0 {
-		var told messages.EntriesTold
+		var told messages.EntriesResponse
 		if err := n.connection(member).Ask(messages.KindEntries, messages.Entries{Epoch: epoch, Cursor: cursor}, &told, repairSpan); err != nil {
 			return err
 		}
@@ -102,7 +102,7 @@
 		if !n.store.persist(func(t *tables) []record { return t.unionEntries(told.Entries) }, keepLongest) {
 			return errNotKept
 		}
-		cursor = told.Rest
+		cursor = told.Next
 		if mode.rest > 0 {
 			n.clock.Sleep(mode.rest)
 		}
@@ -117,8 +117,8 @@
 	return out
 }
 
-func (n *node) onDigests(in messages.Digests, answer func(messages.DigestsTold)) {
-	var out messages.DigestsTold
+func (n *node) onDigests(in messages.Digests, answer func(messages.DigestsResponse)) {
+	var out messages.DigestsResponse
 	n.store.enqueue(func(t *tables) []record {
 		if out.OK = t.view.Epoch >= in.Epoch; out.OK {
 			out.Ranges = t.voter.Digests(in.Scope)
@@ -127,21 +127,21 @@
 	}, func() { answer(out) })
 }
 
-func (n *node) onBriefs(in messages.Briefs, answer func(messages.BriefsTold)) {
-	var out messages.BriefsTold
+func (n *node) onBriefs(in messages.Summaries, answer func(messages.SummariesResponse)) {
+	var out messages.SummariesResponse
 	n.store.enqueue(func(t *tables) []record {
 		if out.OK = t.view.Epoch >= in.Epoch; out.OK {
-			out.Briefs = t.voter.Summaries(in.Ranges)
+			out.Summaries = t.voter.Summaries(in.Ranges)
 		}
 		return nil
 	}, func() { answer(out) })
 }
 
-func (n *node) onEntries(in messages.Entries, answer func(messages.EntriesTold)) {
-	var out messages.EntriesTold
+func (n *node) onEntries(in messages.Entries, answer func(messages.EntriesResponse)) {
+	var out messages.EntriesResponse
 	n.store.enqueue(func(t *tables) []record {
 		if out.OK = t.view.Epoch >= in.Epoch; out.OK {
-			out.Entries, out.Rest = t.voter.Read(in.Cursor, pieceBytes)
+			out.Entries, out.Next = t.voter.Read(in.Cursor, pieceBytes)
 		}
 		return nil
 	}, func() { answer(out) })
--- a/internal/control/rollouts.go
+++ b/internal/control/rollouts.go
@@ -50,8 +50,8 @@
 
 func (n *node) startPoint(_ context.Context, request any) (any, error) {
 	order := request.(rollout)
-	in := messages.Order{Service: order.Service, Target: order.TargetVersion, Duration: int64(order.Duration)}
-	return struct{}{}, n.callLeader(messages.KindOrder, in)
+	in := messages.StartRollout{Service: order.Service, Target: order.TargetVersion, Duration: int64(order.Duration)}
+	return struct{}{}, n.callLeader(messages.KindStartRollout, in)
 }
 
 // RolloutState is how a rollout stands.
--- a/internal/control/round_transport.go
+++ b/internal/control/round_transport.go
@@ -101,10 +101,10 @@
 }
 
 // onPropose proposes a change on behalf of another node.
-func (n *node) onPropose(in messages.Propose, reply func(messages.Ordered)) {
+func (n *node) onPropose(in messages.Propose, reply func(messages.OrderResponse)) {
 	go func() {
 		index, err := n.configReplicator.submit(in.Items)
-		out := messages.Ordered{Index: uint64(index)}
+		out := messages.OrderResponse{Index: uint64(index)}
 		var known *apierror.Error
 		if errors.As(err, &known) {
 			out.Kind, out.Detail = known.Kind, known.Detail
@@ -115,7 +115,7 @@
 
 // onOffer adds to the configuration the items that only an agent still holds. It
 // ignores offers that arrive while another is being handled.
-func (n *node) onOffer(in messages.Offer, reply func(messages.Done)) {
+func (n *node) onOffer(in messages.OfferItems, reply func(messages.Ack)) {
 	if !n.takingOffer.CompareAndSwap(false, true) {
 		return
 	}
@@ -130,7 +130,7 @@
 			err = n.modify(missing)
 			n.log("warn", "proposed items that only an agent held", "items", len(missing), "error", err)
 		}
-		reply(messages.Done{OK: err == nil})
+		reply(messages.Ack{OK: err == nil})
 	}()
 }
 
--- a/internal/control/sites.go
+++ b/internal/control/sites.go
@@ -17,17 +17,17 @@
 const layPeriod = time.Second
 
 // onReport hears a proxy, and answers with its lots.
-func (n *node) onReport(in messages.Report, answer func(messages.Lots)) {
+func (n *node) onReport(in messages.ProxyReport, answer func(messages.ProxyReportResponse)) {
 	c := n.coordinator
 	c.loop.Offer(func() {
 		c.court.Hear(in.Evidence)
-		c.cells[in.Evidence.Node] = in.Cell
+		c.cells[in.Evidence.Node] = in.Zone
 		if c.isGauging() {
 			c.gauge.Hear(in.Evidence.Node, in.Loads)
 		}
-		c.hearCopies(in.Mirrored)
+		c.hearCopies(in.Mirrors)
 		if c.isMaster() && c.tree != nil {
-			answer(messages.Lots{Lots: c.office.Hear(in.Evidence.Node, c.tree.SiteOf("", in.Cell), in.Uses)})
+			answer(messages.ProxyReportResponse{CapacityLeases: c.office.Hear(in.Evidence.Node, c.tree.SiteOf("", in.Zone), in.Uses)})
 		}
 	})
 }
--- a/internal/control/staged.go
+++ b/internal/control/staged.go
@@ -40,17 +40,17 @@
 	if err == nil && len(items) == 0 {
 		err = apierror.New(apierror.BadOrder, "the change has no items")
 	}
-	return messages.StageOrder{Name: order.Name, First: order.First, Duration: int64(order.Duration), Items: items}, err
+	return messages.StagedChange{Name: order.Name, First: order.First, Duration: int64(order.Duration), Items: items}, err
 }
 
 func decodeName(_ context.Context, r *http.Request) (any, error) { return r.PathValue("name"), nil }
 
 func (n *node) stagePoint(_ context.Context, request any) (any, error) {
-	return struct{}{}, n.callLeader(messages.KindStage, request)
+	return struct{}{}, n.callLeader(messages.KindStagedChange, request)
 }
 
 func (n *node) haltPoint(_ context.Context, request any) (any, error) {
-	return struct{}{}, n.callLeader(messages.KindStage, messages.StageOrder{Name: request.(string), IsHalt: true})
+	return struct{}{}, n.callLeader(messages.KindStagedChange, messages.StagedChange{Name: request.(string), Halt: true})
 }
 
 // StagedState is how a staged change stands. Evidence is there where the holder
@@ -77,16 +77,16 @@
 
 // evidence asks the holder of the duty what it knows of a trial.
 func (n *node) evidence(subject string) []outlier.Evidence {
-	told := messages.Evidence{}
-	_ = n.call(n.leader(), messages.KindEvidence, messages.Evidence{Subject: subject}, &told, callTimeout)
-	return append([]outlier.Evidence{}, told.Lanes...)
+	told := messages.RolloutEvidence{}
+	_ = n.call(n.leader(), messages.KindRolloutEvidence, messages.RolloutEvidence{Subject: subject}, &told, callTimeout)
+	return append([]outlier.Evidence{}, told.Routes...)
 }
 
-func (n *node) onEvidence(in messages.Evidence, answer func(messages.Evidence)) {
+func (n *node) onEvidence(in messages.RolloutEvidence, answer func(messages.RolloutEvidence)) {
 	c := n.coordinator
 	c.loop.Offer(func() {
 		if d := c.drives[in.Subject]; d != nil && c.isMaster() {
-			in.Lanes = d.finding.Evidence
+			in.Routes = d.finding.Evidence
 		}
 		answer(in)
 	})
--- a/internal/control/stages.go
+++ b/internal/control/stages.go
@@ -22,9 +22,9 @@
 	haltedReason = "halted by the operator"
 )
 
-func (n *node) onStage(in messages.StageOrder, answer func(messages.Ordered)) {
+func (n *node) onStage(in messages.StagedChange, answer func(messages.OrderResponse)) {
 	n.decide(answer, func(c *coordinator) (apierror.Kind, string) {
-		if in.IsHalt {
+		if in.Halt {
 			return c.halt(in)
 		}
 		return c.stage(in)
@@ -32,7 +32,7 @@
 }
 
 // stage takes an order for a staged change.
-func (c *coordinator) stage(in messages.StageOrder) (kind apierror.Kind, detail string) {
+func (c *coordinator) stage(in messages.StagedChange) (kind apierror.Kind, detail string) {
 	subject := trial.StagePrefix + in.Name
 	state := c.states[subject]
 	isSame := state.Number > 0 && sameItems(state.Items, in.Items)
@@ -80,7 +80,7 @@
 	return apierror.None, ""
 }
 
-func (c *coordinator) halt(in messages.StageOrder) (kind apierror.Kind, detail string) {
+func (c *coordinator) halt(in messages.StagedChange) (kind apierror.Kind, detail string) {
 	state, isKnown := c.states[trial.StagePrefix+in.Name]
 	if !isKnown {
 		return apierror.UnknownSubject, in.Name
--- a/internal/control/standby.go
+++ b/internal/control/standby.go
@@ -31,7 +31,7 @@
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	t.watch.Hear(progress.From, progress.Next.Std(), now)
-	if progress.IsWhole {
+	if progress.Complete {
 		t.watch.Read(progress.Age.Std(), now)
 	}
 }
@@ -80,19 +80,19 @@
 // have not been published yet. It needs neither a term nor the disk.
 func (n *node) publishLeaving(servers []feed.Server) {
 	var view membership.View
-	var leaving messages.Leaving
+	var leaving messages.LeavingServers
 	n.hub.Read(func(board *feed.Board) { view, leaving.IDs = board.View, board.Untold(servers) })
 	if len(leaving.IDs) == 0 {
 		return
 	}
 	for _, member := range view.Others(n.self) {
-		n.connection(member).Send(messages.KindLeaving, leaving, nil)
+		n.connection(member).Send(messages.KindLeavingServers, leaving, nil)
 	}
 	n.hub.Publish(feed.News{Leaving: leaving.IDs})
 }
 
 // onLeaving publishes draining servers that another member found to this node's followers.
-func (n *node) onLeaving(in messages.Leaving, _ func(messages.Done)) {
+func (n *node) onLeaving(in messages.LeavingServers, _ func(messages.Ack)) {
 	n.hub.Publish(feed.News{Leaving: in.IDs})
 }
 
@@ -107,6 +107,6 @@
 }
 
 // onListProgress records the progress of another member's read.
-func (n *node) onListProgress(in messages.ListProgress, _ func(messages.Done)) {
+func (n *node) onListProgress(in messages.ListProgress, _ func(messages.Ack)) {
 	n.listWatch.record(in, n.clock.Steady())
 }
--- a/internal/control/standby_test.go
+++ b/internal/control/standby_test.go
@@ -39,7 +39,7 @@
 	}
 	// reportRead reports a complete read by the leader.
 	reportRead := func() {
-		n.onListProgress(messages.ListProgress{From: leader, IsWhole: true, Age: timetable.Span(100 * time.Millisecond), Next: timetable.Span(next)}, nil)
+		n.onListProgress(messages.ListProgress{From: leader, Complete: true, Age: timetable.Span(100 * time.Millisecond), Next: timetable.Span(next)}, nil)
 	}
 	// overdue is the time after which a read is overdue for the last member in the order.
 	const overdue = next + time.Second
@@ -180,7 +180,7 @@
 		Expect(leaving()).To(BeEmpty())
 		n.publishLeaving([]feed.Server{{ID: "a"}, {ID: "b", IsReady: true}})
 		Expect(leaving()).To(Equal(map[string]bool{"a": true}))
-		n.onLeaving(messages.Leaving{IDs: []string{"b"}}, nil)
+		n.onLeaving(messages.LeavingServers{IDs: []string{"b"}}, nil)
 		Expect(leaving()).To(Equal(map[string]bool{"a": true, "b": true}))
 	})
 })
--- a/internal/control/takeover_test.go
+++ b/internal/control/takeover_test.go
@@ -29,8 +29,8 @@
 	// grant makes this member grant the leader lease.
 	grant := func(holder string, number uint64) {
 		clock.Now += testLeaseDuration
-		granted := make(chan messages.Done, 1)
-		n.onClaim(messages.Claim{Epoch: 1, Term: membership.Term{Number: number, Holder: holder}}, func(done messages.Done) { granted <- done })
+		granted := make(chan messages.Ack, 1)
+		n.onClaim(messages.Claim{Epoch: 1, Term: membership.Term{Number: number, Holder: holder}}, func(done messages.Ack) { granted <- done })
 		Expect((<-granted).OK).To(BeTrue())
 	}
 	// becomeLeader makes this node the leader under a new term.
@@ -63,9 +63,9 @@
 		Eventually(func() bool { return n.holdsLease(1) }).Should(BeFalse())
 		n.coordinator.isMaster()
 		grant("b", 2)
-		told := make(chan messages.Done, 1)
+		told := make(chan messages.Ack, 1)
 		n.onFleet(feed.Fleet{Term: 2, Count: 9, Holder: "b", Servers: []feed.Server{{ID: drainingID, Service: "s"}, {ID: "i-2", Service: "s", IsReady: true}}},
-			func(done messages.Done) { told <- done })
+			func(done messages.Ack) { told <- done })
 		Expect((<-told).OK).To(BeTrue())
 		becomeLeader(3)
 		Eventually(func() uint64 { n.coordinator.conduct(); return n.fleet().Term }).Should(BeEquivalentTo(3))
@@ -76,16 +76,16 @@
 		first, second := completed(1, 10), completed(1, 10)
 		second.Attempt = "another"
 		for _, intent := range []idempotency.Intent{first, second} {
-			stored := make(chan messages.Done, 1)
-			n.onRecord(messages.Record{Intent: intent}, func(done messages.Done) { stored <- done })
+			stored := make(chan messages.Ack, 1)
+			n.onRecord(messages.Record{Intent: intent}, func(done messages.Ack) { stored <- done })
 			<-stored
 		}
 		staged := trial.State{
 			Subject: trial.StagePrefix + "change", Number: 1, Term: 1, Count: 1, Phase: trial.Trying, Duration: timetable.Span(time.Minute),
 			Items: []config.Item{{ID: config.ID{Class: config.RouteItem, Name: "fee"}, Version: 1, Host: "h"}}, Waves: [][]string{{"edge-1"}},
 		}
-		written := make(chan messages.Done, 1)
-		n.onTrial(messages.Trial{Epoch: 1, State: staged}, func(done messages.Done) { written <- done })
+		written := make(chan messages.Ack, 1)
+		n.onTrial(messages.WriteRollout{Epoch: 1, State: staged}, func(done messages.Ack) { written <- done })
 		Expect((<-written).OK).To(BeTrue())
 		becomeLeader(2)
 		n.coordinator.conduct()
@@ -94,8 +94,8 @@
 		// A duplicate that is found from now on halts it.
 		third := completed(1, 10)
 		third.Attempt = "a third"
-		stored := make(chan messages.Done, 1)
-		n.onRecord(messages.Record{Intent: third}, func(done messages.Done) { stored <- done })
+		stored := make(chan messages.Ack, 1)
+		n.onRecord(messages.Record{Intent: third}, func(done messages.Ack) { stored <- done })
 		<-stored
 		n.coordinator.conduct()
 		Expect(n.coordinator.states[staged.Subject].Phase).To(Equal(trial.Reverted))
--- a/internal/control/trials.go
+++ b/internal/control/trials.go
@@ -15,7 +15,7 @@
 
 // onTrial keeps a writing of a trial, unless a higher term has fenced it off or
 // a newer writing is held.
-func (n *node) onTrial(in messages.Trial, answer func(messages.Done)) {
+func (n *node) onTrial(in messages.WriteRollout, answer func(messages.Ack)) {
 	isTaken := false
 	n.store.enqueue(func(t *tables) []record {
 		state := in.State
@@ -29,7 +29,7 @@
 		n.hearTrial(state)
 		t.trials[state.Subject] = state
 		return []record{{Trial: &state}}
-	}, func() { answer(messages.Done{OK: isTaken}) })
+	}, func() { answer(messages.Ack{OK: isTaken}) })
 }
 
 func (n *node) hearTrial(state trial.State) {
@@ -52,10 +52,10 @@
 	return n.clock.Steady() - timetable.Steady(state.Elapsed)
 }
 
-func (n *node) onTrials(in messages.Trials, answer func(messages.TrialsTold)) {
-	var out messages.TrialsTold
+func (n *node) onTrials(in messages.ReadRollouts, answer func(messages.ReadRolloutsResponse)) {
+	var out messages.ReadRolloutsResponse
 	n.store.enqueue(func(t *tables) []record {
-		out.OK, out.Fence = t.trusted && in.Epoch == t.view.Epoch && t.view.Contains(n.self), t.term.Number
+		out.OK, out.FenceTerm = t.trusted && in.Epoch == t.view.Epoch && t.view.Contains(n.self), t.term.Number
 		for _, state := range t.trials {
 			out.States = append(out.States, state)
 		}
@@ -63,8 +63,8 @@
 	}, func() { answer(out) })
 }
 
-func (t *tables) unionTrials(page messages.Page) (out []record) {
-	for _, state := range page.Trials {
+func (t *tables) unionTrials(page messages.MemberStateResponse) (out []record) {
+	for _, state := range page.Rollouts {
 		if state.Outranks(t.trials[state.Subject]) {
 			t.trials[state.Subject] = state
 			out = append(out, record{Trial: &state})
@@ -79,12 +79,12 @@
 	view, count := n.view(), 0
 	states, isEven = map[string]trial.State{}, true
 	held := map[string]int{}
-	callAll(n, view.Members, messages.KindTrials, messages.Trials{Epoch: view.Epoch}, callTimeout, func(_ string, told messages.TrialsTold) bool {
+	callAll(n, view.Members, messages.KindReadRollouts, messages.ReadRollouts{Epoch: view.Epoch}, callTimeout, func(_ string, told messages.ReadRolloutsResponse) bool {
 		if !told.OK {
 			return false
 		}
 		count++
-		fence = max(fence, told.Fence)
+		fence = max(fence, told.FenceTerm)
 		for _, state := range told.States {
 			known, isKnown := states[state.Subject]
 			switch {
@@ -111,7 +111,7 @@
 // writeTrial keeps a writing on a majority.
 func (n *node) writeTrial(state trial.State) error {
 	view := n.view()
-	if !n.majorityDone(view, messages.KindTrial, messages.Trial{Epoch: view.Epoch, State: state}, persistTimeout) {
+	if !n.majorityDone(view, messages.KindWriteRollout, messages.WriteRollout{Epoch: view.Epoch, State: state}, persistTimeout) {
 		return apierror.New(apierror.Gone, "keeping the trial")
 	}
 	return nil
--- a/internal/inspector/check.go
+++ b/internal/inspector/check.go
@@ -26,7 +26,7 @@
 	// Cores and Edges are what each node says of itself; a node that did not
 	// answer is named in Unheard.
 	Cores   []control.Status
-	Edges   []messages.Sight
+	Edges   []messages.ProxyStatus
 	Unheard []string
 }
 
@@ -127,7 +127,7 @@
 		}
 	}
 	for _, edge := range fleet.Edges {
-		if !edge.IsReady {
+		if !edge.Ready {
 			find("not ready", edge.Node, "the proxy takes no new connections")
 		}
 		if edge.Digest != common {
--- a/internal/inspector/command.go
+++ b/internal/inspector/command.go
@@ -122,7 +122,7 @@
 			if m.Key == "" {
 				name = "download " + m.Target + " (" + m.Attempt + ")"
 			}
-			rows = append(rows, []string{node.Node, m.Lane, name, m.From, m.To, strings.Join(m.At, ",")})
+			rows = append(rows, []string{node.Node, m.Route, name, m.From, m.To, strings.Join(m.RunningOn, ",")})
 		}
 	}
 	c.print(forecast, rows)
--- a/internal/inspector/inspector_test.go
+++ b/internal/inspector/inspector_test.go
@@ -41,7 +41,7 @@
 		Cores: []control.Status{
 			{Node: "c1", Epoch: 2, Digest: "d", IsTrusted: true}, {Node: "c2", Epoch: 2, Digest: "d", IsTrusted: true}, {Node: "c3", Epoch: 2, Digest: "d", IsTrusted: true},
 		},
-		Edges: []messages.Sight{{Node: "e1", Digest: "d", Epoch: 2, IsReady: true}},
+		Edges: []messages.ProxyStatus{{Node: "e1", Digest: "d", Epoch: 2, Ready: true}},
 	}
 }
 
@@ -61,7 +61,7 @@
 	It("names what the nodes lack", func() {
 		book, fleet := healthy()
 		fleet.Cores[1].Epoch, fleet.Cores[2].Digest, fleet.Cores[0].IsTrusted = 1, "old", false
-		fleet.Edges[0].Digest, fleet.Edges[0].IsReady = "old", false
+		fleet.Edges[0].Digest, fleet.Edges[0].Ready = "old", false
 		fleet.Unheard = []string{"e9"}
 		Expect(whats(inspector.Check(book, nil, fleet))).To(ConsistOf(
 			"behind: c2", "behind: c3", "rebuilding: c1", "not ready: e1", "behind: e1", "unheard: e9"))
--- a/internal/inspector/load.go
+++ b/internal/inspector/load.go
@@ -43,9 +43,9 @@
 	return out, nil
 }
 
-func cutoffName(sight messages.Sight) string {
+func cutoffName(sight messages.ProxyStatus) string {
 	switch {
-	case sight.IsFloor && sight.Cutoff > 0:
+	case sight.LocalCutoff && sight.Cutoff > 0:
 		return "own floor"
 	case sight.Cutoff == 0:
 		return "none"
--- a/internal/inspector/look.go
+++ b/internal/inspector/look.go
@@ -147,8 +147,8 @@
 		fleet.Cores = append(fleet.Cores, status)
 	}
 	for _, edge := range edgesOf(fleet.Cores) {
-		var sight messages.Sight
-		if edge.line.Ask(messages.KindSight, struct{}{}, &sight, lookSpan) != nil {
+		var sight messages.ProxyStatus
+		if edge.line.Ask(messages.KindProxyStatus, struct{}{}, &sight, lookSpan) != nil {
 			fleet.Unheard = append(fleet.Unheard, edge.name)
 			continue
 		}
--- a/internal/inspector/mirror.go
+++ b/internal/inspector/mirror.go
@@ -41,11 +41,11 @@
 // Example:
 //
 //	sum := inspector.Sum("east", grant, nodes)
-func Sum(name string, grant *loopline.Grant, nodes []messages.Mirrored) Mirroring {
+func Sum(name string, grant *loopline.Grant, nodes []messages.MirrorStatus) Mirroring {
 	out := Mirroring{Name: name, Grant: grant, Counts: map[string]map[loopline.Outcome]uint64{}, Gaps: map[string]uint64{}, Examples: []loopline.Example{}}
 	talks, lives, isOneEra := map[uint64]loopline.Talk{}, uint64(0), true
 	for _, node := range nodes {
-		lives ^= loopline.LifeOf(node.Node, node.Life)
+		lives ^= loopline.LifeOf(node.Node, node.Incarnation)
 		page, isThere := node.Pages[name]
 		if !isThere {
 			continue
@@ -110,11 +110,11 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	var nodes []messages.Mirrored
+	var nodes []messages.MirrorStatus
 	unheard = append(unheard, fleet.Unheard...)
 	for _, edge := range edgesOf(fleet.Cores) {
-		var node messages.Mirrored
-		if edge.line.Ask(messages.KindMirrored, struct{}{}, &node, lookSpan) != nil {
+		var node messages.MirrorStatus
+		if edge.line.Ask(messages.KindMirrorStatus, struct{}{}, &node, lookSpan) != nil {
 			unheard = append(unheard, edge.name)
 			continue
 		}
--- a/internal/inspector/mirror_test.go
+++ b/internal/inspector/mirror_test.go
@@ -15,7 +15,7 @@
 var _ = Describe("the sum of what nodes know of a mirror", func() {
 	// converse lets learners talk to nodes by turns; isChosen says whether a node
 	// copies one part of a conversation.
-	converse := func(isChosen func(node int, draw float64) bool) (grant *loopline.Grant, nodes []messages.Mirrored, parts map[uint64]int) {
+	converse := func(isChosen func(node int, draw float64) bool) (grant *loopline.Grant, nodes []messages.MirrorStatus, parts map[uint64]int) {
 		m := loopline.Mirror{Name: "m", Shadow: "next"}
 		grant = &loopline.Grant{Name: "m", Version: 1, Share: 0.5, Era: 1, IsSettled: true}
 		records := make([]*loopline.Record, 4)
@@ -39,7 +39,7 @@
 			}
 		}
 		for node, record := range records {
-			nodes = append(nodes, messages.Mirrored{Node: fmt.Sprint("n", node), Life: "a", Pages: map[string]loopline.Page{"m": record.Page()}})
+			nodes = append(nodes, messages.MirrorStatus{Node: fmt.Sprint("n", node), Incarnation: "a", Pages: map[string]loopline.Page{"m": record.Page()}})
 		}
 		return grant, nodes, parts
 	}
@@ -70,8 +70,8 @@
 	It("claims nothing while a node has not answered, lives anew, is of another era, or lacks the order", func() {
 		grant, nodes, _ := converse(byHash)
 		Expect(inspector.Sum("m", grant, nodes[1:]).Claim).To(HavePrefix("nothing"))
-		anew := append([]messages.Mirrored{}, nodes...)
-		anew[0].Life = "b"
+		anew := append([]messages.MirrorStatus{}, nodes...)
+		anew[0].Incarnation = "b"
 		Expect(inspector.Sum("m", grant, anew).Whole).To(BeZero())
 		other := *grant
 		other.Era = 2
--- a/internal/inspector/moves.go
+++ b/internal/inspector/moves.go
@@ -61,7 +61,7 @@
 func (f *Forecast) Moving() map[string][]messages.Move {
 	out := map[string][]messages.Move{}
 	for _, node := range f.Nodes {
-		for _, run := range node.Runs {
+		for _, run := range node.Operations {
 			if run.IsMoving() {
 				out[node.Node] = append(out[node.Node], run)
 			}
@@ -98,14 +98,14 @@
 		if !isKnown {
 			return nil, errors.NotFoundf("forecast of %s", edge.name)
 		}
-		asked := messages.Homes{Service: f.Change.Service}
-		for _, run := range node.Runs {
+		asked := messages.LookupHomes{Service: f.Change.Service}
+		for _, run := range node.Operations {
 			asked.Places = append(asked.Places, run.Place)
 		}
-		var now messages.HomesNow
+		var now messages.LookupHomesResponse
 		for {
-			err = edge.line.Ask(messages.KindHomes, asked, &now, lookSpan)
-			if err == nil && f.isMade(now.Ring) {
+			err = edge.line.Ask(messages.KindLookupHomes, asked, &now, lookSpan)
+			if err == nil && f.isMade(now.Instances) {
 				break
 			}
 			if clock.Steady() > end {
@@ -113,7 +113,7 @@
 			}
 			clock.Sleep(confirmPause)
 		}
-		for i, run := range node.Runs {
+		for i, run := range node.Operations {
 			if now.Homes[i] != run.To {
 				out = append(out, Surprise{Node: node.Node, Run: run, Home: now.Homes[i]})
 			}
--- a/internal/messages/lease.go
+++ b/internal/messages/lease.go
@@ -29,7 +29,7 @@
 }
 
 // ContactTold is the reply; it counts only where it is OK.
-type ContactTold struct {
+type ContactResponse struct {
 	OK    bool         `cbor:"1,keyasint"`
 	Fleet feed.Reading `cbor:"2,keyasint"`
 }
--- a/internal/messages/registry.go
+++ b/internal/messages/registry.go
@@ -13,7 +13,7 @@
 }
 
 // State asks a member for the place of its replica.
-type State struct {
+type ReplicaState struct {
 	Epoch membership.Epoch `cbor:"1,keyasint"`
 }
 
@@ -21,17 +21,17 @@
 // set that follows the item After. IsTail asks for the changes even where the set
 // would be cheaper, as after its pages were read.
 type CatchUp struct {
-	From    registry.Index `cbor:"1,keyasint"`
-	IsPages bool           `cbor:"2,keyasint,omitempty"`
-	After   *config.ID     `cbor:"3,keyasint,omitempty"`
-	IsTail  bool           `cbor:"4,keyasint,omitempty"`
+	From        registry.Index `cbor:"1,keyasint"`
+	Paged       bool           `cbor:"2,keyasint,omitempty"`
+	After       *config.ID     `cbor:"3,keyasint,omitempty"`
+	ChangesOnly bool           `cbor:"4,keyasint,omitempty"`
 }
 
 // Missed answers a CatchUp: changes, or that the set is to be read in pages, or a
 // page.
-type Missed struct {
+type CatchUpResponse struct {
 	Changes []registry.Change `cbor:"2,keyasint,omitempty"`
-	IsPaged bool              `cbor:"3,keyasint,omitempty"`
+	Paged   bool              `cbor:"3,keyasint,omitempty"`
 	Page    *registry.Page    `cbor:"4,keyasint,omitempty"`
 }
 
--- a/internal/messages/telegram.go
+++ b/internal/messages/telegram.go
@@ -16,27 +16,27 @@
 	KindRecord
 	KindLookup
 	KindPrepare
-	KindOffer
-	KindMotion
-	KindBeat
+	KindOfferItems
+	KindProposal
+	KindHeartbeat
 	KindClaim
 	KindFleet
-	KindDump
+	KindMemberState
 	KindView
 	KindJoin
 	KindMoves
-	KindHomes
-	KindSight
-	KindReport
-	KindTrial
-	KindTrials
-	KindOrder
-	KindStage
-	KindEvidence
-	KindMirrored
+	KindLookupHomes
+	KindProxyStatus
+	KindProxyReport
+	KindWriteRollout
+	KindReadRollouts
+	KindStartRollout
+	KindStagedChange
+	KindRolloutEvidence
+	KindMirrorStatus
 	KindAccept
 	KindLearn
-	KindState
+	KindReplicaState
 	KindCatchUp
 	KindPropose
 	KindRenew
@@ -44,10 +44,10 @@
 	KindContact
 	// A source keeps nothing of the reader between two of these.
 	KindDigests
-	KindBriefs
+	KindSummaries
 	KindEntries
 	KindLeave
-	KindLeaving
+	KindLeavingServers
 	KindListProgress
 )
 
@@ -59,8 +59,8 @@
 
 // Vote is the reply; View stands where the asker's view is not the voter's.
 type Vote struct {
-	Ballot idempotency.Vote `cbor:"1,keyasint"`
-	View   *membership.View `cbor:"2,keyasint,omitempty"`
+	Vote idempotency.Vote `cbor:"1,keyasint"`
+	View *membership.View `cbor:"2,keyasint,omitempty"`
 }
 
 // Record tells a core node what became of an intent.
@@ -69,7 +69,7 @@
 }
 
 // Done says whether what was told is kept on disk.
-type Done struct {
+type Ack struct {
 	OK bool `cbor:"1,keyasint"`
 }
 
@@ -79,19 +79,19 @@
 }
 
 // Found is the record, if there is one.
-type Found struct {
+type LookupResponse struct {
 	Intent *idempotency.Intent `cbor:"1,keyasint,omitempty"`
 }
 
 // Offer brings a core node items that an agent holds and the node lacks, as after
 // a loss that was larger than the core can mend by itself.
-type Offer struct {
+type OfferItems struct {
 	Items []config.Item `cbor:"1,keyasint"`
 }
 
 // Leaving names servers that a page of the platform's list shows leaving. It is told
 // under no term, by whoever reads the list.
-type Leaving struct {
+type LeavingServers struct {
 	IDs []string `cbor:"1,keyasint"`
 }
 
@@ -99,10 +99,10 @@
 // is to read the next. Where that was the last page, IsWhole, Age is how long ago the
 // reading began.
 type ListProgress struct {
-	From    string         `cbor:"1,keyasint"`
-	Next    timetable.Span `cbor:"2,keyasint"`
-	IsWhole bool           `cbor:"3,keyasint,omitempty"`
-	Age     timetable.Span `cbor:"4,keyasint,omitempty"`
+	From     string         `cbor:"1,keyasint"`
+	Next     timetable.Span `cbor:"2,keyasint"`
+	Complete bool           `cbor:"3,keyasint,omitempty"`
+	Age      timetable.Span `cbor:"4,keyasint,omitempty"`
 }
 
 // Join says that a node with an empty place waits to become a member.
--- a/internal/proxy/await.go
+++ b/internal/proxy/await.go
@@ -43,7 +43,7 @@
 // or nil if no member has one.
 func (a *keyedAttempt) lookup() *idempotency.Intent {
 	view := a.snapshot.Load().view
-	replies, cancel := callMembers[messages.Found](a.proxy, view, messages.KindLookup, messages.Lookup{Key: a.request.key})
+	replies, cancel := callMembers[messages.LookupResponse](a.proxy, view, messages.KindLookup, messages.Lookup{Key: a.request.key})
 	defer cancel()
 	timer := time.NewTimer(lookupTimeout)
 	defer timer.Stop()
--- a/internal/proxy/canary.go
+++ b/internal/proxy/canary.go
@@ -132,17 +132,17 @@
 		for _, share := range s.trialShares {
 			evidence.Works = append(evidence.Works, outlier.Work{Subject: share.Service, AtWork: s.balancer.AtWork(share.Service)})
 		}
-		report := messages.Report{Evidence: evidence, Cell: conf.Platform.Cell}
+		report := messages.ProxyReport{Evidence: evidence, Zone: conf.Platform.Cell}
 		if conf.Tuning.Branchline != settings.BranchOff {
 			report.Uses = p.siteCapacity.Uses()
 		}
-		report.Loads, report.Mirrored = p.takeLoads(), p.trafficMirror.tallies()
+		report.Loads, report.Mirrors = p.takeLoads(), p.trafficMirror.tallies()
 		line := p.connection(s.holder)
 		go func() {
-			var answer messages.Lots
-			if line.Ask(messages.KindReport, report, &answer, reportTimeout) == nil {
+			var answer messages.ProxyReportResponse
+			if line.Ask(messages.KindProxyReport, report, &answer, reportTimeout) == nil {
 				p.noteReportAnswer()
-				p.siteCapacity.Take(answer.Lots, sentAt)
+				p.siteCapacity.Take(answer.CapacityLeases, sentAt)
 			}
 		}()
 	})
--- a/internal/proxy/idempotency.go
+++ b/internal/proxy/idempotency.go
@@ -151,7 +151,7 @@
 func (a *keyedAttempt) recordIntent(intent idempotency.Intent, timeout time.Duration) {
 	a.recentIntents.add(intent, a.clock.Steady(), timetable.Steady(a.settings.Load().Platform.Bounds.Sync))
 	view := a.snapshot.Load().view
-	acknowledgements, cancel := notifyMembers[messages.Done](a.proxy, view, messages.KindRecord, messages.Record{Intent: intent})
+	acknowledgements, cancel := notifyMembers[messages.Ack](a.proxy, view, messages.KindRecord, messages.Record{Intent: intent})
 	defer cancel()
 	if timeout == 0 {
 		return
--- a/internal/proxy/members_test.go
+++ b/internal/proxy/members_test.go
@@ -57,7 +57,7 @@
 			messages.KindRecord: func(rpc.Call) {},
 		}
 	}
-	granted := messages.Vote{Ballot: idempotency.Vote{Verdict: idempotency.Granted}}
+	granted := messages.Vote{Vote: idempotency.Vote{Verdict: idempotency.Granted}}
 
 	It("win a vote round with a majority, counting each member once", func() {
 		a := newAttempt(startMember("127.0.0.1:0", votes(1, granted)), startMember("127.0.0.1:0", votes(1, granted)), startMember("127.0.0.1:0", silent))
@@ -68,10 +68,10 @@
 
 	It("ignore ballots and records of another key", func() {
 		completed := &idempotency.Intent{Key: idempotency.Key{Tenant: "h", Key: "another"}, State: idempotency.Completed, Response: &idempotency.Response{Status: 200}}
-		held := messages.Vote{Ballot: idempotency.Vote{Verdict: idempotency.KeyInUse, Existing: completed}}
+		held := messages.Vote{Vote: idempotency.Vote{Verdict: idempotency.KeyInUse, Existing: completed}}
 		a := newAttempt(startMember("127.0.0.1:0", votes(1, held)), startMember("127.0.0.1:0", votes(1, held)), startMember("127.0.0.1:0", votes(1, held)))
 		Expect(a.reserve()).To(Equal(idempotency.NoMajority))
-		found := rpc.Handlers{messages.KindLookup: func(call rpc.Call) { call.Reply(messages.Found{Intent: completed}) }}
+		found := rpc.Handlers{messages.KindLookup: func(call rpc.Call) { call.Reply(messages.LookupResponse{Intent: completed}) }}
 		Expect(newAttempt(startMember("127.0.0.1:0", found)).lookup()).To(BeNil())
 		completed.Key.Key = "k"
 		Expect(newAttempt(startMember("127.0.0.1:0", found)).lookup()).To(Equal(completed))
--- a/internal/proxy/mirror.go
+++ b/internal/proxy/mirror.go
@@ -166,8 +166,8 @@
 }
 
 // mirrorPages returns the comparison records of this node.
-func (p *proxy) mirrorPages(struct{}) messages.Mirrored {
-	result := messages.Mirrored{Node: p.settings.Load().Platform.NodeName, Life: p.incarnation, Pages: map[string]loopline.Page{}}
+func (p *proxy) mirrorPages(struct{}) messages.MirrorStatus {
+	result := messages.MirrorStatus{Node: p.settings.Load().Platform.NodeName, Incarnation: p.incarnation, Pages: map[string]loopline.Page{}}
 	for name, record := range p.trafficMirror.allRecords() {
 		result.Pages[name] = record.Page()
 	}
--- a/internal/proxy/operator.go
+++ b/internal/proxy/operator.go
@@ -53,25 +53,25 @@
 			return true
 		}
 		move := messages.Move{
-			Lane: req.route.Name, Tenant: req.route.Host, From: home.ID, To: homeAfter(req.ringPosition), At: operation.servers, Place: req.ringPosition,
+			Route: req.route.Name, Tenant: req.route.Host, From: home.ID, To: homeAfter(req.ringPosition), RunningOn: operation.servers, Place: req.ringPosition,
 		}
 		if req.route.RouteType == config.Idempotent {
 			move.Key = req.key.Key
 		} else {
 			move.Attempt, move.Target = req.Attempt, req.Target
 		}
-		out.Runs = append(out.Runs, move)
+		out.Operations = append(out.Operations, move)
 		return true
 	})
-	sort.Slice(out.Runs, func(i, j int) bool {
-		a, b := out.Runs[i], out.Runs[j]
+	sort.Slice(out.Operations, func(i, j int) bool {
+		a, b := out.Operations[i], out.Operations[j]
 		return a.Key+a.Target+a.Attempt < b.Key+b.Target+b.Attempt
 	})
 	return out
 }
 
 // ringHomes returns the home servers of ring positions, and the servers of the ring.
-func (p *proxy) ringHomes(query messages.Homes) (out messages.HomesNow) {
+func (p *proxy) ringHomes(query messages.LookupHomes) (out messages.LookupHomesResponse) {
 	servers := p.snapshot.Load().balancer
 	for _, position := range query.Places {
 		id := ""
@@ -80,19 +80,19 @@
 		}
 		out.Homes = append(out.Homes, id)
 	}
-	out.Ring = servers.Names(query.Service)
+	out.Instances = servers.Names(query.Service)
 	return out
 }
 
 // nodeStatus returns the configuration and the cutoff that this node applies.
-func (p *proxy) nodeStatus(struct{}) messages.Sight {
+func (p *proxy) nodeStatus(struct{}) messages.ProxyStatus {
 	s := p.snapshot.Load()
-	status := messages.Sight{
-		Node: p.settings.Load().Platform.NodeName, Digest: s.manifestDigest, Epoch: uint64(s.view.Epoch), IsReady: p.isReady(), Servers: s.balancer.Size(),
+	status := messages.ProxyStatus{
+		Node: p.settings.Load().Platform.NodeName, Digest: s.manifestDigest, Epoch: uint64(s.view.Epoch), Ready: p.isReady(), Servers: s.balancer.Size(),
 	}
 	cutoffs, isLocal := p.activeCutoffs(s)
 	for _, cutoff := range cutoffs {
-		status.Cutoff, status.IsFloor = max(status.Cutoff, cutoff.Number), isLocal
+		status.Cutoff, status.LocalCutoff = max(status.Cutoff, cutoff.Number), isLocal
 	}
 	return status
 }
@@ -110,11 +110,11 @@
 		return nil, errors.Annotate(err, "listening on the operator address")
 	}
 	go rpc.Serve(listener, rpc.Handlers{
-		messages.KindMoves: replyWith(p.plannedMoves),
-		messages.KindHomes: replyWith(p.ringHomes),
-		messages.KindSight: replyWith(p.nodeStatus),
+		messages.KindMoves:       replyWith(p.plannedMoves),
+		messages.KindLookupHomes: replyWith(p.ringHomes),
+		messages.KindProxyStatus: replyWith(p.nodeStatus),
 
-		messages.KindMirrored: replyWith(p.mirrorPages),
+		messages.KindMirrorStatus: replyWith(p.mirrorPages),
 	}, controlSilenceTimeout)
 	return listener, nil
 }
--- a/internal/proxy/vote.go
+++ b/internal/proxy/vote.go
@@ -53,18 +53,18 @@
 // addVote counts one member's vote, and takes over a newer membership view that comes
 // with it.
 func (a *keyedAttempt) addVote(vote memberReply[messages.Vote]) {
-	if vote.reply == nil || vote.reply.Ballot.Existing != nil && vote.reply.Ballot.Existing.Key != a.intent.Key {
+	if vote.reply == nil || vote.reply.Vote.Existing != nil && vote.reply.Vote.Existing.Key != a.intent.Key {
 		// A ballot on another key counts as no vote.
 		a.round.AddVote(nil)
 		return
 	}
-	if vote.reply.Ballot.Verdict != idempotency.Granted {
+	if vote.reply.Vote.Verdict != idempotency.Granted {
 		a.ungranted[vote.member] = true
 	}
 	if vote.reply.View != nil {
 		a.updateLoop.Offer(feed.News{View: vote.reply.View})
 	}
-	a.round.AddVote(&vote.reply.Ballot)
+	a.round.AddVote(&vote.reply.Vote)
 }
 
 // releaseVotes releases the votes of an attempt that will never be sent to a server.
--- a/internal/standin/moves_test.go
+++ b/internal/standin/moves_test.go
@@ -50,7 +50,7 @@
 			forecast, err = control.Forecast(change)
 			g.Expect(err).NotTo(HaveOccurred())
 			for _, node := range forecast.Nodes {
-				count += len(node.Runs)
+				count += len(node.Operations)
 			}
 			return count
 		}).Should(Equal(keys))
