--- a/internal/messages/messages.go
+++ b/internal/messages/messages.go
@@ -1,5 +1,5 @@
-// Package messages is the list of messages between ploverhitch's own
-// processes; docs/protocol.md tells what each is for.
+// Package messages defines the messages between the processes of ploverhitch;
+// docs/protocol.md describes the purpose of each.
 package messages
 
 import (
@@ -10,7 +10,7 @@
 	"ploverhitch/internal/timetable"
 )
 
-// The kinds of frames; feed.KindFollow is the first.
+// The frame kinds in the order of their numbers; feed.KindFollow is 1.
 const (
 	KindReserve rpc.Kind = iota + 2
 	KindRecord
@@ -42,7 +42,7 @@
 	KindRenew
 	KindRelease
 	KindContact
-	// A source keeps nothing of the reader between two of these.
+	// The source keeps no state about the reader between two of these calls.
 	KindDigests
 	KindSummaries
 	KindEntries
@@ -51,53 +51,54 @@
 	KindListProgress
 )
 
-// Reserve asks a core node for its vote, under the view's epoch.
+// Reserve asks a member for its vote on an intent, under the epoch of the view.
 type Reserve struct {
 	Epoch  membership.Epoch   `cbor:"1,keyasint"`
 	Intent idempotency.Intent `cbor:"2,keyasint"`
 }
 
-// Vote is the reply; View stands where the asker's view is not the voter's.
+// Vote is the response to Reserve. View is set if the caller's view is not the voter's.
 type Vote struct {
 	Vote idempotency.Vote `cbor:"1,keyasint"`
 	View *membership.View `cbor:"2,keyasint,omitempty"`
 }
 
-// Record tells a core node what became of an intent.
+// Record reports the new state of an intent to a member.
 type Record struct {
 	Intent idempotency.Intent `cbor:"1,keyasint"`
 }
 
-// Done says whether what was told is kept on disk.
+// Ack reports whether the receiver accepted the message and, if it stores it, wrote it
+// to disk.
 type Ack struct {
 	OK bool `cbor:"1,keyasint"`
 }
 
-// Lookup asks for a key's record.
+// Lookup asks for the intent of an idempotency key.
 type Lookup struct {
 	Key idempotency.Key `cbor:"1,keyasint"`
 }
 
-// Found is the record, if there is one.
+// LookupResponse is the response to Lookup; Intent is nil if there is none.
 type LookupResponse struct {
 	Intent *idempotency.Intent `cbor:"1,keyasint,omitempty"`
 }
 
-// Offer brings a core node items that an agent holds and the node lacks, as after
-// a loss that was larger than the core can mend by itself.
+// OfferItems sends a member configuration items that an agent holds and the member
+// lacks, as after a data loss that the control plane cannot repair by itself.
 type OfferItems struct {
 	Items []config.Item `cbor:"1,keyasint"`
 }
 
-// Leaving names servers that a page of the platform's list shows leaving. It is told
-// under no term, by whoever reads the list.
+// LeavingServers names servers that a page of the platform's instance list shows as
+// leaving. Whichever member reads the list sends it; it carries no term.
 type LeavingServers struct {
 	IDs []string `cbor:"1,keyasint"`
 }
 
-// ListProgress says that a member has read a page of the list, and within which span it
-// is to read the next. Where that was the last page, IsWhole, Age is how long ago the
-// reading began.
+// ListProgress reports that a member has read a page of the platform's instance list,
+// and within which time it will read the next. After the last page (Complete), Age is
+// the time since the read of the list began.
 type ListProgress struct {
 	From     string         `cbor:"1,keyasint"`
 	Next     timetable.Span `cbor:"2,keyasint"`
@@ -105,7 +106,7 @@
 	Age      timetable.Span `cbor:"4,keyasint,omitempty"`
 }
 
-// Join says that a node with an empty place waits to become a member.
+// Join announces a node with an empty data directory that waits to become a member.
 type Join struct {
 	Address string `cbor:"1,keyasint"`
 }
--- a/internal/messages/operator.go
+++ b/internal/messages/operator.go
@@ -5,16 +5,16 @@
 	"ploverhitch/internal/loopline"
 )
 
-// Moves is a proxy's reply to a balancer.Change: the operations of the service
-// that it runs, each with its home now and its home after the change.
+// Moves is a proxy's response to a balancer.Change: the running operations of the
+// service, each with its home instance before and after the change.
 type Moves struct {
 	Node       string `cbor:"1,keyasint" json:"Node"`
 	Operations []Move `cbor:"2,keyasint,omitempty" json:"Runs"`
 }
 
-// Move is one running operation: a keyed one by its key, a download by its
-// attempt and target. At names the servers that it runs on now: there it ends,
-// whatever the change.
+// Move is one running operation, identified by its idempotency key, or for a download
+// by its attempt and target. RunningOn names the servers that execute it now; it
+// finishes there, whatever the change.
 type Move struct {
 	Route     string         `cbor:"1,keyasint" json:"Route"`
 	Tenant    string         `cbor:"2,keyasint" json:"Tenant"`
@@ -27,40 +27,38 @@
 	Place     balancer.Place `cbor:"9,keyasint" json:"Place"`
 }
 
-// IsMoving tells whether the change gives the operation another home.
-//
-// Example:
-//
-//	if move.IsMoving() { name(move) }
+// IsMoving reports whether the change gives the operation another home instance.
 func (m Move) IsMoving() bool { return m.From != m.To }
 
-// Homes asks a proxy where its live ring places operations.
+// LookupHomes asks a proxy for the home instances of places on its current hash ring.
 type LookupHomes struct {
 	Service string           `cbor:"1,keyasint"`
 	Places  []balancer.Place `cbor:"2,keyasint"`
 }
 
-// HomesNow is the reply: the instances, in the order asked, and all instances on
-// the ring.
+// LookupHomesResponse is the response to LookupHomes. Homes are in the order of the
+// requested places; Instances are all instances on the ring.
 type LookupHomesResponse struct {
 	Homes     []string `cbor:"1,keyasint"`
 	Instances []string `cbor:"2,keyasint"`
 }
 
-// Sight is what a proxy has in force.
+// ProxyStatus is the state that a proxy has in force.
 type ProxyStatus struct {
 	Node    string `cbor:"1,keyasint" json:"Node"`
 	Digest  string `cbor:"2,keyasint" json:"Digest"`
 	Epoch   uint64 `cbor:"3,keyasint" json:"Epoch"`
 	Ready   bool   `cbor:"4,keyasint" json:"IsReady"`
 	Servers int    `cbor:"5,keyasint" json:"Servers"`
-	// Cutoff is the number of the newest cutoff that the proxy works by, 0 without
-	// one; IsFloor tells that it turns away by its own measure, without the core.
+	// Cutoff is the number of the newest load-shedding cutoff in force, 0 if there is
+	// none. LocalCutoff is true if the proxy sheds load by its own measurements,
+	// without a cutoff from the control plane.
 	Cutoff      uint64 `cbor:"6,keyasint,omitempty" json:"Cutoff,omitempty"`
 	LocalCutoff bool   `cbor:"7,keyasint,omitempty" json:"IsFloor,omitempty"`
 }
 
-// Mirrored is what a proxy knows of its copies, in its present life.
+// MirrorStatus is what a proxy recorded about mirrored requests since it started.
+// Incarnation identifies this run of the proxy.
 type MirrorStatus struct {
 	Node        string                   `cbor:"1,keyasint" json:"Node"`
 	Incarnation string                   `cbor:"2,keyasint" json:"Life"`
--- a/internal/messages/repair.go
+++ b/internal/messages/repair.go
@@ -6,52 +6,54 @@
 	"ploverhitch/internal/trial"
 )
 
-// Digests asks a member for the digests of its ranges of intents; the member must
-// be in the asker's epoch or a later one.
+// Digests asks a member for the digests of its intent ranges. The member must be in
+// the caller's epoch or a later one.
 type Digests struct {
 	Epoch membership.Epoch  `cbor:"1,keyasint"`
 	Scope idempotency.Scope `cbor:"2,keyasint,omitempty"`
 }
 
-// DigestsTold is the reply.
+// DigestsResponse is the response to Digests.
 type DigestsResponse struct {
 	OK     bool                 `cbor:"1,keyasint"`
 	Ranges []idempotency.Digest `cbor:"2,keyasint,omitempty"`
 }
 
-// Briefs asks a member which intents it holds in some ranges.
+// Summaries asks a member which intents it holds in the given ranges.
 type Summaries struct {
 	Epoch  membership.Epoch    `cbor:"1,keyasint"`
 	Ranges []idempotency.Range `cbor:"2,keyasint"`
 }
 
-// BriefsTold is the reply.
+// SummariesResponse is the response to Summaries.
 type SummariesResponse struct {
 	OK        bool                        `cbor:"1,keyasint"`
 	Summaries []idempotency.IntentSummary `cbor:"2,keyasint,omitempty"`
 }
 
-// Entries asks a member for the next piece of entries from a cursor on.
+// Entries asks a member for the next batch of entries from a cursor on.
 type Entries struct {
 	Epoch  membership.Epoch   `cbor:"1,keyasint"`
 	Cursor idempotency.Cursor `cbor:"2,keyasint"`
 }
 
-// EntriesTold is the reply: a piece of bounded size, and the cursor of the rest.
+// EntriesResponse is the response to Entries: a batch of bounded size and the cursor
+// of the next one.
 type EntriesResponse struct {
 	OK      bool                `cbor:"1,keyasint"`
 	Entries []idempotency.Entry `cbor:"2,keyasint,omitempty"`
 	Next    idempotency.Cursor  `cbor:"3,keyasint"`
 }
 
-// Dump asks for all that a member holds beside the intents; the member must be in
-// the asker's epoch or a later one.
+// MemberState asks for all state that a member holds besides the intents. The member
+// must be in the caller's epoch or a later one.
 type MemberState struct {
 	Epoch membership.Epoch `cbor:"1,keyasint"`
 }
 
-// Page is the reply; the configuration is read by calls of its own. It counts toward a read set only where the source is trusted:
-// one that lost its disk and has not rebuilt lacks what it once held.
+// MemberStateResponse is the response to MemberState; the configuration is read by
+// separate calls. It counts toward a read quorum only if the source is trusted: a
+// member that lost its disk and has not rebuilt lacks state that it once held.
 type MemberStateResponse struct {
 	OK       bool                `cbor:"1,keyasint"`
 	Trusted  bool                `cbor:"2,keyasint"`
@@ -60,8 +62,8 @@
 	Rollouts []trial.State       `cbor:"7,keyasint,omitempty"`
 }
 
-// Leave says that a member is about to end; it is answered once the other has copied
-// what it lacks of it.
+// Leave announces that a member is about to shut down. The receiver responds once it
+// has copied everything that it lacks from that member.
 type Leave struct {
 	Epoch   membership.Epoch `cbor:"1,keyasint"`
 	Address string           `cbor:"2,keyasint"`
--- a/internal/messages/report.go
+++ b/internal/messages/report.go
@@ -7,19 +7,20 @@
 	"ploverhitch/internal/shedding"
 )
 
-// Report is what a proxy tells the holder of the duty: what it counted, where
-// it is, and what it has under way at which site.
+// ProxyReport is a proxy's periodic report to the leader: its measurements, its zone,
+// and its running requests at each site.
 type ProxyReport struct {
 	Evidence outlier.Report   `cbor:"1,keyasint"`
 	Zone     string           `cbor:"2,keyasint,omitempty"`
 	Uses     []branchline.Use `cbor:"3,keyasint,omitempty"`
-	// Loads are what the proxy counted of its load, Mirrored what of its copies,
-	// since the last report that arrived.
+	// Loads and Mirrors count the load and the mirrored requests since the last report
+	// that was received.
 	Loads   []shedding.Load  `cbor:"4,keyasint,omitempty"`
 	Mirrors []loopline.Tally `cbor:"5,keyasint,omitempty"`
 }
 
-// Lots is the reply: how much of other sites' room the proxy may use.
+// ProxyReportResponse is the response to ProxyReport: how much capacity of other
+// sites the proxy may use.
 type ProxyReportResponse struct {
 	CapacityLeases []branchline.Lot `cbor:"1,keyasint,omitempty"`
 }
--- a/internal/messages/rollouts.go
+++ b/internal/messages/rollouts.go
@@ -8,34 +8,35 @@
 	"ploverhitch/internal/trial"
 )
 
-// Trial brings one writing of a trial's state to a member.
+// WriteRollout writes the state of a rollout to a member.
 type WriteRollout struct {
 	Epoch membership.Epoch `cbor:"1,keyasint"`
 	State trial.State      `cbor:"2,keyasint"`
 }
 
-// Trials asks a member for all trials.
+// ReadRollouts asks a member for the states of all rollouts.
 type ReadRollouts struct {
 	Epoch membership.Epoch `cbor:"1,keyasint"`
 }
 
-// TrialsTold is the reply; it counts only where it is OK. Fence is the highest
-// term of the duty that the member knows: it refuses writings of lower ones.
+// ReadRolloutsResponse is the response to ReadRollouts; it counts only if it is OK.
+// FenceTerm is the highest leader term that the member knows; it refuses writes of
+// lower terms.
 type ReadRolloutsResponse struct {
 	OK        bool          `cbor:"1,keyasint"`
 	FenceTerm uint64        `cbor:"2,keyasint"`
 	States    []trial.State `cbor:"3,keyasint,omitempty"`
 }
 
-// Order passes an operator's order on to the holder of the duty.
+// StartRollout forwards an operator's order for a rollout to the leader.
 type StartRollout struct {
 	Service  string `cbor:"1,keyasint"`
 	Target   string `cbor:"2,keyasint"`
 	Duration int64  `cbor:"3,keyasint"`
 }
 
-// StageOrder passes an operator's order for a staged change on to the holder of
-// the duty, or the order to halt one.
+// StagedChange forwards an operator's order to start or, with Halt, to halt a staged
+// change to the leader.
 type StagedChange struct {
 	Name     string        `cbor:"1,keyasint"`
 	First    string        `cbor:"2,keyasint,omitempty"`
@@ -44,16 +45,18 @@
 	Halt     bool          `cbor:"5,keyasint,omitempty"`
 }
 
-// Evidence asks the holder for what it knows of a trial, and is the reply.
+// RolloutEvidence asks the leader for the evidence of a rollout and is also the
+// response.
 type RolloutEvidence struct {
 	Subject string             `cbor:"1,keyasint"`
 	Routes  []outlier.Evidence `cbor:"2,keyasint,omitempty"`
 }
 
-// Ordered is the reply: the kind of what stands against it, or none.
+// OrderResponse is the response to an operator's order: the kind of the error that
+// prevents it, or apierror.None.
 type OrderResponse struct {
 	Kind   apierror.Kind `cbor:"1,keyasint"`
 	Detail string        `cbor:"2,keyasint,omitempty"`
-	// Index is the index of the configuration in which an order for it holds.
+	// Index is the configuration index from which a configuration order is in force.
 	Index uint64 `cbor:"3,keyasint,omitempty"`
 }
