--- a/cmd/measure/measures.go
+++ b/cmd/measure/measures.go
@@ -140,7 +140,7 @@
 	bytes := 0
 	follow, _ := cbor.Marshal(feed.Follow{Name: "edge"})
 	for range size {
-		hub.Handle(rpc.Call{Body: follow, Ended: make(chan struct{}), Reply: func(news any) bool {
+		hub.Handle(rpc.Call{Body: follow, Closed: make(chan struct{}), Reply: func(news any) bool {
 			bytes += len(news.(feed.News).Packed())
 			return true
 		}})
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -41,7 +41,7 @@
 	hub       *feed.Hub
 	loop      *timetable.Loop[told]
 	following map[string]context.CancelFunc
-	lines     map[string]*rpc.Line
+	lines     map[string]*rpc.Client
 	followers map[string]*feed.Follower
 	// gaps are the readings that a node told changes of, and that did not fit.
 	gaps map[string]feed.Reading
@@ -75,7 +75,7 @@
 func Run(ctx context.Context, set *settings.Settings, path string, note Note) error {
 	d := &desk{
 		set: set, clock: timetable.Real(), hub: feed.NewHub(), loop: timetable.NewLoop[told](256),
-		note: note, following: map[string]context.CancelFunc{}, lines: map[string]*rpc.Line{}, heard: map[string]bool{},
+		note: note, following: map[string]context.CancelFunc{}, lines: map[string]*rpc.Client{}, heard: map[string]bool{},
 		followers: map[string]*feed.Follower{}, gaps: map[string]feed.Reading{}, next: make(chan *settings.Settings, 1),
 	}
 	d.began = d.clock.Steady()
@@ -195,7 +195,7 @@
 func (d *desk) follow(ctx context.Context, address string) {
 	follow, cancel := context.WithCancel(ctx)
 	d.following[address] = cancel
-	line := rpc.NewLine(address, connectSpan, silenceSpan)
+	line := rpc.NewClient(address, connectSpan, silenceSpan)
 	d.lines[address] = line
 	name := d.set.Platform.NodeName + "@" + d.set.InternalAddress(d.set.Platform.Ip, 1)
 	follower := feed.NewFollower(name, line, func(news feed.News) { d.loop.Put(told{address, news}) }, followPause)
--- a/internal/agent/choose_test.go
+++ b/internal/agent/choose_test.go
@@ -68,7 +68,7 @@
 		d, hand := newDesk("edge-1", view)
 		order := membership.FollowOrder(view.Members, "edge-1")
 		for _, member := range order[:3] {
-			d.followers[member] = feed.NewFollower("edge-1", rpc.NewLine(member, time.Second, time.Second), func(feed.News) {}, time.Second)
+			d.followers[member] = feed.NewFollower("edge-1", rpc.NewClient(member, time.Second, time.Second), func(feed.News) {}, time.Second)
 		}
 		// Just begun, none of them counts as ailing yet.
 		Expect(d.wanted()).To(HaveLen(3))
@@ -109,7 +109,7 @@
 		view := membership.View{Epoch: 1, Members: members(5)}
 		d, _ := newDesk("edge-1", view)
 		dead := membership.FollowOrder(view.Members, "edge-1")[0]
-		d.followers[dead] = feed.NewFollower("edge-1", rpc.NewLine(dead, time.Second, time.Second), func(feed.News) {}, time.Second)
+		d.followers[dead] = feed.NewFollower("edge-1", rpc.NewClient(dead, time.Second, time.Second), func(feed.News) {}, time.Second)
 		Eventually(func() int { return len(d.wanted()) }, ailingSpan+lookPeriod).Should(Equal(4))
 		// It is seen at the next look, and connected within the bound of a call.
 		Expect(ailingSpan + lookPeriod + connectSpan).To(BeNumerically("<", changeSpan))
--- a/internal/control/call.go
+++ b/internal/control/call.go
@@ -12,12 +12,12 @@
 	"ploverhitch/internal/rpc"
 )
 
-func (n *node) connection(address string) *rpc.Line {
+func (n *node) connection(address string) *rpc.Client {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	connection := n.connections[address]
 	if connection == nil {
-		connection = rpc.NewLine(address, connectTimeout, silenceTimeout)
+		connection = rpc.NewClient(address, connectTimeout, silenceTimeout)
 		n.connections[address] = connection
 	}
 	return connection
@@ -26,7 +26,7 @@
 // call sends a request to a member, which may be this node itself.
 func (n *node) call(member string, kind rpc.Kind, request, reply any, timeout time.Duration) error {
 	if member != n.self {
-		return n.connection(member).Ask(kind, request, reply, timeout)
+		return n.connection(member).Call(kind, request, reply, timeout)
 	}
 	return n.callSelf(kind, request, reply, timeout)
 }
@@ -63,7 +63,7 @@
 		if result == nil {
 			return nil
 		}
-		return rpc.Unpack(data, result)
+		return rpc.Decode(data, result)
 	case <-timer.C:
 		return errors.Timeoutf("call to this node")
 	}
--- a/internal/control/handlers.go
+++ b/internal/control/handlers.go
@@ -55,7 +55,7 @@
 func typedHandler[T, R any](handle func(in T, reply func(R))) func(rpc.Call) {
 	return func(call rpc.Call) {
 		var in T
-		if len(call.Body) > 0 && rpc.Unpack(call.Body, &in) != nil {
+		if len(call.Body) > 0 && rpc.Decode(call.Body, &in) != nil {
 			return
 		}
 		handle(in, func(out R) { call.Reply(out) })
--- a/internal/control/leader_lease_test.go
+++ b/internal/control/leader_lease_test.go
@@ -24,7 +24,7 @@
 // unless the test listens on their addresses.
 func newTestMember(clock *timetable.Hand, view membership.View) *node {
 	n := &node{
-		self: "a", clock: clock, hub: feed.NewHub(), log: func(string, string, ...any) {}, connections: map[string]*rpc.Line{},
+		self: "a", clock: clock, hub: feed.NewHub(), log: func(string, string, ...any) {}, connections: map[string]*rpc.Client{},
 		memberLoop: timetable.NewLoop[func()](256), livenessWatch: membership.NewLivenessWatch(clock, time.Second), lease: newLeaderLease(testLeaseDuration),
 		listWatch: newListTracker(clock.Steady()),
 	}
--- a/internal/control/leave.go
+++ b/internal/control/leave.go
@@ -28,7 +28,7 @@
 	for _, member := range view.Others(n.self) {
 		calls.Go(func() {
 			var reply messages.Ack
-			err := n.connection(member).Ask(messages.KindLeave, messages.Leave{Epoch: view.Epoch, Address: n.self}, &reply, leaveCallTimeout)
+			err := n.connection(member).Call(messages.KindLeave, messages.Leave{Epoch: view.Epoch, Address: n.self}, &reply, leaveCallTimeout)
 			if err != nil || !reply.OK {
 				n.log("info", "shutting down; a member has not copied the missing outcomes", "member", member, "error", err)
 			}
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -38,7 +38,7 @@
 	callHandlers rpc.Handlers
 
 	mu          sync.Mutex
-	connections map[string]*rpc.Line
+	connections map[string]*rpc.Client
 
 	// livenessWatch and joining are accessed only by the membership loop; joining holds
 	// the time of the last request of each address that asked to join.
@@ -85,7 +85,7 @@
 	defer cancel()
 	n := &node{
 		self: set.InternalAddress(set.Platform.Ip, 0), clock: timetable.Real(), log: log, hub: feed.NewHub(),
-		connections: map[string]*rpc.Line{}, memberLoop: timetable.NewLoop[func()](256), joining: map[string]timetable.Steady{},
+		connections: map[string]*rpc.Client{}, memberLoop: timetable.NewLoop[func()](256), joining: map[string]timetable.Steady{},
 	}
 	n.settings.Store(set)
 	n.proposerID = newProposerID(n.self)
--- a/internal/control/recovery.go
+++ b/internal/control/recovery.go
@@ -134,7 +134,7 @@
 		return false, err
 	}
 	var page messages.MemberStateResponse
-	if err = n.connection(member).Ask(messages.KindMemberState, messages.MemberState{Epoch: epoch}, &page, repairSpan); err != nil {
+	if err = n.connection(member).Call(messages.KindMemberState, messages.MemberState{Epoch: epoch}, &page, repairSpan); err != nil {
 		return false, err
 	}
 	if !page.OK {
--- a/internal/control/repair.go
+++ b/internal/control/repair.go
@@ -50,7 +50,7 @@
 // intents were lacking.
 func (n *node) copyIntents(member string, epoch membership.Epoch, mode copyMode) (lacking int, err error) {
 	var told messages.DigestsResponse
-	if err = n.connection(member).Ask(messages.KindDigests, messages.Digests{Epoch: epoch, Scope: mode.scope}, &told, repairSpan); err != nil {
+	if err = n.connection(member).Call(messages.KindDigests, messages.Digests{Epoch: epoch, Scope: mode.scope}, &told, repairSpan); err != nil {
 		return 0, err
 	}
 	if !told.OK {
@@ -76,7 +76,7 @@
 // lackingOf compares some ranges intent by intent.
 func (n *node) lackingOf(member string, epoch membership.Epoch, ranges []idempotency.Range, mode copyMode) (wanted []uint64, err error) {
 	var told messages.SummariesResponse
-	if err = n.connection(member).Ask(messages.KindSummaries, messages.Summaries{Epoch: epoch, Ranges: ranges}, &told, repairSpan); err != nil {
+	if err = n.connection(member).Call(messages.KindSummaries, messages.Summaries{Epoch: epoch, Ranges: ranges}, &told, repairSpan); err != nil {
 		return nil, err
 	}
 	if !told.OK {
@@ -93,7 +93,7 @@
 func (n *node) copyEntries(member string, epoch membership.Epoch, cursor idempotency.Cursor, mode copyMode) error {
 	for len(cursor.Ranges) > 0 {
 		var told messages.EntriesResponse
-		if err := n.connection(member).Ask(messages.KindEntries, messages.Entries{Epoch: epoch, Cursor: cursor}, &told, repairSpan); err != nil {
+		if err := n.connection(member).Call(messages.KindEntries, messages.Entries{Epoch: epoch, Cursor: cursor}, &told, repairSpan); err != nil {
 			return err
 		}
 		if !told.OK {
--- a/internal/control/repair_bench_test.go
+++ b/internal/control/repair_bench_test.go
@@ -51,7 +51,7 @@
 	b.Cleanup(func() { _ = listener.Close() })
 	m := &node{
 		self: listener.Addr().String(), clock: timetable.Real(), hub: feed.NewHub(), log: func(string, string, ...any) {},
-		connections: map[string]*rpc.Line{}, store: benchKeeper(b),
+		connections: map[string]*rpc.Client{}, store: benchKeeper(b),
 	}
 	m.settings.Store(&settings.Settings{Tuning: settings.Defaults()})
 	m.configReplicator = newConfigReplicator(m)
--- a/internal/control/repair_test.go
+++ b/internal/control/repair_test.go
@@ -34,7 +34,7 @@
 		DeferCleanup(func() { _ = listener.Close() })
 		m := &member{listener: listener, node: &node{
 			self: listener.Addr().String(), clock: timetable.Real(), hub: feed.NewHub(), log: func(string, string, ...any) {},
-			connections: map[string]*rpc.Line{}, memberLoop: timetable.NewLoop[func()](256), livenessWatch: membership.NewLivenessWatch(timetable.Real(), time.Second),
+			connections: map[string]*rpc.Client{}, memberLoop: timetable.NewLoop[func()](256), livenessWatch: membership.NewLivenessWatch(timetable.Real(), time.Second),
 		}}
 		m.settings.Store(&settings.Settings{Tuning: settings.Defaults()})
 		m.configReplicator = newConfigReplicator(m.node)
--- a/internal/control/standby_test.go
+++ b/internal/control/standby_test.go
@@ -48,7 +48,7 @@
 		clock = &timetable.Hand{Now: time.Hour}
 		n = &node{
 			self: self, clock: clock, hub: feed.NewHub(), log: func(string, string, ...any) {},
-			connections: map[string]*rpc.Line{},
+			connections: map[string]*rpc.Client{},
 			memberLoop:  timetable.NewLoop[func()](8), livenessWatch: membership.NewLivenessWatch(clock, silentAfter), startedAt: clock.Steady(),
 			listWatch: newListTracker(clock.Steady()), lease: newLeaderLease(testLeaseDuration),
 		}
@@ -113,7 +113,7 @@
 		ended := make(chan struct{})
 		body, err := cbor.Marshal(feed.Follow{})
 		Expect(err).NotTo(HaveOccurred())
-		n.hub.Handle(rpc.Call{Body: body, Ended: ended, Reply: func(body any) bool {
+		n.hub.Handle(rpc.Call{Body: body, Closed: ended, Reply: func(body any) bool {
 			published = append(published, body.(feed.News).Leaving...)
 			return true
 		}})
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -29,7 +29,7 @@
 	body, err := cbor.Marshal(from)
 	Expect(err).NotTo(HaveOccurred())
 	ended := make(chan struct{})
-	hub.Handle(rpc.Call{Body: body, Ended: ended, Reply: func(news any) bool { return take(news.(feed.News)) }})
+	hub.Handle(rpc.Call{Body: body, Closed: ended, Reply: func(news any) bool { return take(news.(feed.News)) }})
 	return func() { close(ended) }
 }
 
--- a/internal/feed/follower.go
+++ b/internal/feed/follower.go
@@ -14,7 +14,7 @@
 // Follower follows one node's feed, again and again, until its context ends.
 type Follower struct {
 	Name string
-	Line *rpc.Line
+	Line *rpc.Client
 	Take func(News)
 	// Pause is how long to wait after the feed broke.
 	Pause time.Duration
@@ -31,7 +31,7 @@
 // Example:
 //
 //	follower := feed.NewFollower(node, line, merge, 200*time.Millisecond)
-func NewFollower(name string, line *rpc.Line, take func(News), pause time.Duration) *Follower {
+func NewFollower(name string, line *rpc.Client, take func(News), pause time.Duration) *Follower {
 	f := &Follower{Name: name, Line: line, Take: take, Pause: pause, afresh: make(chan struct{}, 1), clock: timetable.Real()}
 	f.brokeAt.Store(int64(f.clock.Steady()) + 1)
 	return f
@@ -75,7 +75,7 @@
 		revoke := f.Line.SendRevocable(KindFollow, from, func(body []byte, err error) {
 			var news News
 			if err == nil {
-				err = rpc.Unpack(body, &news)
+				err = rpc.Decode(body, &news)
 			}
 			if !reached.isCurrent(number) {
 				return
@@ -99,7 +99,7 @@
 		}
 		reached.end()
 		revoke()
-		if !errors.Is(err, rpc.ErrCut) {
+		if !errors.Is(err, rpc.ErrDisconnected) {
 			// The line ends, so that its other end stops the old feed.
 			f.Line.Close()
 		}
--- a/internal/feed/follower_test.go
+++ b/internal/feed/follower_test.go
@@ -22,7 +22,7 @@
 		ctx, stop := context.WithCancel(context.Background())
 		DeferCleanup(func() { stop(); _ = listener.Close() })
 		go rpc.Serve(listener, rpc.Handlers{feed.KindFollow: handle}, time.Second)
-		line := rpc.NewLine(listener.Addr().String(), time.Second, time.Second)
+		line := rpc.NewClient(listener.Addr().String(), time.Second, time.Second)
 		follower := feed.NewFollower("one", line, take, 10*time.Millisecond)
 		go follower.Run(ctx)
 		return follower
@@ -57,7 +57,7 @@
 		var isGood atomic.Bool
 		follower := run(func(call rpc.Call) {
 			var from feed.Follow
-			if rpc.Unpack(call.Body, &from) != nil {
+			if rpc.Decode(call.Body, &from) != nil {
 				return
 			}
 			reached <- from
@@ -68,7 +68,7 @@
 			call.Reply(feed.News{Life: 7, Place: 1})
 			call.Reply("no news at all")
 			call.Reply(feed.News{Life: 7, Place: 3})
-			go func() { <-call.Ended; ended <- struct{}{} }()
+			go func() { <-call.Closed; ended <- struct{}{} }()
 		}, func(news feed.News) { got <- news })
 		Eventually(reached).Should(Receive(HaveField("Place", uint64(0))))
 		Eventually(got).Should(Receive(HaveField("Place", uint64(1))))
--- a/internal/feed/hub.go
+++ b/internal/feed/hub.go
@@ -140,7 +140,7 @@
 //	rpc.Serve(listener, rpc.Handlers{feed.KindFollow: hub.Handle}, silence)
 func (h *Hub) Handle(call rpc.Call) {
 	var follow Follow
-	if rpc.Unpack(call.Body, &follow) != nil {
+	if rpc.Decode(call.Body, &follow) != nil {
 		return
 	}
 	h.lock.Lock()
@@ -157,7 +157,7 @@
 	number := h.next
 	h.out[number], h.names[number] = call.Reply, follow.Name
 	go func() {
-		<-call.Ended
+		<-call.Closed
 		h.lock.Lock()
 		defer h.lock.Unlock()
 		delete(h.out, number)
--- a/internal/inspector/look.go
+++ b/internal/inspector/look.go
@@ -148,7 +148,7 @@
 	}
 	for _, edge := range edgesOf(fleet.Cores) {
 		var sight messages.ProxyStatus
-		if edge.line.Ask(messages.KindProxyStatus, struct{}{}, &sight, lookSpan) != nil {
+		if edge.line.Call(messages.KindProxyStatus, struct{}{}, &sight, lookSpan) != nil {
 			fleet.Unheard = append(fleet.Unheard, edge.name)
 			continue
 		}
@@ -160,7 +160,7 @@
 // edge is a proxy's machine, as the core knows it by the feed it follows.
 type edge struct {
 	name string
-	line *rpc.Line
+	line *rpc.Client
 }
 
 func edgesOf(cores []control.Status) (out []edge) {
@@ -170,7 +170,7 @@
 			name, address, isEdge := strings.Cut(follower, "@")
 			if isEdge && !seen[name] {
 				seen[name] = true
-				out = append(out, edge{name, rpc.NewLine(address, time.Second, lookSpan)})
+				out = append(out, edge{name, rpc.NewClient(address, time.Second, lookSpan)})
 			}
 		}
 	}
--- a/internal/inspector/mirror.go
+++ b/internal/inspector/mirror.go
@@ -114,7 +114,7 @@
 	unheard = append(unheard, fleet.Unheard...)
 	for _, edge := range edgesOf(fleet.Cores) {
 		var node messages.MirrorStatus
-		if edge.line.Ask(messages.KindMirrorStatus, struct{}{}, &node, lookSpan) != nil {
+		if edge.line.Call(messages.KindMirrorStatus, struct{}{}, &node, lookSpan) != nil {
 			unheard = append(unheard, edge.name)
 			continue
 		}
--- a/internal/inspector/moves.go
+++ b/internal/inspector/moves.go
@@ -41,7 +41,7 @@
 	out := &Forecast{Change: change, Unheard: fleet.Unheard}
 	for _, edge := range edgesOf(fleet.Cores) {
 		var moves messages.Moves
-		if edge.line.Ask(messages.KindMoves, change, &moves, lookSpan) != nil {
+		if edge.line.Call(messages.KindMoves, change, &moves, lookSpan) != nil {
 			if !slices.Contains(out.Unheard, edge.name) {
 				out.Unheard = append(out.Unheard, edge.name)
 			}
@@ -104,7 +104,7 @@
 		}
 		var now messages.LookupHomesResponse
 		for {
-			err = edge.line.Ask(messages.KindLookupHomes, asked, &now, lookSpan)
+			err = edge.line.Call(messages.KindLookupHomes, asked, &now, lookSpan)
 			if err == nil && f.isMade(now.Instances) {
 				break
 			}
--- a/internal/proxy/canary.go
+++ b/internal/proxy/canary.go
@@ -140,7 +140,7 @@
 		line := p.connection(s.holder)
 		go func() {
 			var answer messages.ProxyReportResponse
-			if line.Ask(messages.KindProxyReport, report, &answer, reportTimeout) == nil {
+			if line.Call(messages.KindProxyReport, report, &answer, reportTimeout) == nil {
 				p.noteReportAnswer()
 				p.siteCapacity.Take(answer.CapacityLeases, sentAt)
 			}
--- a/internal/proxy/members.go
+++ b/internal/proxy/members.go
@@ -14,19 +14,19 @@
 }
 
 // callFunc makes one call over a connection: (*rpc.Line).Send or SendRevocable.
-type callFunc = func(line *rpc.Line, kind rpc.Kind, body any, take func([]byte, error)) (cancel func())
+type callFunc = func(line *rpc.Client, kind rpc.Kind, body any, take func([]byte, error)) (cancel func())
 
 // callMembers calls all members of the view concurrently and delivers one reply for
 // each. The caller must call cancel once it needs no more replies; a call that has
 // not been sent by then is never sent.
 func callMembers[T any](p *proxy, view membership.View, kind rpc.Kind, body any) (replies <-chan memberReply[T], cancel func()) {
-	return fanOut[T](p, view, (*rpc.Line).SendRevocable, kind, body)
+	return fanOut[T](p, view, (*rpc.Client).SendRevocable, kind, body)
 }
 
 // notifyMembers is like callMembers, but cancel does not revoke unsent calls: every
 // member is to get the message, whether the caller waits for the reply or not.
 func notifyMembers[T any](p *proxy, view membership.View, kind rpc.Kind, body any) (replies <-chan memberReply[T], cancel func()) {
-	return fanOut[T](p, view, (*rpc.Line).Send, kind, body)
+	return fanOut[T](p, view, (*rpc.Client).Send, kind, body)
 }
 
 // fanOut makes the call to all members of the view through the given function.
@@ -39,7 +39,7 @@
 		var first sync.Once
 		cancels = append(cancels, call(p.connection(member), kind, body, func(encoded []byte, err error) {
 			answer := memberReply[T]{member: member}
-			if out := new(T); err == nil && rpc.Unpack(encoded, out) == nil {
+			if out := new(T); err == nil && rpc.Decode(encoded, out) == nil {
 				answer.reply = out
 			}
 			first.Do(func() { received <- answer })
--- a/internal/proxy/members_test.go
+++ b/internal/proxy/members_test.go
@@ -83,12 +83,12 @@
 		Expect(a.reserve()).To(Equal(idempotency.Won))
 		Expect(listener.Close()).To(Succeed())
 		address := listener.Addr().String()
-		Eventually(func() error { return a.connection(address).Ask(messages.KindReserve, nil, nil, time.Second) }).ShouldNot(Succeed())
+		Eventually(func() error { return a.connection(address).Call(messages.KindReserve, nil, nil, time.Second) }).ShouldNot(Succeed())
 		a.releaseVotes()
 		recorded := make(chan idempotency.State, 8)
 		startMember(address, rpc.Handlers{messages.KindRecord: func(call rpc.Call) {
 			var record messages.Record
-			if rpc.Unpack(call.Body, &record) == nil {
+			if rpc.Decode(call.Body, &record) == nil {
 				recorded <- record.Intent.State
 			}
 		}, messages.KindLookup: func(rpc.Call) {}})
--- a/internal/proxy/operator.go
+++ b/internal/proxy/operator.go
@@ -124,7 +124,7 @@
 func replyWith[T, R any](answer func(T) R) func(rpc.Call) {
 	return func(call rpc.Call) {
 		var request T
-		if len(call.Body) == 0 || rpc.Unpack(call.Body, &request) == nil {
+		if len(call.Body) == 0 || rpc.Decode(call.Body, &request) == nil {
 			call.Reply(answer(request))
 		}
 	}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -75,7 +75,7 @@
 	serve          endpoint.Endpoint
 
 	mu           sync.Mutex
-	connections  map[string]*rpc.Line
+	connections  map[string]*rpc.Client
 	retryBudgets map[string]*balancer.Budget
 	routeStats   sync.Map
 	// runningOperations holds the running ring-placed operations by their request.
@@ -128,7 +128,7 @@
 	defer cancel()
 	go settings.Watch(runCtx, settingsPath, func(updated *settings.Settings) { p.settings.Store(updated) }, func(err error) { log("warn", "cannot reload settings", "error", err) })
 	go p.updateLoop.Run(runCtx, p.applyUpdates, 0, nil)
-	agentConn := rpc.NewLine(agent.LoopbackAddress(cfg), controlConnectTimeout, controlSilenceTimeout)
+	agentConn := rpc.NewClient(agent.LoopbackAddress(cfg), controlConnectTimeout, controlSilenceTimeout)
 	// The follower's name is sent to the agent.
 	p.follower = feed.NewFollower("points", agentConn, p.updateLoop.Put, 50*time.Millisecond)
 	go p.follower.Run(runCtx)
@@ -154,7 +154,7 @@
 func newProxy(cfg *settings.Settings, clock timetable.Clock, log LogFunc) *proxy {
 	p := &proxy{
 		clock: clock, log: log, updateLoop: timetable.NewLoop[feed.News](256), replica: feed.NewBoard(),
-		connections: map[string]*rpc.Line{}, retryBudgets: map[string]*balancer.Budget{}, incarnation: newIncarnation(), outcomes: outlier.NewBox(), siteCapacity: branchline.NewPurse(clock),
+		connections: map[string]*rpc.Client{}, retryBudgets: map[string]*balancer.Budget{}, incarnation: newIncarnation(), outcomes: outlier.NewBox(), siteCapacity: branchline.NewPurse(clock),
 		shedder: newLoadShedder(clock), trafficMirror: newMirrorSender(),
 	}
 	p.settings.Store(cfg)
@@ -223,13 +223,13 @@
 }
 
 // connection returns the connection to a control node, created on first use.
-func (p *proxy) connection(address string) *rpc.Line {
+func (p *proxy) connection(address string) *rpc.Client {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	conn := p.connections[address]
 	if conn == nil {
-		conn = rpc.NewLine(address, controlConnectTimeout, controlSilenceTimeout)
-		conn.Again, conn.Sent = func() { p.resendRecent(conn) }, p.outbound.Note
+		conn = rpc.NewClient(address, controlConnectTimeout, controlSilenceTimeout)
+		conn.OnReconnect, conn.OnSend = func() { p.resendRecent(conn) }, p.outbound.Note
 		p.connections[address] = conn
 	}
 	return conn
--- a/internal/proxy/resend.go
+++ b/internal/proxy/resend.go
@@ -34,7 +34,7 @@
 // resendRecent sends the recent intents again after a reconnect, because the control node
 // may have missed them. A node that has an intent ignores the repetition, and one that
 // lacks it only adds the record; no vote is granted by it.
-func (p *proxy) resendRecent(conn *rpc.Line) {
+func (p *proxy) resendRecent(conn *rpc.Client) {
 	p.recentIntents.mu.Lock()
 	intents := append([]sentIntent(nil), p.recentIntents.intents...)
 	p.recentIntents.mu.Unlock()
--- a/internal/rpc/ask.go
+++ b/internal/rpc/ask.go
@@ -12,28 +12,28 @@
 // Example:
 //
 //	err := line.Ask(KindView, nil, &view, time.Second)
-func (l *Line) Ask(kind Kind, body, out any, wait time.Duration) error {
+func (c *Client) Call(kind Kind, body, out any, timeout time.Duration) error {
 	type result struct {
 		body []byte
 		err  error
 	}
-	got := make(chan result, 1)
-	revoke := l.SendRevocable(kind, body, func(body []byte, err error) {
+	results := make(chan result, 1)
+	revoke := c.SendRevocable(kind, body, func(body []byte, err error) {
 		select {
-		case got <- result{body, err}:
+		case results <- result{body, err}:
 		default:
 		}
 	})
 	defer revoke()
-	alarm := time.NewTimer(wait)
-	defer alarm.Stop()
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	select {
-	case r := <-got:
+	case r := <-results:
 		if r.err != nil || out == nil {
 			return r.err
 		}
-		return Unpack(r.body, out)
-	case <-alarm.C:
-		return errors.Timeoutf("call to %s", l.Address)
+		return Decode(r.body, out)
+	case <-timer.C:
+		return errors.Timeoutf("call to %s", c.Address)
 	}
 }
--- a/internal/rpc/caller_test.go
+++ b/internal/rpc/caller_test.go
@@ -16,14 +16,14 @@
 	reader *bufio.Reader
 }
 
-func listen(t *testing.T) (*Line, func() *peer) {
+func listen(t *testing.T) (*Client, func() *peer) {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = listener.Close() })
-	return NewLine(listener.Addr().String(), time.Second, time.Second), func() *peer {
+	return NewClient(listener.Addr().String(), time.Second, time.Second), func() *peer {
 		t.Helper()
 		_ = listener.(*net.TCPListener).SetDeadline(time.Now().Add(5 * time.Second))
 		conn, err := listener.Accept()
@@ -42,7 +42,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err = Unpack(f.Body, &text); err != nil {
+	if err = Decode(f.Body, &text); err != nil {
 		t.Fatal(err)
 	}
 	return f, text
@@ -50,156 +50,156 @@
 
 func (p *peer) reply(t *testing.T, number uint64, kind Kind, body any) {
 	t.Helper()
-	text, err := packFrame(number, kind, body)
+	encoded, err := encodeFrame(number, kind, body)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err = text.write(p.conn); err != nil {
+	if err = encoded.write(p.conn); err != nil {
 		t.Fatal(err)
 	}
 }
 
 // asked is how a call made beside the test ended.
-type asked struct {
+type callResult struct {
 	got string
 	err error
 }
 
-func ask(line *Line, text string, wait time.Duration) <-chan asked {
-	ended := make(chan asked, 1)
+func startCall(client *Client, text string, wait time.Duration) <-chan callResult {
+	ended := make(chan callResult, 1)
 	go func() {
-		var a asked
-		a.err = line.Ask(kindTest, text, &a.got, wait)
-		ended <- a
+		var result callResult
+		result.err = client.Call(kindTest, text, &result.got, wait)
+		ended <- result
 	}()
 	return ended
 }
 
 // dialing puts a line into the state in which its connection is being made.
-func dialing(line *Line) {
-	line.lock.Lock()
-	defer line.lock.Unlock()
-	line.dialing = true
+func setDialing(client *Client) {
+	client.lock.Lock()
+	defer client.lock.Unlock()
+	client.dialing = true
 }
 
-func TestCallThatTimedOutWhileTheLineWasMadeIsNeverSent(t *testing.T) {
-	line, accept := listen(t)
-	dialing(line)
-	if a := <-ask(line, "too late", 10*time.Millisecond); a.err == nil {
+func TestCallThatTimedOutWhileDialingIsNeverSent(t *testing.T) {
+	client, accept := listen(t)
+	setDialing(client)
+	if a := <-startCall(client, "too late", 10*time.Millisecond); a.err == nil {
 		t.Fatal("a call without a connection was answered")
 	}
-	revoke := line.SendRevocable(kindTest, "revoked", nil)
+	revoke := client.SendRevocable(kindTest, "revoked", nil)
 	revoke()
-	line.Send(kindTest, "in time", nil)
-	line.dial()
+	client.Send(kindTest, "in time", nil)
+	client.dial()
 	if _, text := accept().next(t); text != "in time" {
 		t.Fatalf("%q was sent after its caller had given up", text)
 	}
 }
 
-func TestRevokedCallIsNotWrittenAndForgottenOneIs(t *testing.T) {
-	line, accept := listen(t)
-	dialing(line)
+func TestRevokedCallIsNotSentAndForgottenCallIs(t *testing.T) {
+	client, accept := listen(t)
+	setDialing(client)
 	// No outbox reads yet, so the frames stay where a slow peer would leave them.
-	conn, err := Dial(line.Address, time.Second, time.Second)
+	conn, err := Dial(client.Address, time.Second, time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
-	line.conn, line.box = conn, &outbox{frames: make(chan *packet, 8), done: make(chan struct{})}
-	revoke := line.SendRevocable(kindTest, "a vote past its bound", func([]byte, error) {})
-	forget := line.Send(kindTest, "an outcome", func([]byte, error) {})
+	client.conn, client.outbox = conn, &outbox{frames: make(chan *outgoingFrame, 8), done: make(chan struct{})}
+	revoke := client.SendRevocable(kindTest, "a vote past its bound", func([]byte, error) {})
+	forget := client.Send(kindTest, "an outcome", func([]byte, error) {})
 	revoke()
 	forget()
-	go line.box.run(conn)
+	go client.outbox.run(conn)
 	if _, text := accept().next(t); text != "an outcome" {
 		t.Fatalf("%q was sent", text)
 	}
 }
 
-func TestLateReplyOfOneCallIsNotTheNextOnes(t *testing.T) {
-	line, accept := listen(t)
-	first := ask(line, "one", 30*time.Millisecond)
-	other := accept()
-	late, _ := other.next(t)
+func TestLateReplyIsNotDeliveredToTheNextCall(t *testing.T) {
+	client, accept := listen(t)
+	first := startCall(client, "one", 30*time.Millisecond)
+	server := accept()
+	late, _ := server.next(t)
 	if a := <-first; a.err == nil {
 		t.Fatal("the first call was answered")
 	}
-	line.lock.Lock()
-	if len(line.waiting) > 0 {
+	client.lock.Lock()
+	if len(client.pending) > 0 {
 		t.Error("a call that timed out is waited for still")
 	}
-	line.lock.Unlock()
-	second := ask(line, "two", 5*time.Second)
-	f, _ := other.next(t)
-	other.reply(t, late.Number, kindTest, "to one")
-	other.reply(t, f.Number+7, kindTest, "to nobody")
-	other.reply(t, f.Number, kindTest, "to two")
-	other.reply(t, f.Number, kindTest, "surplus")
+	client.lock.Unlock()
+	second := startCall(client, "two", 5*time.Second)
+	f, _ := server.next(t)
+	server.reply(t, late.Number, kindTest, "to one")
+	server.reply(t, f.Number+7, kindTest, "to nobody")
+	server.reply(t, f.Number, kindTest, "to two")
+	server.reply(t, f.Number, kindTest, "surplus")
 	if a := <-second; a.err != nil || a.got != "to two" {
 		t.Fatalf("got %q, %v", a.got, a.err)
 	}
 }
 
-func TestNumbersGoOnOverConnections(t *testing.T) {
-	line, accept := listen(t)
-	first := ask(line, "one", 5*time.Second)
-	other := accept()
-	old, _ := other.next(t)
-	_ = other.conn.Close()
-	if a := <-first; !errors.Is(a.err, ErrCut) {
+func TestCallNumbersContinueAfterReconnect(t *testing.T) {
+	client, accept := listen(t)
+	first := startCall(client, "one", 5*time.Second)
+	server := accept()
+	old, _ := server.next(t)
+	_ = server.conn.Close()
+	if a := <-first; !errors.Is(a.err, ErrDisconnected) {
 		t.Fatalf("got %v after the cut", a.err)
 	}
-	time.Sleep(2 * redialPause)
-	second := ask(line, "two", 5*time.Second)
-	again := accept()
-	f, _ := again.next(t)
+	time.Sleep(2 * redialDelay)
+	second := startCall(client, "two", 5*time.Second)
+	reconnected := accept()
+	f, _ := reconnected.next(t)
 	if f.Number <= old.Number {
 		t.Fatalf("number %d came again", f.Number)
 	}
 	// A peer that takes the new connection for the old one answers the old call.
-	again.reply(t, old.Number, kindTest, "to one")
-	again.reply(t, f.Number, kindTest, "to two")
+	reconnected.reply(t, old.Number, kindTest, "to one")
+	reconnected.reply(t, f.Number, kindTest, "to two")
 	if a := <-second; a.err != nil || a.got != "to two" {
 		t.Fatalf("got %q, %v", a.got, a.err)
 	}
 }
 
-func TestReplyOfAnotherKindEndsTheConnection(t *testing.T) {
-	line, accept := listen(t)
-	first := ask(line, "one", 5*time.Second)
-	other := accept()
-	f, _ := other.next(t)
-	other.reply(t, f.Number, kindTest+1, "of another kind")
-	if a := <-first; !errors.Is(a.err, ErrCut) {
+func TestReplyOfAnotherKindClosesTheConnection(t *testing.T) {
+	client, accept := listen(t)
+	first := startCall(client, "one", 5*time.Second)
+	server := accept()
+	f, _ := server.next(t)
+	server.reply(t, f.Number, kindTest+1, "of another kind")
+	if a := <-first; !errors.Is(a.err, ErrDisconnected) {
 		t.Fatalf("got %q, %v", a.got, a.err)
 	}
 }
 
-func TestCloseEndsAConnectionThatIsBeingMade(t *testing.T) {
-	line, accept := listen(t)
-	dialing(line)
-	waiting := ask(line, "one", 5*time.Second)
+func TestCloseWhileDialingClosesTheConnection(t *testing.T) {
+	client, accept := listen(t)
+	setDialing(client)
+	waiting := startCall(client, "one", 5*time.Second)
 	for queued := 0; queued == 0; time.Sleep(time.Millisecond) {
-		line.lock.Lock()
-		queued = len(line.queued)
-		line.lock.Unlock()
+		client.lock.Lock()
+		queued = len(client.queued)
+		client.lock.Unlock()
 	}
-	line.Close()
-	line.dial()
-	if a := <-waiting; !errors.Is(a.err, ErrCut) {
+	client.Close()
+	client.dial()
+	if a := <-waiting; !errors.Is(a.err, ErrDisconnected) {
 		t.Fatalf("got %v", a.err)
 	}
 	if _, err := accept().reader.ReadByte(); err == nil {
 		t.Fatal("a call was sent on a line that was closed")
 	}
-	line.lock.Lock()
-	defer line.lock.Unlock()
-	if line.conn != nil {
+	client.lock.Lock()
+	defer client.lock.Unlock()
+	if client.conn != nil {
 		t.Fatal("the connection stays")
 	}
 }
 
-func TestServerAnswersOnTheConnectionOfTheCall(t *testing.T) {
+func TestServerRepliesOnTheConnectionOfTheCall(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -207,14 +207,14 @@
 	defer listener.Close()
 	calls := make(chan Call, 2)
 	go Serve(listener, Handlers{kindTest: func(call Call) { calls <- call }}, time.Second)
-	one := NewLine(listener.Addr().String(), time.Second, time.Second)
-	two := NewLine(listener.Addr().String(), time.Second, time.Second)
+	one := NewClient(listener.Addr().String(), time.Second, time.Second)
+	two := NewClient(listener.Addr().String(), time.Second, time.Second)
 	// Both calls bear the same number, each on its own connection.
-	first := ask(one, "one", 5*time.Second)
-	held := <-calls
-	second := ask(two, "two", 5*time.Second)
+	first := startCall(one, "one", 5*time.Second)
+	heldCall := <-calls
+	second := startCall(two, "two", 5*time.Second)
 	(<-calls).Reply("to two")
-	held.Reply("to one")
+	heldCall.Reply("to one")
 	if a := <-second; a.got != "to two" {
 		t.Fatalf("got %q, %v", a.got, a.err)
 	}
--- a/internal/rpc/frame.go
+++ b/internal/rpc/frame.go
@@ -28,22 +28,22 @@
 	Body   cbor.RawMessage `cbor:"3,keyasint,omitempty"`
 }
 
-const frameLimit = 64 << 20
+const maxFrameBytes = 64 << 20
 
 func readFrame(r *bufio.Reader) (f frame, err error) {
-	var head [4]byte
-	if _, err = io.ReadFull(r, head[:]); err != nil {
+	var header [4]byte
+	if _, err = io.ReadFull(r, header[:]); err != nil {
 		return f, err
 	}
-	size := binary.BigEndian.Uint32(head[:])
-	if size > frameLimit {
+	size := binary.BigEndian.Uint32(header[:])
+	if size > maxFrameBytes {
 		return f, errors.NotValidf("frame of %d bytes", size)
 	}
-	text, err := bounded.Read(r, int(size))
+	data, err := bounded.Read(r, int(size))
 	if err != nil {
 		return f, err
 	}
-	return f, cbor.Unmarshal(text, &f)
+	return f, cbor.Unmarshal(data, &f)
 }
 
 // Packed is a body that is written already; frames to many share it.
@@ -51,39 +51,39 @@
 
 // packet is a frame on its way: its head, which is its own, and its body, which
 // other frames may share.
-type packet struct {
-	head, body []byte
+type outgoingFrame struct {
+	header, body []byte
 	// isRevoked: its caller has given up, and it must not be sent any more.
-	isRevoked atomic.Bool
+	revoked atomic.Bool
 }
 
-func (p *packet) size() int { return len(p.head) + len(p.body) }
+func (f *outgoingFrame) size() int { return len(f.header) + len(f.body) }
 
-func packFrame(number uint64, kind Kind, body any) (*packet, error) {
+func encodeFrame(number uint64, kind Kind, body any) (*outgoingFrame, error) {
 	f := frame{Number: number, Kind: kind}
 	var shared []byte
-	if packed, isPacked := body.(Packed); isPacked {
+	if packed, ok := body.(Packed); ok {
 		shared = packed.Packed()
 	}
 	if body != nil && shared == nil {
-		text, err := cbor.Marshal(body)
+		data, err := cbor.Marshal(body)
 		if err != nil {
 			return nil, errors.Trace(err)
 		}
-		shared = text
+		shared = data
 	}
-	text, err := cbor.Marshal(f)
+	data, err := cbor.Marshal(f)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
 	if len(shared) > 0 {
 		// The map has one entry more, the body, which comes last.
-		text[0]++
-		text = append(text, bodyKey)
+		data[0]++
+		data = append(data, bodyKey)
 	}
-	out := make([]byte, 4, 4+len(text))
-	binary.BigEndian.PutUint32(out, uint32(len(text)+len(shared)))
-	return &packet{head: append(out, text...), body: shared}, nil
+	out := make([]byte, 4, 4+len(data))
+	binary.BigEndian.PutUint32(out, uint32(len(data)+len(shared)))
+	return &outgoingFrame{header: append(out, data...), body: shared}, nil
 }
 
 // bodyKey is the frame's key for its body, as cbor writes it.
@@ -95,7 +95,7 @@
 //
 //	var call idempotency.Reserve
 //	err := rpc.Unpack(body, &call)
-func Unpack(body []byte, out any) error { return errors.Trace(cbor.Unmarshal(body, out)) }
+func Decode(body []byte, out any) error { return errors.Trace(cbor.Unmarshal(body, out)) }
 
 // Dial connects with bounds on silence: a dead machine says nothing, so the
 // connection itself must notice within the given span.
@@ -103,8 +103,8 @@
 // Example:
 //
 //	conn, err := rpc.Dial("10.1.0.42:7200", time.Second, 2*time.Second)
-func Dial(address string, connect, silence time.Duration) (net.Conn, error) {
-	return DialWindow(address, connect, silence, 0)
+func Dial(address string, connectTimeout, silenceTimeout time.Duration) (net.Conn, error) {
+	return DialWindow(address, connectTimeout, silenceTimeout, 0)
 }
 
 // DialWindow connects as Dial does, with a bound on what the other side may have
@@ -113,10 +113,10 @@
 // Example:
 //
 //	conn, err := rpc.DialWindow("10.1.0.42:7200", time.Second, 2*time.Second, 4096)
-func DialWindow(address string, connect, silence time.Duration, window int) (net.Conn, error) {
-	dialer := net.Dialer{Timeout: connect, KeepAlive: -1, Control: func(_, _ string, raw syscall.RawConn) error {
+func DialWindow(address string, connectTimeout, silenceTimeout time.Duration, window int) (net.Conn, error) {
+	dialer := net.Dialer{Timeout: connectTimeout, KeepAlive: -1, Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) {
-			boundSilence(int(fd), silence)
+			setSilenceTimeout(int(fd), silenceTimeout)
 			if window > 0 {
 				_ = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, window)
 			}
@@ -125,31 +125,31 @@
 	return dialer.Dial("tcp4", address)
 }
 
-func boundSilence(fd int, silence time.Duration) {
-	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silence.Milliseconds()))
+func setSilenceTimeout(fd int, timeout time.Duration) {
+	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(timeout.Milliseconds()))
 	_ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_KEEPALIVE, 1)
 	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_KEEPIDLE, 1)
 	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_KEEPINTVL, 1)
-	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_KEEPCNT, max(1, int(silence/time.Second)))
+	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_KEEPCNT, max(1, int(timeout/time.Second)))
 }
 
 // queuedBytes bounds what waits for a peer that reads slowly or not at all. A single
 // frame may be larger.
-const queuedBytes = 4 << 20
+const maxQueuedBytes = 4 << 20
 
 // outbox writes frames from an inbox that is bounded in frames and bytes, many in one
 // write.
 type outbox struct {
-	frames chan *packet
+	frames chan *outgoingFrame
 	done   chan struct{}
 	// queued is how many bytes wait.
-	queued atomic.Int64
+	queuedBytes atomic.Int64
 }
 
 func newOutbox(conn net.Conn, size int) *outbox {
-	box := &outbox{frames: make(chan *packet, size), done: make(chan struct{})}
-	go box.run(conn)
-	return box
+	outbox := &outbox{frames: make(chan *outgoingFrame, size), done: make(chan struct{})}
+	go outbox.run(conn)
+	return outbox
 }
 
 func (b *outbox) run(conn net.Conn) {
@@ -158,12 +158,12 @@
 		select {
 		case <-b.done:
 			return
-		case one := <-b.frames:
-			err := b.write(one, writer)
+		case next := <-b.frames:
+			err := b.write(next, writer)
 			for more := true; more && err == nil; {
 				select {
-				case one = <-b.frames:
-					err = b.write(one, writer)
+				case next = <-b.frames:
+					err = b.write(next, writer)
 				default:
 					more = false
 				}
@@ -179,26 +179,26 @@
 	}
 }
 
-func (b *outbox) write(one *packet, to io.Writer) error {
-	b.queued.Add(-int64(one.size()))
-	return one.write(to)
+func (b *outbox) write(next *outgoingFrame, to io.Writer) error {
+	b.queuedBytes.Add(-int64(next.size()))
+	return next.write(to)
 }
 
-func (p *packet) write(to io.Writer) error {
-	if p.isRevoked.Load() {
+func (f *outgoingFrame) write(to io.Writer) error {
+	if f.revoked.Load() {
 		return nil
 	}
-	_, err := to.Write(p.head)
-	if err == nil && len(p.body) > 0 {
-		_, err = to.Write(p.body)
+	_, err := to.Write(f.header)
+	if err == nil && len(f.body) > 0 {
+		_, err = to.Write(f.body)
 	}
 	return err
 }
 
 // offer puts the frame, or closes the connection of a peer that does not read.
-func (b *outbox) offer(conn net.Conn, one *packet) bool {
-	size := int64(one.size())
-	if queued := b.queued.Add(size); queued > size && queued > queuedBytes {
+func (b *outbox) enqueue(conn net.Conn, next *outgoingFrame) bool {
+	size := int64(next.size())
+	if queued := b.queuedBytes.Add(size); queued > size && queued > maxQueuedBytes {
 		_ = conn.Close()
 		return false
 	}
@@ -208,7 +208,7 @@
 	default:
 	}
 	select {
-	case b.frames <- one:
+	case b.frames <- next:
 		return true
 	default:
 		_ = conn.Close()
--- a/internal/rpc/frame_fuzz_test.go
+++ b/internal/rpc/frame_fuzz_test.go
@@ -8,19 +8,19 @@
 	"testing"
 )
 
-func packed(t testing.TB, number uint64, kind Kind, body any) []byte {
+func encodedFrame(t testing.TB, number uint64, kind Kind, body any) []byte {
 	t.Helper()
-	text, err := packFrame(number, kind, body)
+	data, err := encodeFrame(number, kind, body)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return append(append([]byte{}, text.head...), text.body...)
+	return append(append([]byte{}, data.header...), data.body...)
 }
 
 // FuzzReadFrame holds that the decoder never panics, takes no byte of the frame that
 // follows, and reads again what it would write.
 func FuzzReadFrame(f *testing.F) {
-	whole := packed(f, 7, kindTest, map[string]int{"a": 1})
+	whole := encodedFrame(f, 7, kindTest, map[string]int{"a": 1})
 	f.Add(whole)
 	f.Add(whole[:len(whole)-1])
 	f.Add([]byte{3, 255, 255, 255, 0xa3})
@@ -28,11 +28,11 @@
 	f.Add([]byte{0, 0, 0, 0})
 	f.Add([]byte{0, 0, 0, 1, 0xff})
 	f.Add([]byte{0, 0, 0, 6, 0x9b, 255, 255, 255, 255, 255})
-	next := packed(f, 8, kindTest, "the next frame")
-	f.Fuzz(func(t *testing.T, text []byte) {
-		reader := bufio.NewReader(bytes.NewReader(append(bytes.Clone(text), next...)))
+	next := encodedFrame(f, 8, kindTest, "the next frame")
+	f.Fuzz(func(t *testing.T, data []byte) {
+		reader := bufio.NewReader(bytes.NewReader(append(bytes.Clone(data), next...)))
 		got, err := readFrame(reader)
-		if err != nil || len(text) < 4 || uint64(len(text)-4) != uint64(binary.BigEndian.Uint32(text)) {
+		if err != nil || len(data) < 4 || uint64(len(data)-4) != uint64(binary.BigEndian.Uint32(data)) {
 			return
 		}
 		after, err := readFrame(reader)
@@ -40,24 +40,24 @@
 			t.Fatalf("the next frame is %d, %v", after.Number, err)
 		}
 		var body any
-		if len(got.Body) > 0 && Unpack(got.Body, &body) != nil {
+		if len(got.Body) > 0 && Decode(got.Body, &body) != nil {
 			t.Fatalf("a body that was taken cannot be read")
 		}
 	})
 }
 
-func TestFrameTakesNoMemoryForAClaim(t *testing.T) {
-	head := binary.BigEndian.AppendUint32(nil, frameLimit)
+func TestReadFrameAllocatesNoMemoryForAnnouncedLength(t *testing.T) {
+	header := binary.BigEndian.AppendUint32(nil, maxFrameBytes)
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
-	if _, err := readFrame(bufio.NewReader(bytes.NewReader(append(head, 0xa3)))); err == nil {
+	if _, err := readFrame(bufio.NewReader(bytes.NewReader(append(header, 0xa3)))); err == nil {
 		t.Fatal("a frame of one byte was taken for one of 64 MB")
 	}
 	runtime.ReadMemStats(&after)
-	if taken := after.TotalAlloc - before.TotalAlloc; taken > 1<<20 {
-		t.Fatalf("%d bytes were taken", taken)
+	if allocated := after.TotalAlloc - before.TotalAlloc; allocated > 1<<20 {
+		t.Fatalf("%d bytes were taken", allocated)
 	}
-	if _, err := readFrame(bufio.NewReader(bytes.NewReader(binary.BigEndian.AppendUint32(nil, frameLimit+1)))); err == nil {
+	if _, err := readFrame(bufio.NewReader(bytes.NewReader(binary.BigEndian.AppendUint32(nil, maxFrameBytes+1)))); err == nil {
 		t.Fatal("a frame over the limit was begun")
 	}
 }
--- a/internal/rpc/line.go
+++ b/internal/rpc/line.go
@@ -11,42 +11,42 @@
 
 // ErrCut says that the line broke or could not be made; whether the call was
 // received is not known.
-const ErrCut = errors.ConstError("the line is cut")
+const ErrDisconnected = errors.ConstError("the line is cut")
 
 // lineFrames is how many calls may wait for the line.
-const lineFrames = 4096
+const queuedFrameLimit = 4096
 
-const redialPause = 50 * time.Millisecond
+const redialDelay = 50 * time.Millisecond
 
 // Line is a connection to another process that is made when it is needed and
 // made again after it broke. Calls are numbered; replies come to closures.
-type Line struct {
+type Client struct {
 	Address string
 	// Again, if set, is called each time the line was made again after it broke.
-	Again func()
+	OnReconnect func()
 	// Sent, if set, is told how many bytes each call sends.
-	Sent    func(bytes int)
-	made    bool
-	connect time.Duration
-	silence time.Duration
-
-	lock    sync.Mutex
-	conn    net.Conn
-	box     *outbox
-	last    uint64
-	waiting map[uint64]pending
+	OnSend          func(bytes int)
+	connectedBefore bool
+	connectTimeout  time.Duration
+	silenceTimeout  time.Duration
+
+	lock       sync.Mutex
+	conn       net.Conn
+	outbox     *outbox
+	lastNumber uint64
+	pending    map[uint64]pendingCall
 	// retryAt keeps a dead address from being dialled by every call.
 	retryAt time.Time
 	dialing bool
 	// isClosing: Close came while the connection was being made.
-	isClosing bool
-	queued    []func()
+	closing bool
+	queued  []func()
 }
 
 // pending is a call that waits for its replies, which are of its own kind.
-type pending struct {
-	kind Kind
-	take func([]byte, error)
+type pendingCall struct {
+	kind   Kind
+	handle func([]byte, error)
 }
 
 // NewLine makes a line; nothing is dialled yet.
@@ -54,8 +54,8 @@
 // Example:
 //
 //	line := rpc.NewLine("10.1.0.42:7200", 500*time.Millisecond, 2*time.Second)
-func NewLine(address string, connect, silence time.Duration) *Line {
-	return &Line{Address: address, connect: connect, silence: silence}
+func NewClient(address string, connectTimeout, silenceTimeout time.Duration) *Client {
+	return &Client{Address: address, connectTimeout: connectTimeout, silenceTimeout: silenceTimeout}
 }
 
 // Send makes a call and gives each of its replies to the closure, from the
@@ -66,8 +66,8 @@
 // Example:
 //
 //	line.Send(KindPing, nil, func(body []byte, err error) { got <- err })
-func (l *Line) Send(kind Kind, body any, take func([]byte, error)) (forget func()) {
-	forget, _ = l.send(kind, body, take)
+func (c *Client) Send(kind Kind, body any, handle func([]byte, error)) (forget func()) {
+	forget, _ = c.send(kind, body, handle)
 	return forget
 }
 
@@ -78,64 +78,64 @@
 //
 //	revoke := line.SendRevocable(KindReserve, intent, take)
 //	defer revoke()
-func (l *Line) SendRevocable(kind Kind, body any, take func([]byte, error)) (revoke func()) {
-	_, revoke = l.send(kind, body, take)
+func (c *Client) SendRevocable(kind Kind, body any, handle func([]byte, error)) (revoke func()) {
+	_, revoke = c.send(kind, body, handle)
 	return revoke
 }
 
-func (l *Line) send(kind Kind, body any, take func([]byte, error)) (forget, revoke func()) {
-	l.lock.Lock()
-	defer l.lock.Unlock()
-	l.last++
-	number := l.last
+func (c *Client) send(kind Kind, body any, handle func([]byte, error)) (forget, revoke func()) {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	c.lastNumber++
+	number := c.lastNumber
 	forget = func() {
-		l.lock.Lock()
-		defer l.lock.Unlock()
-		delete(l.waiting, number)
+		c.lock.Lock()
+		defer c.lock.Unlock()
+		delete(c.pending, number)
 	}
-	text, err := packFrame(number, kind, body)
+	out, err := encodeFrame(number, kind, body)
 	if err != nil {
-		if take != nil {
-			go take(nil, err)
+		if handle != nil {
+			go handle(nil, err)
 		}
 		return forget, forget
 	}
 	revoke = func() {
-		text.isRevoked.Store(true)
+		out.revoked.Store(true)
 		forget()
 	}
-	if l.waiting == nil {
-		l.waiting = map[uint64]pending{}
+	if c.pending == nil {
+		c.pending = map[uint64]pendingCall{}
 	}
-	if take != nil {
-		l.waiting[number] = pending{kind, take}
+	if handle != nil {
+		c.pending[number] = pendingCall{kind, handle}
 	}
-	drop := func() {
-		if delete(l.waiting, number); take != nil {
-			go take(nil, ErrCut)
+	reject := func() {
+		if delete(c.pending, number); handle != nil {
+			go handle(nil, ErrDisconnected)
 		}
 	}
-	put := func() {
-		if l.Sent != nil {
-			l.Sent(text.size())
+	enqueue := func() {
+		if c.OnSend != nil {
+			c.OnSend(out.size())
 		}
-		if !l.box.offer(l.conn, text) {
-			drop()
+		if !c.outbox.enqueue(c.conn, out) {
+			reject()
 		}
 	}
 	switch {
-	case l.conn != nil:
-		put()
-	case l.dialing && len(l.queued) >= lineFrames:
-		drop()
-	case l.dialing:
-		l.queued = append(l.queued, put)
-	case time.Now().Before(l.retryAt):
-		drop()
+	case c.conn != nil:
+		enqueue()
+	case c.dialing && len(c.queued) >= queuedFrameLimit:
+		reject()
+	case c.dialing:
+		c.queued = append(c.queued, enqueue)
+	case time.Now().Before(c.retryAt):
+		reject()
 	default:
-		l.dialing = true
-		l.queued = append(l.queued, put)
-		go l.dial()
+		c.dialing = true
+		c.queued = append(c.queued, enqueue)
+		go c.dial()
 	}
 	return forget, revoke
 }
@@ -146,80 +146,80 @@
 // Example:
 //
 //	line.Close()
-func (l *Line) Close() {
-	l.lock.Lock()
-	defer l.lock.Unlock()
-	if l.conn != nil {
-		_ = l.conn.Close()
+func (c *Client) Close() {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	if c.conn != nil {
+		_ = c.conn.Close()
 	}
-	l.isClosing = l.dialing
+	c.closing = c.dialing
 }
 
-func (l *Line) dial() {
-	conn, err := Dial(l.Address, l.connect, l.silence)
-	l.lock.Lock()
-	defer l.lock.Unlock()
-	isClosing := l.isClosing
-	l.dialing, l.isClosing = false, false
-	queued := l.queued
-	l.queued = nil
+func (c *Client) dial() {
+	conn, err := Dial(c.Address, c.connectTimeout, c.silenceTimeout)
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	closing := c.closing
+	c.dialing, c.closing = false, false
+	queued := c.queued
+	c.queued = nil
 	if err != nil {
-		l.retryAt = time.Now().Add(redialPause)
-		l.fail()
+		c.retryAt = time.Now().Add(redialDelay)
+		c.failPending()
 		return
 	}
-	if isClosing {
+	if closing {
 		_ = conn.Close()
-		l.fail()
+		c.failPending()
 		return
 	}
-	l.conn, l.box = conn, newOutbox(conn, lineFrames)
-	for _, put := range queued {
-		put()
+	c.conn, c.outbox = conn, newOutbox(conn, queuedFrameLimit)
+	for _, enqueue := range queued {
+		enqueue()
 	}
-	go l.read(conn, l.box)
-	if l.made && l.Again != nil {
-		go l.Again()
+	go c.read(conn, c.outbox)
+	if c.connectedBefore && c.OnReconnect != nil {
+		go c.OnReconnect()
 	}
-	l.made = true
+	c.connectedBefore = true
 }
 
 // fail gives every waiting call its error; the lock is held.
-func (l *Line) fail() {
-	waiting := l.waiting
-	l.waiting = nil
+func (c *Client) failPending() {
+	pending := c.pending
+	c.pending = nil
 	go func() {
-		for _, call := range waiting {
-			call.take(nil, ErrCut)
+		for _, call := range pending {
+			call.handle(nil, ErrDisconnected)
 		}
 	}()
 }
 
-func (l *Line) read(conn net.Conn, box *outbox) {
+func (c *Client) read(conn net.Conn, outbox *outbox) {
 	reader := bufio.NewReaderSize(conn, 16<<10)
 	for {
 		f, err := readFrame(reader)
 		if err != nil {
 			break
 		}
-		l.lock.Lock()
-		call, isWaiting := l.waiting[f.Number]
-		l.lock.Unlock()
-		if !isWaiting {
+		c.lock.Lock()
+		call, ok := c.pending[f.Number]
+		c.lock.Unlock()
+		if !ok {
 			continue
 		}
 		if call.kind != f.Kind {
 			// It answers no call of this line: nothing that follows can be trusted.
 			break
 		}
-		call.take(f.Body, nil)
+		call.handle(f.Body, nil)
 	}
 	_ = conn.Close()
-	close(box.done)
-	l.lock.Lock()
-	defer l.lock.Unlock()
-	if l.conn == conn {
-		l.conn, l.box = nil, nil
+	close(outbox.done)
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	if c.conn == conn {
+		c.conn, c.outbox = nil, nil
 	}
-	l.fail()
+	c.failPending()
 }
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -16,7 +16,7 @@
 	Body  []byte
 	Reply func(body any) bool
 	// Ended is closed when the caller's connection ends.
-	Ended <-chan struct{}
+	Closed <-chan struct{}
 }
 
 // Handlers is the table from a frame's kind to what is done with it. A handler
@@ -29,9 +29,9 @@
 // Example:
 //
 //	go rpc.Serve(listener, rpc.Handlers{KindPing: answerPing}, 2*time.Second)
-func Serve(listener net.Listener, handlers Handlers, silence time.Duration) {
-	ending := make(chan struct{})
-	defer close(ending)
+func Serve(listener net.Listener, handlers Handlers, silenceTimeout time.Duration) {
+	stopped := make(chan struct{})
+	defer close(stopped)
 	for {
 		conn, err := listener.Accept()
 		if err != nil {
@@ -42,23 +42,23 @@
 		}
 		if tcp, ok := conn.(*net.TCPConn); ok {
 			if raw, err := tcp.SyscallConn(); err == nil {
-				_ = raw.Control(func(fd uintptr) { boundSilence(int(fd), silence) })
+				_ = raw.Control(func(fd uintptr) { setSilenceTimeout(int(fd), silenceTimeout) })
 			}
 		}
-		go serveConn(conn, handlers, ending)
+		go serveConn(conn, handlers, stopped)
 	}
 }
 
-func serveConn(conn net.Conn, handlers Handlers, ending <-chan struct{}) {
-	box, ended := newOutbox(conn, 1024), make(chan struct{})
+func serveConn(conn net.Conn, handlers Handlers, stopped <-chan struct{}) {
+	box, closed := newOutbox(conn, 1024), make(chan struct{})
 	var once sync.Once
-	end := func() { once.Do(func() { _ = conn.Close(); close(box.done); close(ended) }) }
-	defer end()
+	closeConn := func() { once.Do(func() { _ = conn.Close(); close(box.done); close(closed) }) }
+	defer closeConn()
 	go func() {
 		select {
-		case <-ending:
-			end()
-		case <-ended:
+		case <-stopped:
+			closeConn()
+		case <-closed:
 		}
 	}()
 	reader := bufio.NewReaderSize(conn, 16<<10)
@@ -72,9 +72,9 @@
 			return
 		}
 		number, kind := f.Number, f.Kind
-		handle(Call{Body: f.Body, Ended: ended, Reply: func(body any) bool {
-			text, err := packFrame(number, kind, body)
-			return err == nil && box.offer(conn, text)
+		handle(Call{Body: f.Body, Closed: closed, Reply: func(body any) bool {
+			response, err := encodeFrame(number, kind, body)
+			return err == nil && box.enqueue(conn, response)
 		}})
 	}
 }
--- a/internal/rpc/server_test.go
+++ b/internal/rpc/server_test.go
@@ -26,24 +26,24 @@
 	return &peer{conn, bufio.NewReader(conn)}
 }
 
-func TestServerEndsAConnectionThatItCannotRead(t *testing.T) {
+func TestServerClosesAConnectionOnAnInvalidOrUnknownFrame(t *testing.T) {
 	noFrame := binary.BigEndian.AppendUint32(nil, 3)
-	unknown := packed(t, 2, kindTest+1, "of a kind that nobody answers")
+	unknown := encodedFrame(t, 2, kindTest+1, "of a kind that nobody answers")
 	for name, bad := range map[string][]byte{"no frame": append(noFrame, 0xff, 0xff, 0xff), "unknown kind": unknown} {
 		calls := make(chan Call, 4)
 		client := dialServer(t, Handlers{kindTest: func(call Call) { calls <- call }})
-		if _, err := client.conn.Write(append(packed(t, 1, kindTest, "one"), bad...)); err != nil {
+		if _, err := client.conn.Write(append(encodedFrame(t, 1, kindTest, "one"), bad...)); err != nil {
 			t.Fatal(err)
 		}
 		// What stands behind it is no call any more.
-		_, _ = client.conn.Write(packed(t, 3, kindTest, "behind it"))
-		held := <-calls
+		_, _ = client.conn.Write(encodedFrame(t, 3, kindTest, "behind it"))
+		heldCall := <-calls
 		select {
-		case <-held.Ended:
+		case <-heldCall.Closed:
 		case <-time.After(5 * time.Second):
 			t.Fatalf("%s: the connection goes on", name)
 		}
-		if held.Reply("too late") {
+		if heldCall.Reply("too late") {
 			t.Errorf("%s: a reply was taken by a connection that had ended", name)
 		}
 		if _, err := client.reader.ReadByte(); err == nil {
