--- a/internal/rpc/call.go
+++ b/internal/rpc/call.go
@@ -6,12 +6,8 @@
 	"github.com/juju/errors"
 )
 
-// Ask makes a call and waits for its one reply, at most the given span. If it has
-// not been sent by then, it never is.
-//
-// Example:
-//
-//	err := line.Ask(KindView, nil, &view, time.Second)
+// Call makes a call with a single reply and waits for it until the timeout. A call that
+// has not been sent by then is never sent.
 func (c *Client) Call(kind Kind, body, out any, timeout time.Duration) error {
 	type result struct {
 		body []byte
--- a/internal/rpc/client.go
+++ b/internal/rpc/client.go
@@ -9,22 +9,23 @@
 	"github.com/juju/errors"
 )
 
-// ErrCut says that the line broke or could not be made; whether the call was
-// received is not known.
-const ErrDisconnected = errors.ConstError("the line is cut")
+// ErrDisconnected means that the connection failed or could not be established; it is
+// unknown whether the call was received.
+const ErrDisconnected = errors.ConstError("connection lost or not established")
 
-// lineFrames is how many calls may wait for the line.
+// queuedFrameLimit is the maximum number of calls that wait for a connection or in its
+// outbox.
 const queuedFrameLimit = 4096
 
 const redialDelay = 50 * time.Millisecond
 
-// Line is a connection to another process that is made when it is needed and
-// made again after it broke. Calls are numbered; replies come to closures.
+// Client is a connection to another process. It is established on the first call and
+// again on the next call after it failed. Replies are matched to calls by number.
 type Client struct {
 	Address string
-	// Again, if set, is called each time the line was made again after it broke.
+	// OnReconnect, if set, is called each time the connection is re-established.
 	OnReconnect func()
-	// Sent, if set, is told how many bytes each call sends.
+	// OnSend, if set, is called with the size of each call in bytes.
 	OnSend          func(bytes int)
 	connectedBefore bool
 	connectTimeout  time.Duration
@@ -35,49 +36,36 @@
 	outbox     *outbox
 	lastNumber uint64
 	pending    map[uint64]pendingCall
-	// retryAt keeps a dead address from being dialled by every call.
+	// retryAt prevents every call from dialing an unreachable address.
 	retryAt time.Time
 	dialing bool
-	// isClosing: Close came while the connection was being made.
+	// closing is set if Close was called while dialing.
 	closing bool
 	queued  []func()
 }
 
-// pending is a call that waits for its replies, which are of its own kind.
+// pendingCall is a call that waits for its replies, which have the same kind.
 type pendingCall struct {
 	kind   Kind
 	handle func([]byte, error)
 }
 
-// NewLine makes a line; nothing is dialled yet.
-//
-// Example:
-//
-//	line := rpc.NewLine("10.1.0.42:7200", 500*time.Millisecond, 2*time.Second)
+// NewClient returns a client that dials on the first call.
 func NewClient(address string, connectTimeout, silenceTimeout time.Duration) *Client {
 	return &Client{Address: address, connectTimeout: connectTimeout, silenceTimeout: silenceTimeout}
 }
 
-// Send makes a call and gives each of its replies to the closure, from the
-// line's own goroutine; an error is the last thing given. It does not wait. The
-// closure stays until it is forgotten; without one, replies are passed over. A call
-// that is forgotten is sent all the same.
-//
-// Example:
-//
-//	line.Send(KindPing, nil, func(body []byte, err error) { got <- err })
+// Send makes a call without waiting. It passes each reply to handle on the client's
+// read goroutine; after an error, handle is not called again. handle stays registered
+// until forget is called; if it is nil, replies are ignored. A forgotten call is still
+// sent.
 func (c *Client) Send(kind Kind, body any, handle func([]byte, error)) (forget func()) {
 	forget, _ = c.send(kind, body, handle)
 	return forget
 }
 
-// SendRevocable makes a call as Send does. Once it is revoked, it is forgotten, and
-// never sent if that has not begun: what has a bound is not to come after it.
-//
-// Example:
-//
-//	revoke := line.SendRevocable(KindReserve, intent, take)
-//	defer revoke()
+// SendRevocable makes a call as Send does. Revoking it also forgets it, and drops it
+// if writing it has not begun: a call with a deadline must not arrive after it.
 func (c *Client) SendRevocable(kind Kind, body any, handle func([]byte, error)) (revoke func()) {
 	_, revoke = c.send(kind, body, handle)
 	return revoke
@@ -140,12 +128,8 @@
 	return forget, revoke
 }
 
-// Close ends the connection, also one that is being made; calls that wait for it
-// get their error, and a later call makes a new one.
-//
-// Example:
-//
-//	line.Close()
+// Close closes the connection, including one that is being dialed. Pending calls fail,
+// and a later call opens a new connection.
 func (c *Client) Close() {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -184,7 +168,7 @@
 	c.connectedBefore = true
 }
 
-// fail gives every waiting call its error; the lock is held.
+// failPending fails every pending call. The lock must be held.
 func (c *Client) failPending() {
 	pending := c.pending
 	c.pending = nil
@@ -209,7 +193,7 @@
 			continue
 		}
 		if call.kind != f.Kind {
-			// It answers no call of this line: nothing that follows can be trusted.
+			// The reply matches no call of this client: later frames can't be trusted either.
 			break
 		}
 		call.handle(f.Body, nil)
--- a/internal/rpc/client_test.go
+++ b/internal/rpc/client_test.go
@@ -10,7 +10,7 @@
 
 const kindTest Kind = 9
 
-// peer is the other end of one line, frame by frame.
+// peer is the remote end of a connection; it reads and writes single frames.
 type peer struct {
 	conn   net.Conn
 	reader *bufio.Reader
@@ -59,7 +59,7 @@
 	}
 }
 
-// asked is how a call made beside the test ended.
+// callResult is the result of a call that runs concurrently with the test.
 type callResult struct {
 	got string
 	err error
@@ -75,7 +75,7 @@
 	return ended
 }
 
-// dialing puts a line into the state in which its connection is being made.
+// setDialing puts a client into the state in which it is dialing.
 func setDialing(client *Client) {
 	client.lock.Lock()
 	defer client.lock.Unlock()
@@ -86,27 +86,27 @@
 	client, accept := listen(t)
 	setDialing(client)
 	if a := <-startCall(client, "too late", 10*time.Millisecond); a.err == nil {
-		t.Fatal("a call without a connection was answered")
+		t.Fatal("a call without a connection returned no error")
 	}
 	revoke := client.SendRevocable(kindTest, "revoked", nil)
 	revoke()
 	client.Send(kindTest, "in time", nil)
 	client.dial()
 	if _, text := accept().next(t); text != "in time" {
-		t.Fatalf("%q was sent after its caller had given up", text)
+		t.Fatalf("%q was sent after its caller gave up", text)
 	}
 }
 
 func TestRevokedCallIsNotSentAndForgottenCallIs(t *testing.T) {
 	client, accept := listen(t)
 	setDialing(client)
-	// No outbox reads yet, so the frames stay where a slow peer would leave them.
+	// The outbox is not running yet, so the frames stay queued as with a slow peer.
 	conn, err := Dial(client.Address, time.Second, time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
 	client.conn, client.outbox = conn, &outbox{frames: make(chan *outgoingFrame, 8), done: make(chan struct{})}
-	revoke := client.SendRevocable(kindTest, "a vote past its bound", func([]byte, error) {})
+	revoke := client.SendRevocable(kindTest, "a vote past its deadline", func([]byte, error) {})
 	forget := client.Send(kindTest, "an outcome", func([]byte, error) {})
 	revoke()
 	forget()
@@ -122,11 +122,11 @@
 	server := accept()
 	late, _ := server.next(t)
 	if a := <-first; a.err == nil {
-		t.Fatal("the first call was answered")
+		t.Fatal("the first call returned no error")
 	}
 	client.lock.Lock()
 	if len(client.pending) > 0 {
-		t.Error("a call that timed out is waited for still")
+		t.Error("a call that timed out is still pending")
 	}
 	client.lock.Unlock()
 	second := startCall(client, "two", 5*time.Second)
@@ -147,16 +147,16 @@
 	old, _ := server.next(t)
 	_ = server.conn.Close()
 	if a := <-first; !errors.Is(a.err, ErrDisconnected) {
-		t.Fatalf("got %v after the cut", a.err)
+		t.Fatalf("got %v after the connection was closed", a.err)
 	}
 	time.Sleep(2 * redialDelay)
 	second := startCall(client, "two", 5*time.Second)
 	reconnected := accept()
 	f, _ := reconnected.next(t)
 	if f.Number <= old.Number {
-		t.Fatalf("number %d came again", f.Number)
+		t.Fatalf("call number %d was reused", f.Number)
 	}
-	// A peer that takes the new connection for the old one answers the old call.
+	// A reply to a call of the old connection must not be delivered on the new one.
 	reconnected.reply(t, old.Number, kindTest, "to one")
 	reconnected.reply(t, f.Number, kindTest, "to two")
 	if a := <-second; a.err != nil || a.got != "to two" {
@@ -190,12 +190,12 @@
 		t.Fatalf("got %v", a.err)
 	}
 	if _, err := accept().reader.ReadByte(); err == nil {
-		t.Fatal("a call was sent on a line that was closed")
+		t.Fatal("a call was sent after the client was closed")
 	}
 	client.lock.Lock()
 	defer client.lock.Unlock()
 	if client.conn != nil {
-		t.Fatal("the connection stays")
+		t.Fatal("the connection was not closed")
 	}
 }
 
@@ -209,7 +209,7 @@
 	go Serve(listener, Handlers{kindTest: func(call Call) { calls <- call }}, time.Second)
 	one := NewClient(listener.Addr().String(), time.Second, time.Second)
 	two := NewClient(listener.Addr().String(), time.Second, time.Second)
-	// Both calls bear the same number, each on its own connection.
+	// Both calls have the same number, each on its own connection.
 	first := startCall(one, "one", 5*time.Second)
 	heldCall := <-calls
 	second := startCall(two, "two", 5*time.Second)
--- a/internal/rpc/frame.go
+++ b/internal/rpc/frame.go
@@ -1,6 +1,6 @@
-// Package rpc carries cbor frames between ploverhitch's own processes: a
-// call and its replies share a number, several calls share one connection, and
-// a table says which handler answers which kind.
+// Package rpc exchanges CBOR frames between the processes of ploverhitch. A call and
+// its replies share a number, calls are multiplexed on one connection, and the server
+// selects the handler of a call by its kind.
 package rpc
 
 import (
@@ -19,7 +19,7 @@
 	"ploverhitch/internal/bounded"
 )
 
-// Kind names what a frame asks for.
+// Kind identifies the type of a call.
 type Kind uint8
 
 type frame struct {
@@ -46,14 +46,14 @@
 	return f, cbor.Unmarshal(data, &f)
 }
 
-// Packed is a body that is written already; frames to many share it.
+// Packed is a body that is already encoded, so that frames to many peers share it.
 type Packed interface{ Packed() []byte }
 
-// packet is a frame on its way: its head, which is its own, and its body, which
-// other frames may share.
+// outgoingFrame is an encoded frame: its own header, and a body that other frames may
+// share.
 type outgoingFrame struct {
 	header, body []byte
-	// isRevoked: its caller has given up, and it must not be sent any more.
+	// revoked is set when the caller gives up; the frame must not be sent after that.
 	revoked atomic.Bool
 }
 
@@ -77,7 +77,7 @@
 		return nil, errors.Trace(err)
 	}
 	if len(shared) > 0 {
-		// The map has one entry more, the body, which comes last.
+		// Adds one entry to the CBOR map: the body, which comes last.
 		data[0]++
 		data = append(data, bodyKey)
 	}
@@ -86,33 +86,21 @@
 	return &outgoingFrame{header: append(out, data...), body: shared}, nil
 }
 
-// bodyKey is the frame's key for its body, as cbor writes it.
+// bodyKey is the CBOR encoding of the frame's map key for its body.
 const bodyKey = 3
 
-// Unpack reads a frame's body into out.
-//
-// Example:
-//
-//	var call idempotency.Reserve
-//	err := rpc.Unpack(body, &call)
+// Decode decodes the body of a frame into out.
 func Decode(body []byte, out any) error { return errors.Trace(cbor.Unmarshal(body, out)) }
 
-// Dial connects with bounds on silence: a dead machine says nothing, so the
-// connection itself must notice within the given span.
-//
-// Example:
-//
-//	conn, err := rpc.Dial("10.1.0.42:7200", time.Second, 2*time.Second)
+// Dial connects to address. The connection fails if the peer is silent for the silence
+// timeout: a failed machine sends no reset, so keepalives and TCP_USER_TIMEOUT have to
+// detect it.
 func Dial(address string, connectTimeout, silenceTimeout time.Duration) (net.Conn, error) {
 	return DialWindow(address, connectTimeout, silenceTimeout, 0)
 }
 
-// DialWindow connects as Dial does, with a bound on what the other side may have
-// on its way at once, if it is not 0.
-//
-// Example:
-//
-//	conn, err := rpc.DialWindow("10.1.0.42:7200", time.Second, 2*time.Second, 4096)
+// DialWindow connects as Dial does. A window above 0 sets the size of the receive
+// buffer, which bounds the bytes that the peer may have in flight.
 func DialWindow(address string, connectTimeout, silenceTimeout time.Duration, window int) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: connectTimeout, KeepAlive: -1, Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) {
@@ -133,16 +121,16 @@
 	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_KEEPCNT, max(1, int(timeout/time.Second)))
 }
 
-// queuedBytes bounds what waits for a peer that reads slowly or not at all. A single
-// frame may be larger.
+// maxQueuedBytes limits the bytes queued for a peer that reads slowly or not at all. A
+// single frame may be larger.
 const maxQueuedBytes = 4 << 20
 
-// outbox writes frames from an inbox that is bounded in frames and bytes, many in one
-// write.
+// outbox writes frames from a queue that is bounded in frames and bytes, and combines
+// several frames in one write.
 type outbox struct {
 	frames chan *outgoingFrame
 	done   chan struct{}
-	// queued is how many bytes wait.
+	// queuedBytes is the number of bytes in the queue.
 	queuedBytes atomic.Int64
 }
 
@@ -195,7 +183,8 @@
 	return err
 }
 
-// offer puts the frame, or closes the connection of a peer that does not read.
+// enqueue queues the frame. If the queue is full, the peer does not read, and enqueue
+// closes the connection.
 func (b *outbox) enqueue(conn net.Conn, next *outgoingFrame) bool {
 	size := int64(next.size())
 	if queued := b.queuedBytes.Add(size); queued > size && queued > maxQueuedBytes {
--- a/internal/rpc/frame_fuzz_test.go
+++ b/internal/rpc/frame_fuzz_test.go
@@ -17,8 +17,8 @@
 	return append(append([]byte{}, data.header...), data.body...)
 }
 
-// FuzzReadFrame holds that the decoder never panics, takes no byte of the frame that
-// follows, and reads again what it would write.
+// FuzzReadFrame checks that the decoder never panics, consumes no byte of the next
+// frame, and accepts only bodies that can be decoded.
 func FuzzReadFrame(f *testing.F) {
 	whole := encodedFrame(f, 7, kindTest, map[string]int{"a": 1})
 	f.Add(whole)
@@ -37,11 +37,11 @@
 		}
 		after, err := readFrame(reader)
 		if err != nil || after.Number != 8 {
-			t.Fatalf("the next frame is %d, %v", after.Number, err)
+			t.Fatalf("number of the next frame: got %d, error %v", after.Number, err)
 		}
 		var body any
 		if len(got.Body) > 0 && Decode(got.Body, &body) != nil {
-			t.Fatalf("a body that was taken cannot be read")
+			t.Fatalf("an accepted body cannot be decoded")
 		}
 	})
 }
@@ -51,13 +51,13 @@
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	if _, err := readFrame(bufio.NewReader(bytes.NewReader(append(header, 0xa3)))); err == nil {
-		t.Fatal("a frame of one byte was taken for one of 64 MB")
+		t.Fatal("a frame of one byte was accepted as one of 64 MB")
 	}
 	runtime.ReadMemStats(&after)
 	if allocated := after.TotalAlloc - before.TotalAlloc; allocated > 1<<20 {
-		t.Fatalf("%d bytes were taken", allocated)
+		t.Fatalf("%d bytes were allocated", allocated)
 	}
 	if _, err := readFrame(bufio.NewReader(bytes.NewReader(binary.BigEndian.AppendUint32(nil, maxFrameBytes+1)))); err == nil {
-		t.Fatal("a frame over the limit was begun")
+		t.Fatal("a frame over the size limit was accepted")
 	}
 }
--- a/internal/rpc/rpc_test.go
+++ b/internal/rpc/rpc_test.go
@@ -14,7 +14,7 @@
 
 func TestRPC(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "signal")
+	RunSpecs(t, "rpc")
 }
 
 const (
@@ -44,8 +44,8 @@
 	return listener
 }
 
-var _ = Describe("a peer that does not read", func() {
-	It("loses its connection once more bytes wait for it than the bound", func() {
+var _ = Describe("Serve", func() {
+	It("closes the connection of a peer that does not read once the queued bytes exceed the limit", func() {
 		listener, err := net.Listen("tcp4", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		defer listener.Close()
@@ -63,13 +63,13 @@
 		client.Send(flood, nil, func([]byte, error) { <-release })
 		var bytes int
 		Eventually(accepted, 5*time.Second).Should(Receive(&bytes))
-		// What the kernel takes comes on top of the bound.
+		// The socket buffers of the kernel hold bytes in addition to the limit.
 		Expect(bytes).To(BeNumerically("<", 1000*64<<10))
 	})
 })
 
-var _ = Describe("a line", func() {
-	It("carries many calls at once, each to its own reply", func() {
+var _ = Describe("Client", func() {
+	It("matches replies to concurrent calls", func() {
 		listener := serve("127.0.0.1:0")
 		defer listener.Close()
 		client := rpc.NewClient(listener.Addr().String(), time.Second, time.Second)
@@ -85,7 +85,7 @@
 		all.Wait()
 	})
 
-	It("gives every reply of a feed, and then the cut", func() {
+	It("delivers every reply of a subscription, and then the disconnect error", func() {
 		listener := serve("127.0.0.1:0")
 		defer listener.Close()
 		client := rpc.NewClient(listener.Addr().String(), time.Second, time.Second)
@@ -107,7 +107,7 @@
 		Eventually(disconnected).Should(Receive(MatchError(rpc.ErrDisconnected)))
 	})
 
-	It("fails fast where nobody listens, and works once somebody does", func() {
+	It("fails fast while nothing listens on the address, and connects once a server does", func() {
 		listener := serve("127.0.0.1:0")
 		address := listener.Addr().String()
 		listener.Close()
@@ -118,7 +118,7 @@
 		Eventually(func() error { return client.Call(echo, "x", nil, time.Second) }).Should(Succeed())
 	})
 
-	It("waits no longer than it is told", func() {
+	It("returns an error after the timeout", func() {
 		listener := serve("127.0.0.1:0")
 		defer listener.Close()
 		client := rpc.NewClient(listener.Addr().String(), time.Second, time.Second)
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -9,26 +9,21 @@
 	"github.com/juju/errors"
 )
 
-// Call is one call that came in. Reply may be called from any goroutine, and
-// more than once where the caller follows a feed; it tells whether the
-// connection still takes replies.
+// Call is an incoming call. Reply may be called from any goroutine, and more than once
+// for a subscription; it reports whether the connection still accepts replies.
 type Call struct {
 	Body  []byte
 	Reply func(body any) bool
-	// Ended is closed when the caller's connection ends.
+	// Closed is closed when the caller's connection ends.
 	Closed <-chan struct{}
 }
 
-// Handlers is the table from a frame's kind to what is done with it. A handler
-// must not wait: it hands the call to the owner of a table.
+// Handlers maps the kind of a call to its handler. A handler must not block: it passes
+// the call to the event loop that owns the data.
 type Handlers map[Kind]func(Call)
 
-// Serve accepts connections and answers their calls by the table until the
-// listener is closed; the connections end with it.
-//
-// Example:
-//
-//	go rpc.Serve(listener, rpc.Handlers{KindPing: answerPing}, 2*time.Second)
+// Serve accepts connections and dispatches their calls to the handlers until the
+// listener is closed, which also closes the connections.
 func Serve(listener net.Listener, handlers Handlers, silenceTimeout time.Duration) {
 	stopped := make(chan struct{})
 	defer close(stopped)
--- a/internal/rpc/server_test.go
+++ b/internal/rpc/server_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// dialServer is a client of a server of calls, frame by frame.
+// dialServer starts a server and connects to it; the test reads and writes single frames.
 func dialServer(t *testing.T, handlers Handlers) *peer {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -28,29 +28,29 @@
 
 func TestServerClosesAConnectionOnAnInvalidOrUnknownFrame(t *testing.T) {
 	noFrame := binary.BigEndian.AppendUint32(nil, 3)
-	unknown := encodedFrame(t, 2, kindTest+1, "of a kind that nobody answers")
+	unknown := encodedFrame(t, 2, kindTest+1, "of a kind without a handler")
 	for name, bad := range map[string][]byte{"no frame": append(noFrame, 0xff, 0xff, 0xff), "unknown kind": unknown} {
 		calls := make(chan Call, 4)
 		client := dialServer(t, Handlers{kindTest: func(call Call) { calls <- call }})
 		if _, err := client.conn.Write(append(encodedFrame(t, 1, kindTest, "one"), bad...)); err != nil {
 			t.Fatal(err)
 		}
-		// What stands behind it is no call any more.
-		_, _ = client.conn.Write(encodedFrame(t, 3, kindTest, "behind it"))
+		// Frames after the invalid one must not be handled.
+		_, _ = client.conn.Write(encodedFrame(t, 3, kindTest, "after the invalid frame"))
 		heldCall := <-calls
 		select {
 		case <-heldCall.Closed:
 		case <-time.After(5 * time.Second):
-			t.Fatalf("%s: the connection goes on", name)
+			t.Fatalf("%s: the connection was not closed", name)
 		}
 		if heldCall.Reply("too late") {
-			t.Errorf("%s: a reply was taken by a connection that had ended", name)
+			t.Errorf("%s: a closed connection accepted a reply", name)
 		}
 		if _, err := client.reader.ReadByte(); err == nil {
-			t.Errorf("%s: bytes came on a connection that had ended", name)
+			t.Errorf("%s: the server sent bytes on a closed connection", name)
 		}
 		if len(calls) > 0 {
-			t.Errorf("%s: a call behind it was taken", name)
+			t.Errorf("%s: a call after the invalid frame was handled", name)
 		}
 	}
 }
