--- a/cmd/ploverhitch/main.go
+++ b/cmd/ploverhitch/main.go
@@ -97,8 +97,8 @@
 	}()
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	if err := programs[name](ctx, set, *path, ring.Note); err != nil {
-		ring.Note("error", "the program ended", "program", name, "error", err)
+	if err := programs[name](ctx, set, *path, ring.Log); err != nil {
+		ring.Log("error", "the program ended", "program", name, "error", err)
 		os.Exit(1)
 	}
 }
--- a/internal/agent/choose_test.go
+++ b/internal/agent/choose_test.go
@@ -28,28 +28,28 @@
 	return out
 }
 
-func newDesk(node string, view membership.View) (*desk, *timetable.Hand) {
-	hand := &timetable.Hand{Now: time.Hour}
-	set := &settings.Settings{Platform: settings.Platform{NodeName: node, SeedNodes: []string{"10.0.9.1:8382"}, InternalPorts: []int{7200, 7215}}}
-	d := &desk{set: set, clock: hand, hub: feed.NewHub(), followers: map[string]*feed.Follower{}}
+func newAgent(node string, view membership.View) (*agent, *timetable.Hand) {
+	clock := &timetable.Hand{Now: time.Hour}
+	cfg := &settings.Settings{Platform: settings.Platform{NodeName: node, SeedNodes: []string{"10.0.9.1:8382"}, InternalPorts: []int{7200, 7215}}}
+	a := &agent{settings: cfg, clock: clock, hub: feed.NewHub(), followers: map[string]*feed.Follower{}}
 	if view.Epoch > 0 {
-		d.hub.Publish(feed.News{View: &view})
+		a.hub.Publish(feed.News{View: &view})
 	}
-	return d, hand
+	return a, clock
 }
 
 var _ = Describe("whom an agent follows", func() {
 	It("is the seeds until it knows a view", func() {
-		d, _ := newDesk("edge-1", membership.View{})
-		Expect(d.wanted()).To(Equal(map[string]bool{"10.0.9.1:7200": true}))
+		a, _ := newAgent("edge-1", membership.View{})
+		Expect(a.membersToFollow()).To(Equal(map[string]bool{"10.0.9.1:7200": true}))
 	})
 
 	It("meets every majority of the core, and all nodes together follow all members alike", func() {
 		for count := 1; count <= 9; count++ {
 			view, load := membership.View{Epoch: 1, Members: members(count)}, map[string]int{}
 			for number := range 300 {
-				d, _ := newDesk(fmt.Sprint("edge-", number), view)
-				wanted := d.wanted()
+				a, _ := newAgent(fmt.Sprint("edge-", number), view)
+				wanted := a.membersToFollow()
 				// Whoever is not followed is no majority.
 				Expect(len(wanted)).To(Equal(min(count, max(3, view.Majority()))))
 				Expect(count - len(wanted)).To(BeNumerically("<", view.Majority()))
@@ -65,21 +65,21 @@
 
 	It("has a spare for each that does not tell, for a while after, and the seeds if most are silent", func() {
 		view := membership.View{Epoch: 1, Members: members(5)}
-		d, hand := newDesk("edge-1", view)
+		a, clock := newAgent("edge-1", view)
 		order := membership.FollowOrder(view.Members, "edge-1")
 		for _, member := range order[:3] {
-			d.followers[member] = feed.NewFollower("edge-1", rpc.NewClient(member, time.Second, time.Second), func(feed.News) {}, time.Second)
+			a.followers[member] = feed.NewFollower("edge-1", rpc.NewClient(member, time.Second, time.Second), func(feed.News) {}, time.Second)
 		}
 		// Just begun, none of them counts as ailing yet.
-		Expect(d.wanted()).To(HaveLen(3))
-		Eventually(func() int { return len(d.wanted()) }).Should(Equal(6))
-		Expect(d.wanted()).To(HaveKey("10.0.9.1:7200"))
+		Expect(a.membersToFollow()).To(HaveLen(3))
+		Eventually(func() int { return len(a.membersToFollow()) }).Should(Equal(6))
+		Expect(a.membersToFollow()).To(HaveKey("10.0.9.1:7200"))
 		for _, member := range order[:3] {
-			delete(d.followers, member)
+			delete(a.followers, member)
 		}
-		Expect(d.wanted()).To(HaveLen(5))
-		hand.Now += wellSpan + time.Second
-		Expect(d.wanted()).To(HaveLen(3))
+		Expect(a.membersToFollow()).To(HaveLen(5))
+		clock.Now += spareRetention + time.Second
+		Expect(a.membersToFollow()).To(HaveLen(3))
 	})
 
 	It("has a well member among them whichever minority is cut off from the rest of the core", func() {
@@ -88,30 +88,30 @@
 		for count := 1; count <= 7; count++ {
 			view := membership.View{Epoch: 1, Members: members(count)}
 			for number := range 20 {
-				d, _ := newDesk(fmt.Sprint("edge-", number), view)
-				wanted := d.wanted()
-				for cut := range 1 << count {
-					if bits.OnesCount(uint(cut)) >= view.Majority() {
+				a, _ := newAgent(fmt.Sprint("edge-", number), view)
+				wanted := a.membersToFollow()
+				for disconnected := range 1 << count {
+					if bits.OnesCount(uint(disconnected)) >= view.Majority() {
 						continue
 					}
-					isWell := false
-					for place, member := range view.Members {
-						isWell = isWell || wanted[member] && cut>>place&1 == 0
+					healthy := false
+					for index, member := range view.Members {
+						healthy = healthy || wanted[member] && disconnected>>index&1 == 0
 					}
-					Expect(isWell).To(BeTrue(), "edge-%d of %d members, cut %b", number, count, cut)
+					Expect(healthy).To(BeTrue(), "edge-%d of %d members, cut %b", number, count, disconnected)
 				}
 			}
 		}
 	})
 
 	It("gets a spare for a member that doesn't answer well inside the time for a change", func() {
-		const changeSpan = 2 * time.Second
+		const changeLimit = 2 * time.Second
 		view := membership.View{Epoch: 1, Members: members(5)}
-		d, _ := newDesk("edge-1", view)
-		dead := membership.FollowOrder(view.Members, "edge-1")[0]
-		d.followers[dead] = feed.NewFollower("edge-1", rpc.NewClient(dead, time.Second, time.Second), func(feed.News) {}, time.Second)
-		Eventually(func() int { return len(d.wanted()) }, ailingSpan+lookPeriod).Should(Equal(4))
+		a, _ := newAgent("edge-1", view)
+		failed := membership.FollowOrder(view.Members, "edge-1")[0]
+		a.followers[failed] = feed.NewFollower("edge-1", rpc.NewClient(failed, time.Second, time.Second), func(feed.News) {}, time.Second)
+		Eventually(func() int { return len(a.membersToFollow()) }, spareAfter+reconcileInterval).Should(Equal(4))
 		// It is seen at the next look, and connected within the bound of a call.
-		Expect(ailingSpan + lookPeriod + connectSpan).To(BeNumerically("<", changeSpan))
+		Expect(spareAfter + reconcileInterval + connectTimeout).To(BeNumerically("<", changeLimit))
 	})
 })
--- a/internal/bounded/bounded.go
+++ b/internal/bounded/bounded.go
@@ -8,7 +8,7 @@
 )
 
 // firstStep is how much is taken at once before anything has arrived.
-const firstStep = 32 << 10
+const initialBytes = 32 << 10
 
 // Read reads exactly size bytes. It never holds more than twice what has arrived,
 // and a small first step: a length is a claim until its bytes are there. A source
@@ -17,13 +17,13 @@
 // Example:
 //
 //	body, err := bounded.Read(reader, announced)
-func Read(from io.Reader, size int) ([]byte, error) {
-	text := make([]byte, 0, min(size, firstStep))
-	for len(text) < size {
-		step := min(size-len(text), max(len(text), firstStep))
-		text = slices.Grow(text, step)
-		count, err := io.ReadFull(from, text[len(text):len(text)+step])
-		text = text[:len(text)+count]
+func Read(reader io.Reader, size int) ([]byte, error) {
+	data := make([]byte, 0, min(size, initialBytes))
+	for len(data) < size {
+		step := min(size-len(data), max(len(data), initialBytes))
+		data = slices.Grow(data, step)
+		count, err := io.ReadFull(reader, data[len(data):len(data)+step])
+		data = data[:len(data)+count]
 		if err == io.EOF {
 			err = io.ErrUnexpectedEOF
 		}
@@ -31,5 +31,5 @@
 			return nil, err
 		}
 	}
-	return text, nil
+	return data, nil
 }
--- a/internal/config/own.go
+++ b/internal/config/own.go
@@ -49,7 +49,7 @@
 				return nil, bad(own.word+" "+head.Name, err)
 			}
 			if head.Name == "" || head.Revision == 0 {
-				return nil, apierror.New(apierror.BadManifest, "a "+own.word+" lacks its name or version")
+				return nil, apierror.New(apierror.InvalidManifest, "a "+own.word+" lacks its name or version")
 			}
 			if err := own.check(body); err != nil {
 				return nil, bad(own.word+" "+head.Name, err)
@@ -58,7 +58,7 @@
 		}
 		for _, m := range call.Remove {
 			if m.Name == "" || m.Revision == 0 {
-				return nil, apierror.New(apierror.BadManifest, "a removal lacks its name or version")
+				return nil, apierror.New(apierror.InvalidManifest, "a removal lacks its name or version")
 			}
 			items = append(items, Item{ID: ID{class, m.Name}, Version: m.Revision, Dropped: true})
 		}
@@ -154,7 +154,7 @@
 	if len(mirrors) > 0 {
 		lanes = b.mirrorLanes()
 		if err := loopline.CheckAll(mirrors, lanes, isService, now); err != nil {
-			return apierror.New(apierror.BadManifest, err.Error())
+			return apierror.New(apierror.InvalidManifest, err.Error())
 		}
 	}
 	for _, item := range newer {
@@ -170,7 +170,7 @@
 			}
 		}
 		if err != nil {
-			return apierror.New(apierror.BadManifest, err.Error())
+			return apierror.New(apierror.InvalidManifest, err.Error())
 		}
 	}
 	return nil
@@ -182,7 +182,7 @@
 		return err
 	}
 	if plans, _ := own[shedding.Plan](b, PlanItem); len(plans) > 1 {
-		return apierror.New(apierror.BadManifest, "plan "+plans[0].Name+" stands beside plan "+plans[1].Name+"; there is one")
+		return apierror.New(apierror.InvalidManifest, "plan "+plans[0].Name+" stands beside plan "+plans[1].Name+"; there is one")
 	}
 	return plan.Check(b.gaugeLanes())
 }
--- a/internal/config/spec.go
+++ b/internal/config/spec.go
@@ -142,16 +142,16 @@
 		}
 		var lane RouteSpec
 		if err := json.Unmarshal(item.Body, &lane); err != nil {
-			return apierror.New(apierror.BadManifest, "lane "+item.ID.Name+": "+err.Error())
+			return apierror.New(apierror.InvalidManifest, "lane "+item.ID.Name+": "+err.Error())
 		}
 		for _, name := range lane.Services() {
 			if service, isKnown := b[ID{ServiceItem, name}]; !isKnown || service.Dropped {
-				return apierror.New(apierror.BadManifest, "lane "+lane.Name+" names the unknown service "+name)
+				return apierror.New(apierror.InvalidManifest, "lane "+lane.Name+" names the unknown service "+name)
 			}
 		}
 		place := item.Host + lane.PathPrefix
 		if other, isTaken := places[place]; isTaken {
-			return apierror.New(apierror.BadManifest, "lanes "+other+" and "+lane.Name+" share host and prefix")
+			return apierror.New(apierror.InvalidManifest, "lanes "+other+" and "+lane.Name+" share host and prefix")
 		}
 		places[place] = lane.Name
 	}
--- a/internal/config/wire.go
+++ b/internal/config/wire.go
@@ -33,7 +33,7 @@
 }
 
 func bad(what string, err error) error {
-	return apierror.New(apierror.BadManifest, what+": "+err.Error())
+	return apierror.New(apierror.InvalidManifest, what+": "+err.Error())
 }
 
 // ParseModify reads an operator's call whole and checks each item by itself.
@@ -48,7 +48,7 @@
 		return nil, bad("the call cannot be read", err)
 	}
 	if _, err := decoder.Token(); err != io.EOF {
-		return nil, apierror.New(apierror.BadManifest, "the call does not end where it should")
+		return nil, apierror.New(apierror.InvalidManifest, "the call does not end where it should")
 	}
 	var items []Item
 	if call.Upsert != nil {
@@ -60,7 +60,7 @@
 	for class, marks := range map[Class][]mark{RouteItem: call.Remove.Lanes, ServiceItem: call.Remove.Services} {
 		for _, m := range marks {
 			if m.Name == "" || m.Revision == 0 {
-				return nil, apierror.New(apierror.BadManifest, "a removal lacks its name or version")
+				return nil, apierror.New(apierror.InvalidManifest, "a removal lacks its name or version")
 			}
 			items = append(items, Item{ID: ID{class, m.Name}, Version: m.Revision, Dropped: true})
 		}
--- a/internal/control/accepted.go
+++ b/internal/control/accepted.go
@@ -50,7 +50,7 @@
 		}
 	})
 	if len(page.Items) == 0 {
-		return nil, apierror.New(apierror.UnknownSubject, name)
+		return nil, apierror.New(apierror.NotFound, name)
 	}
 	return page, nil
 }
--- a/internal/control/catchup.go
+++ b/internal/control/catchup.go
@@ -130,7 +130,7 @@
 			n.learnAndWait(missed.Changes)
 		}
 	}
-	return apierror.New(apierror.Gone, "configuration changes arrive faster than they can be read")
+	return apierror.New(apierror.ControlPlaneUnavailable, "configuration changes arrive faster than they can be read")
 }
 
 // catchUpByPages reads the whole set page by page, then the changes made meanwhile.
@@ -145,7 +145,7 @@
 			return err
 		}
 		if missed.Page == nil {
-			return apierror.New(apierror.Gone, "the member returned no page of the configuration")
+			return apierror.New(apierror.ControlPlaneUnavailable, "the member returned no page of the configuration")
 		}
 		if assembly.Add(*missed.Page); number == 0 {
 			first = missed.Page.Index
@@ -167,7 +167,7 @@
 	}
 	set, complete := assembly.Finish(changes)
 	if !complete {
-		return apierror.New(apierror.Gone, "changes made while the configuration was read are missing")
+		return apierror.New(apierror.ControlPlaneUnavailable, "changes made while the configuration was read are missing")
 	}
 	n.installSet(set)
 	return nil
--- a/internal/control/config_replicator.go
+++ b/internal/control/config_replicator.go
@@ -103,7 +103,7 @@
 	select {
 	case r.queue <- p:
 	default:
-		return 0, apierror.New(apierror.Gone, "too many configuration changes are waiting")
+		return 0, apierror.New(apierror.ControlPlaneUnavailable, "too many configuration changes are waiting")
 	}
 	timer := time.NewTimer(proposeTimeout)
 	defer timer.Stop()
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -61,10 +61,10 @@
 		body, err := io.ReadAll(http.MaxBytesReader(nil, r.Body, maxRequestBytes))
 		var tooLarge *http.MaxBytesError
 		if errors.As(err, &tooLarge) {
-			return nil, apierror.New(apierror.TooLarge, err.Error())
+			return nil, apierror.New(apierror.BodyTooLarge, err.Error())
 		}
 		if err != nil {
-			return nil, apierror.New(apierror.BadManifest, err.Error())
+			return nil, apierror.New(apierror.InvalidManifest, err.Error())
 		}
 		return parse(body)
 	}
@@ -80,7 +80,7 @@
 		err = command.check()
 	}
 	if err != nil {
-		return apierror.New(apierror.BadOrder, err.Error())
+		return apierror.New(apierror.InvalidOrder, err.Error())
 	}
 	return nil
 }
@@ -111,13 +111,13 @@
 
 // writeError writes an error response with the status and headers of the error's kind.
 func writeError(_ context.Context, err error, w http.ResponseWriter) {
-	kind := apierror.Gone
+	kind := apierror.ControlPlaneUnavailable
 	var known *apierror.Error
 	if errors.As(err, &known) {
 		kind = known.Kind
 	}
 	body, _ := json.Marshal(map[string]string{"Error": err.Error()})
-	response := apierror.AnswerOf(kind)
+	response := apierror.ResponseFor(kind)
 	w.Header().Set("Content-Type", "application/json")
 	if response.RetryAfter > 0 {
 		w.Header().Set("Retry-After", strconv.FormatFloat(response.RetryAfter.Seconds(), 'f', -1, 64))
--- a/internal/control/coordinator.go
+++ b/internal/control/coordinator.go
@@ -168,7 +168,7 @@
 // it.
 func (c *coordinator) write(state trial.State) error {
 	if !c.holdsLease(c.term) {
-		return apierror.New(apierror.Gone, "the lease has ended")
+		return apierror.New(apierror.ControlPlaneUnavailable, "the lease has ended")
 	}
 	c.written++
 	state.Term, state.Count = c.term, c.written
--- a/internal/control/leader_lease_test.go
+++ b/internal/control/leader_lease_test.go
@@ -138,7 +138,7 @@
 			ordered := make(chan messages.OrderResponse, 1)
 			n.decide(func(answer messages.OrderResponse) { ordered <- answer }, func(*coordinator) (apierror.Kind, string) { panic("decided without a valid lease") })
 			go n.coordinator.run(GinkgoT().Context())
-			Eventually(ordered).Should(Receive(HaveField("Kind", apierror.Gone)))
+			Eventually(ordered).Should(Receive(HaveField("Kind", apierror.ControlPlaneUnavailable)))
 		})
 
 		It("continues under the same term with the same state once a majority renews it", func() {
--- a/internal/control/modify.go
+++ b/internal/control/modify.go
@@ -15,7 +15,7 @@
 const forwardTimeout = 350 * time.Millisecond
 
 // errUndecided reports a change whose outcome is unknown: it may still be accepted.
-var errUndecided = apierror.New(apierror.Gone, "the outcome of the configuration change is unknown")
+var errUndecided = apierror.New(apierror.ControlPlaneUnavailable, "the outcome of the configuration change is unknown")
 
 // modify applies an operator's change of configuration items. It returns nil once a
 // majority has accepted the change that contains the items, or has confirmed that
@@ -36,7 +36,7 @@
 		if n.call(member, messages.KindPropose, messages.Propose{Items: items}, &result, forwardTimeout) != nil {
 			continue
 		}
-		if result.Kind != apierror.Gone {
+		if result.Kind != apierror.ControlPlaneUnavailable {
 			return registry.Index(result.Index), resultError(result)
 		}
 	}
--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -16,7 +16,7 @@
 func (n *node) decide(answer func(messages.OrderResponse), decide func(c *coordinator) (apierror.Kind, string)) {
 	c, cameAt := n.coordinator, n.clock.Steady()
 	isTaken := c.loop.Offer(func() {
-		kind, detail := apierror.Gone, "the duty is not here"
+		kind, detail := apierror.ControlPlaneUnavailable, "the duty is not here"
 		switch {
 		case time.Duration(c.clock.Steady()-cameAt) >= orderSpan:
 			detail = "the order waited too long"
@@ -26,7 +26,7 @@
 		answer(messages.OrderResponse{Kind: kind, Detail: detail})
 	})
 	if !isTaken {
-		answer(messages.OrderResponse{Kind: apierror.Gone})
+		answer(messages.OrderResponse{Kind: apierror.ControlPlaneUnavailable})
 	}
 }
 
@@ -44,7 +44,7 @@
 			isService = isThere && !item.Dropped
 		})
 		if !isService {
-			return apierror.UnknownSubject, in.Service
+			return apierror.NotFound, in.Service
 		}
 		state.Subject = in.Service
 	}
@@ -53,18 +53,18 @@
 		c.noteRepeat(state)
 		return apierror.None, ""
 	case state.Phase.IsActive():
-		return apierror.OtherOrder, "version " + state.Target + " is on trial"
+		return apierror.OrderInProgress, "version " + state.Target + " is on trial"
 	}
 	next, isDone := state.Order(in.Target, timetable.Span(in.Duration))
 	if !isDone {
-		return apierror.OtherOrder, ""
+		return apierror.OrderInProgress, ""
 	}
 	if in.Target == state.InForce {
 		next.Phase, next.Reason = trial.Complete, "the version is in force"
 	}
 	c.court.Forget(in.Service, next.Number)
 	if err := c.write(next); err != nil {
-		return apierror.Gone, ""
+		return apierror.ControlPlaneUnavailable, ""
 	}
 	c.log("warn", "trial", "subject", in.Service, "phase", next.Phase, "target", in.Target)
 	c.publish()
--- a/internal/control/orders_test.go
+++ b/internal/control/orders_test.go
@@ -73,7 +73,7 @@
 		ordered := <-answered
 		stop()
 		isRefused := ordered.Detail == "the order waited too long"
-		if isRefused != isLate || isLate && (isDecided || ordered.Kind != apierror.Gone) {
+		if isRefused != isLate || isLate && (isDecided || ordered.Kind != apierror.ControlPlaneUnavailable) {
 			t.Fatalf("after %v: got %+v, decided: %v", wait, ordered, isDecided)
 		}
 	}
--- a/internal/control/quorum_contact.go
+++ b/internal/control/quorum_contact.go
@@ -117,7 +117,7 @@
 			n.refreshQuorumContact()
 		}
 		if !n.hasQuorumContact() || !n.waitForNewestFleet() {
-			return nil, apierror.New(apierror.Gone, "reading the local state of this node")
+			return nil, apierror.New(apierror.ControlPlaneUnavailable, "reading the local state of this node")
 		}
 		return next(ctx, request)
 	}
--- a/internal/control/read_config.go
+++ b/internal/control/read_config.go
@@ -50,7 +50,7 @@
 		n.adoptView(*newer)
 	}
 	if count < view.Majority() || count == 0 {
-		return nil, apierror.New(apierror.Gone, "reading the configuration")
+		return nil, apierror.New(apierror.ControlPlaneUnavailable, "reading the configuration")
 	}
 	if undecided {
 		// A change that some members have accepted may already be decided and
@@ -79,7 +79,7 @@
 			err = n.catchUp(source)
 		}
 	}
-	return nil, apierror.New(apierror.Gone, fmt.Sprintf("reading the configuration at index %d: %v", index, err))
+	return nil, apierror.New(apierror.ControlPlaneUnavailable, fmt.Sprintf("reading the configuration at index %d: %v", index, err))
 }
 
 // rebuild restores this replica after its state was lost or became outdated. Afterwards it
--- a/internal/control/rollouts.go
+++ b/internal/control/rollouts.go
@@ -43,7 +43,7 @@
 func decodeSubject(_ context.Context, r *http.Request) (any, error) {
 	name := r.PathValue("service")
 	if strings.TrimSpace(name) == "" {
-		return nil, apierror.New(apierror.UnknownSubject, "")
+		return nil, apierror.New(apierror.NotFound, "")
 	}
 	return name, nil
 }
--- a/internal/control/round_draft.go
+++ b/internal/control/round_draft.go
@@ -65,7 +65,7 @@
 func responseError(err error) error {
 	var conflict *registry.ConflictError
 	if errors.As(err, &conflict) {
-		return apierror.New(apierror.VersionTaken, conflict.Error())
+		return apierror.New(apierror.VersionConflict, conflict.Error())
 	}
 	return err
 }
--- a/internal/control/sites.go
+++ b/internal/control/sites.go
@@ -93,7 +93,7 @@
 	}
 	tree, err := book.Tree(n.settings.Load().Platform.Cells)
 	if err != nil {
-		return nil, apierror.New(apierror.Gone, err.Error())
+		return nil, apierror.New(apierror.ControlPlaneUnavailable, err.Error())
 	}
 	page.Sites = tree.Sites()
 	return page, nil
@@ -103,7 +103,7 @@
 func (n *node) checkSites(book config.Book) error {
 	_, err := book.Tree(n.settings.Load().Platform.Cells)
 	if err != nil {
-		return apierror.New(apierror.BadManifest, errors.Cause(err).Error())
+		return apierror.New(apierror.InvalidManifest, errors.Cause(err).Error())
 	}
 	return nil
 }
--- a/internal/control/staged.go
+++ b/internal/control/staged.go
@@ -38,7 +38,7 @@
 	}
 	items, err := config.ParseModify(order.Change)
 	if err == nil && len(items) == 0 {
-		err = apierror.New(apierror.BadOrder, "the change has no items")
+		err = apierror.New(apierror.InvalidOrder, "the change has no items")
 	}
 	return messages.StagedChange{Name: order.Name, First: order.First, Duration: int64(order.Duration), Items: items}, err
 }
--- a/internal/control/stages.go
+++ b/internal/control/stages.go
@@ -42,15 +42,15 @@
 	}
 	for _, other := range c.states {
 		if other.IsStaged() && other.Phase.IsActive() {
-			return apierror.OtherOrder, other.Subject + " is under way"
+			return apierror.OrderInProgress, other.Subject + " is under way"
 		}
 		if name := other.UsedUp(in.Items); name != "" {
-			return apierror.OtherOrder, "the version of " + name + " fell back before and is used up"
+			return apierror.OrderInProgress, "the version of " + name + " fell back before and is used up"
 		}
 	}
 	book, err := c.readConfig()
 	if err != nil {
-		return apierror.Gone, ""
+		return apierror.ControlPlaneUnavailable, ""
 	}
 	newer, whole, err := book.Accept(in.Items)
 	if err == nil {
@@ -58,22 +58,22 @@
 	}
 	switch {
 	case err != nil:
-		return apierror.BadManifest, err.Error()
+		return apierror.InvalidManifest, err.Error()
 	case len(newer) != len(in.Items):
-		return apierror.OtherOrder, "the manifest holds as new a version of an item"
+		return apierror.OrderInProgress, "the manifest holds as new a version of an item"
 	}
 	waves := c.waves(in.First)
 	if waves == nil {
-		return apierror.UnknownSubject, "node " + in.First + " is not known to be in touch"
+		return apierror.NotFound, "node " + in.First + " is not known to be in touch"
 	}
 	state.Subject = subject
 	next, isDone := state.Order(in.Name, timetable.Span(in.Duration))
 	if !isDone {
-		return apierror.OtherOrder, ""
+		return apierror.OrderInProgress, ""
 	}
 	next.Items, next.Waves = in.Items, waves
 	if c.write(next) != nil {
-		return apierror.Gone, ""
+		return apierror.ControlPlaneUnavailable, ""
 	}
 	c.driveOf(next)
 	c.publish()
@@ -83,17 +83,17 @@
 func (c *coordinator) halt(in messages.StagedChange) (kind apierror.Kind, detail string) {
 	state, isKnown := c.states[trial.StagePrefix+in.Name]
 	if !isKnown {
-		return apierror.UnknownSubject, in.Name
+		return apierror.NotFound, in.Name
 	}
 	if !state.Phase.IsActive() && state.Reason == haltedReason {
 		return apierror.None, ""
 	}
 	next, isDone := state.Step(trial.Halted, haltedReason, time.Duration(c.clock.Steady()-c.beganAt(state)))
 	if !isDone {
-		return apierror.OtherOrder, "it has ended"
+		return apierror.OrderInProgress, "it has ended"
 	}
 	if c.write(next) != nil {
-		return apierror.Gone, ""
+		return apierror.ControlPlaneUnavailable, ""
 	}
 	c.publish()
 	return apierror.None, ""
--- a/internal/control/trials.go
+++ b/internal/control/trials.go
@@ -100,7 +100,7 @@
 		return count >= view.Majority()
 	})
 	if count < view.Majority() || count == 0 {
-		return nil, false, 0, apierror.New(apierror.Gone, "reading the trials")
+		return nil, false, 0, apierror.New(apierror.ControlPlaneUnavailable, "reading the trials")
 	}
 	for _, times := range held {
 		isEven = isEven && times == count
@@ -112,7 +112,7 @@
 func (n *node) writeTrial(state trial.State) error {
 	view := n.view()
 	if !n.majorityDone(view, messages.KindWriteRollout, messages.WriteRollout{Epoch: view.Epoch, State: state}, persistTimeout) {
-		return apierror.New(apierror.Gone, "keeping the trial")
+		return apierror.New(apierror.ControlPlaneUnavailable, "keeping the trial")
 	}
 	return nil
 }
@@ -126,7 +126,7 @@
 	}
 	state = states[subject]
 	if state.Number == 0 {
-		return state, apierror.New(apierror.UnknownSubject, subject)
+		return state, apierror.New(apierror.NotFound, subject)
 	}
 	if !isEven {
 		err = n.writeTrial(state)
--- a/internal/logring/ring.go
+++ b/internal/logring/ring.go
@@ -10,22 +10,22 @@
 	"github.com/charmbracelet/log"
 )
 
-const ringLines = 200
+const maxEntries = 200
 
-type line struct {
-	at    time.Time
-	level log.Level
-	text  string
-	pairs []any
+type entry struct {
+	at      time.Time
+	level   log.Level
+	text    string
+	keyvals []any
 }
 
 // Ring keeps the last lines of every level; those at or above its level are
 // written at once, and an error brings the ring before it.
 type Ring struct {
-	lock   sync.Mutex
-	level  log.Level
-	lines  []line
-	writer *log.Logger
+	lock    sync.Mutex
+	level   log.Level
+	entries []entry
+	writer  *log.Logger
 }
 
 // New makes a ring that writes to out.
@@ -47,7 +47,7 @@
 // Example:
 //
 //	ring.Note("error", "disk", "error", err)
-func (r *Ring) Note(level, text string, pairs ...any) {
+func (r *Ring) Log(level, text string, keyvals ...any) {
 	parsed, err := log.ParseLevel(level)
 	if err != nil {
 		parsed = log.ErrorLevel
@@ -59,12 +59,12 @@
 		r.dump()
 		fallthrough
 	case parsed >= r.level:
-		r.writer.Log(parsed, text, pairs...)
+		r.writer.Log(parsed, text, keyvals...)
 	default:
-		if len(r.lines) >= ringLines {
-			r.lines = append(r.lines[:0], r.lines[len(r.lines)/2:]...)
+		if len(r.entries) >= maxEntries {
+			r.entries = append(r.entries[:0], r.entries[len(r.entries)/2:]...)
 		}
-		r.lines = append(r.lines, line{time.Now(), parsed, text, pairs})
+		r.entries = append(r.entries, entry{time.Now(), parsed, text, keyvals})
 	}
 }
 
@@ -80,8 +80,8 @@
 }
 
 func (r *Ring) dump() {
-	for _, l := range r.lines {
-		r.writer.Log(l.level, l.text, append([]any{"at", l.at.Format("15:04:05.000")}, l.pairs...)...)
+	for _, e := range r.entries {
+		r.writer.Log(e.level, e.text, append([]any{"at", e.at.Format("15:04:05.000")}, e.keyvals...)...)
 	}
-	r.lines = r.lines[:0]
+	r.entries = r.entries[:0]
 }
--- a/internal/proxy/await.go
+++ b/internal/proxy/await.go
@@ -30,13 +30,13 @@
 		a.clock.Sleep(delay)
 		if recorded := a.lookup(); recorded != nil && recorded.Response != nil {
 			if recorded.RequestHash != a.intent.RequestHash {
-				return nil, apierror.New(apierror.Conflict, "")
+				return nil, apierror.New(apierror.KeyConflict, "")
 			}
 			a.request.replayed = true
 			return recordedResponse(recorded.Response, a.request.Attempt), nil
 		}
 	}
-	return nil, apierror.New(apierror.AtWork, "")
+	return nil, apierror.New(apierror.KeyInProgress, "")
 }
 
 // lookup asks every member for the key, and returns the first record with a response,
--- a/internal/proxy/cancellation_test.go
+++ b/internal/proxy/cancellation_test.go
@@ -93,7 +93,7 @@
 			_, err, final := d.handleResult(attemptResult{response: &upstream.Response{Status: status, Header: http.Header{}}})
 			var unknown *unresolvedError
 			Expect(errors.As(err, &unknown)).To(BeTrue(), "%d: %v", status, err)
-			Expect(unknown.kind).To(Equal(apierror.Broken))
+			Expect(unknown.kind).To(Equal(apierror.ResponseInterrupted))
 			Expect(final).To(BeTrue())
 		}
 	})
--- a/internal/proxy/download.go
+++ b/internal/proxy/download.go
@@ -33,14 +33,14 @@
 		}
 		release, admitted := p.downloads.Enter(stats.expectedBytes(), targetLatency-stats.mean())
 		if !admitted {
-			return nil, apierror.New(apierror.Busy, "not enough link capacity for the download")
+			return nil, apierror.New(apierror.ServersBusy, "not enough link capacity for the download")
 		}
 		req.releaseLink = release
 		turnCtx, cancel := context.WithTimeout(ctx, targetLatency/turnWaitDivisor)
 		defer cancel()
 		endTurn, gotTurn := p.downloads.Turn(turnCtx)
 		if !gotTurn {
-			return nil, apierror.New(apierror.Busy, "no download slot became free in time")
+			return nil, apierror.New(apierror.ServersBusy, "no download slot became free in time")
 		}
 		endTurn = sync.OnceFunc(endTurn)
 		answer, err := next(ctx, request)
--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -94,7 +94,7 @@
 	d.results = make(chan attemptResult, req.route.MaxAttempts+maxUnsentRetries+1)
 	defer d.drainAttempts()
 	if !d.startAttempt() {
-		return nil, apierror.New(apierror.Busy, req.service)
+		return nil, apierror.New(apierror.ServersBusy, req.service)
 	}
 	deadlineTimer := time.NewTimer(time.Until(req.deadline))
 	defer deadlineTimer.Stop()
@@ -126,7 +126,7 @@
 // request; otherwise another attempt was started or is still in flight.
 func (d *forwarder) handleResult(result attemptResult) (response any, err error, done bool) {
 	repeatable := d.request.route.IsRepeatable()
-	kind := apierror.Broken
+	kind := apierror.ResponseInterrupted
 	switch {
 	case result.err != nil && errors.Is(result.err, upstream.ErrNotServing):
 		if d.replaceAttempt() {
@@ -145,7 +145,7 @@
 	case result.err != nil:
 		d.unresolved = d.unresolved || !repeatable
 		if d.unresolved && !d.serverDeduplicates() {
-			return nil, &unresolvedError{kind: apierror.Broken}, true
+			return nil, &unresolvedError{kind: apierror.ResponseInterrupted}, true
 		}
 	case result.response.IsNotExecuted():
 		kind = apierror.NotExecuted
@@ -153,7 +153,7 @@
 	case !repeatable && impliesNotExecuted(result.response.Status):
 		// Without a Not-Executed header the request may have run, although the status
 		// says that it did not.
-		return nil, &unresolvedError{kind: apierror.Broken}, true
+		return nil, &unresolvedError{kind: apierror.ResponseInterrupted}, true
 	case !repeatable || result.response.Status/100 != 5:
 		return result.response, nil, true
 	default:
@@ -167,7 +167,7 @@
 	}
 	if d.unresolved {
 		// An earlier attempt may have run; later results do not change that.
-		return nil, &unresolvedError{kind: apierror.Broken}, true
+		return nil, &unresolvedError{kind: apierror.ResponseInterrupted}, true
 	}
 	return nil, apierror.New(kind, ""), true
 }
--- a/internal/proxy/idempotency.go
+++ b/internal/proxy/idempotency.go
@@ -33,9 +33,9 @@
 	idempotency.Won:             (*keyedAttempt).execute,
 	idempotency.Replayable:      (*keyedAttempt).replay,
 	idempotency.InProgress:      (*keyedAttempt).awaitOutcome,
-	idempotency.RequestMismatch: rejectWith(apierror.Conflict),
-	idempotency.LimitExceeded:   rejectWith(apierror.OverLimit),
-	idempotency.NoMajority:      rejectWith(apierror.NoQuorum),
+	idempotency.RequestMismatch: rejectWith(apierror.KeyConflict),
+	idempotency.LimitExceeded:   rejectWith(apierror.TooManyIntents),
+	idempotency.NoMajority:      rejectWith(apierror.KeyNotReserved),
 	idempotency.Overloaded:      (*keyedAttempt).rejectOverload,
 }
 
@@ -56,7 +56,7 @@
 		}
 		keys := req.Header.Values(upstream.HeaderOperationKey)
 		if len(keys) != 1 || keys[0] == "" {
-			return nil, apierror.New(apierror.BadInquiry, "exactly one operation key is required")
+			return nil, apierror.New(apierror.MalformedRequest, "exactly one operation key is required")
 		}
 		req.key = idempotency.Key{Tenant: req.route.Host, Key: keys[0]}
 		a := &keyedAttempt{proxy: p, request: req, ungranted: map[string]bool{}}
--- a/internal/proxy/late_result.go
+++ b/internal/proxy/late_result.go
@@ -21,9 +21,9 @@
 // result.
 func (d *forwarder) deadlineExceeded() error {
 	if d.request.route.IsRepeatable() || d.inFlight == 0 {
-		return apierror.New(apierror.Late, "")
+		return apierror.New(apierror.ResponseTimeout, "")
 	}
-	unknown := &unresolvedError{kind: apierror.Late, lateResult: make(chan lateResult, 1)}
+	unknown := &unresolvedError{kind: apierror.ResponseTimeout, lateResult: make(chan lateResult, 1)}
 	results, inFlight, release, mayHaveExecuted := d.results, d.inFlight, d.untrack, d.unresolved
 	d.inFlight, d.untrack = 0, func() {}
 	go func() {
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -111,25 +111,25 @@
 	attemptIDs := r.Header.Values(upstream.HeaderAttempt)
 	switch {
 	case !strings.HasPrefix(path, "/"):
-		return nil, apierror.New(apierror.BadInquiry, "request target is not a path")
+		return nil, apierror.New(apierror.MalformedRequest, "request target is not a path")
 	case len(attemptIDs) != 1 || attemptIDs[0] == "":
-		return nil, apierror.New(apierror.BadInquiry, "exactly one attempt ID is required")
+		return nil, apierror.New(apierror.MalformedRequest, "exactly one attempt ID is required")
 	case limits.MaxHeaderBytes > 0 && headerSize(r) > limits.MaxHeaderBytes:
 		return nil, apierror.New(apierror.HeaderTooLarge, "")
 	case len(r.Header.Values(loopline.Marker)) > 0:
-		return nil, apierror.New(apierror.Shadowed, "")
+		return nil, apierror.New(apierror.ShadowForbidden, "")
 	case !req.snapshot.complete:
 		return nil, apierror.New(apierror.NoServer, "the configuration has not been received yet")
 	}
 	req.snapshot.findRoute(req, r.Host, path, r.Header.Get(upstream.HeaderOperationKey) != "", p.clock.Steady())
 	if req.route == nil {
-		return nil, apierror.New(apierror.NoLane, "")
+		return nil, apierror.New(apierror.NoRoute, "")
 	}
 	req.deadline = req.arrivedAt.Add(req.route.Timeout.Std())
 	if deadlineText := r.Header.Get(upstream.HeaderDeadline); deadlineText != "" {
 		ms, err := strconv.ParseInt(deadlineText, 10, 64)
 		if err != nil || ms < 0 {
-			return nil, apierror.New(apierror.BadInquiry, "the deadline is not a non-negative number of milliseconds")
+			return nil, apierror.New(apierror.MalformedRequest, "the deadline is not a non-negative number of milliseconds")
 		}
 		if clientDeadline := req.arrivedAt.Add(time.Duration(min(ms, 1<<32)) * time.Millisecond); clientDeadline.Before(req.deadline) {
 			req.deadline = clientDeadline
@@ -140,9 +140,9 @@
 	if err != nil {
 		var tooLarge *http.MaxBytesError
 		if errors.As(err, &tooLarge) {
-			return nil, apierror.New(apierror.TooLarge, "")
+			return nil, apierror.New(apierror.BodyTooLarge, "")
 		}
-		return nil, apierror.New(apierror.BadInquiry, "cannot read the request body")
+		return nil, apierror.New(apierror.MalformedRequest, "cannot read the request body")
 	}
 	_ = http.NewResponseController(w).SetReadDeadline(time.Time{})
 	req.Request = &upstream.Request{
@@ -166,14 +166,14 @@
 
 // writeError writes the response that belongs to the error's kind.
 func (p *proxy) writeError(w http.ResponseWriter, r *http.Request, err error) {
-	kind := apierror.Broken
+	kind := apierror.ResponseInterrupted
 	var apiErr *apierror.Error
 	if errors.As(err, &apiErr) {
 		kind = apiErr.Kind
 	}
-	answer := apierror.AnswerOf(kind)
-	if apiErr != nil && apiErr.After > 0 {
-		answer.RetryAfter = apiErr.After
+	answer := apierror.ResponseFor(kind)
+	if apiErr != nil && apiErr.RetryAfter > 0 {
+		answer.RetryAfter = apiErr.RetryAfter
 	}
 	header := w.Header()
 	if id := r.Header.Get(upstream.HeaderAttempt); id != "" {
@@ -195,7 +195,7 @@
 // mayHaveExecuted reports whether a request that failed with err may have been executed.
 func mayHaveExecuted(err error) bool {
 	var apiErr *apierror.Error
-	return errors.Is(err, errClientGone) || errors.As(err, &apiErr) && (apiErr.Kind == apierror.Broken || apiErr.Kind == apierror.Late)
+	return errors.Is(err, errClientGone) || errors.As(err, &apiErr) && (apiErr.Kind == apierror.ResponseInterrupted || apiErr.Kind == apierror.ResponseTimeout)
 }
 
 // writeResponse passes a server's response to the client. upstreamFailed reports that
--- a/internal/proxy/shed.go
+++ b/internal/proxy/shed.go
@@ -93,10 +93,10 @@
 func (i *clientRequest) overloadError() error {
 	target := i.route.TargetLatency.Std()
 	if target == 0 {
-		target = apierror.AnswerOf(apierror.Shed).RetryAfter
+		target = apierror.ResponseFor(apierror.LoadShed).RetryAfter
 	}
 	retryAfter := target/2 + time.Duration(shedding.Draw(1, i.Attempt)*float64(target))
-	return &apierror.Error{Kind: apierror.Shed, Detail: i.service, After: retryAfter.Round(time.Millisecond)}
+	return &apierror.Error{Kind: apierror.LoadShed, Detail: i.service, RetryAfter: retryAfter.Round(time.Millisecond)}
 }
 
 // clientAddress returns the client's address without the port.
--- a/internal/proxy/staged.go
+++ b/internal/proxy/staged.go
@@ -111,8 +111,8 @@
 // outcomesByKind maps error kinds to the outcome they count as for a staged change.
 // Other kinds are not counted.
 var outcomesByKind = map[apierror.Kind]outlier.Outcome{
-	apierror.Broken: outlier.Broken, apierror.Late: outlier.Slow, apierror.NoServer: outlier.Failed, apierror.NotExecuted: outlier.Failed,
-	apierror.Busy: outlier.Failed,
+	apierror.ResponseInterrupted: outlier.Broken, apierror.ResponseTimeout: outlier.Slow, apierror.NoServer: outlier.Failed, apierror.NotExecuted: outlier.Failed,
+	apierror.ServersBusy: outlier.Failed,
 }
 
 func stagedOutcome(req *clientRequest, response *upstream.Response, err error, latency time.Duration) (outcome outlier.Outcome, counted bool) {
@@ -121,7 +121,7 @@
 	switch {
 	case err != nil && errors.As(err, &known):
 		outcome, counted = outcomesByKind[known.Kind]
-		if keyed && (known.Kind == apierror.Broken || known.Kind == apierror.Late) {
+		if keyed && (known.Kind == apierror.ResponseInterrupted || known.Kind == apierror.ResponseTimeout) {
 			// The request may have run, and its outcome is unknown: it counts as
 			// missing.
 			outcome = outlier.Missing
