--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,5 +1,6 @@
-// Package agent is the agent beside each proxy: it follows the feeds of
-// a majority of the core, merges them, and feeds the proxy over loopback.
+// Package agent implements the agent that runs beside each proxy. It follows the feeds
+// of a majority of the control plane, merges them, and serves the merged feed to the
+// proxy over loopback.
 package agent
 
 import (
@@ -25,16 +26,16 @@
 	reconcileInterval = 250 * time.Millisecond
 )
 
-// Note is how the programs log.
+// LogFunc writes a log line with key-value pairs.
 type LogFunc = func(level, text string, pairs ...any)
 
-// told is one piece of news and the core node that told it.
+// memberUpdate is a feed update and the control plane member that sent it.
 type memberUpdate struct {
 	member string
 	update feed.News
 }
 
-// desk owns what the agent knows.
+// agent holds the state of an agent. Only its event loop uses it.
 type agent struct {
 	settings     *settings.Settings
 	clock        timetable.Clock
@@ -43,35 +44,28 @@
 	cancelFollow map[string]context.CancelFunc
 	clients      map[string]*rpc.Client
 	followers    map[string]*feed.Follower
-	// gaps are the readings that a node told changes of, and that did not fit.
+	// gaps holds, by member, the fleet version of a change that did not apply to the
+	// state held.
 	gaps map[string]feed.Reading
-	// heard are the nodes that gave their checkpoint.
+	// checkpointed holds the members that have sent their checkpoint.
 	checkpointed    map[string]bool
 	startedAt       timetable.Steady
 	complete        bool
 	log             LogFunc
 	settingsUpdates chan *settings.Settings
-	// spareFor is the epoch and spares how many members are followed beside the
-	// chosen; wellAt is since when all of the chosen have told.
+	// spares is the number of members followed in addition to the preferred ones, in
+	// the epoch spareEpoch. All preferred members have been sending since healthySince.
 	spareEpoch   membership.Epoch
 	spares       int
 	healthySince timetable.Steady
 }
 
-// LoopbackAddress is where the agent of a machine feeds its proxy.
-//
-// Example:
-//
-//	address := agent.LoopbackAddress(set) // "127.0.0.1:7200"
+// LoopbackAddress returns the address at which the agent serves the feed to its proxy.
 func LoopbackAddress(cfg *settings.Settings) string {
 	return cfg.InternalAddress(cfg.Tuning.Loopback, 0)
 }
 
-// Run runs an agent until the context ends.
-//
-// Example:
-//
-//	err := agent.Run(ctx, set, path, note)
+// Run runs an agent until the context is canceled.
 func Run(ctx context.Context, cfg *settings.Settings, path string, log LogFunc) error {
 	a := &agent{
 		settings: cfg, clock: timetable.Real(), hub: feed.NewHub(), loop: timetable.NewLoop[memberUpdate](256),
@@ -81,18 +75,18 @@
 	a.startedAt = a.clock.Steady()
 	listener, err := net.Listen("tcp4", LoopbackAddress(cfg))
 	if err != nil {
-		return errors.Annotate(err, "loopback")
+		return errors.Annotate(err, "listen on the loopback address")
 	}
 	defer listener.Close()
 	go rpc.Serve(listener, rpc.Handlers{feed.KindFollow: a.hub.Handle}, silenceTimeout)
-	go settings.Watch(ctx, path, func(updated *settings.Settings) { a.settingsUpdates <- updated }, func(err error) { log("warn", "settings", "error", err) })
+	go settings.Watch(ctx, path, func(updated *settings.Settings) { a.settingsUpdates <- updated }, func(err error) { log("warn", "cannot reload settings", "error", err) })
 	a.reconcile(ctx)
 	a.loop.Run(ctx, a.merge, reconcileInterval, func() { a.reconcile(ctx) })
 	return nil
 }
 
-// merge takes a batch of news; the first checkpoints of a majority of the view
-// make what is published whole.
+// merge publishes a batch of updates. The published state is complete once a majority
+// of the view has sent a checkpoint.
 func (a *agent) merge(batch []memberUpdate) {
 	for _, received := range batch {
 		received.update.IsWhole = false
@@ -109,21 +103,21 @@
 	a.checkComplete()
 }
 
-// retell brings a core node the items that it lacks and this agent holds,
-// as after a loss that was larger than the core can mend by itself.
+// restoreItems sends a member the configuration items that it lacks and this agent
+// holds, as after a data loss that the control plane cannot repair by itself.
 func (a *agent) restoreItems(received memberUpdate) {
 	lacking := config.Book{}
 	lacking.Merge(received.update.Items)
 	var items []config.Item
 	a.hub.Read(func(board *feed.Board) { items = lacking.Newer(board.Book.Items()) })
 	if client := a.clients[received.member]; client != nil && len(items) > 0 {
-		a.log("info", "retelling items", "to", received.member, "items", len(items))
+		a.log("info", "sending the member configuration items that it lacks", "to", received.member, "items", len(items))
 		client.Send(messages.KindOfferItems, messages.OfferItems{Items: items}, nil)
 	}
 }
 
-// fill asks for a checkpoint where a change did not fit and nobody else has
-// brought what it led to by now.
+// closeGaps requests a checkpoint from each member whose change did not apply, unless
+// another member has delivered the resulting state in the meantime.
 func (a *agent) closeGaps() {
 	var held feed.Reading
 	a.hub.Read(func(board *feed.Board) { held = board.Fleet.Reading() })
@@ -156,18 +150,18 @@
 		}
 	}
 	majority := view.Epoch > 0 && count >= view.Majority()
-	// A core without a majority can keep nothing new; after a while what one
-	// node tells is better than serving nobody.
-	// Without any items, though, every answer would be a wrong 404.
+	// A control plane without a majority cannot store changes, so after a timeout
+	// the state of a single member is better than serving no requests. Without any
+	// configuration items, however, every response would be a wrong 404.
 	timedOut := a.clock.Steady()-a.startedAt > timetable.Steady(a.settings.Platform.Bounds.Contact) && len(a.checkpointed) > 0 && a.holdsItems()
 	if a.complete = majority || timedOut; a.complete {
-		a.log("info", "the news is whole", "heard", count, "late", timedOut)
+		a.log("info", "the configuration is complete", "members", count, "timed_out", timedOut)
 		a.hub.Publish(feed.News{IsWhole: true})
 	}
 }
 
-// tend follows the members that are chosen, and the seeds while no view is known
-// or too few of the members answer.
+// reconcile applies new settings and starts and stops followers so that exactly the
+// members to follow are followed.
 func (a *agent) reconcile(ctx context.Context) {
 	select {
 	case a.settings = <-a.settingsUpdates:
--- a/internal/agent/choose.go
+++ b/internal/agent/choose.go
@@ -7,19 +7,20 @@
 )
 
 const (
-	// followedLeast is how many members are followed, if there are so many: what
-	// one of them is late with, or cut off from, the others tell.
+	// minFollowed is the minimum number of followed members, if there are as many: when
+	// one is slow or disconnected from the control plane, the others send its updates.
 	minFollowed = 3
-	// ailingSpan is after how long without its feed a chosen member gets a spare
-	// beside it, and wellSpan how long all must tell before the spares go again.
+	// spareAfter is how long a preferred member's feed may be broken before a spare is
+	// followed as well. Spares are dropped once all preferred members have been sending
+	// for spareRetention.
 	spareAfter     = 400 * time.Millisecond
 	spareRetention = 10 * time.Second
 )
 
-// wanted is whom to follow: as many members as make a majority, so that whatever
-// a majority of the core decides is told by one of them at least, in an order of
-// this node's own; one more for each that does not tell; and the seeds while no
-// view is known or most of the chosen are silent.
+// membersToFollow returns the addresses to follow: a majority of the members, so that
+// at least one of them knows every decision of a majority, in this node's order of
+// preference; one spare for each whose feed is broken; and the seed nodes while no view
+// is known or most of the preferred members are silent.
 func (a *agent) membersToFollow() map[string]bool {
 	view, now := a.view(), a.clock.Steady()
 	if view.Epoch != a.spareEpoch {
--- a/internal/agent/choose_test.go
+++ b/internal/agent/choose_test.go
@@ -38,19 +38,19 @@
 	return a, clock
 }
 
-var _ = Describe("whom an agent follows", func() {
-	It("is the seeds until it knows a view", func() {
+var _ = Describe("membersToFollow", func() {
+	It("returns the seed nodes until a view is known", func() {
 		a, _ := newAgent("edge-1", membership.View{})
 		Expect(a.membersToFollow()).To(Equal(map[string]bool{"10.0.9.1:7200": true}))
 	})
 
-	It("meets every majority of the core, and all nodes together follow all members alike", func() {
+	It("intersects every majority of the members, and spreads the followers of many nodes evenly", func() {
 		for count := 1; count <= 9; count++ {
 			view, load := membership.View{Epoch: 1, Members: members(count)}, map[string]int{}
 			for number := range 300 {
 				a, _ := newAgent(fmt.Sprint("edge-", number), view)
 				wanted := a.membersToFollow()
-				// Whoever is not followed is no majority.
+				// The members that are not followed are less than a majority.
 				Expect(len(wanted)).To(Equal(min(count, max(3, view.Majority()))))
 				Expect(count - len(wanted)).To(BeNumerically("<", view.Majority()))
 				for member := range wanted {
@@ -63,14 +63,14 @@
 		}
 	})
 
-	It("has a spare for each that does not tell, for a while after, and the seeds if most are silent", func() {
+	It("adds a spare for each broken feed, keeps it for a while, and adds the seed nodes if most feeds are broken", func() {
 		view := membership.View{Epoch: 1, Members: members(5)}
 		a, clock := newAgent("edge-1", view)
 		order := membership.FollowOrder(view.Members, "edge-1")
 		for _, member := range order[:3] {
 			a.followers[member] = feed.NewFollower("edge-1", rpc.NewClient(member, time.Second, time.Second), func(feed.News) {}, time.Second)
 		}
-		// Just begun, none of them counts as ailing yet.
+		// The followers have just started, so none counts as failing yet.
 		Expect(a.membersToFollow()).To(HaveLen(3))
 		Eventually(func() int { return len(a.membersToFollow()) }).Should(Equal(6))
 		Expect(a.membersToFollow()).To(HaveKey("10.0.9.1:7200"))
@@ -82,9 +82,9 @@
 		Expect(a.membersToFollow()).To(HaveLen(3))
 	})
 
-	It("has a well member among them whichever minority is cut off from the rest of the core", func() {
-		// A member that is cut off goes on feeding its followers, and tells them
-		// nothing new: no broken feed shows it, so a well one must be followed already.
+	It("contains a connected member whichever minority is disconnected from the other members", func() {
+		// A disconnected member keeps its feeds open without sending anything new. No
+		// broken feed reveals it, so a connected member must be followed already.
 		for count := 1; count <= 7; count++ {
 			view := membership.View{Epoch: 1, Members: members(count)}
 			for number := range 20 {
@@ -98,20 +98,20 @@
 					for index, member := range view.Members {
 						healthy = healthy || wanted[member] && disconnected>>index&1 == 0
 					}
-					Expect(healthy).To(BeTrue(), "edge-%d of %d members, cut %b", number, count, disconnected)
+					Expect(healthy).To(BeTrue(), "edge-%d of %d members, disconnected %b", number, count, disconnected)
 				}
 			}
 		}
 	})
 
-	It("gets a spare for a member that doesn't answer well inside the time for a change", func() {
+	It("adds a spare for an unreachable member well within the time limit of a change", func() {
 		const changeLimit = 2 * time.Second
 		view := membership.View{Epoch: 1, Members: members(5)}
 		a, _ := newAgent("edge-1", view)
 		failed := membership.FollowOrder(view.Members, "edge-1")[0]
 		a.followers[failed] = feed.NewFollower("edge-1", rpc.NewClient(failed, time.Second, time.Second), func(feed.News) {}, time.Second)
 		Eventually(func() int { return len(a.membersToFollow()) }, spareAfter+reconcileInterval).Should(Equal(4))
-		// It is seen at the next look, and connected within the bound of a call.
+		// The next reconcile adds the spare, and connecting takes at most connectTimeout.
 		Expect(spareAfter + reconcileInterval + connectTimeout).To(BeNumerically("<", changeLimit))
 	})
 })
--- a/internal/apierror/kinds.go
+++ b/internal/apierror/kinds.go
@@ -1,13 +1,13 @@
-// Package apierror is the closed list of what can go wrong with an inquiry or an
-// operator's call, and the table that says how each kind is answered.
+// Package apierror defines the closed list of errors of client requests and operator
+// calls, and the HTTP response for each.
 package apierror
 
 import "time"
 
-// Kind is one way in which an inquiry can end without a server's reply.
+// Kind is a reason why a request fails without a response from an upstream server.
 type Kind uint8
 
-// The closed list of kinds.
+// The error kinds. Their numbers are sent between processes.
 const (
 	None Kind = iota
 	MalformedRequest
@@ -30,67 +30,60 @@
 	InvalidOrder
 	LoadShed
 	ShadowForbidden
-	// VersionTaken says that an item's version was accepted with another content.
+	// VersionConflict means that this version of an item was already accepted with
+	// different content.
 	VersionConflict
 )
 
-// Answer is how a kind is told to the caller.
+// Response is the HTTP response for an error kind.
 type Response struct {
 	Status int
 	Reason string
-	// Promise says that the status promises that the inquiry has not run and
-	// never will; only a kind whose inquiry surely did not run may carry it.
+	// NotExecuted guarantees the client that the request was not executed and never
+	// will be. Only a kind for which this is certain may set it.
 	NotExecuted bool
-	// RetryAfter is when to come back; zero says nothing.
+	// RetryAfter is the suggested retry delay; zero means none.
 	RetryAfter time.Duration
-	// Close asks for the client's connection to be closed.
+	// Close closes the client's connection after the response.
 	Close bool
 }
 
 var responses = map[Kind]Response{
-	MalformedRequest:        {Status: 400, Reason: "the inquiry is malformed", Close: true},
-	NoRoute:                 {Status: 404, Reason: "no lane leads there"},
+	MalformedRequest:        {Status: 400, Reason: "the request is malformed", Close: true},
+	NoRoute:                 {Status: 404, Reason: "no route matches"},
 	BodyTooLarge:            {Status: 413, Reason: "the body is too large", Close: true},
-	KeyConflict:             {Status: 422, Reason: "the key was used with a different inquiry"},
-	KeyInProgress:           {Status: 409, Reason: "the key is in work", RetryAfter: 100 * time.Millisecond},
-	ServersBusy:             {Status: 503, Reason: "the servers are full", NotExecuted: true, RetryAfter: 50 * time.Millisecond},
+	KeyConflict:             {Status: 422, Reason: "the idempotency key was used with a different request"},
+	KeyInProgress:           {Status: 409, Reason: "a request with this idempotency key is in progress", RetryAfter: 100 * time.Millisecond},
+	ServersBusy:             {Status: 503, Reason: "all servers are at capacity", NotExecuted: true, RetryAfter: 50 * time.Millisecond},
 	NoServer:                {Status: 503, Reason: "no server is ready", NotExecuted: true, RetryAfter: 100 * time.Millisecond},
-	KeyNotReserved:          {Status: 503, Reason: "the key cannot be secured now", NotExecuted: true, RetryAfter: 400 * time.Millisecond},
-	NotExecuted:             {Status: 503, Reason: "no server took the inquiry", NotExecuted: true, RetryAfter: 50 * time.Millisecond},
-	ResponseInterrupted:     {Status: 502, Reason: "the server's reply broke off; it may have run"},
-	ResponseTimeout:         {Status: 504, Reason: "the server's reply is late; it may have run"},
+	KeyNotReserved:          {Status: 503, Reason: "the idempotency key cannot be reserved at present", NotExecuted: true, RetryAfter: 400 * time.Millisecond},
+	NotExecuted:             {Status: 503, Reason: "no server accepted the request", NotExecuted: true, RetryAfter: 50 * time.Millisecond},
+	ResponseInterrupted:     {Status: 502, Reason: "the server's response was interrupted; the request may have been executed"},
+	ResponseTimeout:         {Status: 504, Reason: "the server did not respond in time; the request may have been executed"},
 	HeaderTooLarge:          {Status: 431, Reason: "the headers are too large", Close: true},
-	TooManyIntents:          {Status: 429, Reason: "the lane has too many open intents", NotExecuted: true, RetryAfter: 200 * time.Millisecond},
+	TooManyIntents:          {Status: 429, Reason: "the route has too many open intents", NotExecuted: true, RetryAfter: 200 * time.Millisecond},
 	InvalidManifest:         {Status: 400, Reason: "the manifest is invalid"},
-	NotFound:                {Status: 404, Reason: "nobody knows of that"},
-	OrderInProgress:         {Status: 409, Reason: "another order is under way"},
-	InvalidOrder:            {Status: 400, Reason: "the order is invalid"},
-	LoadShed:                {Status: 503, Reason: "the service is overloaded; inquiries of this tier wait", NotExecuted: true, RetryAfter: 500 * time.Millisecond},
-	ShadowForbidden:         {Status: 403, Reason: "an inquiry of a shadow reaches no live service"},
-	VersionConflict:         {Status: 409, Reason: "the version of an item has another content"},
-	ControlPlaneUnavailable: {Status: 503, Reason: "no majority of the core can be reached", NotExecuted: true, RetryAfter: 200 * time.Millisecond},
+	NotFound:                {Status: 404, Reason: "not found"},
+	OrderInProgress:         {Status: 409, Reason: "another operator order is in progress"},
+	InvalidOrder:            {Status: 400, Reason: "the operator order is invalid"},
+	LoadShed:                {Status: 503, Reason: "the service is overloaded and rejects requests of this tier", NotExecuted: true, RetryAfter: 500 * time.Millisecond},
+	ShadowForbidden:         {Status: 403, Reason: "a request of a shadow must not reach a live service"},
+	VersionConflict:         {Status: 409, Reason: "this version of an item exists with different content"},
+	ControlPlaneUnavailable: {Status: 503, Reason: "no majority of the control plane is reachable", NotExecuted: true, RetryAfter: 200 * time.Millisecond},
 }
 
-// AnswerOf looks the answer of a kind up in the table.
-//
-// Example:
-//
-//	apierror.AnswerOf(apierror.NoLane).Status // 404
+// ResponseFor returns the HTTP response for a kind.
 func ResponseFor(kind Kind) Response { return responses[kind] }
 
-// Error is a derailment with what is known of it.
+// Error is an error of a kind, with details.
 type Error struct {
 	Kind   Kind
 	Detail string
-	// After is when to come back, where that is not what the table says.
+	// RetryAfter, if set, overrides the retry delay of the kind's response.
 	RetryAfter time.Duration
 }
 
-// Error tells the reason and the detail.
-//
-// Example:
-//
-//	log(err.Error()) // "no lane leads there"
+// Error returns the reason and, if there is one, the detail.
 func (e *Error) Error() string {
 	reason := responses[e.Kind].Reason
 	if e.Detail == "" {
@@ -99,9 +92,5 @@
 	return reason + ": " + e.Detail
 }
 
-// New makes an error of a kind.
-//
-// Example:
-//
-//	return apierror.New(apierror.BadManifest, "lane x names no service")
+// New returns an error of the given kind.
 func New(kind Kind, detail string) error { return &Error{Kind: kind, Detail: detail} }
--- a/internal/bounded/bounded.go
+++ b/internal/bounded/bounded.go
@@ -1,5 +1,5 @@
-// Package bounded reads what a peer announced the length of, without trusting the
-// announcement: memory is taken only as bytes arrive.
+// Package bounded reads data of a length announced by a peer without trusting that
+// length: memory is allocated only as bytes arrive.
 package bounded
 
 import (
@@ -7,16 +7,12 @@
 	"slices"
 )
 
-// firstStep is how much is taken at once before anything has arrived.
+// initialBytes is the allocation limit before any byte has arrived.
 const initialBytes = 32 << 10
 
-// Read reads exactly size bytes. It never holds more than twice what has arrived,
-// and a small first step: a length is a claim until its bytes are there. A source
-// that ends early gives io.ErrUnexpectedEOF.
-//
-// Example:
-//
-//	body, err := bounded.Read(reader, announced)
+// Read reads exactly size bytes. It allocates an initial 32 KiB at most, and after that
+// no more than twice the bytes received, because the announced size may be wrong. If
+// the reader ends early, Read returns io.ErrUnexpectedEOF.
 func Read(reader io.Reader, size int) ([]byte, error) {
 	data := make([]byte, 0, min(size, initialBytes))
 	for len(data) < size {
--- a/internal/bounded/bounded_test.go
+++ b/internal/bounded/bounded_test.go
@@ -18,7 +18,7 @@
 			t.Fatalf("%d bytes: %v, got %d", size, err, len(got))
 		}
 		if reader.Len() != len(all)-size {
-			t.Fatalf("%d bytes: %d are left", size, reader.Len())
+			t.Fatalf("%d bytes: %d bytes remain unread", size, reader.Len())
 		}
 	}
 }
@@ -32,6 +32,6 @@
 		t.Fatalf("got %v", err)
 	}
 	if allocated := after.TotalAlloc - before.TotalAlloc; allocated > 1<<20 {
-		t.Fatalf("%d bytes were taken for 100 that came", allocated)
+		t.Fatalf("%d bytes were allocated for 100 received", allocated)
 	}
 }
--- a/internal/logring/ring.go
+++ b/internal/logring/ring.go
@@ -1,5 +1,5 @@
-// Package logring is the log: a ring in memory that is written out when
-// something goes wrong, and little else.
+// Package logring implements a logger that keeps recent low-level lines in memory and
+// writes them only when an error occurs.
 package logring
 
 import (
@@ -19,8 +19,8 @@
 	keyvals []any
 }
 
-// Ring keeps the last lines of every level; those at or above its level are
-// written at once, and an error brings the ring before it.
+// Ring is the logger. Lines at or above its level are written immediately; the last
+// lines below it are kept, and written before the next error.
 type Ring struct {
 	lock    sync.Mutex
 	level   log.Level
@@ -28,12 +28,7 @@
 	writer  *log.Logger
 }
 
-// New makes a ring that writes to out.
-//
-// Example:
-//
-//	ring := logring.New("warn", os.Stderr)
-//	ring.Note("info", "a member joined", "member", address)
+// New returns a ring that writes to out. An unknown level counts as warn.
 func New(level string, out io.Writer) *Ring {
 	parsed, err := log.ParseLevel(level)
 	if err != nil {
@@ -42,11 +37,7 @@
 	return &Ring{level: parsed, writer: log.NewWithOptions(out, log.Options{Level: log.DebugLevel, ReportTimestamp: false})}
 }
 
-// Note adds a line.
-//
-// Example:
-//
-//	ring.Note("error", "disk", "error", err)
+// Log adds a line. An unknown level counts as error.
 func (r *Ring) Log(level, text string, keyvals ...any) {
 	parsed, err := log.ParseLevel(level)
 	if err != nil {
@@ -68,11 +59,7 @@
 	}
 }
 
-// Dump writes the ring out and empties it.
-//
-// Example:
-//
-//	ring.Dump()
+// Dump writes the kept lines and removes them.
 func (r *Ring) Dump() {
 	r.lock.Lock()
 	defer r.lock.Unlock()
