--- a/internal/proxy/members.go
+++ b/internal/proxy/members.go
@@ -13,7 +13,7 @@
 	reply  *T
 }
 
-// callFunc makes one call over a connection: (*rpc.Line).Send or SendRevocable.
+// callFunc makes one call over a connection: (*rpc.Client).Send or SendRevocable.
 type callFunc = func(line *rpc.Client, kind rpc.Kind, body any, take func([]byte, error)) (cancel func())
 
 // callMembers calls all members of the view concurrently and delivers one reply for
--- a/internal/rpc/frame.go
+++ b/internal/rpc/frame.go
@@ -135,9 +135,9 @@
 }
 
 func newOutbox(conn net.Conn, size int) *outbox {
-	outbox := &outbox{frames: make(chan *outgoingFrame, size), done: make(chan struct{})}
-	go outbox.run(conn)
-	return outbox
+	b := &outbox{frames: make(chan *outgoingFrame, size), done: make(chan struct{})}
+	go b.run(conn)
+	return b
 }
 
 func (b *outbox) run(conn net.Conn) {
