--- a/internal/control/call.go
+++ b/internal/control/call.go
@@ -12,12 +12,12 @@
 	"ploverhitch/internal/rpc"
 )
 
-func (n *node) connection(address string) *rpc.Line {
+func (n *node) connection(address string) *rpc.Client {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	connection := n.connections[address]
 	if connection == nil {
-		connection = rpc.NewLine(address, connectTimeout, silenceTimeout)
+		connection = rpc.NewClient(address, connectTimeout, silenceTimeout)
 		n.connections[address] = connection
 	}
 	return connection
@@ -26,7 +26,7 @@
 // call sends a request to a member, which may be this node itself.
 func (n *node) call(member string, kind rpc.Kind, request, reply any, timeout time.Duration) error {
 	if member != n.self {
-		return n.connection(member).Ask(kind, request, reply, timeout)
+		return n.connection(member).Call(kind, request, reply, timeout)
 	}
 	return n.callSelf(kind, request, reply, timeout)
 }
@@ -63,7 +63,7 @@
 		if result == nil {
 			return nil
 		}
-		return rpc.Unpack(data, result)
+		return rpc.Decode(data, result)
 	case <-timer.C:
 		return errors.Timeoutf("call to this node")
 	}
@@ -96,7 +96,7 @@
 // that the request is done.
 func (n *node) majorityDone(view membership.View, kind rpc.Kind, request any, timeout time.Duration) bool {
 	count := 0
-	callAll(n, view.Members, kind, request, timeout, func(_ string, done messages.Done) bool {
+	callAll(n, view.Members, kind, request, timeout, func(_ string, done messages.Ack) bool {
 		if done.OK {
 			count++
 		}
@@ -114,9 +114,9 @@
 // callLeader forwards an operator's command to the leader, whichever node received it.
 func (n *node) callLeader(kind rpc.Kind, command any) error {
 	leader := n.leader()
-	var result messages.Ordered
+	var result messages.OrderResponse
 	if leader == "" || n.call(leader, kind, command, &result, commandTimeout) != nil {
-		return apierror.New(apierror.Gone, "the leader does not answer")
+		return apierror.New(apierror.ControlPlaneUnavailable, "the leader does not answer")
 	}
 	return resultError(result)
 }
--- a/internal/control/commands.go
+++ b/internal/control/commands.go
@@ -13,29 +13,29 @@
 // runCommand runs an operator's command in the coordinator's loop and replies with the
 // result. A command that waited longer than its caller does has no effect: the operator
 // was told that it failed and may have sent another since.
-func (n *node) runCommand(reply func(messages.Ordered), run func(c *coordinator) (apierror.Kind, string)) {
+func (n *node) runCommand(reply func(messages.OrderResponse), run func(c *coordinator) (apierror.Kind, string)) {
 	c, receivedAt := n.coordinator, n.clock.Monotonic()
 	enqueued := c.loop.Offer(func() {
-		kind, detail := apierror.Gone, "this node is not the leader"
+		kind, detail := apierror.ControlPlaneUnavailable, "this node is not the leader"
 		switch {
 		case time.Duration(c.clock.Monotonic()-receivedAt) >= commandTimeout:
 			detail = "the command waited too long"
 		case c.ensureLeading():
 			kind, detail = run(c)
 		}
-		reply(messages.Ordered{Kind: kind, Detail: detail})
+		reply(messages.OrderResponse{Kind: kind, Detail: detail})
 	})
 	if !enqueued {
-		reply(messages.Ordered{Kind: apierror.Gone})
+		reply(messages.OrderResponse{Kind: apierror.ControlPlaneUnavailable})
 	}
 }
 
-func (n *node) onStartRollout(in messages.Order, reply func(messages.Ordered)) {
+func (n *node) onStartRollout(in messages.StartRollout, reply func(messages.OrderResponse)) {
 	n.runCommand(reply, func(c *coordinator) (apierror.Kind, string) { return c.startRollout(in) })
 }
 
 // startRollout handles an operator's command to roll out a version of a service.
-func (c *coordinator) startRollout(in messages.Order) (kind apierror.Kind, detail string) {
+func (c *coordinator) startRollout(in messages.StartRollout) (kind apierror.Kind, detail string) {
 	state, known := c.states[in.Service]
 	if !known {
 		serviceExists := false
@@ -44,7 +44,7 @@
 			serviceExists = found && !item.Removed
 		})
 		if !serviceExists {
-			return apierror.UnknownSubject, in.Service
+			return apierror.NotFound, in.Service
 		}
 		state.Subject = in.Service
 	}
@@ -53,18 +53,18 @@
 		c.recordRepeat(state)
 		return apierror.None, ""
 	case state.Phase.IsActive():
-		return apierror.OtherOrder, "the rollout of version " + state.Target + " is in progress"
+		return apierror.OrderInProgress, "the rollout of version " + state.Target + " is in progress"
 	}
 	next, permitted := state.Order(in.Target, clock.Duration(in.Duration))
 	if !permitted {
-		return apierror.OtherOrder, ""
+		return apierror.OrderInProgress, ""
 	}
 	if in.Target == state.InForce {
 		next.Phase, next.Reason = trial.Complete, "the version is in force"
 	}
 	c.detector.ForgetBefore(in.Service, next.Number)
 	if err := c.commitState(next); err != nil {
-		return apierror.Gone, ""
+		return apierror.ControlPlaneUnavailable, ""
 	}
 	c.log("warn", "rollout started", "subject", in.Service, "phase", next.Phase, "target", in.Target)
 	c.publish()
--- a/internal/control/commands_test.go
+++ b/internal/control/commands_test.go
@@ -31,7 +31,7 @@
 	c, manualClock := newTestCoordinator(trial.State{Subject: "s", Number: 1, Target: "v2", Duration: duration, Phase: trial.Reverted})
 	for range 5 {
 		manualClock.Now += 15 * time.Second
-		kind, detail := c.startRollout(messages.Order{Service: "s", Target: "v2", Duration: int64(duration)})
+		kind, detail := c.startRollout(messages.StartRollout{Service: "s", Target: "v2", Duration: int64(duration)})
 		if kind != apierror.None || c.states["s"].Number != 1 {
 			t.Fatalf("got %v %q, number %d", kind, detail, c.states["s"].Number)
 		}
@@ -48,10 +48,10 @@
 	c, manualClock := newTestCoordinator(trial.State{Subject: subject, Number: 1, Items: items, Phase: trial.Reverted, Reason: haltedByOperator})
 	for range 3 {
 		manualClock.Now += 15 * time.Second
-		if kind, detail := c.startStagedChange(messages.StageOrder{Name: "change", Items: items}); kind != apierror.None {
+		if kind, detail := c.startStagedChange(messages.StagedChange{Name: "change", Items: items}); kind != apierror.None {
 			t.Fatalf("start: got %v %q", kind, detail)
 		}
-		if kind, detail := c.haltStagedChange(messages.StageOrder{Name: "change", IsHalt: true}); kind != apierror.None {
+		if kind, detail := c.haltStagedChange(messages.StagedChange{Name: "change", Halt: true}); kind != apierror.None {
 			t.Fatalf("halt: got %v %q", kind, detail)
 		}
 	}
@@ -61,9 +61,9 @@
 	for wait, late := range map[time.Duration]bool{commandTimeout - time.Millisecond: false, commandTimeout: true} {
 		c, manualClock := newTestCoordinator(trial.State{Subject: "s"})
 		c.isLeader.Store(true)
-		results := make(chan messages.Ordered, 1)
+		results := make(chan messages.OrderResponse, 1)
 		executed := false
-		c.runCommand(func(result messages.Ordered) { results <- result }, func(*coordinator) (apierror.Kind, string) {
+		c.runCommand(func(result messages.OrderResponse) { results <- result }, func(*coordinator) (apierror.Kind, string) {
 			executed = true
 			return apierror.None, ""
 		})
@@ -73,7 +73,7 @@
 		result := <-results
 		stop()
 		refused := result.Detail == "the command waited too long"
-		if refused != late || late && (executed || result.Kind != apierror.Gone) {
+		if refused != late || late && (executed || result.Kind != apierror.ControlPlaneUnavailable) {
 			t.Fatalf("after %v: got %+v, executed: %v", wait, result, executed)
 		}
 	}
--- a/internal/control/coordinator.go
+++ b/internal/control/coordinator.go
@@ -172,7 +172,7 @@
 // then adopts it.
 func (c *coordinator) commitState(state trial.State) error {
 	if !c.holdsLease(c.term) {
-		return apierror.New(apierror.Gone, "the leader lease has expired")
+		return apierror.New(apierror.ControlPlaneUnavailable, "the leader lease has expired")
 	}
 	c.writeCount++
 	state.Term, state.Count = c.term, c.writeCount
--- a/internal/control/leader_lease_test.go
+++ b/internal/control/leader_lease_test.go
@@ -24,8 +24,8 @@
 // unless the test listens on their addresses.
 func newTestMember(manualClock *clock.Manual, view membership.View) *node {
 	n := &node{
-		self: "a", clock: manualClock, hub: feed.NewHub(), log: func(string, string, ...any) {}, connections: map[string]*rpc.Line{},
-		memberLoop: clock.NewLoop[func()](256), livenessWatch: membership.NewWatch(manualClock, time.Second), lease: newLeaderLease(testLeaseDuration),
+		self: "a", clock: manualClock, hub: feed.NewHub(), log: func(string, string, ...any) {}, connections: map[string]*rpc.Client{},
+		memberLoop: clock.NewLoop[func()](256), livenessWatch: membership.NewLivenessWatch(manualClock, time.Second), lease: newLeaderLease(testLeaseDuration),
 		listWatch: newListTracker(manualClock.Monotonic()),
 	}
 	n.settings.Store(&settings.Settings{Tuning: settings.Defaults()})
@@ -53,16 +53,16 @@
 	termOf := func(holder string, number uint64) membership.Term {
 		return membership.Term{Number: number, Holder: holder}
 	}
-	done := func(call func(func(messages.Done))) bool {
-		got := make(chan messages.Done, 1)
-		call(func(done messages.Done) { got <- done })
+	done := func(call func(func(messages.Ack))) bool {
+		got := make(chan messages.Ack, 1)
+		call(func(done messages.Ack) { got <- done })
 		return (<-got).OK
 	}
 	claim := func(epoch membership.Epoch, term membership.Term) bool {
-		return done(func(answer func(messages.Done)) { n.onClaim(messages.Claim{Epoch: epoch, Term: term}, answer) })
+		return done(func(answer func(messages.Ack)) { n.onClaim(messages.Claim{Epoch: epoch, Term: term}, answer) })
 	}
 	renew := func(epoch membership.Epoch, term membership.Term) bool {
-		return done(func(answer func(messages.Done)) { n.onRenew(messages.Renew{Epoch: epoch, Term: term}, answer) })
+		return done(func(answer func(messages.Ack)) { n.onRenew(messages.Renew{Epoch: epoch, Term: term}, answer) })
 	}
 
 	BeforeEach(func() {
@@ -94,7 +94,7 @@
 
 	It("can be claimed by another member as soon as the leader releases it", func() {
 		Expect(claim(1, termOf("b", 1))).To(BeTrue())
-		Expect(done(func(answer func(messages.Done)) { n.onRelease(messages.Release{Term: termOf("b", 1)}, answer) })).To(BeTrue())
+		Expect(done(func(answer func(messages.Ack)) { n.onRelease(messages.Release{Term: termOf("b", 1)}, answer) })).To(BeTrue())
 		Expect(claim(1, termOf("c", 2))).To(BeTrue())
 	})
 
@@ -137,10 +137,10 @@
 			var stored int
 			n.store.read(func(t *tables) { stored = len(t.rollouts) })
 			Expect(stored).To(BeZero(), "a write was stored after the lease had expired")
-			ordered := make(chan messages.Ordered, 1)
-			n.runCommand(func(answer messages.Ordered) { ordered <- answer }, func(*coordinator) (apierror.Kind, string) { panic("decided without a valid lease") })
+			ordered := make(chan messages.OrderResponse, 1)
+			n.runCommand(func(answer messages.OrderResponse) { ordered <- answer }, func(*coordinator) (apierror.Kind, string) { panic("decided without a valid lease") })
 			go n.coordinator.run(GinkgoT().Context())
-			Eventually(ordered).Should(Receive(HaveField("Kind", apierror.Gone)))
+			Eventually(ordered).Should(Receive(HaveField("Kind", apierror.ControlPlaneUnavailable)))
 		})
 
 		It("continues under the same term with the same state once a majority renews it", func() {
--- a/internal/control/lease/holder.go
+++ b/internal/control/lease/holder.go
@@ -65,7 +65,7 @@
 // majority has acknowledged it.
 func (h *Holder) Acknowledge(number Round, member string) bool {
 	r := h.rounds[number]
-	if r == nil || !r.view.Has(member) {
+	if r == nil || !r.view.Contains(member) {
 		return false
 	}
 	r.acknowledged[member] = true
--- a/internal/control/lease/simulation_steps_test.go
+++ b/internal/control/lease/simulation_steps_test.go
@@ -19,7 +19,7 @@
 	for range 2 {
 		s.gossip(n, s.nodes[s.random.IntN(len(s.nodes))].name)
 	}
-	if !n.view.Has(n.name) {
+	if !n.view.Contains(n.name) {
 		s.stepDown(n)
 		n.trusted = false
 		return
@@ -132,7 +132,7 @@
 		return
 	}
 	n.readTerms[from] = term
-	if len(n.readTerms) < view.ReadSet() {
+	if len(n.readTerms) < view.ReadQuorum() {
 		return
 	}
 	for _, reported := range n.readTerms {
@@ -189,7 +189,7 @@
 // untrusted returns how many members of the newest view have not yet been rebuilt.
 func (s *simulation) untrusted() (count int) {
 	for _, name := range s.newestView.Members {
-		if n := s.node(name); !n.trusted || n.view.Epoch < s.newestView.Epoch && !n.view.Has(name) {
+		if n := s.node(name); !n.trusted || n.view.Epoch < s.newestView.Epoch && !n.view.Contains(name) {
 			count++
 		}
 	}
@@ -209,9 +209,9 @@
 		return
 	}
 	for _, n := range s.nodes {
-		if !s.newestView.Has(n.name) && !n.trusted && n.running {
+		if !s.newestView.Contains(n.name) && !n.trusted && n.running {
 			removed := s.newestView.Members[s.random.IntN(len(s.newestView.Members))]
-			s.newestView = s.newestView.Swap(removed, n.name)
+			s.newestView = s.newestView.Replace(removed, n.name)
 			voters[s.random.IntN(len(voters))].view = s.newestView
 			return
 		}
--- a/internal/control/lease/simulation_test.go
+++ b/internal/control/lease/simulation_test.go
@@ -90,7 +90,7 @@
 	}
 	s.newestView = membership.FirstView(names)
 	for _, n := range s.nodes {
-		n.view, n.trusted = s.newestView, s.newestView.Has(n.name)
+		n.view, n.trusted = s.newestView, s.newestView.Contains(n.name)
 		s.scheduleTick(n)
 	}
 	return s
@@ -189,7 +189,7 @@
 }
 
 func (n *node) votesIn(epoch membership.Epoch) bool {
-	return n.trusted && n.view.Epoch == epoch && n.view.Has(n.name)
+	return n.trusted && n.view.Epoch == epoch && n.view.Contains(n.name)
 }
 
 // event is an action at a point in time; simultaneous events run in the order in
--- a/internal/control/leave.go
+++ b/internal/control/leave.go
@@ -21,14 +21,14 @@
 // node that shuts down cannot know whether it will be started again.
 func (n *node) leave() {
 	view := n.view()
-	if !view.Has(n.self) {
+	if !view.Contains(n.self) {
 		return
 	}
 	var calls sync.WaitGroup
 	for _, member := range view.Others(n.self) {
 		calls.Go(func() {
-			var reply messages.Done
-			err := n.connection(member).Ask(messages.KindLeave, messages.Leave{Epoch: view.Epoch, Address: n.self}, &reply, leaveCallTimeout)
+			var reply messages.Ack
+			err := n.connection(member).Call(messages.KindLeave, messages.Leave{Epoch: view.Epoch, Address: n.self}, &reply, leaveCallTimeout)
 			if err != nil || !reply.OK {
 				n.log("info", "shutting down; a member has not copied the missing outcomes", "member", member, "error", err)
 			}
@@ -45,9 +45,9 @@
 }
 
 // onLeave copies the outcomes that this node lacks from a member that shuts down.
-func (n *node) onLeave(in messages.Leave, reply func(messages.Done)) {
+func (n *node) onLeave(in messages.Leave, reply func(messages.Ack)) {
 	go func() {
 		_, err := n.copyIntents(in.Address, in.Epoch, copyMode{scope: idempotency.CompletedIntents})
-		reply(messages.Done{OK: err == nil})
+		reply(messages.Ack{OK: err == nil})
 	}()
 }
--- a/internal/control/listing/read_tracker.go
+++ b/internal/control/listing/read_tracker.go
@@ -69,10 +69,10 @@
 
 // StandbyRank returns a member's position among the standby readers, or -1 if it is none.
 func StandbyRank(view membership.View, leader, member string) int {
-	if leader == "" || member == leader || !view.Has(member) {
+	if leader == "" || member == leader || !view.Contains(member) {
 		return -1
 	}
-	return slices.Index(membership.Watchers(view.Members, leader, len(view.Members)), member)
+	return slices.Index(membership.RingSuccessors(view.Members, leader, len(view.Members)), member)
 }
 
 // StandbyShare returns the share of the platform's rate limit with which a member now reads
--- a/internal/control/modify.go
+++ b/internal/control/modify.go
@@ -15,7 +15,7 @@
 const forwardTimeout = 350 * time.Millisecond
 
 // errUndecided reports a change whose outcome is unknown: it may still be accepted.
-var errUndecided = apierror.New(apierror.Gone, "the outcome of the configuration change is unknown")
+var errUndecided = apierror.New(apierror.ControlPlaneUnavailable, "the outcome of the configuration change is unknown")
 
 // modify applies an operator's change of configuration items. It returns nil once a
 // majority has accepted the change that contains the items, or has confirmed that
@@ -32,11 +32,11 @@
 		if member == n.self {
 			return n.configReplicator.submit(items)
 		}
-		var result messages.Ordered
+		var result messages.OrderResponse
 		if n.call(member, messages.KindPropose, messages.Propose{Items: items}, &result, forwardTimeout) != nil {
 			continue
 		}
-		if result.Kind != apierror.Gone {
+		if result.Kind != apierror.ControlPlaneUnavailable {
 			return registry.Index(result.Index), resultError(result)
 		}
 	}
@@ -44,7 +44,7 @@
 }
 
 // resultError converts the result that another node returned into an error.
-func resultError(result messages.Ordered) error {
+func resultError(result messages.OrderResponse) error {
 	if result.Kind == apierror.None {
 		return nil
 	}
@@ -59,13 +59,13 @@
 	n.store.read(func(t *tables) { view, leader, canVote = t.view, t.term.Holder, n.canVote(t, t.view.Epoch) })
 	leaderLive := false
 	n.runInMemberLoop(func() { leaderLive = n.livenessWatch.IsLive(leader) })
-	if leader != n.self && view.Has(leader) && (leaderLive || !canVote) {
+	if leader != n.self && view.Contains(leader) && (leaderLive || !canVote) {
 		members = append(members, leader)
 	}
 	if canVote {
 		return append(members, n.self)
 	}
-	for _, member := range membership.Followed(view.Members, n.self) {
+	for _, member := range membership.FollowOrder(view.Members, n.self) {
 		if member != leader && member != n.self {
 			members = append(members, member)
 		}
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -38,11 +38,11 @@
 	callHandlers rpc.Handlers
 
 	mu          sync.Mutex
-	connections map[string]*rpc.Line
+	connections map[string]*rpc.Client
 
 	// livenessWatch and joining are accessed only by the membership loop; joining holds
 	// the time of the last request of each address that asked to join.
-	livenessWatch *membership.Watch
+	livenessWatch *membership.LivenessWatch
 	memberLoop    *clock.Loop[func()]
 	joining       map[string]clock.Instant
 	startedAt     clock.Instant
@@ -85,12 +85,12 @@
 	defer cancel()
 	n := &node{
 		self: set.InternalAddress(set.Platform.Ip, 0), clock: clock.Real(), log: log, hub: feed.NewHub(),
-		connections: map[string]*rpc.Line{}, memberLoop: clock.NewLoop[func()](256), joining: map[string]clock.Instant{},
+		connections: map[string]*rpc.Client{}, memberLoop: clock.NewLoop[func()](256), joining: map[string]clock.Instant{},
 	}
 	n.settings.Store(set)
 	n.proposerID = newProposerID(n.self)
 	n.startedAt = n.clock.Monotonic()
-	n.livenessWatch = membership.NewWatch(n.clock, set.Tuning.SilentAfter.Std())
+	n.livenessWatch = membership.NewLivenessWatch(n.clock, set.Tuning.SilentAfter.Std())
 	n.lease = newLeaderLease(leaseDuration(set.Tuning))
 	n.listWatch = newListTracker(n.startedAt)
 	if err := n.openDisk(set); err != nil {
--- a/internal/control/read_config.go
+++ b/internal/control/read_config.go
@@ -33,7 +33,7 @@
 	highest, source := registry.State{}, ""
 	var newer *membership.View
 	undecided := false
-	callAll(n, view.Members, messages.KindState, messages.State{Epoch: view.Epoch}, callTimeout, func(member string, state registry.State) bool {
+	callAll(n, view.Members, messages.KindReplicaState, messages.ReplicaState{Epoch: view.Epoch}, callTimeout, func(member string, state registry.State) bool {
 		if state.View != nil && (newer == nil || state.View.Epoch > newer.Epoch) {
 			newer = state.View
 		}
@@ -50,7 +50,7 @@
 		n.adoptView(*newer)
 	}
 	if count < view.Majority() || count == 0 {
-		return nil, apierror.New(apierror.Gone, "reading the configuration")
+		return nil, apierror.New(apierror.ControlPlaneUnavailable, "reading the configuration")
 	}
 	if undecided {
 		// A change that some members have accepted may already be decided and
@@ -79,7 +79,7 @@
 			err = n.catchUp(source)
 		}
 	}
-	return nil, apierror.New(apierror.Gone, fmt.Sprintf("reading the configuration at index %d: %v", index, err))
+	return nil, apierror.New(apierror.ControlPlaneUnavailable, fmt.Sprintf("reading the configuration at index %d: %v", index, err))
 }
 
 // rebuild restores this replica after its state was lost or became outdated. Afterwards it
@@ -90,7 +90,7 @@
 	var states []registry.State
 	var sources []string
 	complete := 0
-	callAll(n, view.Members, messages.KindState, messages.State{Epoch: view.Epoch}, callTimeout, func(member string, state registry.State) bool {
+	callAll(n, view.Members, messages.KindReplicaState, messages.ReplicaState{Epoch: view.Epoch}, callTimeout, func(member string, state registry.State) bool {
 		if member == n.self || !state.OK && !state.Rebuilding {
 			return false
 		}
@@ -100,7 +100,7 @@
 		return false
 	})
 	// If all other members have answered, no member is left that could know more.
-	if allAnswered := len(states) == len(view.Members)-1; complete < view.ReadSet() && !allAnswered {
+	if allAnswered := len(states) == len(view.Members)-1; complete < view.ReadQuorum() && !allAnswered {
 		return false
 	}
 	for _, member := range sources {
--- a/internal/control/registry/acceptor.go
+++ b/internal/control/registry/acceptor.go
@@ -19,17 +19,17 @@
 
 // Acceptor is a replica's acceptor state for the change that follows its set.
 type Acceptor struct {
-	Promised membership.Number `cbor:"1,keyasint"`
-	Accepted membership.Number `cbor:"2,keyasint"`
+	Promised membership.Ballot `cbor:"1,keyasint"`
+	Accepted membership.Ballot `cbor:"2,keyasint"`
 	Change   *Change           `cbor:"3,keyasint,omitempty"`
 }
 
 // merge returns the higher promise and the higher acceptance of the two.
 func (a Acceptor) merge(other Acceptor) Acceptor {
-	if a.Promised.Below(other.Promised) {
+	if a.Promised.Less(other.Promised) {
 		a.Promised = other.Promised
 	}
-	if a.Accepted.Below(other.Accepted) {
+	if a.Accepted.Less(other.Accepted) {
 		a.Accepted, a.Change = other.Accepted, other.Change
 	}
 	return a
@@ -39,7 +39,7 @@
 type Prepare struct {
 	Epoch  membership.Epoch  `cbor:"1,keyasint"`
 	Index  Index             `cbor:"2,keyasint"`
-	Ballot membership.Number `cbor:"3,keyasint"`
+	Ballot membership.Ballot `cbor:"3,keyasint"`
 }
 
 // Promise is the response to a Prepare. If it is not OK, Index and Acceptor give
@@ -63,13 +63,13 @@
 // Preempted reports whether the response shows that no round under this ballot can
 // decide the change: the replica knows its decision, or has promised a higher ballot.
 func (p Promise) Preempted(prepare Prepare) bool {
-	return !p.OK && (p.Index >= prepare.Index || prepare.Ballot.Below(p.Acceptor.Promised))
+	return !p.OK && (p.Index >= prepare.Index || prepare.Ballot.Less(p.Acceptor.Promised))
 }
 
 // Accept asks a replica to accept a change under a ballot.
 type Accept struct {
 	Epoch  membership.Epoch  `cbor:"1,keyasint"`
-	Ballot membership.Number `cbor:"2,keyasint"`
+	Ballot membership.Ballot `cbor:"2,keyasint"`
 	Change Change            `cbor:"3,keyasint"`
 	// Incarnations are those under which the members promised the ballot: a replica
 	// that has lost its state since must not act on that promise.
@@ -80,13 +80,13 @@
 type Acceptance struct {
 	OK       bool              `cbor:"1,keyasint"`
 	Index    Index             `cbor:"2,keyasint"`
-	Promised membership.Number `cbor:"3,keyasint"`
+	Promised membership.Ballot `cbor:"3,keyasint"`
 }
 
 // Preempted reports whether the response shows that the round's change is already
 // decided, or that a higher ballot has been promised meanwhile.
 func (a Acceptance) Preempted(accept Accept) bool {
-	return !a.OK && (a.Index >= accept.Change.Index || accept.Ballot.Below(a.Promised))
+	return !a.OK && (a.Index >= accept.Change.Index || accept.Ballot.Less(a.Promised))
 }
 
 // State is a replica's state as reported to a quorum read or a rebuild.
--- a/internal/control/registry/cluster_test.go
+++ b/internal/control/registry/cluster_test.go
@@ -65,7 +65,7 @@
 }
 
 // propose runs one round with a proposal, based on the set of the named replica.
-func (c *cluster) propose(from string, ballot membership.Number, items ...config.Item) (outcome registry.Outcome, err error) {
+func (c *cluster) propose(from string, ballot membership.Ballot, items ...config.Item) (outcome registry.Outcome, err error) {
 	set := c.replicas[from].Set
 	round := registry.Round{Index: set.Index + 1, Ballot: ballot, Majority: 2, Draft: func([]config.Item) (registry.Change, bool) {
 		draft := set.Draft(check)
--- a/internal/control/registry/proposer.go
+++ b/internal/control/registry/proposer.go
@@ -16,7 +16,7 @@
 type Round struct {
 	Epoch    membership.Epoch
 	Index    Index
-	Ballot   membership.Number
+	Ballot   membership.Ballot
 	Majority int
 	// Draft is called once a majority has promised and none of its members has
 	// accepted a change yet; legacy are the unnumbered items that they hold.
@@ -32,7 +32,7 @@
 	NothingToPropose bool
 	// HighestBallot is the highest ballot seen, HighestIndex the highest index of a
 	// member.
-	HighestBallot membership.Number
+	HighestBallot membership.Ballot
 	HighestIndex  Index
 	// HighestIndexMember is the member with that index.
 	HighestIndexMember string
@@ -60,7 +60,7 @@
 		}
 		accept.Incarnations[promise.Member] = promise.Incarnation
 		legacy = append(legacy, promise.Legacy...)
-		if promise.Acceptor.Change != nil && (accepted.Change == nil || accepted.Accepted.Below(promise.Acceptor.Accepted)) {
+		if promise.Acceptor.Change != nil && (accepted.Change == nil || accepted.Accepted.Less(promise.Acceptor.Accepted)) {
 			accepted = promise.Acceptor
 		}
 	}
@@ -86,7 +86,7 @@
 		if acceptance.OK {
 			accepts++
 		}
-		if outcome.HighestBallot.Below(acceptance.Promised) {
+		if outcome.HighestBallot.Less(acceptance.Promised) {
 			outcome.HighestBallot = acceptance.Promised
 		}
 	}
@@ -99,7 +99,7 @@
 // record adds the ballot, index and view of a promise or refusal to the outcome.
 func (o *Outcome) record(index Index, promise Promise) {
 	o.Responses++
-	if o.HighestBallot.Below(promise.Acceptor.Promised) {
+	if o.HighestBallot.Less(promise.Acceptor.Promised) {
 		o.HighestBallot = promise.Acceptor.Promised
 	}
 	if promise.Index+1 < index && promise.Member != "" {
--- a/internal/control/registry/replica.go
+++ b/internal/control/registry/replica.go
@@ -38,7 +38,7 @@
 // before the response is sent.
 func (r *Replica) Promise(prepare Prepare) (promise Promise, changed bool) {
 	promise = Promise{Incarnation: r.Incarnation, Index: r.Index, Acceptor: r.Acceptor}
-	if prepare.Index != r.Next() || prepare.Ballot.Below(r.Acceptor.Promised) {
+	if prepare.Index != r.Next() || prepare.Ballot.Less(r.Acceptor.Promised) {
 		return promise, false
 	}
 	changed = r.Acceptor.Promised != prepare.Ballot
@@ -56,7 +56,7 @@
 	acceptance = Acceptance{Index: r.Index, Promised: r.Acceptor.Promised}
 	incarnation, promised := accept.Incarnations[member]
 	lost := promised && incarnation != r.Incarnation
-	if accept.Change.Index != r.Next() || accept.Ballot.Below(r.Acceptor.Promised) || lost {
+	if accept.Change.Index != r.Next() || accept.Ballot.Less(r.Acceptor.Promised) || lost {
 		return acceptance, false
 	}
 	changed = r.Acceptor.Accepted != accept.Ballot || r.Acceptor.Change == nil
--- a/internal/control/repair.go
+++ b/internal/control/repair.go
@@ -49,8 +49,8 @@
 // the missing ones in chunks, each requested once the previous one is on disk. It returns
 // how many intents were missing.
 func (n *node) copyIntents(member string, epoch membership.Epoch, mode copyMode) (missing int, err error) {
-	var reply messages.DigestsTold
-	if err = n.connection(member).Ask(messages.KindDigests, messages.Digests{Epoch: epoch, Scope: mode.scope}, &reply, repairCallTimeout); err != nil {
+	var reply messages.DigestsResponse
+	if err = n.connection(member).Call(messages.KindDigests, messages.Digests{Epoch: epoch, Scope: mode.scope}, &reply, repairCallTimeout); err != nil {
 		return 0, err
 	}
 	if !reply.OK {
@@ -76,8 +76,8 @@
 // missingKeys compares some ranges intent by intent and returns the hashes of the keys
 // whose intents are missing here.
 func (n *node) missingKeys(member string, epoch membership.Epoch, ranges []idempotency.Range, mode copyMode) (missing []uint64, err error) {
-	var reply messages.BriefsTold
-	if err = n.connection(member).Ask(messages.KindBriefs, messages.Briefs{Epoch: epoch, Ranges: ranges}, &reply, repairCallTimeout); err != nil {
+	var reply messages.SummariesResponse
+	if err = n.connection(member).Call(messages.KindSummaries, messages.Summaries{Epoch: epoch, Ranges: ranges}, &reply, repairCallTimeout); err != nil {
 		return nil, err
 	}
 	if !reply.OK {
@@ -86,15 +86,15 @@
 	if mode.minDifferenceAge > 0 {
 		n.clock.Sleep(mode.minDifferenceAge)
 	}
-	n.store.read(func(t *tables) { missing = t.voter.MissingKeys(ranges, reply.Briefs, mode.scope) })
+	n.store.read(func(t *tables) { missing = t.voter.MissingKeys(ranges, reply.Summaries, mode.scope) })
 	return missing, nil
 }
 
 // copyEntries reads the entries of a cursor in chunks and persists each chunk.
 func (n *node) copyEntries(member string, epoch membership.Epoch, cursor idempotency.Cursor, mode copyMode) error {
 	for len(cursor.Ranges) > 0 {
-		var reply messages.EntriesTold
-		if err := n.connection(member).Ask(messages.KindEntries, messages.Entries{Epoch: epoch, Cursor: cursor}, &reply, repairCallTimeout); err != nil {
+		var reply messages.EntriesResponse
+		if err := n.connection(member).Call(messages.KindEntries, messages.Entries{Epoch: epoch, Cursor: cursor}, &reply, repairCallTimeout); err != nil {
 			return err
 		}
 		if !reply.OK {
@@ -103,7 +103,7 @@
 		if !n.store.persist(func(t *tables) []record { return t.mergeEntries(reply.Entries) }, repairPersistTimeout) {
 			return errNotPersisted
 		}
-		cursor = reply.Rest
+		cursor = reply.Next
 		if mode.pause > 0 {
 			n.clock.Sleep(mode.pause)
 		}
@@ -118,8 +118,8 @@
 	return records
 }
 
-func (n *node) onDigests(in messages.Digests, reply func(messages.DigestsTold)) {
-	var digests messages.DigestsTold
+func (n *node) onDigests(in messages.Digests, reply func(messages.DigestsResponse)) {
+	var digests messages.DigestsResponse
 	n.store.enqueue(func(t *tables) []record {
 		if digests.OK = t.view.Epoch >= in.Epoch; digests.OK {
 			digests.Ranges = t.voter.Digests(in.Scope)
@@ -128,21 +128,21 @@
 	}, func() { reply(digests) })
 }
 
-func (n *node) onBriefs(in messages.Briefs, reply func(messages.BriefsTold)) {
-	var briefs messages.BriefsTold
+func (n *node) onBriefs(in messages.Summaries, reply func(messages.SummariesResponse)) {
+	var briefs messages.SummariesResponse
 	n.store.enqueue(func(t *tables) []record {
 		if briefs.OK = t.view.Epoch >= in.Epoch; briefs.OK {
-			briefs.Briefs = t.voter.Summaries(in.Ranges)
+			briefs.Summaries = t.voter.Summaries(in.Ranges)
 		}
 		return nil
 	}, func() { reply(briefs) })
 }
 
-func (n *node) onEntries(in messages.Entries, reply func(messages.EntriesTold)) {
-	var entries messages.EntriesTold
+func (n *node) onEntries(in messages.Entries, reply func(messages.EntriesResponse)) {
+	var entries messages.EntriesResponse
 	n.store.enqueue(func(t *tables) []record {
 		if entries.OK = t.view.Epoch >= in.Epoch; entries.OK {
-			entries.Entries, entries.Rest = t.voter.Read(in.Cursor, repairChunkBytes)
+			entries.Entries, entries.Next = t.voter.Read(in.Cursor, repairChunkBytes)
 		}
 		return nil
 	}, func() { reply(entries) })
--- a/internal/control/repair_bench_test.go
+++ b/internal/control/repair_bench_test.go
@@ -51,7 +51,7 @@
 	b.Cleanup(func() { _ = listener.Close() })
 	m := &node{
 		self: listener.Addr().String(), clock: clock.Real(), hub: feed.NewHub(), log: func(string, string, ...any) {},
-		connections: map[string]*rpc.Line{}, store: newBenchStore(b),
+		connections: map[string]*rpc.Client{}, store: newBenchStore(b),
 	}
 	m.settings.Store(&settings.Settings{Tuning: settings.Defaults()})
 	m.configReplicator = newConfigReplicator(m)
--- a/internal/control/repair_test.go
+++ b/internal/control/repair_test.go
@@ -35,7 +35,7 @@
 		DeferCleanup(func() { _ = listener.Close() })
 		m := &member{listener: listener, node: &node{
 			self: listener.Addr().String(), clock: clock.Real(), hub: feed.NewHub(), log: func(string, string, ...any) {},
-			connections: map[string]*rpc.Line{}, memberLoop: clock.NewLoop[func()](256), livenessWatch: membership.NewWatch(clock.Real(), time.Second),
+			connections: map[string]*rpc.Client{}, memberLoop: clock.NewLoop[func()](256), livenessWatch: membership.NewLivenessWatch(clock.Real(), time.Second),
 		}}
 		m.settings.Store(&settings.Settings{Tuning: settings.Defaults()})
 		m.configReplicator = newConfigReplicator(m.node)
--- a/internal/control/rollout_replication.go
+++ b/internal/control/rollout_replication.go
@@ -15,11 +15,11 @@
 
 // onRollout persists a state of a rollout, unless it was written under a term lower than
 // this member's or a newer state is stored.
-func (n *node) onRollout(in messages.Trial, reply func(messages.Done)) {
+func (n *node) onRollout(in messages.WriteRollout, reply func(messages.Ack)) {
 	accepted := false
 	n.store.enqueue(func(t *tables) []record {
 		state := in.State
-		if !t.trusted || in.Epoch != t.view.Epoch || !t.view.Has(n.self) || state.Term < t.term.Number {
+		if !t.trusted || in.Epoch != t.view.Epoch || !t.view.Contains(n.self) || state.Term < t.term.Number {
 			return nil
 		}
 		stored := t.rollouts[state.Subject]
@@ -29,7 +29,7 @@
 		n.recordRolloutStart(state)
 		t.rollouts[state.Subject] = state
 		return []record{{Rollout: &state}}
-	}, func() { reply(messages.Done{OK: accepted}) })
+	}, func() { reply(messages.Ack{OK: accepted}) })
 }
 
 // recordRolloutStart records the start of a rollout that its elapsed time implies, if it is
@@ -54,10 +54,10 @@
 	return n.clock.Monotonic() - clock.Instant(state.Elapsed)
 }
 
-func (n *node) onRollouts(in messages.Trials, reply func(messages.TrialsTold)) {
-	var rollouts messages.TrialsTold
+func (n *node) onRollouts(in messages.ReadRollouts, reply func(messages.ReadRolloutsResponse)) {
+	var rollouts messages.ReadRolloutsResponse
 	n.store.enqueue(func(t *tables) []record {
-		rollouts.OK, rollouts.Fence = t.trusted && in.Epoch == t.view.Epoch && t.view.Has(n.self), t.term.Number
+		rollouts.OK, rollouts.FenceTerm = t.trusted && in.Epoch == t.view.Epoch && t.view.Contains(n.self), t.term.Number
 		for _, state := range t.rollouts {
 			rollouts.States = append(rollouts.States, state)
 		}
@@ -65,8 +65,8 @@
 	}, func() { reply(rollouts) })
 }
 
-func (t *tables) mergeRollouts(page messages.Page) (records []record) {
-	for _, state := range page.Trials {
+func (t *tables) mergeRollouts(page messages.MemberStateResponse) (records []record) {
+	for _, state := range page.Rollouts {
 		if state.Outranks(t.rollouts[state.Subject]) {
 			t.rollouts[state.Subject] = state
 			records = append(records, record{Rollout: &state})
@@ -82,12 +82,12 @@
 	view, count := n.view(), 0
 	states, consistent = map[string]trial.State{}, true
 	copies := map[string]int{}
-	callAll(n, view.Members, messages.KindTrials, messages.Trials{Epoch: view.Epoch}, callTimeout, func(_ string, reply messages.TrialsTold) bool {
+	callAll(n, view.Members, messages.KindReadRollouts, messages.ReadRollouts{Epoch: view.Epoch}, callTimeout, func(_ string, reply messages.ReadRolloutsResponse) bool {
 		if !reply.OK {
 			return false
 		}
 		count++
-		highestTerm = max(highestTerm, reply.Fence)
+		highestTerm = max(highestTerm, reply.FenceTerm)
 		for _, state := range reply.States {
 			newest, known := states[state.Subject]
 			switch {
@@ -103,7 +103,7 @@
 		return count >= view.Majority()
 	})
 	if count < view.Majority() || count == 0 {
-		return nil, false, 0, apierror.New(apierror.Gone, "cannot read the rollouts from a majority of the members")
+		return nil, false, 0, apierror.New(apierror.ControlPlaneUnavailable, "cannot read the rollouts from a majority of the members")
 	}
 	for _, copyCount := range copies {
 		consistent = consistent && copyCount == count
@@ -114,8 +114,8 @@
 // writeRollout persists a state of a rollout on a majority of the members.
 func (n *node) writeRollout(state trial.State) error {
 	view := n.view()
-	if !n.majorityDone(view, messages.KindTrial, messages.Trial{Epoch: view.Epoch, State: state}, persistTimeout) {
-		return apierror.New(apierror.Gone, "cannot persist the rollout on a majority of the members")
+	if !n.majorityDone(view, messages.KindWriteRollout, messages.WriteRollout{Epoch: view.Epoch, State: state}, persistTimeout) {
+		return apierror.New(apierror.ControlPlaneUnavailable, "cannot persist the rollout on a majority of the members")
 	}
 	return nil
 }
@@ -129,7 +129,7 @@
 	}
 	state = states[subject]
 	if state.Number == 0 {
-		return state, apierror.New(apierror.UnknownSubject, subject)
+		return state, apierror.New(apierror.NotFound, subject)
 	}
 	if !consistent {
 		err = n.writeRollout(state)
--- a/internal/control/rollouts.go
+++ b/internal/control/rollouts.go
@@ -43,15 +43,15 @@
 func decodeServiceName(_ context.Context, r *http.Request) (any, error) {
 	name := r.PathValue("service")
 	if strings.TrimSpace(name) == "" {
-		return nil, apierror.New(apierror.UnknownSubject, "")
+		return nil, apierror.New(apierror.NotFound, "")
 	}
 	return name, nil
 }
 
 func (n *node) startRolloutEndpoint(_ context.Context, request any) (any, error) {
 	command := request.(rolloutRequest)
-	in := messages.Order{Service: command.Service, Target: command.TargetVersion, Duration: int64(command.Duration)}
-	return struct{}{}, n.callLeader(messages.KindOrder, in)
+	in := messages.StartRollout{Service: command.Service, Target: command.TargetVersion, Duration: int64(command.Duration)}
+	return struct{}{}, n.callLeader(messages.KindStartRollout, in)
 }
 
 // RolloutState is the state of a rollout in the operator API.
--- a/internal/control/sites.go
+++ b/internal/control/sites.go
@@ -18,17 +18,17 @@
 const allocationInterval = time.Second
 
 // onReport handles a proxy's report and replies with the slots that are allocated to it.
-func (n *node) onReport(in messages.Report, reply func(messages.Lots)) {
+func (n *node) onReport(in messages.ProxyReport, reply func(messages.ProxyReportResponse)) {
 	c := n.coordinator
 	c.loop.Offer(func() {
 		c.detector.AddReport(in.Evidence)
-		c.proxyZones[in.Evidence.Node] = in.Cell
+		c.proxyZones[in.Evidence.Node] = in.Zone
 		if c.loadGaugeOn() {
 			c.loadGauge.Hear(in.Evidence.Node, in.Loads)
 		}
-		c.recordCopies(in.Mirrored)
+		c.recordCopies(in.Mirrors)
 		if c.ensureLeading() && c.siteTree != nil {
-			reply(messages.Lots{Lots: c.allocator.HandleReport(in.Evidence.Node, c.siteTree.SiteOf("", in.Cell), in.Uses)})
+			reply(messages.ProxyReportResponse{CapacityLeases: c.allocator.HandleReport(in.Evidence.Node, c.siteTree.SiteOf("", in.Zone), in.Uses)})
 		}
 	})
 }
@@ -94,7 +94,7 @@
 	}
 	tree, err := configuration.Tree(n.settings.Load().Platform.Cells)
 	if err != nil {
-		return nil, apierror.New(apierror.Gone, err.Error())
+		return nil, apierror.New(apierror.ControlPlaneUnavailable, err.Error())
 	}
 	page.Sites = tree.Sites()
 	return page, nil
@@ -104,7 +104,7 @@
 func (n *node) checkSites(configuration config.ItemSet) error {
 	_, err := configuration.Tree(n.settings.Load().Platform.Cells)
 	if err != nil {
-		return apierror.New(apierror.BadManifest, errors.Cause(err).Error())
+		return apierror.New(apierror.InvalidManifest, errors.Cause(err).Error())
 	}
 	return nil
 }
--- a/internal/control/staged.go
+++ b/internal/control/staged.go
@@ -38,9 +38,9 @@
 	}
 	items, err := config.ParseModify(command.Change)
 	if err == nil && len(items) == 0 {
-		err = apierror.New(apierror.BadOrder, "the change has no items")
+		err = apierror.New(apierror.InvalidOrder, "the change has no items")
 	}
-	return messages.StageOrder{Name: command.Name, First: command.First, Duration: int64(command.Duration), Items: items}, err
+	return messages.StagedChange{Name: command.Name, First: command.First, Duration: int64(command.Duration), Items: items}, err
 }
 
 func decodeStagedName(_ context.Context, r *http.Request) (any, error) {
@@ -48,11 +48,11 @@
 }
 
 func (n *node) startStagedEndpoint(_ context.Context, request any) (any, error) {
-	return struct{}{}, n.callLeader(messages.KindStage, request)
+	return struct{}{}, n.callLeader(messages.KindStagedChange, request)
 }
 
 func (n *node) haltStagedEndpoint(_ context.Context, request any) (any, error) {
-	return struct{}{}, n.callLeader(messages.KindStage, messages.StageOrder{Name: request.(string), IsHalt: true})
+	return struct{}{}, n.callLeader(messages.KindStagedChange, messages.StagedChange{Name: request.(string), Halt: true})
 }
 
 // StagedState is the state of a staged change in the operator API. Evidence is empty if
@@ -79,16 +79,16 @@
 
 // evidence asks the leader for its evidence about a staged change.
 func (n *node) evidence(subject string) []outlier.Evidence {
-	reply := messages.Evidence{}
-	_ = n.call(n.leader(), messages.KindEvidence, messages.Evidence{Subject: subject}, &reply, callTimeout)
-	return append([]outlier.Evidence{}, reply.Lanes...)
+	reply := messages.RolloutEvidence{}
+	_ = n.call(n.leader(), messages.KindRolloutEvidence, messages.RolloutEvidence{Subject: subject}, &reply, callTimeout)
+	return append([]outlier.Evidence{}, reply.Routes...)
 }
 
-func (n *node) onEvidence(in messages.Evidence, reply func(messages.Evidence)) {
+func (n *node) onEvidence(in messages.RolloutEvidence, reply func(messages.RolloutEvidence)) {
 	c := n.coordinator
 	c.loop.Offer(func() {
 		if progress := c.progress[in.Subject]; progress != nil && c.ensureLeading() {
-			in.Lanes = progress.finding.Evidence
+			in.Routes = progress.finding.Evidence
 		}
 		reply(in)
 	})
--- a/internal/control/staged_coordinator.go
+++ b/internal/control/staged_coordinator.go
@@ -24,9 +24,9 @@
 	haltedByOperator = "halted by the operator"
 )
 
-func (n *node) onStagedChange(in messages.StageOrder, reply func(messages.Ordered)) {
+func (n *node) onStagedChange(in messages.StagedChange, reply func(messages.OrderResponse)) {
 	n.runCommand(reply, func(c *coordinator) (apierror.Kind, string) {
-		if in.IsHalt {
+		if in.Halt {
 			return c.haltStagedChange(in)
 		}
 		return c.startStagedChange(in)
@@ -34,7 +34,7 @@
 }
 
 // startStagedChange handles an operator's command to start a staged change.
-func (c *coordinator) startStagedChange(in messages.StageOrder) (kind apierror.Kind, detail string) {
+func (c *coordinator) startStagedChange(in messages.StagedChange) (kind apierror.Kind, detail string) {
 	subject := trial.StagePrefix + in.Name
 	state := c.states[subject]
 	sameChange := state.Number > 0 && sameItems(state.Items, in.Items)
@@ -44,15 +44,15 @@
 	}
 	for _, other := range c.states {
 		if other.IsStaged() && other.Phase.IsActive() {
-			return apierror.OtherOrder, other.Subject + " is in progress"
+			return apierror.OrderInProgress, other.Subject + " is in progress"
 		}
 		if name := other.UsedUp(in.Items); name != "" {
-			return apierror.OtherOrder, "the version of " + name + " was reverted before and is used up"
+			return apierror.OrderInProgress, "the version of " + name + " was reverted before and is used up"
 		}
 	}
 	configuration, err := c.readConfig()
 	if err != nil {
-		return apierror.Gone, ""
+		return apierror.ControlPlaneUnavailable, ""
 	}
 	newer, changed, err := configuration.ValidateUpdate(in.Items)
 	if err == nil {
@@ -60,22 +60,22 @@
 	}
 	switch {
 	case err != nil:
-		return apierror.BadManifest, err.Error()
+		return apierror.InvalidManifest, err.Error()
 	case len(newer) != len(in.Items):
-		return apierror.OtherOrder, "the configuration already contains this or a newer version of an item"
+		return apierror.OrderInProgress, "the configuration already contains this or a newer version of an item"
 	}
 	waves := c.planWaves(in.First)
 	if waves == nil {
-		return apierror.UnknownSubject, "node " + in.First + " is not known or does not report"
+		return apierror.NotFound, "node " + in.First + " is not known or does not report"
 	}
 	state.Subject = subject
 	next, permitted := state.Order(in.Name, clock.Duration(in.Duration))
 	if !permitted {
-		return apierror.OtherOrder, ""
+		return apierror.OrderInProgress, ""
 	}
 	next.Items, next.Waves = in.Items, waves
 	if c.commitState(next) != nil {
-		return apierror.Gone, ""
+		return apierror.ControlPlaneUnavailable, ""
 	}
 	c.progressOf(next)
 	c.publish()
@@ -83,20 +83,20 @@
 }
 
 // haltStagedChange handles an operator's command to halt a staged change.
-func (c *coordinator) haltStagedChange(in messages.StageOrder) (kind apierror.Kind, detail string) {
+func (c *coordinator) haltStagedChange(in messages.StagedChange) (kind apierror.Kind, detail string) {
 	state, known := c.states[trial.StagePrefix+in.Name]
 	if !known {
-		return apierror.UnknownSubject, in.Name
+		return apierror.NotFound, in.Name
 	}
 	if !state.Phase.IsActive() && state.Reason == haltedByOperator {
 		return apierror.None, ""
 	}
 	next, permitted := state.Step(trial.Halted, haltedByOperator, time.Duration(c.clock.Monotonic()-c.rolloutStartedAt(state)))
 	if !permitted {
-		return apierror.OtherOrder, "the staged change has ended"
+		return apierror.OrderInProgress, "the staged change has ended"
 	}
 	if c.commitState(next) != nil {
-		return apierror.Gone, ""
+		return apierror.ControlPlaneUnavailable, ""
 	}
 	c.publish()
 	return apierror.None, ""
--- a/internal/control/standby_test.go
+++ b/internal/control/standby_test.go
@@ -34,10 +34,12 @@
 		n.hub.Read(func(board *feed.Replica) { out = maps.Clone(board.Leaving) })
 		return out
 	}
-	sendHeartbeat := func() { n.runInMemberLoop(func() { n.livenessWatch.Hear(membership.Beat{From: leader, IsFit: true}) }) }
+	sendHeartbeat := func() {
+		n.runInMemberLoop(func() { n.livenessWatch.Observe(membership.Heartbeat{From: leader, Eligible: true}) })
+	}
 	// reportRead reports a complete read by the leader.
 	reportRead := func() {
-		n.onListProgress(messages.ListProgress{From: leader, IsWhole: true, Age: clock.Duration(100 * time.Millisecond), Next: clock.Duration(next)}, nil)
+		n.onListProgress(messages.ListProgress{From: leader, Complete: true, Age: clock.Duration(100 * time.Millisecond), Next: clock.Duration(next)}, nil)
 	}
 	// overdue is the time after which a read is overdue for the last member in the order.
 	const overdue = next + time.Second
@@ -46,8 +48,8 @@
 		manualClock = &clock.Manual{Now: time.Hour}
 		n = &node{
 			self: self, clock: manualClock, hub: feed.NewHub(), log: func(string, string, ...any) {},
-			connections: map[string]*rpc.Line{},
-			memberLoop:  clock.NewLoop[func()](8), livenessWatch: membership.NewWatch(manualClock, silentAfter), startedAt: manualClock.Monotonic(),
+			connections: map[string]*rpc.Client{},
+			memberLoop:  clock.NewLoop[func()](8), livenessWatch: membership.NewLivenessWatch(manualClock, silentAfter), startedAt: manualClock.Monotonic(),
 			listWatch: newListTracker(manualClock.Monotonic()), lease: newLeaderLease(testLeaseDuration),
 		}
 		n.settings.Store(&settings.Settings{Tuning: settings.Tuning{SilentAfter: clock.Duration(silentAfter)}})
@@ -111,7 +113,7 @@
 		ended := make(chan struct{})
 		body, err := cbor.Marshal(feed.FollowRequest{})
 		Expect(err).NotTo(HaveOccurred())
-		n.hub.Handle(rpc.Call{Body: body, Ended: ended, Reply: func(body any) bool {
+		n.hub.Handle(rpc.Call{Body: body, Closed: ended, Reply: func(body any) bool {
 			published = append(published, body.(feed.Update).Leaving...)
 			return true
 		}})
@@ -178,7 +180,7 @@
 		Expect(leaving()).To(BeEmpty())
 		n.publishLeaving([]feed.Server{{ID: "a"}, {ID: "b", IsReady: true}})
 		Expect(leaving()).To(Equal(map[string]bool{"a": true}))
-		n.onLeaving(messages.Leaving{IDs: []string{"b"}}, nil)
+		n.onLeaving(messages.LeavingServers{IDs: []string{"b"}}, nil)
 		Expect(leaving()).To(Equal(map[string]bool{"a": true, "b": true}))
 	})
 })
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -29,7 +29,7 @@
 	body, err := cbor.Marshal(from)
 	Expect(err).NotTo(HaveOccurred())
 	ended := make(chan struct{})
-	hub.Handle(rpc.Call{Body: body, Ended: ended, Reply: func(update any) bool { return onUpdate(update.(feed.Update)) }})
+	hub.Handle(rpc.Call{Body: body, Closed: ended, Reply: func(update any) bool { return onUpdate(update.(feed.Update)) }})
 	return func() { close(ended) }
 }
 
--- a/internal/feed/follower.go
+++ b/internal/feed/follower.go
@@ -15,7 +15,7 @@
 // context ends.
 type Follower struct {
 	Name       string
-	Connection *rpc.Line
+	Connection *rpc.Client
 	OnUpdate   func(Update)
 	// RetryDelay is the delay before resubscribing.
 	RetryDelay time.Duration
@@ -28,7 +28,7 @@
 }
 
 // NewFollower makes a follower that passes updates to onUpdate.
-func NewFollower(name string, connection *rpc.Line, onUpdate func(Update), retryDelay time.Duration) *Follower {
+func NewFollower(name string, connection *rpc.Client, onUpdate func(Update), retryDelay time.Duration) *Follower {
 	f := &Follower{Name: name, Connection: connection, OnUpdate: onUpdate, RetryDelay: retryDelay, snapshotRequests: make(chan struct{}, 1), clock: clock.Real()}
 	f.disconnectedAt.Store(int64(f.clock.Monotonic()) + 1)
 	return f
@@ -60,7 +60,7 @@
 		cancel := f.Connection.SendRevocable(KindFollow, from, func(body []byte, err error) {
 			var update Update
 			if err == nil {
-				err = rpc.Unpack(body, &update)
+				err = rpc.Decode(body, &update)
 			}
 			if !position.current(generation) {
 				return
@@ -84,7 +84,7 @@
 		}
 		position.end()
 		cancel()
-		if !errors.Is(err, rpc.ErrCut) {
+		if !errors.Is(err, rpc.ErrDisconnected) {
 			// Closing the connection makes the other end stop the old subscription.
 			f.Connection.Close()
 		}
--- a/internal/feed/follower_test.go
+++ b/internal/feed/follower_test.go
@@ -22,7 +22,7 @@
 		ctx, stop := context.WithCancel(context.Background())
 		DeferCleanup(func() { stop(); _ = listener.Close() })
 		go rpc.Serve(listener, rpc.Handlers{feed.KindFollow: handle}, time.Second)
-		connection := rpc.NewLine(listener.Addr().String(), time.Second, time.Second)
+		connection := rpc.NewClient(listener.Addr().String(), time.Second, time.Second)
 		follower := feed.NewFollower("one", connection, onUpdate, 10*time.Millisecond)
 		go follower.Run(ctx)
 		return follower
@@ -58,7 +58,7 @@
 		var passThrough atomic.Bool
 		follower := run(func(call rpc.Call) {
 			var from feed.FollowRequest
-			if rpc.Unpack(call.Body, &from) != nil {
+			if rpc.Decode(call.Body, &from) != nil {
 				return
 			}
 			requests <- from
@@ -69,7 +69,7 @@
 			call.Reply(feed.Update{Incarnation: 7, Sequence: 1})
 			call.Reply("not an update")
 			call.Reply(feed.Update{Incarnation: 7, Sequence: 3})
-			go func() { <-call.Ended; ended <- struct{}{} }()
+			go func() { <-call.Closed; ended <- struct{}{} }()
 		}, func(update feed.Update) { received <- update })
 		Eventually(requests).Should(Receive(HaveField("Sequence", uint64(0))))
 		Eventually(received).Should(Receive(HaveField("Sequence", uint64(1))))
--- a/internal/feed/hub.go
+++ b/internal/feed/hub.go
@@ -121,7 +121,7 @@
 // them, otherwise a snapshot, and then every new update.
 func (h *Hub) Handle(call rpc.Call) {
 	var request FollowRequest
-	if rpc.Unpack(call.Body, &request) != nil {
+	if rpc.Decode(call.Body, &request) != nil {
 		return
 	}
 	h.lock.Lock()
@@ -138,7 +138,7 @@
 	id := h.lastID
 	h.subscribers[id], h.names[id] = call.Reply, request.Name
 	go func() {
-		<-call.Ended
+		<-call.Closed
 		h.lock.Lock()
 		defer h.lock.Unlock()
 		delete(h.subscribers, id)
--- a/internal/inspector/moves.go
+++ b/internal/inspector/moves.go
@@ -41,7 +41,7 @@
 	out := &Forecast{Change: change, Unheard: fleet.Unheard}
 	for _, edge := range edgesOf(fleet.Cores) {
 		var moves messages.Moves
-		if edge.line.Ask(messages.KindMoves, change, &moves, lookSpan) != nil {
+		if edge.line.Call(messages.KindMoves, change, &moves, lookSpan) != nil {
 			if !slices.Contains(out.Unheard, edge.name) {
 				out.Unheard = append(out.Unheard, edge.name)
 			}
@@ -61,7 +61,7 @@
 func (f *Forecast) Moving() map[string][]messages.Move {
 	out := map[string][]messages.Move{}
 	for _, node := range f.Nodes {
-		for _, run := range node.Runs {
+		for _, run := range node.Operations {
 			if run.IsMoving() {
 				out[node.Node] = append(out[node.Node], run)
 			}
@@ -98,14 +98,14 @@
 		if !isKnown {
 			return nil, errors.NotFoundf("forecast of %s", edge.name)
 		}
-		asked := messages.Homes{Service: f.Change.Service}
-		for _, run := range node.Runs {
+		asked := messages.LookupHomes{Service: f.Change.Service}
+		for _, run := range node.Operations {
 			asked.Places = append(asked.Places, run.Place)
 		}
-		var now messages.HomesNow
+		var now messages.LookupHomesResponse
 		for {
-			err = edge.line.Ask(messages.KindHomes, asked, &now, lookSpan)
-			if err == nil && f.isMade(now.Ring) {
+			err = edge.line.Call(messages.KindLookupHomes, asked, &now, lookSpan)
+			if err == nil && f.isMade(now.Instances) {
 				break
 			}
 			if timeSource.Monotonic() > end {
@@ -113,7 +113,7 @@
 			}
 			timeSource.Sleep(confirmPause)
 		}
-		for i, run := range node.Runs {
+		for i, run := range node.Operations {
 			if now.Homes[i] != run.To {
 				out = append(out, Surprise{Node: node.Node, Run: run, Home: now.Homes[i]})
 			}
--- a/internal/logring/ring.go
+++ b/internal/logring/ring.go
@@ -1,5 +1,5 @@
-// Package logring is the log: a ring in memory that is written out when
-// something goes wrong, and little else.
+// Package logring implements a logger that keeps recent low-level lines in memory and
+// writes them only when an error occurs.
 package logring
 
 import (
@@ -10,30 +10,25 @@
 	"github.com/charmbracelet/log"
 )
 
-const ringLines = 200
+const maxEntries = 200
 
-type line struct {
-	at    time.Time
-	level log.Level
-	text  string
-	pairs []any
+type entry struct {
+	at      time.Time
+	level   log.Level
+	text    string
+	keyvals []any
 }
 
-// Ring keeps the last lines of every level; those at or above its level are
-// written at once, and an error brings the ring before it.
+// Ring is the logger. Lines at or above its level are written immediately; the last
+// lines below it are kept, and written before the next error.
 type Ring struct {
-	lock   sync.Mutex
-	level  log.Level
-	lines  []line
-	writer *log.Logger
+	lock    sync.Mutex
+	level   log.Level
+	entries []entry
+	writer  *log.Logger
 }
 
-// New makes a ring that writes to out.
-//
-// Example:
-//
-//	ring := logring.New("warn", os.Stderr)
-//	ring.Note("info", "a member joined", "member", address)
+// New returns a ring that writes to out. An unknown level counts as warn.
 func New(level string, out io.Writer) *Ring {
 	parsed, err := log.ParseLevel(level)
 	if err != nil {
@@ -42,12 +37,8 @@
 	return &Ring{level: parsed, writer: log.NewWithOptions(out, log.Options{Level: log.DebugLevel, ReportTimestamp: false})}
 }
 
-// Note adds a line.
-//
-// Example:
-//
-//	ring.Note("error", "disk", "error", err)
-func (r *Ring) Note(level, text string, pairs ...any) {
+// Log adds a line. An unknown level counts as error.
+func (r *Ring) Log(level, text string, keyvals ...any) {
 	parsed, err := log.ParseLevel(level)
 	if err != nil {
 		parsed = log.ErrorLevel
@@ -59,20 +50,16 @@
 		r.dump()
 		fallthrough
 	case parsed >= r.level:
-		r.writer.Log(parsed, text, pairs...)
+		r.writer.Log(parsed, text, keyvals...)
 	default:
-		if len(r.lines) >= ringLines {
-			r.lines = append(r.lines[:0], r.lines[len(r.lines)/2:]...)
+		if len(r.entries) >= maxEntries {
+			r.entries = append(r.entries[:0], r.entries[len(r.entries)/2:]...)
 		}
-		r.lines = append(r.lines, line{time.Now(), parsed, text, pairs})
+		r.entries = append(r.entries, entry{time.Now(), parsed, text, keyvals})
 	}
 }
 
-// Dump writes the ring out and empties it.
-//
-// Example:
-//
-//	ring.Dump()
+// Dump writes the kept lines and removes them.
 func (r *Ring) Dump() {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -80,8 +67,8 @@
 }
 
 func (r *Ring) dump() {
-	for _, l := range r.lines {
-		r.writer.Log(l.level, l.text, append([]any{"at", l.at.Format("15:04:05.000")}, l.pairs...)...)
+	for _, e := range r.entries {
+		r.writer.Log(e.level, e.text, append([]any{"at", e.at.Format("15:04:05.000")}, e.keyvals...)...)
 	}
-	r.lines = r.lines[:0]
+	r.entries = r.entries[:0]
 }
--- a/internal/proxy/canary.go
+++ b/internal/proxy/canary.go
@@ -132,17 +132,17 @@
 		for _, share := range s.trialShares {
 			evidence.InFlight = append(evidence.InFlight, outlier.InFlight{Subject: share.Service, Requests: s.balancer.InFlight(share.Service)})
 		}
-		report := messages.Report{Evidence: evidence, Cell: conf.Platform.Cell}
+		report := messages.ProxyReport{Evidence: evidence, Zone: conf.Platform.Cell}
 		if conf.Tuning.Branchline != settings.BranchOff {
 			report.Uses = p.siteCapacity.Usages()
 		}
-		report.Loads, report.Mirrored = p.takeLoads(), p.trafficMirror.tallies()
+		report.Loads, report.Mirrors = p.takeLoads(), p.trafficMirror.tallies()
 		line := p.connection(s.holder)
 		go func() {
-			var answer messages.Lots
-			if line.Ask(messages.KindReport, report, &answer, reportTimeout) == nil {
+			var answer messages.ProxyReportResponse
+			if line.Call(messages.KindProxyReport, report, &answer, reportTimeout) == nil {
 				p.noteReportAnswer()
-				p.siteCapacity.Apply(answer.Lots, sentAt)
+				p.siteCapacity.Apply(answer.CapacityLeases, sentAt)
 			}
 		}()
 	})
