--- a/internal/control/commands.go
+++ b/internal/control/commands.go
@@ -6,8 +6,8 @@
 	"ploverhitch/internal/apierror"
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/messages"
+	"ploverhitch/internal/rollout"
 	"ploverhitch/internal/timetable"
-	"ploverhitch/internal/trial"
 )
 
 // runCommand runs an operator's command in the coordinator's loop and replies with the
@@ -60,7 +60,7 @@
 		return apierror.OtherOrder, ""
 	}
 	if in.Target == state.InForce {
-		next.Phase, next.Reason = trial.Complete, "the version is in force"
+		next.Phase, next.Reason = rollout.Complete, "the version is in force"
 	}
 	c.detector.Forget(in.Service, next.Number)
 	if err := c.commitState(next); err != nil {
@@ -71,9 +71,9 @@
 	return apierror.None, ""
 }
 
-func (c *coordinator) rolloutPlan() trial.Plan {
+func (c *coordinator) rolloutPlan() rollout.Plan {
 	bounds := c.settings.Load().Platform.Bounds
-	return trial.Plan{CanaryShare: bounds.CanaryShare, Ack: bounds.Ack.Std()}
+	return rollout.Plan{CanaryShare: bounds.CanaryShare, Ack: bounds.Ack.Std()}
 }
 
 // repeatedCommand is the time of the last repetition of an accepted command.
@@ -84,7 +84,7 @@
 
 // sinceCommand returns the time since the command of a rollout was last received. An
 // operator whose acknowledgements are lost repeats it, even after the rollout has ended.
-func (c *coordinator) sinceCommand(state trial.State) time.Duration {
+func (c *coordinator) sinceCommand(state rollout.State) time.Duration {
 	last := c.rolloutStartedAt(state)
 	if repeated := c.repeatedCommands[state.Subject]; repeated.number == state.Number {
 		last = max(last, repeated.at)
@@ -92,6 +92,6 @@
 	return time.Duration(c.clock.Steady() - last)
 }
 
-func (c *coordinator) recordRepeat(state trial.State) {
+func (c *coordinator) recordRepeat(state rollout.State) {
 	c.repeatedCommands[state.Subject] = repeatedCommand{state.Number, c.clock.Steady()}
 }
--- a/internal/control/commands_test.go
+++ b/internal/control/commands_test.go
@@ -8,13 +8,13 @@
 	"ploverhitch/internal/apierror"
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/messages"
+	"ploverhitch/internal/rollout"
 	"ploverhitch/internal/settings"
 	"ploverhitch/internal/timetable"
-	"ploverhitch/internal/trial"
 )
 
 // newTestCoordinator returns the coordinator of a leader that stores the state of a rollout.
-func newTestCoordinator(state trial.State) (*coordinator, *timetable.Hand) {
+func newTestCoordinator(state rollout.State) (*coordinator, *timetable.Hand) {
 	clock := &timetable.Hand{Now: time.Hour}
 	n := &node{self: "self", clock: clock, log: func(string, string, ...any) {}}
 	set := &settings.Settings{}
@@ -28,7 +28,7 @@
 
 func TestRepeatedStartCommandStartsNoSecondRollout(t *testing.T) {
 	duration := timetable.Span(9 * time.Second)
-	c, clock := newTestCoordinator(trial.State{Subject: "s", Number: 1, Target: "v2", Duration: duration, Phase: trial.Reverted})
+	c, clock := newTestCoordinator(rollout.State{Subject: "s", Number: 1, Target: "v2", Duration: duration, Phase: rollout.Reverted})
 	for range 5 {
 		clock.Now += 15 * time.Second
 		kind, detail := c.startRollout(messages.Order{Service: "s", Target: "v2", Duration: int64(duration)})
@@ -44,8 +44,8 @@
 
 func TestRepeatedStagedStartAndHaltAreAccepted(t *testing.T) {
 	items := []config.Item{{ID: config.ID{Class: config.RouteItem, Name: "l"}, Version: 2}}
-	subject := trial.StagePrefix + "change"
-	c, clock := newTestCoordinator(trial.State{Subject: subject, Number: 1, Items: items, Phase: trial.Reverted, Reason: haltedByOperator})
+	subject := rollout.StagePrefix + "change"
+	c, clock := newTestCoordinator(rollout.State{Subject: subject, Number: 1, Items: items, Phase: rollout.Reverted, Reason: haltedByOperator})
 	for range 3 {
 		clock.Now += 15 * time.Second
 		if kind, detail := c.startStagedChange(messages.StageOrder{Name: "change", Items: items}); kind != apierror.None {
@@ -59,7 +59,7 @@
 
 func TestCommandThatWaitedLongerThanItsCallerHasNoEffect(t *testing.T) {
 	for wait, late := range map[time.Duration]bool{commandTimeout - time.Millisecond: false, commandTimeout: true} {
-		c, clock := newTestCoordinator(trial.State{Subject: "s"})
+		c, clock := newTestCoordinator(rollout.State{Subject: "s"})
 		c.isLeader.Store(true)
 		results := make(chan messages.Ordered, 1)
 		executed := false
--- a/internal/control/coordinator.go
+++ b/internal/control/coordinator.go
@@ -9,9 +9,9 @@
 	"ploverhitch/internal/branchline"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/outlier"
+	"ploverhitch/internal/rollout"
 	"ploverhitch/internal/shedding"
 	"ploverhitch/internal/timetable"
-	"ploverhitch/internal/trial"
 )
 
 // coordinator performs the tasks of the leader: it publishes the fleet, receives the
@@ -22,7 +22,7 @@
 	detector *outlier.Court
 	// term is the term under which states was read, 0 while this node is not the leader.
 	term     uint64
-	states   map[string]trial.State
+	states   map[string]rollout.State
 	progress map[string]*rolloutProgress
 	// writeCount numbers the writes of this term; each has its own number.
 	writeCount    uint64
@@ -61,7 +61,7 @@
 // rolloutProgress is the state of an active rollout that only the leader keeps.
 type rolloutProgress struct {
 	number         uint64
-	phase          trial.Phase
+	phase          rollout.Phase
 	wave           int
 	phaseStartedAt timetable.Steady
 	// fullShareReading is the first fleet reading that gives the target all requests.
@@ -90,7 +90,7 @@
 func newCoordinator(n *node) *coordinator {
 	return &coordinator{
 		node: n, loop: timetable.NewLoop[func()](1024), detector: outlier.NewCourt(n.clock),
-		states: map[string]trial.State{}, progress: map[string]*rolloutProgress{}, proxyZones: map[string]string{},
+		states: map[string]rollout.State{}, progress: map[string]*rolloutProgress{}, proxyZones: map[string]string{},
 		activeMirrors: map[string]*activeMirror{}, loadGauge: shedding.NewGauge(n.clock, rand.Uint64), repeatedCommands: map[string]repeatedCommand{},
 	}
 }
@@ -170,7 +170,7 @@
 
 // commitState persists the next state of a subject on a majority of the members and only
 // then adopts it.
-func (c *coordinator) commitState(state trial.State) error {
+func (c *coordinator) commitState(state rollout.State) error {
 	if !c.holdsLease(c.term) {
 		return apierror.New(apierror.Gone, "the leader lease has expired")
 	}
@@ -184,12 +184,12 @@
 }
 
 // advanceRollout moves a rollout to its next phase if the facts permit it.
-func (c *coordinator) advanceRollout(state trial.State) {
+func (c *coordinator) advanceRollout(state rollout.State) {
 	progress := c.progressOf(state)
 	facts := c.facts(state, progress)
 	progress.finding = facts.Finding
 	event, reason := state.Next(facts)
-	if event == trial.None {
+	if event == rollout.None {
 		return
 	}
 	next, permitted := state.Step(event, reason, facts.Elapsed)
@@ -204,7 +204,7 @@
 }
 
 // progressOf returns the progress of a rollout in its present phase and wave.
-func (c *coordinator) progressOf(state trial.State) *rolloutProgress {
+func (c *coordinator) progressOf(state rollout.State) *rolloutProgress {
 	previous := c.progress[state.Subject]
 	if previous != nil && previous.number == state.Number && previous.phase == state.Phase && previous.wave == state.Wave {
 		return previous
@@ -220,9 +220,9 @@
 }
 
 // facts collects the facts that decide on the next phase of a rollout.
-func (c *coordinator) facts(state trial.State, progress *rolloutProgress) trial.Facts {
+func (c *coordinator) facts(state rollout.State, progress *rolloutProgress) rollout.Facts {
 	now := c.clock.Steady()
-	facts := trial.Facts{
+	facts := rollout.Facts{
 		Elapsed: time.Duration(now - c.rolloutStartedAt(state)), InPhase: time.Duration(now - progress.phaseStartedAt),
 		Finding: c.detector.Hearing(state.Subject, state.Number, 0),
 	}
--- a/internal/control/grades.go
+++ b/internal/control/grades.go
@@ -7,7 +7,7 @@
 
 	"ploverhitch/internal/balancer"
 	"ploverhitch/internal/feed"
-	"ploverhitch/internal/trial"
+	"ploverhitch/internal/rollout"
 )
 
 // assignGrades sets the grade of each server, which determines the requests that it may
@@ -53,9 +53,9 @@
 
 // grantShare grants the target version of a rollout its share of the requests, on as many
 // servers as make each of them about as busy as one that runs the version in force.
-func (c *coordinator) grantShare(fleet *feed.Fleet, state trial.State, progress *rolloutProgress) {
+func (c *coordinator) grantShare(fleet *feed.Fleet, state rollout.State, progress *rolloutProgress) {
 	inPhase := time.Duration(c.clock.Steady() - progress.phaseStartedAt)
-	share := state.Share(c.rolloutPlan(), trial.Facts{InPhase: inPhase, Finding: progress.finding})
+	share := state.Share(c.rolloutPlan(), rollout.Facts{InPhase: inPhase, Finding: progress.finding})
 	fleet.Shares = append(fleet.Shares, feed.Share{Service: state.Subject, Number: state.Number, Part: share})
 	current, target := splitByVersion(fleet.Servers, state)
 	count := max(2, int(math.Ceil(share*float64(len(current))*serverCountFactor)))
@@ -78,7 +78,7 @@
 
 // splitByVersion returns the indexes of a service's ready servers that run the version in
 // force, and of those that run the target version.
-func splitByVersion(servers []feed.Server, state trial.State) (current, target []int) {
+func splitByVersion(servers []feed.Server, state rollout.State) (current, target []int) {
 	for i, server := range servers {
 		switch {
 		case server.Service != state.Subject || !server.IsReady:
--- a/internal/control/leader_lease_test.go
+++ b/internal/control/leader_lease_test.go
@@ -13,11 +13,11 @@
 	"ploverhitch/internal/idempotency"
 	"ploverhitch/internal/membership"
 	"ploverhitch/internal/messages"
+	"ploverhitch/internal/rollout"
 	"ploverhitch/internal/rpc"
 	"ploverhitch/internal/settings"
 	"ploverhitch/internal/storage"
 	"ploverhitch/internal/timetable"
-	"ploverhitch/internal/trial"
 )
 
 // newTestMember returns a trusted member "a" of a view. The other members are unreachable
@@ -130,7 +130,7 @@
 			n.coordinator.updateServers([]feed.Server{{ID: "i-2", Service: "fees", IsReady: true}})
 			n.coordinator.sendFleet(feed.Fleet{Term: 1, Count: 9})
 			Consistently(func() []feed.Reading { return published() }, "100ms").Should(Equal(before))
-			Expect(n.coordinator.commitState(trial.State{Subject: "fees"})).NotTo(Succeed())
+			Expect(n.coordinator.commitState(rollout.State{Subject: "fees"})).NotTo(Succeed())
 			Expect(n.coordinator.states).To(BeEmpty())
 			var stored int
 			n.store.read(func(t *tables) { stored = len(t.rollouts) })
--- a/internal/control/member_test.go
+++ b/internal/control/member_test.go
@@ -15,10 +15,10 @@
 	"ploverhitch/internal/idempotency"
 	"ploverhitch/internal/membership"
 	"ploverhitch/internal/messages"
+	"ploverhitch/internal/rollout"
 	"ploverhitch/internal/shedding"
 	"ploverhitch/internal/storage"
 	"ploverhitch/internal/timetable"
-	"ploverhitch/internal/trial"
 )
 
 var _ = Describe("requests that a control plane member refuses", func() {
@@ -63,7 +63,7 @@
 	}
 	writeRollout := func(term uint64, epoch membership.Epoch) bool {
 		return done(func(answer func(messages.Done)) {
-			n.onRollout(messages.Trial{Epoch: epoch, State: trial.State{Subject: "fees", Number: 1, Term: term, Count: 1}}, answer)
+			n.onRollout(messages.Trial{Epoch: epoch, State: rollout.State{Subject: "fees", Number: 1, Term: term, Count: 1}}, answer)
 		})
 	}
 
--- a/internal/control/record_test.go
+++ b/internal/control/record_test.go
@@ -12,10 +12,10 @@
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/idempotency"
 	"ploverhitch/internal/membership"
+	"ploverhitch/internal/rollout"
 	"ploverhitch/internal/standin"
 	"ploverhitch/internal/storage"
 	"ploverhitch/internal/timetable"
-	"ploverhitch/internal/trial"
 )
 
 // FuzzRecord applies records decoded from arbitrary bytes, as a damaged disk may return.
@@ -24,7 +24,7 @@
 	entry := idempotency.Entry{Intent: completedIntent(1, 10)}
 	for _, r := range []record{
 		{Entry: &entry}, {Trusted: &trusted}, {Term: &membership.Term{Number: 3, Holder: "a"}},
-		{View: &membership.View{Epoch: 2, Members: []string{"a"}}}, {Rollout: &trial.State{Subject: "fees"}},
+		{View: &membership.View{Epoch: 2, Members: []string{"a"}}}, {Rollout: &rollout.State{Subject: "fees"}},
 		{Items: []config.Item{{ID: config.ID{Class: config.RouteItem, Name: "fee"}, Version: 1, Host: "h"}}}, {},
 	} {
 		data, err := cbor.Marshal(r)
--- a/internal/control/rollout_replication.go
+++ b/internal/control/rollout_replication.go
@@ -3,8 +3,8 @@
 import (
 	"ploverhitch/internal/apierror"
 	"ploverhitch/internal/messages"
+	"ploverhitch/internal/rollout"
 	"ploverhitch/internal/timetable"
-	"ploverhitch/internal/trial"
 )
 
 // rolloutStart is the latest possible start of a rollout on this node's monotonic clock.
@@ -34,7 +34,7 @@
 
 // recordRolloutStart records the start of a rollout that its elapsed time implies, if it is
 // earlier than the known one.
-func (n *node) recordRolloutStart(state trial.State) {
+func (n *node) recordRolloutStart(state rollout.State) {
 	startedAt := n.clock.Steady() - timetable.Steady(state.Elapsed)
 	if value, known := n.rolloutStarts.Load(state.Subject); known {
 		if start := value.(rolloutStart); start.number == state.Number {
@@ -45,7 +45,7 @@
 }
 
 // rolloutStartedAt returns the start time of a rollout as far as this node knows it.
-func (n *node) rolloutStartedAt(state trial.State) timetable.Steady {
+func (n *node) rolloutStartedAt(state rollout.State) timetable.Steady {
 	if value, known := n.rolloutStarts.Load(state.Subject); known {
 		if start := value.(rolloutStart); start.number == state.Number {
 			return start.startedAt
@@ -78,9 +78,9 @@
 // collectRollouts reads the rollouts from a majority of the members. It returns the newest
 // state of each, whether all members of the majority had the same states, and their
 // highest term.
-func (n *node) collectRollouts() (states map[string]trial.State, consistent bool, highestTerm uint64, err error) {
+func (n *node) collectRollouts() (states map[string]rollout.State, consistent bool, highestTerm uint64, err error) {
 	view, count := n.view(), 0
-	states, consistent = map[string]trial.State{}, true
+	states, consistent = map[string]rollout.State{}, true
 	copies := map[string]int{}
 	callAll(n, view.Members, messages.KindTrials, messages.Trials{Epoch: view.Epoch}, callTimeout, func(_ string, reply messages.TrialsTold) bool {
 		if !reply.OK {
@@ -112,7 +112,7 @@
 }
 
 // writeRollout persists a state of a rollout on a majority of the members.
-func (n *node) writeRollout(state trial.State) error {
+func (n *node) writeRollout(state rollout.State) error {
 	view := n.view()
 	if !n.majorityDone(view, messages.KindTrial, messages.Trial{Epoch: view.Epoch, State: state}, persistTimeout) {
 		return apierror.New(apierror.Gone, "cannot persist the rollout on a majority of the members")
@@ -122,7 +122,7 @@
 
 // readRollout reads a rollout from a majority of the members. A state that only some of
 // them have is first written to a majority, so that no later read returns an older one.
-func (n *node) readRollout(subject string) (state trial.State, err error) {
+func (n *node) readRollout(subject string) (state rollout.State, err error) {
 	states, consistent, _, err := n.collectRollouts()
 	if err != nil {
 		return state, err
--- a/internal/control/staged.go
+++ b/internal/control/staged.go
@@ -11,8 +11,8 @@
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/messages"
 	"ploverhitch/internal/outlier"
+	"ploverhitch/internal/rollout"
 	"ploverhitch/internal/timetable"
-	"ploverhitch/internal/trial"
 )
 
 // stagedRequest is an operator's request for a staged configuration change.
@@ -67,7 +67,7 @@
 }
 
 func (n *node) readStagedEndpoint(_ context.Context, request any) (any, error) {
-	subject := trial.StagePrefix + request.(string)
+	subject := rollout.StagePrefix + request.(string)
 	state, err := n.readRollout(subject)
 	if err != nil {
 		return nil, err
--- a/internal/control/staged_coordinator.go
+++ b/internal/control/staged_coordinator.go
@@ -9,8 +9,8 @@
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/messages"
+	"ploverhitch/internal/rollout"
 	"ploverhitch/internal/timetable"
-	"ploverhitch/internal/trial"
 )
 
 const (
@@ -35,7 +35,7 @@
 
 // startStagedChange handles an operator's command to start a staged change.
 func (c *coordinator) startStagedChange(in messages.StageOrder) (kind apierror.Kind, detail string) {
-	subject := trial.StagePrefix + in.Name
+	subject := rollout.StagePrefix + in.Name
 	state := c.states[subject]
 	sameChange := state.Number > 0 && sameItems(state.Items, in.Items)
 	if sameChange && (state.Phase.IsActive() || c.sinceCommand(state) < 2*c.rolloutPlan().Ack) {
@@ -84,14 +84,14 @@
 
 // haltStagedChange handles an operator's command to halt a staged change.
 func (c *coordinator) haltStagedChange(in messages.StageOrder) (kind apierror.Kind, detail string) {
-	state, known := c.states[trial.StagePrefix+in.Name]
+	state, known := c.states[rollout.StagePrefix+in.Name]
 	if !known {
 		return apierror.UnknownSubject, in.Name
 	}
 	if !state.Phase.IsActive() && state.Reason == haltedByOperator {
 		return apierror.None, ""
 	}
-	next, permitted := state.Step(trial.Halted, haltedByOperator, time.Duration(c.clock.Steady()-c.rolloutStartedAt(state)))
+	next, permitted := state.Step(rollout.Halted, haltedByOperator, time.Duration(c.clock.Steady()-c.rolloutStartedAt(state)))
 	if !permitted {
 		return apierror.OtherOrder, "the staged change has ended"
 	}
@@ -122,15 +122,15 @@
 	if !slices.Contains(nodes, first) {
 		return nil
 	}
-	return trial.Waves(first, nodes, func(node string) string { return c.proxyZones[node] })
+	return rollout.Waves(first, nodes, func(node string) string { return c.proxyZones[node] })
 }
 
 // advanceStagedChange moves a staged change to its next wave or phase if the facts permit
 // it.
-func (c *coordinator) advanceStagedChange(state trial.State) {
+func (c *coordinator) advanceStagedChange(state rollout.State) {
 	progress := c.progressOf(state)
 	now := c.clock.Steady()
-	facts := trial.StageFacts{
+	facts := rollout.StageFacts{
 		Elapsed: time.Duration(now - c.rolloutStartedAt(state)), InWave: time.Duration(now - progress.phaseStartedAt),
 		Finding: c.detector.Hearing(state.Subject, state.Number, state.Wave),
 	}
@@ -153,13 +153,13 @@
 			facts.Silent = node
 		}
 	}
-	if state.Phase == trial.Shifting {
+	if state.Phase == rollout.Shifting {
 		if facts.IsCommitted = committed; !committed {
 			facts.IsCommitted = c.modify(state.Items) == nil
 		}
 	}
 	event, reason := state.NextWave(facts)
-	if event == trial.None {
+	if event == rollout.None {
 		return
 	}
 	next, permitted := state.Step(event, reason, facts.Elapsed)
@@ -172,7 +172,7 @@
 
 // stageGrant returns the form in which a staged change is published to the proxies: a
 // grant, like a share.
-func stageGrant(state trial.State) feed.Stage {
+func stageGrant(state rollout.State) feed.Stage {
 	return feed.Stage{Subject: state.Subject, Number: state.Number, Wave: state.Wave, Nodes: state.Reached(), Items: state.Items}
 }
 
--- a/internal/control/tables.go
+++ b/internal/control/tables.go
@@ -11,8 +11,8 @@
 	"ploverhitch/internal/idempotency"
 	"ploverhitch/internal/loopline"
 	"ploverhitch/internal/membership"
+	"ploverhitch/internal/rollout"
 	"ploverhitch/internal/timetable"
-	"ploverhitch/internal/trial"
 )
 
 // record is one change in the log; exactly one field is set.
@@ -24,7 +24,7 @@
 	Term     *membership.Term     `cbor:"5,keyasint,omitempty"`
 	Trusted  *bool                `cbor:"6,keyasint,omitempty"`
 	Fleet    *feed.Fleet          `cbor:"7,keyasint,omitempty"`
-	Rollout  *trial.State         `cbor:"8,keyasint,omitempty"`
+	Rollout  *rollout.State       `cbor:"8,keyasint,omitempty"`
 	// Change is a decided change of the item set, Page is a part of a whole set, and
 	// Durable is the registry's acceptor. Items occurs only in logs of older builds.
 	Change  *registry.Change  `cbor:"9,keyasint,omitempty"`
@@ -49,7 +49,7 @@
 	fleet feed.Fleet
 	// fleetReceivedAt is when the fleet was received, 0 if it was read from the disk.
 	fleetReceivedAt timetable.Steady
-	rollouts        map[string]trial.State
+	rollouts        map[string]rollout.State
 	trusted         bool
 	empty           bool
 	digest          string
@@ -64,7 +64,7 @@
 }
 
 func newTables(policy idempotency.Policy) *tables {
-	return &tables{voter: idempotency.NewVoter(policy), registry: registry.NewReplica(), rollouts: map[string]trial.State{}, empty: true}
+	return &tables{voter: idempotency.NewVoter(policy), registry: registry.NewReplica(), rollouts: map[string]rollout.State{}, empty: true}
 }
 
 // apply updates the tables with one record, both when it is created and when the log
--- a/internal/control/takeover_test.go
+++ b/internal/control/takeover_test.go
@@ -16,8 +16,8 @@
 	"ploverhitch/internal/idempotency"
 	"ploverhitch/internal/membership"
 	"ploverhitch/internal/messages"
+	"ploverhitch/internal/rollout"
 	"ploverhitch/internal/timetable"
-	"ploverhitch/internal/trial"
 )
 
 var _ = Describe("a node that becomes the leader", func() {
@@ -80,8 +80,8 @@
 			n.onRecord(messages.Record{Intent: intent}, func(done messages.Done) { stored <- done })
 			<-stored
 		}
-		staged := trial.State{
-			Subject: trial.StagePrefix + "change", Number: 1, Term: 1, Count: 1, Phase: trial.Trying, Duration: timetable.Span(time.Minute),
+		staged := rollout.State{
+			Subject: rollout.StagePrefix + "change", Number: 1, Term: 1, Count: 1, Phase: rollout.Trying, Duration: timetable.Span(time.Minute),
 			Items: []config.Item{{ID: config.ID{Class: config.RouteItem, Name: "fee"}, Version: 1, Host: "h"}}, Waves: [][]string{{"edge-1"}},
 		}
 		written := make(chan messages.Done, 1)
@@ -90,7 +90,7 @@
 		becomeLeader(2)
 		n.coordinator.coordinate()
 		Expect(n.coordinator.states[staged.Subject].Reason).To(BeEmpty())
-		Expect(n.coordinator.states[staged.Subject].Phase).To(Equal(trial.Trying))
+		Expect(n.coordinator.states[staged.Subject].Phase).To(Equal(rollout.Trying))
 		// A duplicate that is found from now on halts it.
 		third := completedIntent(1, 10)
 		third.Attempt = "a third"
@@ -98,7 +98,7 @@
 		n.onRecord(messages.Record{Intent: third}, func(done messages.Done) { stored <- done })
 		<-stored
 		n.coordinator.coordinate()
-		Expect(n.coordinator.states[staged.Subject].Phase).To(Equal(trial.Reverted))
+		Expect(n.coordinator.states[staged.Subject].Phase).To(Equal(rollout.Reverted))
 	})
 })
 
--- a/internal/messages/repair.go
+++ b/internal/messages/repair.go
@@ -3,7 +3,7 @@
 import (
 	"ploverhitch/internal/idempotency"
 	"ploverhitch/internal/membership"
-	"ploverhitch/internal/trial"
+	"ploverhitch/internal/rollout"
 )
 
 // Digests asks a member for the digests of its ranges of intents; the member must
@@ -57,7 +57,7 @@
 	IsTrusted bool                `cbor:"2,keyasint"`
 	Acceptor  membership.Acceptor `cbor:"5,keyasint"`
 	Term      membership.Term     `cbor:"6,keyasint"`
-	Trials    []trial.State       `cbor:"7,keyasint,omitempty"`
+	Trials    []rollout.State     `cbor:"7,keyasint,omitempty"`
 }
 
 // Leave says that a member is about to end; it is answered once the other has copied
--- a/internal/messages/trials.go
+++ b/internal/messages/trials.go
@@ -5,13 +5,13 @@
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/membership"
 	"ploverhitch/internal/outlier"
-	"ploverhitch/internal/trial"
+	"ploverhitch/internal/rollout"
 )
 
 // Trial brings one writing of a trial's state to a member.
 type Trial struct {
 	Epoch membership.Epoch `cbor:"1,keyasint"`
-	State trial.State      `cbor:"2,keyasint"`
+	State rollout.State    `cbor:"2,keyasint"`
 }
 
 // Trials asks a member for all trials.
@@ -22,9 +22,9 @@
 // TrialsTold is the reply; it counts only where it is OK. Fence is the highest
 // term of the duty that the member knows: it refuses writings of lower ones.
 type TrialsTold struct {
-	OK     bool          `cbor:"1,keyasint"`
-	Fence  uint64        `cbor:"2,keyasint"`
-	States []trial.State `cbor:"3,keyasint,omitempty"`
+	OK     bool            `cbor:"1,keyasint"`
+	Fence  uint64          `cbor:"2,keyasint"`
+	States []rollout.State `cbor:"3,keyasint,omitempty"`
 }
 
 // Order passes an operator's order on to the holder of the duty.
--- a/internal/trial/stage.go
+++ b/internal/rollout/stage.go
@@ -1,4 +1,4 @@
-package trial
+package rollout
 
 import (
 	"time"
@@ -37,7 +37,7 @@
 //
 // Example:
 //
-//	waves := trial.Waves("edge-1", []string{"edge-1", "edge-2"}, cellOf)
+//	waves := rollout.Waves("edge-1", []string{"edge-1", "edge-2"}, cellOf)
 func Waves(first string, nodes []string, cellOf func(string) string) (waves [][]string) {
 	waves = append(waves, []string{first})
 	at := map[string]int{}
--- a/internal/trial/stage_test.go
+++ b/internal/rollout/stage_test.go
@@ -1,4 +1,4 @@
-package trial_test
+package rollout_test
 
 import (
 	"fmt"
@@ -10,8 +10,8 @@
 
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/outlier"
+	"ploverhitch/internal/rollout"
 	"ploverhitch/internal/timetable"
-	"ploverhitch/internal/trial"
 )
 
 // line is a slow plain model of nodes in three cells under a staged change.
@@ -19,7 +19,7 @@
 	hand   *timetable.Hand
 	random *rand.Rand
 	court  *outlier.Court
-	state  trial.State
+	state  rollout.State
 	// ill is the chance that an inquiry under the change ends in this way, and
 	// wide one that everybody has.
 	ill     float64
@@ -39,16 +39,16 @@
 	for i := range 12 {
 		nodes = append(nodes, fmt.Sprintf("%c%02d", 'a'+i/4, i))
 	}
-	l.state, _ = trial.State{Subject: trial.StagePrefix + "x"}.Order("x", timetable.Span(2*time.Minute))
+	l.state, _ = rollout.State{Subject: rollout.StagePrefix + "x"}.Order("x", timetable.Span(2*time.Minute))
 	l.state.Items = []config.Item{{ID: config.ID{Class: config.RouteItem, Name: "l"}, Version: 2}}
-	l.state.Waves = trial.Waves("a01", nodes, func(node string) string { return node[:1] })
+	l.state.Waves = rollout.Waves("a01", nodes, func(node string) string { return node[:1] })
 	return l
 }
 
 // run plays until the change has ended or everybody has it.
 func (l *line) run() {
 	boxes, number := map[string]*outlier.Box{}, map[string]int{}
-	for l.state.Phase == trial.Trying && l.hand.Now < 2*time.Minute {
+	for l.state.Phase == rollout.Trying && l.hand.Now < 2*time.Minute {
 		reached := map[string]bool{}
 		for _, node := range l.state.Reached() {
 			reached[node] = true
@@ -81,7 +81,7 @@
 		l.hand.Sleep(100 * time.Millisecond)
 		l.court.Tend()
 		finding := l.court.Hearing(l.state.Subject, l.state.Number, l.state.Wave)
-		facts := trial.StageFacts{Elapsed: l.hand.Now, InWave: l.hand.Now - l.waveAt, Finding: finding}
+		facts := rollout.StageFacts{Elapsed: l.hand.Now, InWave: l.hand.Now - l.waveAt, Finding: finding}
 		if l.isBlind {
 			facts.Finding.Verdict, facts.Finding.IsSuspect = outlier.Fit, false
 		}
@@ -91,7 +91,7 @@
 				facts.Silent = node
 			}
 		}
-		if event, reason := l.state.NextWave(facts); event != trial.None {
+		if event, reason := l.state.NextWave(facts); event != rollout.None {
 			l.state, _ = l.state.Step(event, reason, l.hand.Now)
 			l.waveAt = l.hand.Now
 		}
@@ -104,7 +104,7 @@
 		Expect(l.state.Waves).To(Equal([][]string{{"a01"}, {"a00", "a02", "a03"}, {"b04", "b05", "b06", "b07"}, {"c08", "c09", "c10", "c11"}}))
 		Expect(l.state.Reached()).To(Equal([]string{"a01"}))
 		l.run()
-		Expect(l.state.Phase).To(Equal(trial.Shifting))
+		Expect(l.state.Phase).To(Equal(rollout.Shifting))
 		Expect(l.state.Reached()).To(HaveLen(12))
 	})
 
@@ -113,14 +113,14 @@
 			l := newLine(seed)
 			l.ill, l.illness, l.wide = ill, illness, 0.01
 			l.run()
-			Expect(l.state.Phase).To(Equal(trial.Reverted), "seed %d", seed)
+			Expect(l.state.Phase).To(Equal(rollout.Reverted), "seed %d", seed)
 			Expect(l.state.Wave).To(BeZero(), "seed %d", seed)
 			// The control: with the evidence ignored it reaches every node, and
 			// harms many times as many.
 			blind := newLine(seed)
 			blind.ill, blind.illness, blind.isBlind = ill, illness, true
 			blind.run()
-			Expect(blind.state.Phase).To(Equal(trial.Shifting))
+			Expect(blind.state.Phase).To(Equal(rollout.Shifting))
 			Expect(blind.harmed).To(BeNumerically(">", 8*l.harmed))
 		}
 	},
@@ -136,11 +136,11 @@
 			l := newLine(seed)
 			l.wide = 0.3
 			l.run()
-			Expect(l.state.Phase).To(Equal(trial.Shifting), "seed %d: %s", seed, l.state.Reason)
+			Expect(l.state.Phase).To(Equal(rollout.Shifting), "seed %d: %s", seed, l.state.Reason)
 			ill := newLine(seed)
 			ill.wide, ill.ill = 0.1, 0.7
 			ill.run()
-			Expect(ill.state.Phase).To(Equal(trial.Reverted), "seed %d", seed)
+			Expect(ill.state.Phase).To(Equal(rollout.Reverted), "seed %d", seed)
 			Expect(ill.state.Wave).To(BeZero())
 		}
 	})
@@ -151,12 +151,12 @@
 		l.run()
 		Expect(l.state.Reason).To(Equal("node a02 reports no more"))
 		state := newLine(5).state
-		event, _ := state.NextWave(trial.StageFacts{Elapsed: 2 * time.Minute})
-		Expect(event).To(Equal(trial.Lapsed))
+		event, _ := state.NextWave(rollout.StageFacts{Elapsed: 2 * time.Minute})
+		Expect(event).To(Equal(rollout.Lapsed))
 	})
 
 	It("uses its version up by falling back", func() {
-		state, _ := newLine(6).state.Step(trial.Halted, "", 0)
+		state, _ := newLine(6).state.Step(rollout.Halted, "", 0)
 		item := func(version config.Version) []config.Item {
 			return []config.Item{{ID: config.ID{Class: config.RouteItem, Name: "l"}, Version: version}}
 		}
--- a/internal/trial/state.go
+++ b/internal/rollout/state.go
@@ -1,7 +1,7 @@
-// Package trial is the one state machine by which something new is brought in
+// Package rollout is the one state machine by which something new is brought in
 // under traffic: a service's version, or a staged change of lanes. It has no
 // clock, network or disk of its own.
-package trial
+package rollout
 
 import (
 	"time"
@@ -35,7 +35,7 @@
 //
 // Example:
 //
-//	trial.Trying.String() // "trying"
+//	rollout.Trying.String() // "trying"
 func (p Phase) String() string { return phaseNames[p] }
 
 // IsActive tells whether the trial has not ended.
@@ -123,7 +123,7 @@
 //
 // Example:
 //
-//	next, isDone := state.Step(trial.Proved, "", 9*time.Second)
+//	next, isDone := state.Step(rollout.Proved, "", 9*time.Second)
 func (s State) Step(event Event, reason string, elapsed time.Duration) (next State, isDone bool) {
 	phase, isKnown := table[s.Phase][event]
 	if !isKnown {
@@ -159,7 +159,7 @@
 //
 // Example:
 //
-//	trial.State{Phase: trial.Trying}.Answer() // "active"
+//	rollout.State{Phase: rollout.Trying}.Answer() // "active"
 func (s State) Answer() string {
 	if s.Phase.IsActive() {
 		return "active"
--- a/internal/trial/trial_test.go
+++ b/internal/rollout/trial_test.go
@@ -1,4 +1,4 @@
-package trial_test
+package rollout_test
 
 import (
 	"fmt"
@@ -11,16 +11,16 @@
 
 	"ploverhitch/internal/balancer"
 	"ploverhitch/internal/outlier"
+	"ploverhitch/internal/rollout"
 	"ploverhitch/internal/timetable"
-	"ploverhitch/internal/trial"
 )
 
 func TestTrial(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "trial")
+	RunSpecs(t, "rollout")
 }
 
-var plan = trial.Plan{CanaryShare: 0.1, Ack: 4 * time.Second}
+var plan = rollout.Plan{CanaryShare: 0.1, Ack: 4 * time.Second}
 
 // world is a slow plain model of a service under a trial: proxies that hear the
 // share late or not at all, restart, and send single inquiries.
@@ -28,7 +28,7 @@
 	hand   *timetable.Hand
 	random *rand.Rand
 	court  *outlier.Court
-	state  trial.State
+	state  rollout.State
 	phase  time.Duration
 	// bad tells the chance of a bad reply on trial, by elapsed time and lane.
 	bad func(elapsed time.Duration, lane string, part float64) float64
@@ -58,7 +58,7 @@
 func newWorld(seed uint64) *world {
 	w := &world{hand: &timetable.Hand{}, random: rand.New(rand.NewPCG(seed, 3))}
 	w.court = outlier.NewCourt(w.hand)
-	w.state, _ = trial.State{Subject: "s", InForce: "v1"}.Order("v2", timetable.Span(duration))
+	w.state, _ = rollout.State{Subject: "s", InForce: "v1"}.Order("v2", timetable.Span(duration))
 	for range proxies {
 		w.boxes, w.allowances = append(w.boxes, outlier.NewBox()), append(w.allowances, &balancer.Allowance{})
 		w.lives, w.heardPart, w.heardAt = append(w.lives, 0), append(w.heardPart, 0), append(w.heardAt, -time.Hour)
@@ -91,9 +91,9 @@
 	w.boxes[proxy].Note(outlier.Mark{Subject: "s", Number: w.state.Number, Lane: lane, IsTrial: isTrial}, outcome)
 }
 
-func (w *world) facts(behind int) trial.Facts {
+func (w *world) facts(behind int) rollout.Facts {
 	touch := outlier.Touch{Proxies: proxies, Behind: behind}
-	return trial.Facts{Elapsed: w.hand.Now, InPhase: w.hand.Now - w.phase, Finding: w.court.Hearing("s", w.state.Number, 0), Ready: 100, Old: 100, Touch: touch}
+	return rollout.Facts{Elapsed: w.hand.Now, InPhase: w.hand.Now - w.phase, Finding: w.court.Hearing("s", w.state.Number, 0), Ready: 100, Old: 100, Touch: touch}
 }
 
 // run plays until the term's end.
@@ -125,7 +125,7 @@
 		}
 		w.court.Tend()
 		facts := w.facts(0)
-		if event, reason := w.state.Next(facts); event != trial.None {
+		if event, reason := w.state.Next(facts); event != rollout.None {
 			next, isDone := w.state.Step(event, reason, w.hand.Now)
 			Expect(isDone).To(BeTrue())
 			w.state, w.phase = next, w.hand.Now
@@ -139,7 +139,7 @@
 		for seed := range uint64(12) {
 			w := newWorld(seed)
 			w.run()
-			Expect(w.state.Phase).To(Equal(trial.Complete), "seed %d: %s", seed, w.state.Reason)
+			Expect(w.state.Phase).To(Equal(rollout.Complete), "seed %d: %s", seed, w.state.Reason)
 			Expect(w.state.InForce).To(Equal("v2"))
 			Expect(w.state.Elapsed.Std()).To(BeNumerically("<", duration))
 		}
@@ -151,7 +151,7 @@
 				w := newWorld(seed)
 				w.bad, w.deaf = bad, 0.1
 				w.run()
-				Expect(w.state.Phase).To(Equal(trial.Reverted), "seed %d", seed)
+				Expect(w.state.Phase).To(Equal(rollout.Reverted), "seed %d", seed)
 				Expect(w.state.InForce).To(Equal("v1"))
 				Expect(float64(w.onTrial)).To(BeNumerically("<", 0.1*float64(w.total)+50), "seed %d", seed)
 				if w.fiftieth > 0 {
@@ -177,22 +177,22 @@
 	)
 
 	It("does not complete on no evidence, and says why", func() {
-		state, _ := trial.State{Subject: "s", InForce: "v1"}.Order("v2", timetable.Span(duration))
+		state, _ := rollout.State{Subject: "s", InForce: "v1"}.Order("v2", timetable.Span(duration))
 		court := outlier.NewCourt(&timetable.Hand{})
-		facts := trial.Facts{Elapsed: duration - 500*time.Millisecond, Finding: court.Hearing("s", 1, 0), Ready: 100, Old: 100}
+		facts := rollout.Facts{Elapsed: duration - 500*time.Millisecond, Finding: court.Hearing("s", 1, 0), Ready: 100, Old: 100}
 		event, reason := state.Next(facts)
-		Expect(event).To(Equal(trial.Lapsed))
+		Expect(event).To(Equal(rollout.Lapsed))
 		Expect(reason).To(ContainSubstring("too little is seen"))
 	})
 
 	It("goes on only from where it is: every event out of place is refused", func() {
-		state, _ := trial.State{Subject: "s", InForce: "v1"}.Order("v2", timetable.Span(duration))
-		for _, event := range []trial.Event{trial.Shifted, trial.Emptied, trial.Ordered} {
+		state, _ := rollout.State{Subject: "s", InForce: "v1"}.Order("v2", timetable.Span(duration))
+		for _, event := range []rollout.Event{rollout.Shifted, rollout.Emptied, rollout.Ordered} {
 			_, isDone := state.Step(event, "", 0)
 			Expect(isDone).To(BeFalse())
 		}
-		ended, _ := state.Step(trial.Harmed, "", 0)
-		for _, event := range []trial.Event{trial.Proved, trial.Shifted, trial.Emptied, trial.Harmed, trial.Lapsed} {
+		ended, _ := state.Step(rollout.Harmed, "", 0)
+		for _, event := range []rollout.Event{rollout.Proved, rollout.Shifted, rollout.Emptied, rollout.Harmed, rollout.Lapsed} {
 			_, isDone := ended.Step(event, "", 0)
 			Expect(isDone).To(BeFalse())
 		}
@@ -200,12 +200,12 @@
 	})
 
 	It("takes the last order once more for a while, and another one only after the end", func() {
-		state, _ := trial.State{Subject: "s", InForce: "v1"}.Order("v2", timetable.Span(duration))
+		state, _ := rollout.State{Subject: "s", InForce: "v1"}.Order("v2", timetable.Span(duration))
 		Expect(state.IsRepeat("v2", timetable.Span(duration), time.Second, plan)).To(BeTrue())
 		Expect(state.IsRepeat("v3", timetable.Span(duration), time.Second, plan)).To(BeFalse())
 		_, isDone := state.Order("v3", timetable.Span(duration))
 		Expect(isDone).To(BeFalse())
-		ended, _ := state.Step(trial.Lapsed, "", duration)
+		ended, _ := state.Step(rollout.Lapsed, "", duration)
 		Expect(ended.IsRepeat("v2", timetable.Span(duration), time.Minute, plan)).To(BeFalse())
 		next, isDone := ended.Order("v2", timetable.Span(duration))
 		Expect(isDone).To(BeTrue())
