--- a/internal/config/own.go
+++ b/internal/config/own.go
@@ -6,7 +6,7 @@
 
 	"ploverhitch/internal/apierror"
 	"ploverhitch/internal/branchline"
-	"ploverhitch/internal/loopline"
+	"ploverhitch/internal/mirror"
 	"ploverhitch/internal/shedding"
 )
 
@@ -19,7 +19,7 @@
 	SiteItem: {"site", func(body json.RawMessage) error { return json.Unmarshal(body, &branchline.Site{}) }},
 	PlanItem: {"plan", func(body json.RawMessage) error { return json.Unmarshal(body, &shedding.Plan{}) }},
 	MirrorItem: {"mirror", func(body json.RawMessage) error {
-		var mirror loopline.Mirror
+		var mirror mirror.Mirror
 		if err := json.Unmarshal(body, &mirror); err != nil {
 			return err
 		}
@@ -114,9 +114,9 @@
 	return out
 }
 
-func (b Book) mirrorLanes() (out []loopline.Lane) {
+func (b Book) mirrorLanes() (out []mirror.Lane) {
 	b.eachLane(func(lane RouteSpec, host string) {
-		out = append(out, loopline.Lane{Name: lane.Name, Host: host, Services: lane.Services()})
+		out = append(out, mirror.Lane{Name: lane.Name, Host: host, Services: lane.Services()})
 	})
 	return out
 }
@@ -135,7 +135,7 @@
 // Example:
 //
 //	mirrors, versions := book.Mirrors()
-func (b Book) Mirrors() ([]loopline.Mirror, []Version) { return own[loopline.Mirror](b, MirrorItem) }
+func (b Book) Mirrors() ([]mirror.Mirror, []Version) { return own[mirror.Mirror](b, MirrorItem) }
 
 // CheckOwn holds a changed book's own items against its routes and services: the
 // mirrors always, as no route may come to deliver to a shadow; plans and names of
@@ -150,10 +150,10 @@
 		return isThere && !item.Dropped
 	}
 	mirrors, _ := b.Mirrors()
-	var lanes []loopline.Lane
+	var lanes []mirror.Lane
 	if len(mirrors) > 0 {
 		lanes = b.mirrorLanes()
-		if err := loopline.CheckAll(mirrors, lanes, isService, now); err != nil {
+		if err := mirror.CheckAll(mirrors, lanes, isService, now); err != nil {
 			return apierror.New(apierror.BadManifest, err.Error())
 		}
 	}
@@ -164,7 +164,7 @@
 		case item.ID.Class == PlanItem:
 			err = b.checkPlan(item)
 		case item.ID.Class == MirrorItem:
-			var mirror loopline.Mirror
+			var mirror mirror.Mirror
 			if err = json.Unmarshal(item.Body, &mirror); err == nil {
 				err = mirror.CheckNamed(lanes)
 			}
--- a/internal/config/sheet.go
+++ b/internal/config/sheet.go
@@ -5,7 +5,7 @@
 	"sort"
 	"strings"
 
-	"ploverhitch/internal/loopline"
+	"ploverhitch/internal/mirror"
 	"ploverhitch/internal/shedding"
 )
 
@@ -22,7 +22,7 @@
 
 // Mirror is an order to copy, with its version.
 type Mirror struct {
-	loopline.Mirror
+	mirror.Mirror
 	Version Version
 }
 
@@ -114,10 +114,10 @@
 
 func (s *Sheet) layMirrors(b Book) {
 	mirrors, versions := b.Mirrors()
-	for i, mirror := range mirrors {
-		laid := &Mirror{mirror, versions[i]}
+	for i, declared := range mirrors {
+		laid := &Mirror{declared, versions[i]}
 		s.each(func(lane *Route) {
-			if mirror.Covers(loopline.Lane{Name: lane.Name, Host: lane.Host}) {
+			if declared.Covers(mirror.Lane{Name: lane.Name, Host: lane.Host}) {
 				lane.Mirror = laid
 			}
 		})
--- a/internal/control/mirrors.go
+++ b/internal/control/mirrors.go
@@ -8,7 +8,7 @@
 
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/feed"
-	"ploverhitch/internal/loopline"
+	"ploverhitch/internal/mirror"
 )
 
 const (
@@ -25,7 +25,7 @@
 
 // activeMirror is the leader's state of one mirror in force.
 type activeMirror struct {
-	grant loopline.Grant
+	grant mirror.Grant
 	// eraStart is the first reading of the era.
 	eraStart feed.Reading
 	// copied and lost are counted since the last reduction of the share, at
@@ -36,8 +36,8 @@
 
 // mirrorGrants returns the grants of the mirrors in force. An era ends when a node joins,
 // leaves or restarts, as no other node knows what that node saw of a conversation.
-func (c *coordinator) mirrorGrants() (grants []loopline.Grant) {
-	var mirrors []loopline.Mirror
+func (c *coordinator) mirrorGrants() (grants []mirror.Grant) {
+	var mirrors []mirror.Mirror
 	var versions []config.Version
 	var compiled *config.Sheet
 	c.store.read(func(t *tables) {
@@ -49,7 +49,7 @@
 		clear(c.activeMirrors)
 		return nil
 	}
-	lives := c.detector.Lives(mirrorReportMaxAge, loopline.LifeOf)
+	lives := c.detector.Lives(mirrorReportMaxAge, mirror.LifeOf)
 	inForce := map[string]bool{}
 	for i, mirror := range mirrors {
 		if !mirror.Until.After(c.clock.Wall()) || compiled.IsLive(mirror.Shadow) {
@@ -63,15 +63,15 @@
 			delete(c.activeMirrors, name)
 		}
 	}
-	slices.SortFunc(grants, func(a, b loopline.Grant) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(grants, func(a, b mirror.Grant) int { return cmp.Compare(a.Name, b.Name) })
 	return grants
 }
 
-func (c *coordinator) mirrorGrant(mirror loopline.Mirror, version, lives uint64) loopline.Grant {
-	active := c.activeMirrors[mirror.Name]
+func (c *coordinator) mirrorGrant(declared mirror.Mirror, version, lives uint64) mirror.Grant {
+	active := c.activeMirrors[declared.Name]
 	if active == nil || active.grant.Version != version {
-		active = &activeMirror{grant: loopline.Grant{Name: mirror.Name, Version: version, Share: mirror.Share}}
-		c.activeMirrors[mirror.Name] = active
+		active = &activeMirror{grant: mirror.Grant{Name: declared.Name, Version: version, Share: declared.Share}}
+		c.activeMirrors[declared.Name] = active
 	}
 	if active.grant.Era == 0 || active.grant.Lives != lives {
 		// The fleet that is being built gets the next count.
@@ -91,7 +91,7 @@
 }
 
 // recordCopies adds the copy counts that a node reported.
-func (c *coordinator) recordCopies(tallies []loopline.Tally) {
+func (c *coordinator) recordCopies(tallies []mirror.Tally) {
 	for _, tally := range tallies {
 		if active := c.activeMirrors[tally.Name]; active != nil {
 			active.copied += tally.Copied
@@ -102,12 +102,12 @@
 
 // MirrorPage lists the configured mirrors and the grants in force that the leader issued.
 type MirrorPage struct {
-	Mirrors []loopline.Mirror `json:"Mirrors"`
-	Grants  []loopline.Grant  `json:"Grants"`
+	Mirrors []mirror.Mirror `json:"Mirrors"`
+	Grants  []mirror.Grant  `json:"Grants"`
 }
 
 func (n *node) mirrorsEndpoint(context.Context, any) (any, error) {
-	page := MirrorPage{Mirrors: []loopline.Mirror{}, Grants: []loopline.Grant{}}
+	page := MirrorPage{Mirrors: []mirror.Mirror{}, Grants: []mirror.Grant{}}
 	configuration, err := n.readConfig()
 	if err != nil {
 		return nil, err
--- a/internal/control/tables.go
+++ b/internal/control/tables.go
@@ -9,8 +9,8 @@
 	"ploverhitch/internal/control/registry"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/idempotency"
-	"ploverhitch/internal/loopline"
 	"ploverhitch/internal/membership"
+	"ploverhitch/internal/mirror"
 	"ploverhitch/internal/rollout"
 	"ploverhitch/internal/timetable"
 )
@@ -58,7 +58,7 @@
 	// mirrorsDigest.
 	compiled       *config.Sheet
 	compiledDigest string
-	mirrors        []loopline.Mirror
+	mirrors        []mirror.Mirror
 	versions       []config.Version
 	mirrorsDigest  string
 }
@@ -134,7 +134,7 @@
 
 // currentMirrors returns the mirroring rules. The configuration is searched again only
 // after an item has changed.
-func (t *tables) currentMirrors() ([]loopline.Mirror, []config.Version) {
+func (t *tables) currentMirrors() ([]mirror.Mirror, []config.Version) {
 	if digest := t.configurationDigest(); t.mirrorsDigest != digest {
 		t.mirrors, t.versions = t.configuration().Mirrors()
 		t.mirrorsDigest = digest
--- a/internal/feed/fleet.go
+++ b/internal/feed/fleet.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"ploverhitch/internal/config"
-	"ploverhitch/internal/loopline"
+	"ploverhitch/internal/mirror"
 	"ploverhitch/internal/shedding"
 )
 
@@ -106,7 +106,7 @@
 	// Cutoffs are what all nodes turn away; Mirrors, what they copy. Both are
 	// grants like a share.
 	Cutoffs []shedding.Cutoff `cbor:"11,keyasint,omitempty"`
-	Mirrors []loopline.Grant  `cbor:"12,keyasint,omitempty"`
+	Mirrors []mirror.Grant    `cbor:"12,keyasint,omitempty"`
 }
 
 // HoldsGrants tells whether the fleet brings grants, which lapse unless they are
--- a/internal/inspector/mirror.go
+++ b/internal/inspector/mirror.go
@@ -8,8 +8,8 @@
 	"strings"
 
 	"ploverhitch/internal/control"
-	"ploverhitch/internal/loopline"
 	"ploverhitch/internal/messages"
+	"ploverhitch/internal/mirror"
 )
 
 // parityLeast is how many whole conversations without a difference it takes to
@@ -18,18 +18,18 @@
 
 // Mirroring is what came of one mirror, summed over all nodes.
 type Mirroring struct {
-	Name   string                                 `json:"Name"`
-	Grant  *loopline.Grant                        `json:"Grant,omitempty"`
-	Counts map[string]map[loopline.Outcome]uint64 `json:"Counts"`
-	Gaps   map[string]uint64                      `json:"Gaps"`
+	Name   string                               `json:"Name"`
+	Grant  *mirror.Grant                        `json:"Grant,omitempty"`
+	Counts map[string]map[mirror.Outcome]uint64 `json:"Counts"`
+	Gaps   map[string]uint64                    `json:"Gaps"`
 	// Seen are the conversations met since the nodes last changed, Whole those of
 	// which every copy reached the shadow, Differing the whole ones with a
 	// difference, Untracked those beyond what nodes keep.
-	Seen      int                `json:"Seen"`
-	Whole     int                `json:"Whole"`
-	Differing int                `json:"Differing"`
-	Untracked uint64             `json:"Untracked"`
-	Examples  []loopline.Example `json:"Examples"`
+	Seen      int              `json:"Seen"`
+	Whole     int              `json:"Whole"`
+	Differing int              `json:"Differing"`
+	Untracked uint64           `json:"Untracked"`
+	Examples  []mirror.Example `json:"Examples"`
 	// Claim is what may be said of the whole conversations, and why not more.
 	Claim string `json:"Claim"`
 }
@@ -41,11 +41,11 @@
 // Example:
 //
 //	sum := inspector.Sum("east", grant, nodes)
-func Sum(name string, grant *loopline.Grant, nodes []messages.Mirrored) Mirroring {
-	out := Mirroring{Name: name, Grant: grant, Counts: map[string]map[loopline.Outcome]uint64{}, Gaps: map[string]uint64{}, Examples: []loopline.Example{}}
-	talks, lives, isOneEra := map[uint64]loopline.Talk{}, uint64(0), true
+func Sum(name string, grant *mirror.Grant, nodes []messages.Mirrored) Mirroring {
+	out := Mirroring{Name: name, Grant: grant, Counts: map[string]map[mirror.Outcome]uint64{}, Gaps: map[string]uint64{}, Examples: []mirror.Example{}}
+	talks, lives, isOneEra := map[uint64]mirror.Talk{}, uint64(0), true
 	for _, node := range nodes {
-		lives ^= loopline.LifeOf(node.Node, node.Life)
+		lives ^= mirror.LifeOf(node.Node, node.Life)
 		page, isThere := node.Pages[name]
 		if !isThere {
 			continue
@@ -53,7 +53,7 @@
 		isOneEra = isOneEra && grant != nil && page.Grant.Era == grant.Era && page.Grant.Version == grant.Version
 		for lane, counts := range page.Counts {
 			if out.Counts[lane] == nil {
-				out.Counts[lane] = map[loopline.Outcome]uint64{}
+				out.Counts[lane] = map[mirror.Outcome]uint64{}
 			}
 			for outcome, count := range counts {
 				out.Counts[lane][outcome] += count
@@ -120,13 +120,13 @@
 		}
 		nodes = append(nodes, node)
 	}
-	for _, mirror := range page.Mirrors {
-		at := slices.IndexFunc(page.Grants, func(g loopline.Grant) bool { return g.Name == mirror.Name })
+	for _, declared := range page.Mirrors {
+		at := slices.IndexFunc(page.Grants, func(g mirror.Grant) bool { return g.Name == declared.Name })
 		if at < 0 {
-			out = append(out, Sum(mirror.Name, nil, nodes))
+			out = append(out, Sum(declared.Name, nil, nodes))
 			continue
 		}
-		out = append(out, Sum(mirror.Name, &page.Grants[at], nodes))
+		out = append(out, Sum(declared.Name, &page.Grants[at], nodes))
 	}
 	return out, unheard, nil
 }
--- a/internal/inspector/mirror_test.go
+++ b/internal/inspector/mirror_test.go
@@ -8,22 +8,22 @@
 	. "github.com/onsi/gomega"
 
 	"ploverhitch/internal/inspector"
-	"ploverhitch/internal/loopline"
 	"ploverhitch/internal/messages"
+	"ploverhitch/internal/mirror"
 )
 
 var _ = Describe("the sum of what nodes know of a mirror", func() {
 	// converse lets learners talk to nodes by turns; isChosen says whether a node
 	// copies one part of a conversation.
-	converse := func(isChosen func(node int, draw float64) bool) (grant *loopline.Grant, nodes []messages.Mirrored, parts map[uint64]int) {
-		m := loopline.Mirror{Name: "m", Shadow: "next"}
-		grant = &loopline.Grant{Name: "m", Version: 1, Share: 0.5, Era: 1, IsSettled: true}
-		records := make([]*loopline.Record, 4)
+	converse := func(isChosen func(node int, draw float64) bool) (grant *mirror.Grant, nodes []messages.Mirrored, parts map[uint64]int) {
+		m := mirror.Mirror{Name: "m", Shadow: "next"}
+		grant = &mirror.Grant{Name: "m", Version: 1, Share: 0.5, Era: 1, IsSettled: true}
+		records := make([]*mirror.Record, 4)
 		for node := range records {
-			grant.Lives ^= loopline.LifeOf(fmt.Sprint("n", node), "a")
+			grant.Lives ^= mirror.LifeOf(fmt.Sprint("n", node), "a")
 		}
 		for node := range records {
-			records[node] = loopline.NewRecord()
+			records[node] = mirror.NewRecord()
 			records[node].Under(*grant)
 		}
 		random, parts := rand.New(rand.NewPCG(1, 1)), map[uint64]int{}
@@ -34,12 +34,12 @@
 				if isChosen(node, draw) {
 					parts[learner]++
 					_, era := records[node].Meet(learner, draw)
-					records[node].Compare(learner, era, loopline.Example{Lane: "l", Outcome: loopline.Same})
+					records[node].Compare(learner, era, mirror.Example{Lane: "l", Outcome: mirror.Same})
 				}
 			}
 		}
 		for node, record := range records {
-			nodes = append(nodes, messages.Mirrored{Node: fmt.Sprint("n", node), Life: "a", Pages: map[string]loopline.Page{"m": record.Page()}})
+			nodes = append(nodes, messages.Mirrored{Node: fmt.Sprint("n", node), Life: "a", Pages: map[string]mirror.Page{"m": record.Page()}})
 		}
 		return grant, nodes, parts
 	}
--- a/internal/loopline/mirror.go
+++ b/internal/mirror/mirror.go
@@ -1,7 +1,7 @@
-// Package loopline copies whole conversations to a shadow build: every node
+// Package mirror copies whole conversations to a shadow build: every node
 // chooses the same ones with no talk between them, no copy ever reaches a server
 // that serves clients, and what came of the copies is counted, gaps included.
-package loopline
+package mirror
 
 import (
 	"hash/fnv"
@@ -75,7 +75,7 @@
 //
 // Example:
 //
-//	err := loopline.CheckAll(mirrors, lanes, isService, time.Now())
+//	err := mirror.CheckAll(mirrors, lanes, isService, time.Now())
 func CheckAll(mirrors []Mirror, lanes []Lane, isService func(string) bool, now time.Time) error {
 	taken := map[string]string{}
 	for _, m := range mirrors {
@@ -159,7 +159,7 @@
 //
 // Example:
 //
-//	lives ^= loopline.LifeOf(report.Node, report.Life)
+//	lives ^= mirror.LifeOf(report.Node, report.Life)
 func LifeOf(node, life string) uint64 {
 	sum := fnv.New64a()
 	_, _ = sum.Write([]byte(node + "\x00" + life))
--- a/internal/loopline/loopline_test.go
+++ b/internal/mirror/mirror_test.go
@@ -1,4 +1,4 @@
-package loopline_test
+package mirror_test
 
 import (
 	"fmt"
@@ -10,21 +10,21 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ploverhitch/internal/loopline"
+	"ploverhitch/internal/mirror"
 )
 
 func TestLoopline(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "loopline")
+	RunSpecs(t, "mirror")
 }
 
 var (
 	now   = time.Unix(1_000_000, 0)
-	lanes = []loopline.Lane{{Name: "fee", Host: "h", Services: []string{"fees"}}, {Name: "read", Host: "h", Services: []string{"lessons"}}}
+	lanes = []mirror.Lane{{Name: "fee", Host: "h", Services: []string{"fees"}}, {Name: "read", Host: "h", Services: []string{"lessons"}}}
 )
 
-func mirror(name string, more func(*loopline.Mirror)) loopline.Mirror {
-	m := loopline.Mirror{Name: name, Lanes: []string{"fee"}, Shadow: "next", Share: 0.5, Until: now.Add(time.Hour)}
+func newMirror(name string, more func(*mirror.Mirror)) mirror.Mirror {
+	m := mirror.Mirror{Name: name, Lanes: []string{"fee"}, Shadow: "next", Share: 0.5, Until: now.Add(time.Hour)}
 	if more != nil {
 		more(&m)
 	}
@@ -35,7 +35,7 @@
 
 var _ = Describe("an order to copy", func() {
 	DescribeTable("is refused by name where it is wrong",
-		func(reason string, mirrors ...loopline.Mirror) {
+		func(reason string, mirrors ...mirror.Mirror) {
 			var err error
 			for _, m := range mirrors {
 				for _, check := range []func() error{m.Check, func() error { return m.CheckNamed(lanes) }} {
@@ -45,29 +45,29 @@
 				}
 			}
 			if err == nil {
-				err = loopline.CheckAll(mirrors, lanes, isService, now)
+				err = mirror.CheckAll(mirrors, lanes, isService, now)
 			}
 			Expect(err).To(MatchError(ContainSubstring(reason)))
 		},
-		Entry("a share over one", "Share", mirror("m", func(m *loopline.Mirror) { m.Share = 1.5 })),
-		Entry("a share under none", "Share", mirror("m", func(m *loopline.Mirror) { m.Share = -0.1 })),
-		Entry("no end", "Until", mirror("m", func(m *loopline.Mirror) { m.Until = time.Time{} })),
-		Entry("nothing to copy from", "Routes", mirror("m", func(m *loopline.Mirror) { m.Lanes = nil })),
-		Entry("two names of the conversation", "Cookie", mirror("m", func(m *loopline.Mirror) { m.Header, m.Cookie = "a", "b" })),
-		Entry("an unknown lane", "lane q", mirror("m", func(m *loopline.Mirror) { m.Lanes = []string{"q"} })),
-		Entry("an unknown host", "host q", mirror("m", func(m *loopline.Mirror) { m.Hosts = []string{"q"} })),
-		Entry("an unknown service", "service gone", mirror("m", func(m *loopline.Mirror) { m.Shadow = "gone" })),
-		Entry("a shadow that is live", "lane read delivers", mirror("m", func(m *loopline.Mirror) { m.Shadow = "lessons" })),
-		Entry("the source as its own shadow", "lane fee delivers", mirror("m", func(m *loopline.Mirror) { m.Shadow = "fees" })),
-		Entry("two of one lane", "mirror a", mirror("a", nil), mirror("b", func(m *loopline.Mirror) { m.Lanes, m.Hosts = nil, []string{"H"} })),
+		Entry("a share over one", "Share", newMirror("m", func(m *mirror.Mirror) { m.Share = 1.5 })),
+		Entry("a share under none", "Share", newMirror("m", func(m *mirror.Mirror) { m.Share = -0.1 })),
+		Entry("no end", "Until", newMirror("m", func(m *mirror.Mirror) { m.Until = time.Time{} })),
+		Entry("nothing to copy from", "Routes", newMirror("m", func(m *mirror.Mirror) { m.Lanes = nil })),
+		Entry("two names of the conversation", "Cookie", newMirror("m", func(m *mirror.Mirror) { m.Header, m.Cookie = "a", "b" })),
+		Entry("an unknown lane", "lane q", newMirror("m", func(m *mirror.Mirror) { m.Lanes = []string{"q"} })),
+		Entry("an unknown host", "host q", newMirror("m", func(m *mirror.Mirror) { m.Hosts = []string{"q"} })),
+		Entry("an unknown service", "service gone", newMirror("m", func(m *mirror.Mirror) { m.Shadow = "gone" })),
+		Entry("a shadow that is live", "lane read delivers", newMirror("m", func(m *mirror.Mirror) { m.Shadow = "lessons" })),
+		Entry("the source as its own shadow", "lane fee delivers", newMirror("m", func(m *mirror.Mirror) { m.Shadow = "fees" })),
+		Entry("two of one lane", "mirror a", newMirror("a", nil), newMirror("b", func(m *mirror.Mirror) { m.Lanes, m.Hosts = nil, []string{"H"} })),
 	)
 
 	It("stands against nothing once it has ended", func() {
-		Expect(loopline.CheckAll([]loopline.Mirror{mirror("m", func(m *loopline.Mirror) { m.Shadow = "fees" })}, lanes, isService, now.Add(2*time.Hour))).To(Succeed())
+		Expect(mirror.CheckAll([]mirror.Mirror{newMirror("m", func(m *mirror.Mirror) { m.Shadow = "fees" })}, lanes, isService, now.Add(2*time.Hour))).To(Succeed())
 	})
 
 	It("names the conversation by header or cookie, then by key, then by address", func() {
-		m := mirror("m", func(m *loopline.Mirror) { m.Cookie = "sid" })
+		m := newMirror("m", func(m *mirror.Mirror) { m.Cookie = "sid" })
 		header := http.Header{"Cookie": {"a=b; sid=7"}}
 		Expect(m.Conversation(header, "k", "1.2.3.4")).To(Equal("cookie 7"))
 		Expect(m.Conversation(http.Header{}, "k", "1.2.3.4")).To(Equal("key k"))
@@ -77,11 +77,11 @@
 	})
 
 	It("adds and takes whole conversations, the same ones at every node", func() {
-		m := mirror("m", nil)
+		m := newMirror("m", nil)
 		low, high := 0, 0
 		for number := range 2000 {
 			draw := m.Draw("h", fmt.Sprint("c", number))
-			Expect(mirror("m", func(m *loopline.Mirror) { m.Share = 0.9 }).Draw("h", fmt.Sprint("c", number))).To(Equal(draw))
+			Expect(newMirror("m", func(m *mirror.Mirror) { m.Share = 0.9 }).Draw("h", fmt.Sprint("c", number))).To(Equal(draw))
 			if draw < 0.2 {
 				low++
 			}
@@ -98,8 +98,8 @@
 	It("calls no conversation whole of which anything is missing, as a plain list of all that happened tells", func() {
 		for seed := range uint64(60) {
 			random := rand.New(rand.NewPCG(seed, 3))
-			record, era := loopline.NewRecord(), uint64(1)
-			record.Under(loopline.Grant{Name: "m", Version: 1, Share: 1, Era: era})
+			record, era := mirror.NewRecord(), uint64(1)
+			record.Under(mirror.Grant{Name: "m", Version: 1, Share: 1, Era: era})
 			// broken are the conversations of this era that lack something; open
 			// are the copies on their way.
 			broken, met := map[uint64]bool{}, map[uint64]bool{}
@@ -115,7 +115,7 @@
 					} else {
 						isSettled = true
 					}
-					record.Under(loopline.Grant{Name: "m", Version: 1, Share: 1, Era: era, IsSettled: isSettled})
+					record.Under(mirror.Grant{Name: "m", Version: 1, Share: 1, Era: era, IsSettled: isSettled})
 				case 1, 2, 3, 4, 5:
 					hash := random.Uint64N(20)
 					_, of := record.Meet(hash, 0)
@@ -131,7 +131,7 @@
 					one := open[at]
 					open = append(open[:at], open[at+1:]...)
 					if random.IntN(5) > 0 {
-						record.Compare(one.hash, one.era, loopline.Example{Lane: "l", Outcome: loopline.Same})
+						record.Compare(one.hash, one.era, mirror.Example{Lane: "l", Outcome: mirror.Same})
 						continue
 					}
 					record.Miss(one.hash, one.era, "lost")
@@ -155,13 +155,13 @@
 	})
 
 	It("tells each loss once, and begins anew with a new version", func() {
-		record := loopline.NewRecord()
-		record.Under(loopline.Grant{Version: 1, Era: 1, IsSettled: true})
+		record := mirror.NewRecord()
+		record.Under(mirror.Grant{Version: 1, Era: 1, IsSettled: true})
 		_, era := record.Meet(1, 0)
 		record.Miss(1, era, "lost")
-		Expect(record.Tell("m")).To(Equal(loopline.Tally{Name: "m", Lost: 1}))
-		Expect(record.Tell("m")).To(Equal(loopline.Tally{Name: "m"}))
-		record.Under(loopline.Grant{Version: 2, Era: 1, IsSettled: true})
+		Expect(record.Tell("m")).To(Equal(mirror.Tally{Name: "m", Lost: 1}))
+		Expect(record.Tell("m")).To(Equal(mirror.Tally{Name: "m"}))
+		record.Under(mirror.Grant{Version: 2, Era: 1, IsSettled: true})
 		Expect(record.Page().Talks).To(BeEmpty())
 	})
 })
--- a/internal/loopline/record.go
+++ b/internal/mirror/record.go
@@ -1,4 +1,4 @@
-package loopline
+package mirror
 
 import (
 	"cmp"
@@ -35,7 +35,7 @@
 //
 // Example:
 //
-//	if loopline.IsSlow(live, took) { outcome = loopline.Slow }
+//	if mirror.IsSlow(live, took) { outcome = mirror.Slow }
 func IsSlow(live, took time.Duration) bool { return took > max(slowTimes*live, slowLeast) }
 
 // Talk is one conversation as one node saw it in one era.
@@ -106,7 +106,7 @@
 //
 // Example:
 //
-//	record := loopline.NewRecord()
+//	record := mirror.NewRecord()
 func NewRecord() *Record { return &Record{talks: map[uint64]*Talk{}} }
 
 // Under takes the grant in force. With a new version or era all begins anew: of
--- a/internal/objects/own.go
+++ b/internal/objects/own.go
@@ -8,7 +8,7 @@
 
 	"ploverhitch/internal/branchline"
 	"ploverhitch/internal/config"
-	"ploverhitch/internal/loopline"
+	"ploverhitch/internal/mirror"
 	"ploverhitch/internal/shedding"
 )
 
@@ -72,7 +72,7 @@
 		Revision config.Version `json:"Revision"`
 	}
 	mirrorCall struct {
-		loopline.Mirror
+		mirror.Mirror
 		Revision config.Version `json:"Revision"`
 	}
 )
@@ -105,7 +105,7 @@
 	if err := yaml.UnmarshalStrict(document, &o); err != nil {
 		return errors.Trace(err)
 	}
-	mirror := loopline.Mirror{
+	mirror := mirror.Mirror{
 		Name: o.Metadata.Name, Lanes: o.Spec.Lanes, Hosts: o.Spec.Hosts, Shadow: o.Spec.Shadow, Share: o.Spec.Share,
 		Header: o.Spec.Conversation.Header, Cookie: o.Spec.Conversation.Cookie, Until: o.Spec.Until,
 	}
--- a/internal/proxy/mirror.go
+++ b/internal/proxy/mirror.go
@@ -10,8 +10,8 @@
 	"ploverhitch/internal/balancer"
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/feed"
-	"ploverhitch/internal/loopline"
 	"ploverhitch/internal/messages"
+	"ploverhitch/internal/mirror"
 	"ploverhitch/internal/upstream"
 )
 
@@ -28,7 +28,7 @@
 // original.
 type mirrorJob struct {
 	mirror   *config.Mirror
-	record   *loopline.Record
+	record   *mirror.Record
 	request  *upstream.Request
 	route    *config.Route
 	hash     uint64
@@ -49,12 +49,12 @@
 type mirrorSender struct {
 	queue   chan mirrorJob
 	lock    sync.Mutex
-	records map[string]*loopline.Record
+	records map[string]*mirror.Record
 	pools   map[string]*upstream.Pool
 }
 
 func newMirrorSender() *mirrorSender {
-	return &mirrorSender{queue: make(chan mirrorJob, mirrorQueueSize), records: map[string]*loopline.Record{}, pools: map[string]*upstream.Pool{}}
+	return &mirrorSender{queue: make(chan mirrorJob, mirrorQueueSize), records: map[string]*mirror.Record{}, pools: map[string]*upstream.Pool{}}
 }
 
 // closeUnlisted closes the connections to servers that are no longer listed under their address.
@@ -79,12 +79,12 @@
 func poolName(server feed.Server) string { return server.ID + " " + server.Address }
 
 // recordOf returns the comparison record of a mirror.
-func (m *mirrorSender) recordOf(name string) *loopline.Record {
+func (m *mirrorSender) recordOf(name string) *mirror.Record {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	record := m.records[name]
 	if record == nil {
-		record = loopline.NewRecord()
+		record = mirror.NewRecord()
 		m.records[name] = record
 	}
 	return record
@@ -144,7 +144,7 @@
 	}
 	mirrored := *req.Request
 	mirrored.Header = req.Header.Clone()
-	mirrored.Header.Set(loopline.Marker, fmt.Sprintf("%s; version=%d; node=%s; number=%d; at=%d; settled=%t",
+	mirrored.Header.Set(mirror.Marker, fmt.Sprintf("%s; version=%d; node=%s; number=%d; at=%d; settled=%t",
 		m.Name, m.Version, p.settings.Load().Platform.NodeName, number, p.clock.Wall().UnixMilli(), grant.IsSettled))
 	job.request = &mirrored
 	select {
@@ -156,28 +156,28 @@
 
 // mirrorGrant returns the last grant that this node received for a mirror, even if it
 // has expired.
-func (s *snapshot) mirrorGrant(m *config.Mirror) (grant loopline.Grant, ok bool) {
+func (s *snapshot) mirrorGrant(m *config.Mirror) (grant mirror.Grant, ok bool) {
 	for _, grant = range s.mirrorGrants {
 		if grant.Name == m.Name && grant.Version == uint64(m.Version) {
 			return grant, true
 		}
 	}
-	return loopline.Grant{}, false
+	return mirror.Grant{}, false
 }
 
 // mirrorPages returns the comparison records of this node.
 func (p *proxy) mirrorPages(struct{}) messages.Mirrored {
-	result := messages.Mirrored{Node: p.settings.Load().Platform.NodeName, Life: p.incarnation, Pages: map[string]loopline.Page{}}
+	result := messages.Mirrored{Node: p.settings.Load().Platform.NodeName, Life: p.incarnation, Pages: map[string]mirror.Page{}}
 	for name, record := range p.trafficMirror.allRecords() {
 		result.Pages[name] = record.Page()
 	}
 	return result
 }
 
-func (m *mirrorSender) allRecords() map[string]*loopline.Record {
+func (m *mirrorSender) allRecords() map[string]*mirror.Record {
 	m.lock.Lock()
 	defer m.lock.Unlock()
-	result := map[string]*loopline.Record{}
+	result := map[string]*mirror.Record{}
 	for name, record := range m.records {
 		result[name] = record
 	}
@@ -185,7 +185,7 @@
 }
 
 // tallies returns the counts of mirrored requests for the report.
-func (m *mirrorSender) tallies() (result []loopline.Tally) {
+func (m *mirrorSender) tallies() (result []mirror.Tally) {
 	for name, record := range m.allRecords() {
 		result = append(result, record.Tell(name))
 	}
--- a/internal/proxy/mirror_send.go
+++ b/internal/proxy/mirror_send.go
@@ -10,7 +10,7 @@
 
 	"ploverhitch/internal/balancer"
 	"ploverhitch/internal/config"
-	"ploverhitch/internal/loopline"
+	"ploverhitch/internal/mirror"
 	"ploverhitch/internal/timetable"
 	"ploverhitch/internal/upstream"
 )
@@ -51,7 +51,7 @@
 		job.record.Miss(job.hash, job.era, "the copy could not be sent")
 		return
 	}
-	example := loopline.Example{
+	example := mirror.Example{
 		Lane: job.route.Name, Attempt: job.request.Attempt, Outcome: job.compare(response, err, latency), Live: job.status,
 		LiveMs: job.liveLatency.Milliseconds(), TookMs: latency.Milliseconds(),
 	}
@@ -76,25 +76,25 @@
 }
 
 // compare classifies the result of a mirrored request against the original.
-func (j *mirrorJob) compare(response *upstream.Response, err error, latency time.Duration) loopline.Outcome {
+func (j *mirrorJob) compare(response *upstream.Response, err error, latency time.Duration) mirror.Outcome {
 	switch {
 	case err != nil:
-		return loopline.Silent
+		return mirror.Silent
 	case response.IsNotExecuted():
-		return loopline.Turned
+		return mirror.Turned
 	case response.Status/100 != j.status/100:
-		return loopline.Status
+		return mirror.Status
 	case response.Remainder != nil || !j.bodyComplete:
 		if response.Length != j.length {
-			return loopline.Body
+			return mirror.Body
 		}
 	default:
 		if sum := sha256.Sum256(response.Body); !bytes.Equal(sum[:], j.bodyDigest[:]) {
-			return loopline.Body
+			return mirror.Body
 		}
 	}
-	if loopline.IsSlow(j.liveLatency, latency) {
-		return loopline.Slow
+	if mirror.IsSlow(j.liveLatency, latency) {
+		return mirror.Slow
 	}
-	return loopline.Same
+	return mirror.Same
 }
--- a/internal/proxy/mirror_test.go
+++ b/internal/proxy/mirror_test.go
@@ -11,7 +11,7 @@
 	"ploverhitch/internal/balancer"
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/feed"
-	"ploverhitch/internal/loopline"
+	"ploverhitch/internal/mirror"
 	"ploverhitch/internal/settings"
 	"ploverhitch/internal/timetable"
 )
@@ -51,14 +51,14 @@
 		fleet := feed.Fleet{Term: 1, Count: 1, Servers: []feed.Server{{ID: "x-1", Service: service, Address: address, Capacity: 2, IsReady: isReady}}}
 		return &snapshot{
 			manifest: items.Compile(), balancer: balancer.NewYard(balancer.Home{Node: "n"}).Lay(fleet), fleetReceivedAt: timetable.Steady(time.Hour),
-			mirrorGrants: []loopline.Grant{{Name: "build", Version: version, Share: 1}},
+			mirrorGrants: []mirror.Grant{{Name: "build", Version: version, Share: 1}},
 		}
 	}
 
 	It("allows only a listed server of a shadow that no route delivers to, under a valid grant", func() {
 		clock := &timetable.Hand{Now: time.Hour}
 		p := newProxy(&settings.Settings{}, clock, func(string, string, ...any) {})
-		mirror := &config.Mirror{Mirror: loopline.Mirror{Name: "build", Shadow: "next"}, Version: 3}
+		mirror := &config.Mirror{Mirror: mirror.Mirror{Name: "build", Shadow: "next"}, Version: 3}
 		server := &balancer.Siding{Server: feed.Server{ID: "x-1", Service: "next", Address: "a:1", IsReady: true}}
 		maySend := func(s *snapshot) bool { p.snapshot.Store(s); return p.maySendMirrored(mirror, server) }
 		Expect(maySend(stateWith("a:1", "next", true, 3, "fees"))).To(BeTrue())
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -20,8 +20,8 @@
 	"ploverhitch/internal/branchline"
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/feed"
-	"ploverhitch/internal/loopline"
 	"ploverhitch/internal/membership"
+	"ploverhitch/internal/mirror"
 	"ploverhitch/internal/outlier"
 	"ploverhitch/internal/rpc"
 	"ploverhitch/internal/settings"
@@ -57,7 +57,7 @@
 	// cutoffs and mirrorGrants are the fleet's grants to shed load and to mirror
 	// requests.
 	cutoffs      []shedding.Cutoff
-	mirrorGrants []loopline.Grant
+	mirrorGrants []mirror.Grant
 }
 
 // proxy is the state of one proxy process.
