--- a/internal/control/commands.go
+++ b/internal/control/commands.go
@@ -53,13 +53,13 @@
 		c.recordRepeat(state)
 		return apierror.None, ""
 	case state.Phase.IsActive():
-		return apierror.OtherOrder, "the rollout of version " + state.Target + " is in progress"
+		return apierror.OtherOrder, "the rollout of version " + state.TargetVersion + " is in progress"
 	}
-	next, permitted := state.Order(in.Target, timetable.Span(in.Duration))
+	next, permitted := state.Start(in.Target, timetable.Span(in.Duration))
 	if !permitted {
 		return apierror.OtherOrder, ""
 	}
-	if in.Target == state.InForce {
+	if in.Target == state.CurrentVersion {
 		next.Phase, next.Reason = rollout.Complete, "the version is in force"
 	}
 	c.detector.Forget(in.Service, next.Number)
@@ -71,9 +71,9 @@
 	return apierror.None, ""
 }
 
-func (c *coordinator) rolloutPlan() rollout.Plan {
+func (c *coordinator) rolloutPlan() rollout.Bounds {
 	bounds := c.settings.Load().Platform.Bounds
-	return rollout.Plan{CanaryShare: bounds.CanaryShare, Ack: bounds.Ack.Std()}
+	return rollout.Bounds{CanaryShare: bounds.CanaryShare, CommandTimeout: bounds.Ack.Std()}
 }
 
 // repeatedCommand is the time of the last repetition of an accepted command.
--- a/internal/control/commands_test.go
+++ b/internal/control/commands_test.go
@@ -28,7 +28,7 @@
 
 func TestRepeatedStartCommandStartsNoSecondRollout(t *testing.T) {
 	duration := timetable.Span(9 * time.Second)
-	c, clock := newTestCoordinator(rollout.State{Subject: "s", Number: 1, Target: "v2", Duration: duration, Phase: rollout.Reverted})
+	c, clock := newTestCoordinator(rollout.State{Subject: "s", Number: 1, TargetVersion: "v2", Duration: duration, Phase: rollout.Reverted})
 	for range 5 {
 		clock.Now += 15 * time.Second
 		kind, detail := c.startRollout(messages.Order{Service: "s", Target: "v2", Duration: int64(duration)})
@@ -44,7 +44,7 @@
 
 func TestRepeatedStagedStartAndHaltAreAccepted(t *testing.T) {
 	items := []config.Item{{ID: config.ID{Class: config.RouteItem, Name: "l"}, Version: 2}}
-	subject := rollout.StagePrefix + "change"
+	subject := rollout.StagedPrefix + "change"
 	c, clock := newTestCoordinator(rollout.State{Subject: subject, Number: 1, Items: items, Phase: rollout.Reverted, Reason: haltedByOperator})
 	for range 3 {
 		clock.Now += 15 * time.Second
--- a/internal/control/coordinator.go
+++ b/internal/control/coordinator.go
@@ -189,17 +189,17 @@
 	facts := c.facts(state, progress)
 	progress.finding = facts.Finding
 	event, reason := state.Next(facts)
-	if event == rollout.None {
+	if event == rollout.NoEvent {
 		return
 	}
-	next, permitted := state.Step(event, reason, facts.Elapsed)
+	next, permitted := state.Apply(event, reason, facts.Elapsed)
 	if !permitted {
 		return
 	}
 	if err := c.commitState(next); err != nil {
 		return
 	}
-	c.log("warn", "rollout changed phase", "subject", state.Subject, "phase", next.Phase, "target", next.Target, "elapsed", facts.Elapsed, "reason", reason)
+	c.log("warn", "rollout changed phase", "subject", state.Subject, "phase", next.Phase, "target", next.TargetVersion, "elapsed", facts.Elapsed, "reason", reason)
 	c.progressOf(next)
 }
 
@@ -220,17 +220,17 @@
 }
 
 // facts collects the facts that decide on the next phase of a rollout.
-func (c *coordinator) facts(state rollout.State, progress *rolloutProgress) rollout.Facts {
+func (c *coordinator) facts(state rollout.State, progress *rolloutProgress) rollout.Observation {
 	now := c.clock.Steady()
-	facts := rollout.Facts{
+	facts := rollout.Observation{
 		Elapsed: time.Duration(now - c.rolloutStartedAt(state)), InPhase: time.Duration(now - progress.phaseStartedAt),
 		Finding: c.detector.Hearing(state.Subject, state.Number, 0),
 	}
 	current, target := splitByVersion(c.listedServers, state)
-	facts.Ready, facts.Old = totalCapacity(c.listedServers, target), totalCapacity(c.listedServers, current)
-	facts.Touch = c.detector.Touch(state.Subject, progress.fullShareReading)
+	facts.ReadyCapacity, facts.OldCapacity = totalCapacity(c.listedServers, target), totalCapacity(c.listedServers, current)
+	facts.ProxyProgress = c.detector.Touch(state.Subject, progress.fullShareReading)
 	if progress.fullShareReading.Term == 0 {
-		facts.Touch.Behind = max(1, facts.Touch.Behind)
+		facts.ProxyProgress.Behind = max(1, facts.ProxyProgress.Behind)
 	}
 	return facts
 }
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -33,7 +33,7 @@
 	}
 	counts := map[string]map[string]int{}
 	for _, server := range c.listedServers {
-		if state, known := c.states[server.Service]; server.IsReady && (!known || state.InForce == "") {
+		if state, known := c.states[server.Service]; server.IsReady && (!known || state.CurrentVersion == "") {
 			if counts[server.Service] == nil {
 				counts[server.Service] = map[string]int{}
 			}
@@ -48,8 +48,8 @@
 			}
 		}
 		state := c.states[service]
-		state.Subject, state.InForce = service, best
-		if best != "" && best != state.Target {
+		state.Subject, state.CurrentVersion = service, best
+		if best != "" && best != state.TargetVersion {
 			_ = c.commitState(state)
 		}
 	}
--- a/internal/control/grades.go
+++ b/internal/control/grades.go
@@ -17,7 +17,7 @@
 	for i, server := range fleet.Servers {
 		state, known := c.states[server.Service]
 		switch {
-		case !c.tracksVersions() || !known || state.InForce == "" || server.Revision == state.InForce:
+		case !c.tracksVersions() || !known || state.CurrentVersion == "" || server.Revision == state.CurrentVersion:
 			fleet.Servers[i].Grade = feed.Open
 		default:
 			fleet.Servers[i].Grade = feed.Shut
@@ -55,7 +55,7 @@
 // servers as make each of them about as busy as one that runs the version in force.
 func (c *coordinator) grantShare(fleet *feed.Fleet, state rollout.State, progress *rolloutProgress) {
 	inPhase := time.Duration(c.clock.Steady() - progress.phaseStartedAt)
-	share := state.Share(c.rolloutPlan(), rollout.Facts{InPhase: inPhase, Finding: progress.finding})
+	share := state.Share(c.rolloutPlan(), rollout.Observation{InPhase: inPhase, Finding: progress.finding})
 	fleet.Shares = append(fleet.Shares, feed.Share{Service: state.Subject, Number: state.Number, Part: share})
 	current, target := splitByVersion(fleet.Servers, state)
 	count := max(2, int(math.Ceil(share*float64(len(current))*serverCountFactor)))
@@ -82,9 +82,9 @@
 	for i, server := range servers {
 		switch {
 		case server.Service != state.Subject || !server.IsReady:
-		case server.Revision == state.Target:
+		case server.Revision == state.TargetVersion:
 			target = append(target, i)
-		case server.Revision == state.InForce:
+		case server.Revision == state.CurrentVersion:
 			current = append(current, i)
 		}
 	}
--- a/internal/control/rollout_replication.go
+++ b/internal/control/rollout_replication.go
@@ -23,7 +23,7 @@
 			return nil
 		}
 		stored := t.rollouts[state.Subject]
-		if accepted = !stored.Outranks(state); !accepted || !state.Outranks(stored) {
+		if accepted = !stored.NewerThan(state); !accepted || !state.NewerThan(stored) {
 			return nil
 		}
 		n.recordRolloutStart(state)
@@ -67,7 +67,7 @@
 
 func (t *tables) mergeRollouts(page messages.Page) (records []record) {
 	for _, state := range page.Trials {
-		if state.Outranks(t.rollouts[state.Subject]) {
+		if state.NewerThan(t.rollouts[state.Subject]) {
 			t.rollouts[state.Subject] = state
 			records = append(records, record{Rollout: &state})
 		}
@@ -91,10 +91,10 @@
 		for _, state := range reply.States {
 			newest, known := states[state.Subject]
 			switch {
-			case !known || state.Outranks(newest):
+			case !known || state.NewerThan(newest):
 				consistent = consistent && !known
 				states[state.Subject], copies[state.Subject] = state, 1
-			case newest.Outranks(state):
+			case newest.NewerThan(state):
 				consistent = false
 			default:
 				copies[state.Subject]++
--- a/internal/control/rollouts.go
+++ b/internal/control/rollouts.go
@@ -67,5 +67,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return RolloutState{State: state.Answer(), TargetVersion: state.Target, Phase: state.Phase.String(), Reason: state.Reason}, nil
+	return RolloutState{State: state.Status(), TargetVersion: state.TargetVersion, Phase: state.Phase.String(), Reason: state.Reason}, nil
 }
--- a/internal/control/staged.go
+++ b/internal/control/staged.go
@@ -67,13 +67,13 @@
 }
 
 func (n *node) readStagedEndpoint(_ context.Context, request any) (any, error) {
-	subject := rollout.StagePrefix + request.(string)
+	subject := rollout.StagedPrefix + request.(string)
 	state, err := n.readRollout(subject)
 	if err != nil {
 		return nil, err
 	}
 	return StagedState{
-		State: state.Answer(), Phase: state.Phase.String(), Wave: state.Wave, Waves: state.Waves, Reason: state.Reason, Evidence: n.evidence(subject),
+		State: state.Status(), Phase: state.Phase.String(), Wave: state.Wave, Waves: state.Waves, Reason: state.Reason, Evidence: n.evidence(subject),
 	}, nil
 }
 
--- a/internal/control/staged_coordinator.go
+++ b/internal/control/staged_coordinator.go
@@ -35,10 +35,10 @@
 
 // startStagedChange handles an operator's command to start a staged change.
 func (c *coordinator) startStagedChange(in messages.StageOrder) (kind apierror.Kind, detail string) {
-	subject := rollout.StagePrefix + in.Name
+	subject := rollout.StagedPrefix + in.Name
 	state := c.states[subject]
 	sameChange := state.Number > 0 && sameItems(state.Items, in.Items)
-	if sameChange && (state.Phase.IsActive() || c.sinceCommand(state) < 2*c.rolloutPlan().Ack) {
+	if sameChange && (state.Phase.IsActive() || c.sinceCommand(state) < 2*c.rolloutPlan().CommandTimeout) {
 		c.recordRepeat(state)
 		return apierror.None, ""
 	}
@@ -46,7 +46,7 @@
 		if other.IsStaged() && other.Phase.IsActive() {
 			return apierror.OtherOrder, other.Subject + " is in progress"
 		}
-		if name := other.UsedUp(in.Items); name != "" {
+		if name := other.RevertedItem(in.Items); name != "" {
 			return apierror.OtherOrder, "the version of " + name + " was reverted before and is used up"
 		}
 	}
@@ -69,7 +69,7 @@
 		return apierror.UnknownSubject, "node " + in.First + " is not known or does not report"
 	}
 	state.Subject = subject
-	next, permitted := state.Order(in.Name, timetable.Span(in.Duration))
+	next, permitted := state.Start(in.Name, timetable.Span(in.Duration))
 	if !permitted {
 		return apierror.OtherOrder, ""
 	}
@@ -84,14 +84,14 @@
 
 // haltStagedChange handles an operator's command to halt a staged change.
 func (c *coordinator) haltStagedChange(in messages.StageOrder) (kind apierror.Kind, detail string) {
-	state, known := c.states[rollout.StagePrefix+in.Name]
+	state, known := c.states[rollout.StagedPrefix+in.Name]
 	if !known {
 		return apierror.UnknownSubject, in.Name
 	}
 	if !state.Phase.IsActive() && state.Reason == haltedByOperator {
 		return apierror.None, ""
 	}
-	next, permitted := state.Step(rollout.Halted, haltedByOperator, time.Duration(c.clock.Steady()-c.rolloutStartedAt(state)))
+	next, permitted := state.Apply(rollout.Halted, haltedByOperator, time.Duration(c.clock.Steady()-c.rolloutStartedAt(state)))
 	if !permitted {
 		return apierror.OtherOrder, "the staged change has ended"
 	}
@@ -122,7 +122,7 @@
 	if !slices.Contains(nodes, first) {
 		return nil
 	}
-	return rollout.Waves(first, nodes, func(node string) string { return c.proxyZones[node] })
+	return rollout.PlanWaves(first, nodes, func(node string) string { return c.proxyZones[node] })
 }
 
 // advanceStagedChange moves a staged change to its next wave or phase if the facts permit
@@ -130,7 +130,7 @@
 func (c *coordinator) advanceStagedChange(state rollout.State) {
 	progress := c.progressOf(state)
 	now := c.clock.Steady()
-	facts := rollout.StageFacts{
+	facts := rollout.StagedObservation{
 		Elapsed: time.Duration(now - c.rolloutStartedAt(state)), InWave: time.Duration(now - progress.phaseStartedAt),
 		Finding: c.detector.Hearing(state.Subject, state.Number, state.Wave),
 	}
@@ -145,24 +145,24 @@
 			committed = committed && stored.Version == item.Version && string(stored.Body) == string(item.Body)
 		}
 	})
-	facts.IsDoubled = duplicates > progress.knownDuplicates
-	facts.IsSuperseded = len(newer) < len(state.Items)
-	for _, node := range state.Reached() {
-		facts.IsUnheard = facts.IsUnheard || !c.detector.IsFresh(node, waveReportMaxAge)
+	facts.DuplicateRun = duplicates > progress.knownDuplicates
+	facts.Superseded = len(newer) < len(state.Items)
+	for _, node := range state.ReachedNodes() {
+		facts.ReportMissing = facts.ReportMissing || !c.detector.IsFresh(node, waveReportMaxAge)
 		if facts.InWave > nodeSilenceTimeout && !c.detector.IsFresh(node, nodeSilenceTimeout) {
-			facts.Silent = node
+			facts.SilentNode = node
 		}
 	}
 	if state.Phase == rollout.Shifting {
-		if facts.IsCommitted = committed; !committed {
-			facts.IsCommitted = c.modify(state.Items) == nil
+		if facts.Committed = committed; !committed {
+			facts.Committed = c.modify(state.Items) == nil
 		}
 	}
-	event, reason := state.NextWave(facts)
-	if event == rollout.None {
+	event, reason := state.NextStaged(facts)
+	if event == rollout.NoEvent {
 		return
 	}
-	next, permitted := state.Step(event, reason, facts.Elapsed)
+	next, permitted := state.Apply(event, reason, facts.Elapsed)
 	if !permitted || c.commitState(next) != nil {
 		return
 	}
@@ -173,7 +173,7 @@
 // stageGrant returns the form in which a staged change is published to the proxies: a
 // grant, like a share.
 func stageGrant(state rollout.State) feed.Stage {
-	return feed.Stage{Subject: state.Subject, Number: state.Number, Wave: state.Wave, Nodes: state.Reached(), Items: state.Items}
+	return feed.Stage{Subject: state.Subject, Number: state.Number, Wave: state.Wave, Nodes: state.ReachedNodes(), Items: state.Items}
 }
 
 func (c *coordinator) stageGrants() (grants []feed.Stage) {
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -77,7 +77,7 @@
 		status.Intents, status.OldestOpenMs = counts, oldest.Milliseconds()
 		status.Lagging = n.lag.largest(t.view)
 		for subject, state := range t.rollouts {
-			status.Rollouts[subject] = RolloutStatus{state.Phase.String(), state.InForce, state.Target, state.Wave, state.Reason}
+			status.Rollouts[subject] = RolloutStatus{state.Phase.String(), state.CurrentVersion, state.TargetVersion, state.Wave, state.Reason}
 		}
 		for _, member := range t.view.Members {
 			status.Members[member] = member == n.self
--- a/internal/control/takeover_test.go
+++ b/internal/control/takeover_test.go
@@ -81,7 +81,7 @@
 			<-stored
 		}
 		staged := rollout.State{
-			Subject: rollout.StagePrefix + "change", Number: 1, Term: 1, Count: 1, Phase: rollout.Trying, Duration: timetable.Span(time.Minute),
+			Subject: rollout.StagedPrefix + "change", Number: 1, Term: 1, Count: 1, Phase: rollout.Canary, Duration: timetable.Span(time.Minute),
 			Items: []config.Item{{ID: config.ID{Class: config.RouteItem, Name: "fee"}, Version: 1, Host: "h"}}, Waves: [][]string{{"edge-1"}},
 		}
 		written := make(chan messages.Done, 1)
@@ -90,7 +90,7 @@
 		becomeLeader(2)
 		n.coordinator.coordinate()
 		Expect(n.coordinator.states[staged.Subject].Reason).To(BeEmpty())
-		Expect(n.coordinator.states[staged.Subject].Phase).To(Equal(rollout.Trying))
+		Expect(n.coordinator.states[staged.Subject].Phase).To(Equal(rollout.Canary))
 		// A duplicate that is found from now on halts it.
 		third := completedIntent(1, 10)
 		third.Attempt = "a third"
--- a/internal/rollout/stage.go
+++ b/internal/rollout/stage.go
@@ -8,7 +8,7 @@
 )
 
 // StagePrefix begins the subject of a staged change of lanes.
-const StagePrefix = "lanes/"
+const StagedPrefix = "lanes/"
 
 // IsStaged tells a staged change of lanes from a service's version.
 //
@@ -23,13 +23,13 @@
 // Example:
 //
 //	isHere := slices.Contains(state.Reached(), node)
-func (s State) Reached() (out []string) {
+func (s State) ReachedNodes() (nodes []string) {
 	for i, wave := range s.Waves {
-		if i <= s.Wave || s.Phase != Trying {
-			out = append(out, wave...)
+		if i <= s.Wave || s.Phase != Canary {
+			nodes = append(nodes, wave...)
 		}
 	}
-	return out
+	return nodes
 }
 
 // Waves parts nodes into waves: the first one, the others of its cell, and then
@@ -38,23 +38,23 @@
 // Example:
 //
 //	waves := rollout.Waves("edge-1", []string{"edge-1", "edge-2"}, cellOf)
-func Waves(first string, nodes []string, cellOf func(string) string) (waves [][]string) {
+func PlanWaves(first string, nodes []string, zoneOf func(string) string) (waves [][]string) {
 	waves = append(waves, []string{first})
-	at := map[string]int{}
-	cells := []string{cellOf(first)}
+	zoneIndex := map[string]int{}
+	zones := []string{zoneOf(first)}
 	for _, node := range nodes {
-		if cell := cellOf(node); cell != cells[0] && at[cell] == 0 {
-			at[cell] = len(cells)
-			cells = append(cells, cell)
+		if zone := zoneOf(node); zone != zones[0] && zoneIndex[zone] == 0 {
+			zoneIndex[zone] = len(zones)
+			zones = append(zones, zone)
 		}
 	}
-	rest := make([][]string, len(cells))
+	byZone := make([][]string, len(zones))
 	for _, node := range nodes {
 		if node != first {
-			rest[at[cellOf(node)]] = append(rest[at[cellOf(node)]], node)
+			byZone[zoneIndex[zoneOf(node)]] = append(byZone[zoneIndex[zoneOf(node)]], node)
 		}
 	}
-	for _, wave := range rest {
+	for _, wave := range byZone {
 		if len(wave) > 0 {
 			waves = append(waves, wave)
 		}
@@ -63,54 +63,54 @@
 }
 
 // StageFacts are what the holder knows of a staged change at one moment.
-type StageFacts struct {
+type StagedObservation struct {
 	Elapsed, InWave time.Duration
 	Finding         outlier.Finding
 	// Silent is a reached node that reports no more; IsUnheard, that one has not
 	// reported just now.
-	Silent    string
-	IsUnheard bool
+	SilentNode    string
+	ReportMissing bool
 	// IsDoubled: a key with two runs was seen in the records since the order.
-	IsDoubled bool
+	DuplicateRun bool
 	// IsSuperseded: an ordinary change of one of the items came in between.
-	IsSuperseded bool
+	Superseded bool
 	// IsCommitted: the manifest holds the change.
-	IsCommitted bool
+	Committed bool
 }
 
 // leastInWave is how long a wave lasts at least: what turns late takes a while.
-const leastInWave = 1500 * time.Millisecond
+const minWaveTime = 1500 * time.Millisecond
 
 // NextWave is the event that the facts of a staged change come to.
 //
 // Example:
 //
 //	event, reason := state.NextWave(facts)
-func (s State) NextWave(facts StageFacts) (event Event, reason string) {
-	isTrying := s.Phase == Trying
+func (s State) NextStaged(observed StagedObservation) (event Event, reason string) {
+	inWaves := s.Phase == Canary
 	switch {
 	case !s.Phase.IsActive():
-		return None, ""
-	case s.Phase == Shifting && facts.IsCommitted:
+		return NoEvent, ""
+	case s.Phase == Shifting && observed.Committed:
 		return Shifted, ""
-	case s.Phase == Emptying:
-		return Emptied, ""
-	case isTrying && facts.IsSuperseded:
+	case s.Phase == Draining:
+		return Drained, ""
+	case inWaves && observed.Superseded:
 		return Superseded, "an ordinary change of the same item came in between"
-	case isTrying && facts.IsDoubled:
-		return Harmed, "a key with two runs is in the records"
-	case isTrying && facts.Finding.Verdict == outlier.Unfit:
-		return Harmed, facts.Finding.Reason
-	case isTrying && facts.Silent != "":
-		return Harmed, "node " + facts.Silent + " reports no more"
-	case isTrying && s.term()-facts.Elapsed <= 0:
-		return Lapsed, "undecided at the term: " + facts.Finding.Reason
-	case !isTrying || facts.InWave < leastInWave || facts.IsUnheard || facts.Finding.IsSuspect || facts.Finding.Verdict != outlier.Fit:
-		return None, ""
+	case inWaves && observed.DuplicateRun:
+		return Failed, "a key with two runs is in the records"
+	case inWaves && observed.Finding.Verdict == outlier.Unfit:
+		return Failed, observed.Finding.Reason
+	case inWaves && observed.SilentNode != "":
+		return Failed, "node " + observed.SilentNode + " reports no more"
+	case inWaves && s.duration()-observed.Elapsed <= 0:
+		return TimedOut, "undecided at the term: " + observed.Finding.Reason
+	case !inWaves || observed.InWave < minWaveTime || observed.ReportMissing || observed.Finding.IsSuspect || observed.Finding.Verdict != outlier.Fit:
+		return NoEvent, ""
 	case s.Wave+1 < len(s.Waves):
-		return WaveHeld, ""
+		return WavePassed, ""
 	}
-	return Proved, ""
+	return Passed, ""
 }
 
 // UsedUp names an item whose version fell back before, or an older one.
@@ -118,13 +118,13 @@
 // Example:
 //
 //	if name := ended.UsedUp(items); name != "" { refuse(name) }
-func (s State) UsedUp(items []config.Item) string {
+func (s State) RevertedItem(items []config.Item) string {
 	if s.Phase != Reverted {
 		return ""
 	}
-	for _, used := range s.Items {
+	for _, reverted := range s.Items {
 		for _, item := range items {
-			if item.ID == used.ID && item.Version <= used.Version {
+			if item.ID == reverted.ID && item.Version <= reverted.Version {
 				return item.ID.Name
 			}
 		}
--- a/internal/rollout/stage_test.go
+++ b/internal/rollout/stage_test.go
@@ -39,18 +39,18 @@
 	for i := range 12 {
 		nodes = append(nodes, fmt.Sprintf("%c%02d", 'a'+i/4, i))
 	}
-	l.state, _ = rollout.State{Subject: rollout.StagePrefix + "x"}.Order("x", timetable.Span(2*time.Minute))
+	l.state, _ = rollout.State{Subject: rollout.StagedPrefix + "x"}.Start("x", timetable.Span(2*time.Minute))
 	l.state.Items = []config.Item{{ID: config.ID{Class: config.RouteItem, Name: "l"}, Version: 2}}
-	l.state.Waves = rollout.Waves("a01", nodes, func(node string) string { return node[:1] })
+	l.state.Waves = rollout.PlanWaves("a01", nodes, func(node string) string { return node[:1] })
 	return l
 }
 
 // run plays until the change has ended or everybody has it.
 func (l *line) run() {
 	boxes, number := map[string]*outlier.Box{}, map[string]int{}
-	for l.state.Phase == rollout.Trying && l.hand.Now < 2*time.Minute {
+	for l.state.Phase == rollout.Canary && l.hand.Now < 2*time.Minute {
 		reached := map[string]bool{}
-		for _, node := range l.state.Reached() {
+		for _, node := range l.state.ReachedNodes() {
 			reached[node] = true
 		}
 		for _, wave := range l.state.Waves {
@@ -81,18 +81,18 @@
 		l.hand.Sleep(100 * time.Millisecond)
 		l.court.Tend()
 		finding := l.court.Hearing(l.state.Subject, l.state.Number, l.state.Wave)
-		facts := rollout.StageFacts{Elapsed: l.hand.Now, InWave: l.hand.Now - l.waveAt, Finding: finding}
+		facts := rollout.StagedObservation{Elapsed: l.hand.Now, InWave: l.hand.Now - l.waveAt, Finding: finding}
 		if l.isBlind {
 			facts.Finding.Verdict, facts.Finding.IsSuspect = outlier.Fit, false
 		}
 		for node := range reached {
-			facts.IsUnheard = facts.IsUnheard || !l.court.IsFresh(node, time.Second)
+			facts.ReportMissing = facts.ReportMissing || !l.court.IsFresh(node, time.Second)
 			if facts.InWave > 2*time.Second && !l.court.IsFresh(node, 2*time.Second) {
-				facts.Silent = node
+				facts.SilentNode = node
 			}
 		}
-		if event, reason := l.state.NextWave(facts); event != rollout.None {
-			l.state, _ = l.state.Step(event, reason, l.hand.Now)
+		if event, reason := l.state.NextStaged(facts); event != rollout.NoEvent {
+			l.state, _ = l.state.Apply(event, reason, l.hand.Now)
 			l.waveAt = l.hand.Now
 		}
 	}
@@ -102,10 +102,10 @@
 	It("goes to one node, its cell, then cell by cell", func() {
 		l := newLine(1)
 		Expect(l.state.Waves).To(Equal([][]string{{"a01"}, {"a00", "a02", "a03"}, {"b04", "b05", "b06", "b07"}, {"c08", "c09", "c10", "c11"}}))
-		Expect(l.state.Reached()).To(Equal([]string{"a01"}))
+		Expect(l.state.ReachedNodes()).To(Equal([]string{"a01"}))
 		l.run()
 		Expect(l.state.Phase).To(Equal(rollout.Shifting))
-		Expect(l.state.Reached()).To(HaveLen(12))
+		Expect(l.state.ReachedNodes()).To(HaveLen(12))
 	})
 
 	DescribeTable("stops at the first node that it harms", func(illness outlier.Outcome, ill float64) {
@@ -151,16 +151,16 @@
 		l.run()
 		Expect(l.state.Reason).To(Equal("node a02 reports no more"))
 		state := newLine(5).state
-		event, _ := state.NextWave(rollout.StageFacts{Elapsed: 2 * time.Minute})
-		Expect(event).To(Equal(rollout.Lapsed))
+		event, _ := state.NextStaged(rollout.StagedObservation{Elapsed: 2 * time.Minute})
+		Expect(event).To(Equal(rollout.TimedOut))
 	})
 
 	It("uses its version up by falling back", func() {
-		state, _ := newLine(6).state.Step(rollout.Halted, "", 0)
+		state, _ := newLine(6).state.Apply(rollout.Halted, "", 0)
 		item := func(version config.Version) []config.Item {
 			return []config.Item{{ID: config.ID{Class: config.RouteItem, Name: "l"}, Version: version}}
 		}
-		Expect(state.UsedUp(item(2))).To(Equal("l"))
-		Expect(state.UsedUp(item(3))).To(BeEmpty())
+		Expect(state.RevertedItem(item(2))).To(Equal("l"))
+		Expect(state.RevertedItem(item(3))).To(BeEmpty())
 	})
 })
--- a/internal/rollout/state.go
+++ b/internal/rollout/state.go
@@ -19,11 +19,11 @@
 	// Idle: a version is in force and none was ever ordered.
 	Idle Phase = iota
 	// Trying: what is new gets a small share, or a first wave of nodes.
-	Trying
+	Canary
 	// Shifting: it was found fit and takes over, step by step.
 	Shifting
 	// Emptying: it has everything; what runs at the old one ends.
-	Emptying
+	Draining
 	// Complete and Reverted are the ends.
 	Complete
 	Reverted
@@ -43,45 +43,45 @@
 // Example:
 //
 //	if state.Phase.IsActive() { drive(state) }
-func (p Phase) IsActive() bool { return p == Trying || p == Shifting || p == Emptying }
+func (p Phase) IsActive() bool { return p == Canary || p == Shifting || p == Draining }
 
 // Event is what moves a trial on.
 type Event uint8
 
 // The events; None moves nothing.
 const (
-	None Event = iota
-	Ordered
+	NoEvent Event = iota
+	Started
 	// WaveHeld: a wave of a staged change held, and another follows.
-	WaveHeld
+	WavePassed
 	// Proved: what is new was found fit.
-	Proved
+	Passed
 	// Shifted: it has everything.
 	Shifted
 	// Emptied: nothing runs at the old one any more.
-	Emptied
+	Drained
 	// Harmed: it does harm. Lapsed: the term ends without an answer.
 	// Superseded: an ordinary change overtook it. Halted: the operator said so.
-	Harmed
-	Lapsed
+	Failed
+	TimedOut
 	Superseded
 	Halted
 )
 
-var falls = map[Event]Phase{Harmed: Reverted, Lapsed: Reverted, Superseded: Reverted, Halted: Reverted}
+var abortEvents = map[Event]Phase{Failed: Reverted, TimedOut: Reverted, Superseded: Reverted, Halted: Reverted}
 
 // table says which phase follows on what; any other event is refused.
-var table = map[Phase]map[Event]Phase{
-	Idle:     {Ordered: Trying},
-	Trying:   with(map[Event]Phase{WaveHeld: Trying, Proved: Shifting}),
-	Shifting: with(map[Event]Phase{Shifted: Emptying}),
-	Emptying: with(map[Event]Phase{Emptied: Complete}),
-	Complete: {Ordered: Trying},
-	Reverted: {Ordered: Trying},
+var transitions = map[Phase]map[Event]Phase{
+	Idle:     {Started: Canary},
+	Canary:   withAborts(map[Event]Phase{WavePassed: Canary, Passed: Shifting}),
+	Shifting: withAborts(map[Event]Phase{Shifted: Draining}),
+	Draining: withAborts(map[Event]Phase{Drained: Complete}),
+	Complete: {Started: Canary},
+	Reverted: {Started: Canary},
 }
 
-func with(events map[Event]Phase) map[Event]Phase {
-	for event, phase := range falls {
+func withAborts(events map[Event]Phase) map[Event]Phase {
+	for event, phase := range abortEvents {
 		events[event] = phase
 	}
 	return events
@@ -94,9 +94,9 @@
 	Number  uint64 `cbor:"2,keyasint"`
 	Phase   Phase  `cbor:"3,keyasint"`
 	// InForce is the version in force, Target the one last ordered.
-	InForce  string         `cbor:"4,keyasint,omitempty"`
-	Target   string         `cbor:"5,keyasint,omitempty"`
-	Duration timetable.Span `cbor:"6,keyasint,omitempty"`
+	CurrentVersion string         `cbor:"4,keyasint,omitempty"`
+	TargetVersion  string         `cbor:"5,keyasint,omitempty"`
+	Duration       timetable.Span `cbor:"6,keyasint,omitempty"`
 	// Elapsed is how much of the term was over when this was written.
 	Elapsed timetable.Span `cbor:"7,keyasint,omitempty"`
 	Reason  string         `cbor:"8,keyasint,omitempty"`
@@ -115,7 +115,7 @@
 // Example:
 //
 //	if incoming.Outranks(held) { keep(incoming) }
-func (s State) Outranks(other State) bool {
+func (s State) NewerThan(other State) bool {
 	return s.Term > other.Term || s.Term == other.Term && s.Count > other.Count
 }
 
@@ -124,19 +124,19 @@
 // Example:
 //
 //	next, isDone := state.Step(rollout.Proved, "", 9*time.Second)
-func (s State) Step(event Event, reason string, elapsed time.Duration) (next State, isDone bool) {
-	phase, isKnown := table[s.Phase][event]
-	if !isKnown {
+func (s State) Apply(event Event, reason string, elapsed time.Duration) (next State, ok bool) {
+	phase, found := transitions[s.Phase][event]
+	if !found {
 		return s, false
 	}
 	next = s
 	next.Phase, next.Reason, next.Elapsed = phase, reason, timetable.Span(elapsed)
 	next.Count++
-	if event == WaveHeld {
+	if event == WavePassed {
 		next.Wave++
 	}
 	if phase == Complete && len(s.Items) == 0 {
-		next.InForce = s.Target
+		next.CurrentVersion = s.TargetVersion
 	}
 	return next, true
 }
@@ -146,12 +146,12 @@
 // Example:
 //
 //	next, isDone := state.Order("v2", timetable.Span(12*time.Second))
-func (s State) Order(target string, duration timetable.Span) (next State, isDone bool) {
-	if next, isDone = s.Step(Ordered, "", 0); !isDone {
+func (s State) Start(target string, duration timetable.Span) (next State, ok bool) {
+	if next, ok = s.Apply(Started, "", 0); !ok {
 		return s, false
 	}
 	next.Number++
-	next.Target, next.Duration, next.Wave = target, duration, 0
+	next.TargetVersion, next.Duration, next.Wave = target, duration, 0
 	return next, true
 }
 
@@ -160,7 +160,7 @@
 // Example:
 //
 //	rollout.State{Phase: rollout.Trying}.Answer() // "active"
-func (s State) Answer() string {
+func (s State) Status() string {
 	if s.Phase.IsActive() {
 		return "active"
 	}
--- a/internal/rollout/trial_test.go
+++ b/internal/rollout/trial_test.go
@@ -20,7 +20,7 @@
 	RunSpecs(t, "rollout")
 }
 
-var plan = rollout.Plan{CanaryShare: 0.1, Ack: 4 * time.Second}
+var plan = rollout.Bounds{CanaryShare: 0.1, CommandTimeout: 4 * time.Second}
 
 // world is a slow plain model of a service under a trial: proxies that hear the
 // share late or not at all, restart, and send single inquiries.
@@ -58,7 +58,7 @@
 func newWorld(seed uint64) *world {
 	w := &world{hand: &timetable.Hand{}, random: rand.New(rand.NewPCG(seed, 3))}
 	w.court = outlier.NewCourt(w.hand)
-	w.state, _ = rollout.State{Subject: "s", InForce: "v1"}.Order("v2", timetable.Span(duration))
+	w.state, _ = rollout.State{Subject: "s", CurrentVersion: "v1"}.Start("v2", timetable.Span(duration))
 	for range proxies {
 		w.boxes, w.allowances = append(w.boxes, outlier.NewBox()), append(w.allowances, &balancer.Allowance{})
 		w.lives, w.heardPart, w.heardAt = append(w.lives, 0), append(w.heardPart, 0), append(w.heardAt, -time.Hour)
@@ -91,9 +91,9 @@
 	w.boxes[proxy].Note(outlier.Mark{Subject: "s", Number: w.state.Number, Lane: lane, IsTrial: isTrial}, outcome)
 }
 
-func (w *world) facts(behind int) rollout.Facts {
+func (w *world) facts(behind int) rollout.Observation {
 	touch := outlier.Touch{Proxies: proxies, Behind: behind}
-	return rollout.Facts{Elapsed: w.hand.Now, InPhase: w.hand.Now - w.phase, Finding: w.court.Hearing("s", w.state.Number, 0), Ready: 100, Old: 100, Touch: touch}
+	return rollout.Observation{Elapsed: w.hand.Now, InPhase: w.hand.Now - w.phase, Finding: w.court.Hearing("s", w.state.Number, 0), ReadyCapacity: 100, OldCapacity: 100, ProxyProgress: touch}
 }
 
 // run plays until the term's end.
@@ -125,8 +125,8 @@
 		}
 		w.court.Tend()
 		facts := w.facts(0)
-		if event, reason := w.state.Next(facts); event != rollout.None {
-			next, isDone := w.state.Step(event, reason, w.hand.Now)
+		if event, reason := w.state.Next(facts); event != rollout.NoEvent {
+			next, isDone := w.state.Apply(event, reason, w.hand.Now)
 			Expect(isDone).To(BeTrue())
 			w.state, w.phase = next, w.hand.Now
 		}
@@ -140,7 +140,7 @@
 			w := newWorld(seed)
 			w.run()
 			Expect(w.state.Phase).To(Equal(rollout.Complete), "seed %d: %s", seed, w.state.Reason)
-			Expect(w.state.InForce).To(Equal("v2"))
+			Expect(w.state.CurrentVersion).To(Equal("v2"))
 			Expect(w.state.Elapsed.Std()).To(BeNumerically("<", duration))
 		}
 	})
@@ -152,7 +152,7 @@
 				w.bad, w.deaf = bad, 0.1
 				w.run()
 				Expect(w.state.Phase).To(Equal(rollout.Reverted), "seed %d", seed)
-				Expect(w.state.InForce).To(Equal("v1"))
+				Expect(w.state.CurrentVersion).To(Equal("v1"))
 				Expect(float64(w.onTrial)).To(BeNumerically("<", 0.1*float64(w.total)+50), "seed %d", seed)
 				if w.fiftieth > 0 {
 					Expect(w.lastTrial - w.fiftieth).To(BeNumerically("<", 3*time.Second))
@@ -177,37 +177,37 @@
 	)
 
 	It("does not complete on no evidence, and says why", func() {
-		state, _ := rollout.State{Subject: "s", InForce: "v1"}.Order("v2", timetable.Span(duration))
+		state, _ := rollout.State{Subject: "s", CurrentVersion: "v1"}.Start("v2", timetable.Span(duration))
 		court := outlier.NewCourt(&timetable.Hand{})
-		facts := rollout.Facts{Elapsed: duration - 500*time.Millisecond, Finding: court.Hearing("s", 1, 0), Ready: 100, Old: 100}
+		facts := rollout.Observation{Elapsed: duration - 500*time.Millisecond, Finding: court.Hearing("s", 1, 0), ReadyCapacity: 100, OldCapacity: 100}
 		event, reason := state.Next(facts)
-		Expect(event).To(Equal(rollout.Lapsed))
+		Expect(event).To(Equal(rollout.TimedOut))
 		Expect(reason).To(ContainSubstring("too little is seen"))
 	})
 
 	It("goes on only from where it is: every event out of place is refused", func() {
-		state, _ := rollout.State{Subject: "s", InForce: "v1"}.Order("v2", timetable.Span(duration))
-		for _, event := range []rollout.Event{rollout.Shifted, rollout.Emptied, rollout.Ordered} {
-			_, isDone := state.Step(event, "", 0)
+		state, _ := rollout.State{Subject: "s", CurrentVersion: "v1"}.Start("v2", timetable.Span(duration))
+		for _, event := range []rollout.Event{rollout.Shifted, rollout.Drained, rollout.Started} {
+			_, isDone := state.Apply(event, "", 0)
 			Expect(isDone).To(BeFalse())
 		}
-		ended, _ := state.Step(rollout.Harmed, "", 0)
-		for _, event := range []rollout.Event{rollout.Proved, rollout.Shifted, rollout.Emptied, rollout.Harmed, rollout.Lapsed} {
-			_, isDone := ended.Step(event, "", 0)
+		ended, _ := state.Apply(rollout.Failed, "", 0)
+		for _, event := range []rollout.Event{rollout.Passed, rollout.Shifted, rollout.Drained, rollout.Failed, rollout.TimedOut} {
+			_, isDone := ended.Apply(event, "", 0)
 			Expect(isDone).To(BeFalse())
 		}
-		Expect(ended.Answer()).To(Equal("reverted"))
+		Expect(ended.Status()).To(Equal("reverted"))
 	})
 
 	It("takes the last order once more for a while, and another one only after the end", func() {
-		state, _ := rollout.State{Subject: "s", InForce: "v1"}.Order("v2", timetable.Span(duration))
+		state, _ := rollout.State{Subject: "s", CurrentVersion: "v1"}.Start("v2", timetable.Span(duration))
 		Expect(state.IsRepeat("v2", timetable.Span(duration), time.Second, plan)).To(BeTrue())
 		Expect(state.IsRepeat("v3", timetable.Span(duration), time.Second, plan)).To(BeFalse())
-		_, isDone := state.Order("v3", timetable.Span(duration))
+		_, isDone := state.Start("v3", timetable.Span(duration))
 		Expect(isDone).To(BeFalse())
-		ended, _ := state.Step(rollout.Lapsed, "", duration)
+		ended, _ := state.Apply(rollout.TimedOut, "", duration)
 		Expect(ended.IsRepeat("v2", timetable.Span(duration), time.Minute, plan)).To(BeFalse())
-		next, isDone := ended.Order("v2", timetable.Span(duration))
+		next, isDone := ended.Start("v2", timetable.Span(duration))
 		Expect(isDone).To(BeTrue())
 		Expect(next.Number).To(BeEquivalentTo(2))
 	})
