--- a/internal/config/own.go
+++ b/internal/config/own.go
@@ -114,9 +114,9 @@
 	return out
 }
 
-func (b Book) mirrorLanes() (out []mirror.Lane) {
+func (b Book) mirrorLanes() (out []mirror.Route) {
 	b.eachLane(func(lane RouteSpec, host string) {
-		out = append(out, mirror.Lane{Name: lane.Name, Host: host, Services: lane.Services()})
+		out = append(out, mirror.Route{Name: lane.Name, Host: host, Services: lane.Services()})
 	})
 	return out
 }
@@ -150,7 +150,7 @@
 		return isThere && !item.Dropped
 	}
 	mirrors, _ := b.Mirrors()
-	var lanes []mirror.Lane
+	var lanes []mirror.Route
 	if len(mirrors) > 0 {
 		lanes = b.mirrorLanes()
 		if err := mirror.CheckAll(mirrors, lanes, isService, now); err != nil {
@@ -166,7 +166,7 @@
 		case item.ID.Class == MirrorItem:
 			var mirror mirror.Mirror
 			if err = json.Unmarshal(item.Body, &mirror); err == nil {
-				err = mirror.CheckNamed(lanes)
+				err = mirror.CheckReferences(lanes)
 			}
 		}
 		if err != nil {
--- a/internal/config/sheet.go
+++ b/internal/config/sheet.go
@@ -117,7 +117,7 @@
 	for i, declared := range mirrors {
 		laid := &Mirror{declared, versions[i]}
 		s.each(func(lane *Route) {
-			if declared.Covers(mirror.Lane{Name: lane.Name, Host: lane.Host}) {
+			if declared.Covers(mirror.Route{Name: lane.Name, Host: lane.Host}) {
 				lane.Mirror = laid
 			}
 		})
--- a/internal/control/mirrors.go
+++ b/internal/control/mirrors.go
@@ -49,7 +49,7 @@
 		clear(c.activeMirrors)
 		return nil
 	}
-	lives := c.detector.Lives(mirrorReportMaxAge, mirror.LifeOf)
+	lives := c.detector.Lives(mirrorReportMaxAge, mirror.IncarnationHash)
 	inForce := map[string]bool{}
 	for i, mirror := range mirrors {
 		if !mirror.Until.After(c.clock.Wall()) || compiled.IsLive(mirror.Shadow) {
@@ -73,14 +73,14 @@
 		active = &activeMirror{grant: mirror.Grant{Name: declared.Name, Version: version, Share: declared.Share}}
 		c.activeMirrors[declared.Name] = active
 	}
-	if active.grant.Era == 0 || active.grant.Lives != lives {
+	if active.grant.Era == 0 || active.grant.Incarnations != lives {
 		// The fleet that is being built gets the next count.
 		c.eraCount++
-		active.grant.Era, active.grant.Lives, active.grant.IsSettled = c.term<<32|c.eraCount, lives, false
+		active.grant.Era, active.grant.Incarnations, active.grant.Settled = c.term<<32|c.eraCount, lives, false
 		active.eraStart = feed.Reading{Term: c.term, Count: c.lastFleet.Count + 1}
 	}
-	if touch := c.detector.Touch("", active.eraStart); !active.grant.IsSettled && touch.Proxies > 0 && touch.Behind == 0 {
-		active.grant.IsSettled = true
+	if touch := c.detector.Touch("", active.eraStart); !active.grant.Settled && touch.Proxies > 0 && touch.Behind == 0 {
+		active.grant.Settled = true
 	}
 	now := time.Duration(c.clock.Steady())
 	if active.lost >= minLostCopies && float64(active.lost) > maxLossRatio*float64(active.copied+active.lost) && now-active.shareReducedAt >= shareReductionInterval {
@@ -91,7 +91,7 @@
 }
 
 // recordCopies adds the copy counts that a node reported.
-func (c *coordinator) recordCopies(tallies []mirror.Tally) {
+func (c *coordinator) recordCopies(tallies []mirror.CountDelta) {
 	for _, tally := range tallies {
 		if active := c.activeMirrors[tally.Name]; active != nil {
 			active.copied += tally.Copied
--- a/internal/inspector/mirror.go
+++ b/internal/inspector/mirror.go
@@ -43,9 +43,9 @@
 //	sum := inspector.Sum("east", grant, nodes)
 func Sum(name string, grant *mirror.Grant, nodes []messages.Mirrored) Mirroring {
 	out := Mirroring{Name: name, Grant: grant, Counts: map[string]map[mirror.Outcome]uint64{}, Gaps: map[string]uint64{}, Examples: []mirror.Example{}}
-	talks, lives, isOneEra := map[uint64]mirror.Talk{}, uint64(0), true
+	talks, lives, isOneEra := map[uint64]mirror.Conversation{}, uint64(0), true
 	for _, node := range nodes {
-		lives ^= mirror.LifeOf(node.Node, node.Life)
+		lives ^= mirror.IncarnationHash(node.Node, node.Life)
 		page, isThere := node.Pages[name]
 		if !isThere {
 			continue
@@ -62,11 +62,11 @@
 		for why, count := range page.Gaps {
 			out.Gaps[why] += count
 		}
-		for _, talk := range page.Talks {
+		for _, talk := range page.Conversations {
 			sum := talks[talk.Hash]
-			sum.Draw, sum.IsPartial = talk.Draw, sum.IsPartial || talk.IsPartial
+			sum.SamplePoint, sum.Partial = talk.SamplePoint, sum.Partial || talk.Partial
 			sum.Copies, sum.Compared = sum.Copies+talk.Copies, sum.Compared+talk.Compared
-			sum.Different, sum.Gaps = sum.Different+talk.Different, sum.Gaps+talk.Gaps
+			sum.Differing, sum.Gaps = sum.Differing+talk.Differing, sum.Gaps+talk.Gaps
 			talks[talk.Hash] = sum
 		}
 		out.Untracked += page.Untracked
@@ -74,9 +74,9 @@
 	}
 	for _, talk := range talks {
 		out.Seen++
-		if grant != nil && talk.IsWhole() && talk.Draw < grant.Share {
+		if grant != nil && talk.IsWhole() && talk.SamplePoint < grant.Share {
 			out.Whole++
-			if talk.Different > 0 {
+			if talk.Differing > 0 {
 				out.Differing++
 			}
 		}
@@ -84,7 +84,7 @@
 	switch {
 	case grant == nil:
 		out.Whole, out.Differing, out.Claim = 0, 0, "nothing: the mirror is not in force"
-	case !grant.IsSettled || lives != grant.Lives || !isOneEra:
+	case !grant.Settled || lives != grant.Incarnations || !isOneEra:
 		out.Whole, out.Differing, out.Claim = 0, 0, "nothing: not all nodes have answered by one order"
 	case out.Differing > 0:
 		out.Claim = fmt.Sprintf("%d of %d whole conversations differ", out.Differing, out.Whole)
@@ -159,7 +159,7 @@
 			details = append(details, []string{sum.Name, "", "gap: " + why, strconv.FormatUint(sum.Gaps[why], 10)})
 		}
 		for _, e := range sum.Examples {
-			details = append(details, []string{sum.Name, e.Lane, "example: " + string(e.Outcome), fmt.Sprintf("%s live %d in %d ms, shadow %d in %d ms", e.Attempt, e.Live, e.LiveMs, e.Shadow, e.TookMs)})
+			details = append(details, []string{sum.Name, e.Route, "example: " + string(e.Outcome), fmt.Sprintf("%s live %d in %d ms, shadow %d in %d ms", e.Attempt, e.LiveStatus, e.LiveMs, e.ShadowStatus, e.ShadowMs)})
 		}
 	}
 	c.print(append([]Mirroring{}, sums...), append(rows, details...))
--- a/internal/inspector/mirror_test.go
+++ b/internal/inspector/mirror_test.go
@@ -17,29 +17,29 @@
 	// copies one part of a conversation.
 	converse := func(isChosen func(node int, draw float64) bool) (grant *mirror.Grant, nodes []messages.Mirrored, parts map[uint64]int) {
 		m := mirror.Mirror{Name: "m", Shadow: "next"}
-		grant = &mirror.Grant{Name: "m", Version: 1, Share: 0.5, Era: 1, IsSettled: true}
-		records := make([]*mirror.Record, 4)
+		grant = &mirror.Grant{Name: "m", Version: 1, Share: 0.5, Era: 1, Settled: true}
+		records := make([]*mirror.Recorder, 4)
 		for node := range records {
-			grant.Lives ^= mirror.LifeOf(fmt.Sprint("n", node), "a")
+			grant.Incarnations ^= mirror.IncarnationHash(fmt.Sprint("n", node), "a")
 		}
 		for node := range records {
-			records[node] = mirror.NewRecord()
-			records[node].Under(*grant)
+			records[node] = mirror.NewRecorder()
+			records[node].SetGrant(*grant)
 		}
 		random, parts := rand.New(rand.NewPCG(1, 1)), map[uint64]int{}
 		for learner := range uint64(200) {
-			draw := m.Draw("h", fmt.Sprint(learner))
+			draw := m.SamplePoint("h", fmt.Sprint(learner))
 			for range 4 {
 				node := random.IntN(4)
 				if isChosen(node, draw) {
 					parts[learner]++
-					_, era := records[node].Meet(learner, draw)
-					records[node].Compare(learner, era, mirror.Example{Lane: "l", Outcome: mirror.Same})
+					_, era := records[node].AddOriginal(learner, draw)
+					records[node].AddComparison(learner, era, mirror.Example{Route: "l", Outcome: mirror.Same})
 				}
 			}
 		}
 		for node, record := range records {
-			nodes = append(nodes, messages.Mirrored{Node: fmt.Sprint("n", node), Life: "a", Pages: map[string]mirror.Page{"m": record.Page()}})
+			nodes = append(nodes, messages.Mirrored{Node: fmt.Sprint("n", node), Life: "a", Pages: map[string]mirror.Results{"m": record.Results()}})
 		}
 		return grant, nodes, parts
 	}
@@ -77,7 +77,7 @@
 		other.Era = 2
 		Expect(inspector.Sum("m", &other, nodes).Whole).To(BeZero())
 		other = *grant
-		other.IsSettled = false
+		other.Settled = false
 		Expect(inspector.Sum("m", &other, nodes).Claim).To(HavePrefix("nothing"))
 		Expect(inspector.Sum("m", nil, nodes).Claim).To(HavePrefix("nothing"))
 	})
--- a/internal/messages/operator.go
+++ b/internal/messages/operator.go
@@ -62,7 +62,7 @@
 
 // Mirrored is what a proxy knows of its copies, in its present life.
 type Mirrored struct {
-	Node  string                 `cbor:"1,keyasint" json:"Node"`
-	Life  string                 `cbor:"2,keyasint" json:"Life"`
-	Pages map[string]mirror.Page `cbor:"3,keyasint,omitempty" json:"Pages"`
+	Node  string                    `cbor:"1,keyasint" json:"Node"`
+	Life  string                    `cbor:"2,keyasint" json:"Life"`
+	Pages map[string]mirror.Results `cbor:"3,keyasint,omitempty" json:"Pages"`
 }
--- a/internal/messages/report.go
+++ b/internal/messages/report.go
@@ -15,8 +15,8 @@
 	Uses     []branchline.Use `cbor:"3,keyasint,omitempty"`
 	// Loads are what the proxy counted of its load, Mirrored what of its copies,
 	// since the last report that arrived.
-	Loads    []shedding.Load `cbor:"4,keyasint,omitempty"`
-	Mirrored []mirror.Tally  `cbor:"5,keyasint,omitempty"`
+	Loads    []shedding.Load     `cbor:"4,keyasint,omitempty"`
+	Mirrored []mirror.CountDelta `cbor:"5,keyasint,omitempty"`
 }
 
 // Lots is the reply: how much of other sites' room the proxy may use.
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -18,13 +18,13 @@
 
 // Marker is the header that every copy bears, and that nothing which is to reach
 // a live server may bear.
-const Marker = "Ploverhitch-Shadow"
+const ShadowHeader = "Ploverhitch-Shadow"
 
 // Mirror is an operator's order to copy conversations on some lanes to the
 // servers of a shadow service.
 type Mirror struct {
 	Name   string   `json:"Name"`
-	Lanes  []string `json:"Routes,omitempty"`
+	Routes []string `json:"Routes,omitempty"`
 	Hosts  []string `json:"Hosts,omitempty"`
 	Shadow string   `json:"Shadow"`
 	// Share is the part of all conversations that is copied.
@@ -38,7 +38,7 @@
 }
 
 // Lane is what a mirror has to know of a lane.
-type Lane struct {
+type Route struct {
 	Name, Host string
 	Services   []string
 }
@@ -55,7 +55,7 @@
 		validation.Field(&m.Share, validation.Min(0.0), validation.Max(1.0)),
 		validation.Field(&m.Until, validation.Required),
 		validation.Field(&m.Cookie, validation.When(m.Header != "", validation.Empty.Error("stands beside Header; one of them names the conversation"))),
-		validation.Field(&m.Lanes, validation.When(len(m.Hosts) == 0, validation.Required.Error("is empty, and so is Hosts"))),
+		validation.Field(&m.Routes, validation.When(len(m.Hosts) == 0, validation.Required.Error("is empty, and so is Hosts"))),
 	)
 	return errors.Annotatef(err, "mirror %s", m.Name)
 }
@@ -65,9 +65,9 @@
 // Example:
 //
 //	if mirror.Covers(lane) { copy() }
-func (m Mirror) Covers(lane Lane) bool {
-	return slices.Contains(m.Lanes, lane.Name) ||
-		slices.ContainsFunc(m.Hosts, func(host string) bool { return strings.EqualFold(host, lane.Host) })
+func (m Mirror) Covers(route Route) bool {
+	return slices.Contains(m.Routes, route.Name) ||
+		slices.ContainsFunc(m.Hosts, func(host string) bool { return strings.EqualFold(host, route.Host) })
 }
 
 // CheckAll holds the mirrors that have not ended against the lanes and services
@@ -76,8 +76,8 @@
 // Example:
 //
 //	err := mirror.CheckAll(mirrors, lanes, isService, time.Now())
-func CheckAll(mirrors []Mirror, lanes []Lane, isService func(string) bool, now time.Time) error {
-	taken := map[string]string{}
+func CheckAll(mirrors []Mirror, routes []Route, isService func(string) bool, now time.Time) error {
+	mirrorOfRoute := map[string]string{}
 	for _, m := range mirrors {
 		if !m.Until.After(now) {
 			continue
@@ -85,17 +85,17 @@
 		if !isService(m.Shadow) {
 			return errors.NotFoundf("mirror %s: shadow service %s", m.Name, m.Shadow)
 		}
-		for _, lane := range lanes {
-			if slices.Contains(lane.Services, m.Shadow) {
-				return errors.NotValidf("mirror %s: shadow service %s, to which lane %s delivers,", m.Name, m.Shadow, lane.Name)
+		for _, route := range routes {
+			if slices.Contains(route.Services, m.Shadow) {
+				return errors.NotValidf("mirror %s: shadow service %s, to which lane %s delivers,", m.Name, m.Shadow, route.Name)
 			}
-			if !m.Covers(lane) {
+			if !m.Covers(route) {
 				continue
 			}
-			if other, isTaken := taken[lane.Name]; isTaken {
-				return errors.NotValidf("mirror %s: lane %s, which mirror %s copies too,", m.Name, lane.Name, other)
+			if other, found := mirrorOfRoute[route.Name]; found {
+				return errors.NotValidf("mirror %s: lane %s, which mirror %s copies too,", m.Name, route.Name, other)
 			}
-			taken[lane.Name] = m.Name
+			mirrorOfRoute[route.Name] = m.Name
 		}
 	}
 	return nil
@@ -107,14 +107,14 @@
 // Example:
 //
 //	err := mirror.CheckNamed(lanes)
-func (m Mirror) CheckNamed(lanes []Lane) error {
-	for _, name := range m.Lanes {
-		if !slices.ContainsFunc(lanes, func(lane Lane) bool { return lane.Name == name }) {
+func (m Mirror) CheckReferences(routes []Route) error {
+	for _, name := range m.Routes {
+		if !slices.ContainsFunc(routes, func(route Route) bool { return route.Name == name }) {
 			return errors.NotFoundf("mirror %s: lane %s", m.Name, name)
 		}
 	}
 	for _, host := range m.Hosts {
-		if !slices.ContainsFunc(lanes, func(lane Lane) bool { return strings.EqualFold(lane.Host, host) }) {
+		if !slices.ContainsFunc(routes, func(route Route) bool { return strings.EqualFold(route.Host, host) }) {
 			return errors.NotFoundf("mirror %s: host %s", m.Name, host)
 		}
 	}
@@ -151,7 +151,7 @@
 // Example:
 //
 //	isCopied := mirror.Draw(tenant, conversation) < grant.Share
-func (m Mirror) Draw(tenant, conversation string) float64 {
+func (m Mirror) SamplePoint(tenant, conversation string) float64 {
 	return shedding.Draw(0, m.Name, m.Shadow, tenant, conversation)
 }
 
@@ -160,10 +160,10 @@
 // Example:
 //
 //	lives ^= mirror.LifeOf(report.Node, report.Life)
-func LifeOf(node, life string) uint64 {
-	sum := fnv.New64a()
-	_, _ = sum.Write([]byte(node + "\x00" + life))
-	return sum.Sum64()
+func IncarnationHash(node, incarnation string) uint64 {
+	hash := fnv.New64a()
+	_, _ = hash.Write([]byte(node + "\x00" + incarnation))
+	return hash.Sum64()
 }
 
 // Grant lets the nodes copy for a mirror. It lapses as all grants do.
@@ -175,7 +175,7 @@
 	// a conversation be known to be whole.
 	Era uint64 `cbor:"4,keyasint" json:"Era"`
 	// Lives is the sum over the nodes of that era, each in its present life.
-	Lives uint64 `cbor:"6,keyasint" json:"Lives"`
+	Incarnations uint64 `cbor:"6,keyasint" json:"Lives"`
 	// IsSettled: all nodes that report work by this grant's era.
-	IsSettled bool `cbor:"5,keyasint,omitempty" json:"IsSettled"`
+	Settled bool `cbor:"5,keyasint,omitempty" json:"IsSettled"`
 }
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -20,11 +20,11 @@
 
 var (
 	now   = time.Unix(1_000_000, 0)
-	lanes = []mirror.Lane{{Name: "fee", Host: "h", Services: []string{"fees"}}, {Name: "read", Host: "h", Services: []string{"lessons"}}}
+	lanes = []mirror.Route{{Name: "fee", Host: "h", Services: []string{"fees"}}, {Name: "read", Host: "h", Services: []string{"lessons"}}}
 )
 
 func newMirror(name string, more func(*mirror.Mirror)) mirror.Mirror {
-	m := mirror.Mirror{Name: name, Lanes: []string{"fee"}, Shadow: "next", Share: 0.5, Until: now.Add(time.Hour)}
+	m := mirror.Mirror{Name: name, Routes: []string{"fee"}, Shadow: "next", Share: 0.5, Until: now.Add(time.Hour)}
 	if more != nil {
 		more(&m)
 	}
@@ -38,7 +38,7 @@
 		func(reason string, mirrors ...mirror.Mirror) {
 			var err error
 			for _, m := range mirrors {
-				for _, check := range []func() error{m.Check, func() error { return m.CheckNamed(lanes) }} {
+				for _, check := range []func() error{m.Check, func() error { return m.CheckReferences(lanes) }} {
 					if found := check(); found != nil {
 						err = found
 					}
@@ -52,14 +52,14 @@
 		Entry("a share over one", "Share", newMirror("m", func(m *mirror.Mirror) { m.Share = 1.5 })),
 		Entry("a share under none", "Share", newMirror("m", func(m *mirror.Mirror) { m.Share = -0.1 })),
 		Entry("no end", "Until", newMirror("m", func(m *mirror.Mirror) { m.Until = time.Time{} })),
-		Entry("nothing to copy from", "Routes", newMirror("m", func(m *mirror.Mirror) { m.Lanes = nil })),
+		Entry("nothing to copy from", "Routes", newMirror("m", func(m *mirror.Mirror) { m.Routes = nil })),
 		Entry("two names of the conversation", "Cookie", newMirror("m", func(m *mirror.Mirror) { m.Header, m.Cookie = "a", "b" })),
-		Entry("an unknown lane", "lane q", newMirror("m", func(m *mirror.Mirror) { m.Lanes = []string{"q"} })),
+		Entry("an unknown lane", "lane q", newMirror("m", func(m *mirror.Mirror) { m.Routes = []string{"q"} })),
 		Entry("an unknown host", "host q", newMirror("m", func(m *mirror.Mirror) { m.Hosts = []string{"q"} })),
 		Entry("an unknown service", "service gone", newMirror("m", func(m *mirror.Mirror) { m.Shadow = "gone" })),
 		Entry("a shadow that is live", "lane read delivers", newMirror("m", func(m *mirror.Mirror) { m.Shadow = "lessons" })),
 		Entry("the source as its own shadow", "lane fee delivers", newMirror("m", func(m *mirror.Mirror) { m.Shadow = "fees" })),
-		Entry("two of one lane", "mirror a", newMirror("a", nil), newMirror("b", func(m *mirror.Mirror) { m.Lanes, m.Hosts = nil, []string{"H"} })),
+		Entry("two of one lane", "mirror a", newMirror("a", nil), newMirror("b", func(m *mirror.Mirror) { m.Routes, m.Hosts = nil, []string{"H"} })),
 	)
 
 	It("stands against nothing once it has ended", func() {
@@ -80,8 +80,8 @@
 		m := newMirror("m", nil)
 		low, high := 0, 0
 		for number := range 2000 {
-			draw := m.Draw("h", fmt.Sprint("c", number))
-			Expect(newMirror("m", func(m *mirror.Mirror) { m.Share = 0.9 }).Draw("h", fmt.Sprint("c", number))).To(Equal(draw))
+			draw := m.SamplePoint("h", fmt.Sprint("c", number))
+			Expect(newMirror("m", func(m *mirror.Mirror) { m.Share = 0.9 }).SamplePoint("h", fmt.Sprint("c", number))).To(Equal(draw))
 			if draw < 0.2 {
 				low++
 			}
@@ -98,8 +98,8 @@
 	It("calls no conversation whole of which anything is missing, as a plain list of all that happened tells", func() {
 		for seed := range uint64(60) {
 			random := rand.New(rand.NewPCG(seed, 3))
-			record, era := mirror.NewRecord(), uint64(1)
-			record.Under(mirror.Grant{Name: "m", Version: 1, Share: 1, Era: era})
+			record, era := mirror.NewRecorder(), uint64(1)
+			record.SetGrant(mirror.Grant{Name: "m", Version: 1, Share: 1, Era: era})
 			// broken are the conversations of this era that lack something; open
 			// are the copies on their way.
 			broken, met := map[uint64]bool{}, map[uint64]bool{}
@@ -115,10 +115,10 @@
 					} else {
 						isSettled = true
 					}
-					record.Under(mirror.Grant{Name: "m", Version: 1, Share: 1, Era: era, IsSettled: isSettled})
+					record.SetGrant(mirror.Grant{Name: "m", Version: 1, Share: 1, Era: era, Settled: isSettled})
 				case 1, 2, 3, 4, 5:
 					hash := random.Uint64N(20)
-					_, of := record.Meet(hash, 0)
+					_, of := record.AddOriginal(hash, 0)
 					if met[hash] = true; !isSettled {
 						broken[hash] = true
 					}
@@ -131,10 +131,10 @@
 					one := open[at]
 					open = append(open[:at], open[at+1:]...)
 					if random.IntN(5) > 0 {
-						record.Compare(one.hash, one.era, mirror.Example{Lane: "l", Outcome: mirror.Same})
+						record.AddComparison(one.hash, one.era, mirror.Example{Route: "l", Outcome: mirror.Same})
 						continue
 					}
-					record.Miss(one.hash, one.era, "lost")
+					record.AddGap(one.hash, one.era, "lost")
 					if one.era == era {
 						broken[one.hash] = true
 					}
@@ -146,22 +146,22 @@
 					waiting[one.hash] = true
 				}
 			}
-			page := record.Page()
-			Expect(page.Talks).To(HaveLen(len(met)))
-			for _, talk := range page.Talks {
+			page := record.Results()
+			Expect(page.Conversations).To(HaveLen(len(met)))
+			for _, talk := range page.Conversations {
 				Expect(talk.IsWhole()).To(Equal(!broken[talk.Hash] && !waiting[talk.Hash]), "seed %d", seed)
 			}
 		}
 	})
 
 	It("tells each loss once, and begins anew with a new version", func() {
-		record := mirror.NewRecord()
-		record.Under(mirror.Grant{Version: 1, Era: 1, IsSettled: true})
-		_, era := record.Meet(1, 0)
-		record.Miss(1, era, "lost")
-		Expect(record.Tell("m")).To(Equal(mirror.Tally{Name: "m", Lost: 1}))
-		Expect(record.Tell("m")).To(Equal(mirror.Tally{Name: "m"}))
-		record.Under(mirror.Grant{Version: 2, Era: 1, IsSettled: true})
-		Expect(record.Page().Talks).To(BeEmpty())
+		record := mirror.NewRecorder()
+		record.SetGrant(mirror.Grant{Version: 1, Era: 1, Settled: true})
+		_, era := record.AddOriginal(1, 0)
+		record.AddGap(1, era, "lost")
+		Expect(record.TakeDelta("m")).To(Equal(mirror.CountDelta{Name: "m", Lost: 1}))
+		Expect(record.TakeDelta("m")).To(Equal(mirror.CountDelta{Name: "m"}))
+		record.SetGrant(mirror.Grant{Version: 2, Era: 1, Settled: true})
+		Expect(record.Results().Conversations).To(BeEmpty())
 	})
 })
--- a/internal/mirror/record.go
+++ b/internal/mirror/record.go
@@ -14,13 +14,13 @@
 const (
 	Same Outcome = "same"
 	// Status: the class of the status differs; Body: the body does.
-	Status Outcome = "status"
-	Body   Outcome = "body"
+	StatusDiffers Outcome = "status"
+	BodyDiffers   Outcome = "body"
 	// Slow: the same reply, in more than twice the original's time.
 	Slow Outcome = "slow"
 	// Silent: no whole reply came; Turned: the shadow turned the copy away.
-	Silent Outcome = "silent"
-	Turned Outcome = "turned"
+	NoReply Outcome = "silent"
+	Refused Outcome = "turned"
 )
 
 // IsDifferent tells whether the shadow did not do as the live side did.
@@ -28,7 +28,7 @@
 // Example:
 //
 //	if outcome.IsDifferent() { differing++ }
-func (o Outcome) IsDifferent() bool { return o != Same && o != Slow }
+func (o Outcome) Differs() bool { return o != Same && o != Slow }
 
 // IsSlow tells whether a copy took more than twice as long as its original, and
 // long enough for that to say something.
@@ -36,21 +36,21 @@
 // Example:
 //
 //	if mirror.IsSlow(live, took) { outcome = mirror.Slow }
-func IsSlow(live, took time.Duration) bool { return took > max(slowTimes*live, slowLeast) }
+func IsSlow(live, shadow time.Duration) bool { return shadow > max(slowFactor*live, minSlowTime) }
 
 // Talk is one conversation as one node saw it in one era.
-type Talk struct {
+type Conversation struct {
 	Hash uint64 `cbor:"1,keyasint"`
 	// Draw is where it falls between 0 and 1.
-	Draw      float64 `cbor:"2,keyasint"`
-	Copies    uint32  `cbor:"3,keyasint"`
-	Compared  uint32  `cbor:"4,keyasint,omitempty"`
-	Different uint32  `cbor:"5,keyasint,omitempty"`
+	SamplePoint float64 `cbor:"2,keyasint" json:"Draw"`
+	Copies      uint32  `cbor:"3,keyasint"`
+	Compared    uint32  `cbor:"4,keyasint,omitempty"`
+	Differing   uint32  `cbor:"5,keyasint,omitempty" json:"Different"`
 	// Gaps are originals that were delivered, or may have been, and whose copy the
 	// shadow did not get.
 	Gaps uint32 `cbor:"6,keyasint,omitempty"`
 	// IsPartial: it was met before every node had the order.
-	IsPartial bool `cbor:"7,keyasint,omitempty"`
+	Partial bool `cbor:"7,keyasint,omitempty" json:"IsPartial"`
 }
 
 // IsWhole tells whether all of the conversation's copies reached the shadow and
@@ -59,47 +59,47 @@
 // Example:
 //
 //	if talk.IsWhole() { whole++ }
-func (t Talk) IsWhole() bool { return !t.IsPartial && t.Gaps == 0 && t.Compared == t.Copies }
+func (c Conversation) IsWhole() bool { return !c.Partial && c.Gaps == 0 && c.Compared == c.Copies }
 
 // Example is a difference for operators to look at, without its bodies.
 type Example struct {
-	Lane    string  `cbor:"1,keyasint" json:"Route"`
-	Attempt string  `cbor:"2,keyasint" json:"Attempt"`
-	Outcome Outcome `cbor:"3,keyasint" json:"Outcome"`
-	Live    int     `cbor:"4,keyasint" json:"Live"`
-	Shadow  int     `cbor:"5,keyasint" json:"Shadow"`
-	LiveMs  int64   `cbor:"6,keyasint" json:"LiveMs"`
-	TookMs  int64   `cbor:"7,keyasint" json:"TookMs"`
+	Route        string  `cbor:"1,keyasint" json:"Route"`
+	Attempt      string  `cbor:"2,keyasint" json:"Attempt"`
+	Outcome      Outcome `cbor:"3,keyasint" json:"Outcome"`
+	LiveStatus   int     `cbor:"4,keyasint" json:"Live"`
+	ShadowStatus int     `cbor:"5,keyasint" json:"Shadow"`
+	LiveMs       int64   `cbor:"6,keyasint" json:"LiveMs"`
+	ShadowMs     int64   `cbor:"7,keyasint" json:"TookMs"`
 }
 
 // Page is what one node knows of one mirror.
-type Page struct {
+type Results struct {
 	Grant Grant `cbor:"1,keyasint"`
 	// Counts are the outcomes by lane; Gaps, why copies were not sent.
-	Counts   map[string]map[Outcome]uint64 `cbor:"2,keyasint,omitempty"`
-	Gaps     map[string]uint64             `cbor:"3,keyasint,omitempty"`
-	Talks    []Talk                        `cbor:"4,keyasint,omitempty"`
-	Examples []Example                     `cbor:"5,keyasint,omitempty"`
+	Counts        map[string]map[Outcome]uint64 `cbor:"2,keyasint,omitempty"`
+	Gaps          map[string]uint64             `cbor:"3,keyasint,omitempty"`
+	Conversations []Conversation                `cbor:"4,keyasint,omitempty" json:"Talks"`
+	Examples      []Example                     `cbor:"5,keyasint,omitempty"`
 	// Untracked are conversations beyond what the node keeps.
 	Untracked uint64 `cbor:"6,keyasint,omitempty"`
 }
 
 const (
-	talkLimit    = 4096
-	exampleLimit = 8
-	slowTimes    = 2
-	slowLeast    = 20 * time.Millisecond
+	maxConversations = 4096
+	maxExamples      = 8
+	slowFactor       = 2
+	minSlowTime      = 20 * time.Millisecond
 )
 
 // Record keeps what one node knows of one mirror.
-type Record struct {
-	lock  sync.Mutex
-	page  Page
-	talks map[uint64]*Talk
+type Recorder struct {
+	lock          sync.Mutex
+	results       Results
+	conversations map[uint64]*Conversation
 	// number counts the copies, told those that were told as sent or as gaps.
-	number           uint64
-	copied, lost     uint64
-	toldCopied, told uint64
+	lastNumber                   uint64
+	copied, lost                 uint64
+	reportedCopied, reportedLost uint64
 }
 
 // NewRecord makes an empty record.
@@ -107,7 +107,7 @@
 // Example:
 //
 //	record := mirror.NewRecord()
-func NewRecord() *Record { return &Record{talks: map[uint64]*Talk{}} }
+func NewRecorder() *Recorder { return &Recorder{conversations: map[uint64]*Conversation{}} }
 
 // Under takes the grant in force. With a new version or era all begins anew: of
 // what was before, nothing is claimed.
@@ -115,13 +115,13 @@
 // Example:
 //
 //	record.Under(grant)
-func (r *Record) Under(grant Grant) {
+func (r *Recorder) SetGrant(grant Grant) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	if held := r.page.Grant; held.Version != grant.Version || held.Era != grant.Era {
-		r.page, r.talks = Page{Counts: map[string]map[Outcome]uint64{}, Gaps: map[string]uint64{}}, map[uint64]*Talk{}
+	if held := r.results.Grant; held.Version != grant.Version || held.Era != grant.Era {
+		r.results, r.conversations = Results{Counts: map[string]map[Outcome]uint64{}, Gaps: map[string]uint64{}}, map[uint64]*Conversation{}
 	}
-	r.page.Grant = grant
+	r.results.Grant = grant
 }
 
 // Meet notes an original of a conversation that is copied, and gives the copy its
@@ -130,23 +130,23 @@
 // Example:
 //
 //	number, era := record.Meet(hash, draw)
-func (r *Record) Meet(hash uint64, draw float64) (number, era uint64) {
+func (r *Recorder) AddOriginal(hash uint64, samplePoint float64) (number, era uint64) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	r.number++
-	talk := r.talks[hash]
+	r.lastNumber++
+	conversation := r.conversations[hash]
 	switch {
-	case talk != nil:
-	case len(r.talks) >= talkLimit:
-		r.page.Untracked++
-		return r.number, r.page.Grant.Era
+	case conversation != nil:
+	case len(r.conversations) >= maxConversations:
+		r.results.Untracked++
+		return r.lastNumber, r.results.Grant.Era
 	default:
-		talk = &Talk{Hash: hash, Draw: draw}
-		r.talks[hash] = talk
+		conversation = &Conversation{Hash: hash, SamplePoint: samplePoint}
+		r.conversations[hash] = conversation
 	}
-	talk.Copies++
-	talk.IsPartial = talk.IsPartial || !r.page.Grant.IsSettled
-	return r.number, r.page.Grant.Era
+	conversation.Copies++
+	conversation.Partial = conversation.Partial || !r.results.Grant.Settled
+	return r.lastNumber, r.results.Grant.Era
 }
 
 // Miss notes that the shadow does not get the copy of an original.
@@ -154,16 +154,16 @@
 // Example:
 //
 //	record.Miss(hash, era, "inbox full")
-func (r *Record) Miss(hash, era uint64, why string) {
+func (r *Recorder) AddGap(hash, era uint64, reason string) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	r.lost++
-	if r.page.Grant.Era != era {
+	if r.results.Grant.Era != era {
 		return
 	}
-	r.page.Gaps[why]++
-	if talk := r.talks[hash]; talk != nil {
-		talk.Gaps++
+	r.results.Gaps[reason]++
+	if conversation := r.conversations[hash]; conversation != nil {
+		conversation.Gaps++
 	}
 }
 
@@ -172,23 +172,23 @@
 // Example:
 //
 //	record.Compare(hash, era, example)
-func (r *Record) Compare(hash, era uint64, found Example) {
+func (r *Recorder) AddComparison(hash, era uint64, example Example) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	r.copied++
-	if r.page.Grant.Era != era {
+	if r.results.Grant.Era != era {
 		return
 	}
-	if r.page.Counts[found.Lane] == nil {
-		r.page.Counts[found.Lane] = map[Outcome]uint64{}
+	if r.results.Counts[example.Route] == nil {
+		r.results.Counts[example.Route] = map[Outcome]uint64{}
 	}
-	r.page.Counts[found.Lane][found.Outcome]++
-	if found.Outcome != Same && len(r.page.Examples) < exampleLimit {
-		r.page.Examples = append(r.page.Examples, found)
+	r.results.Counts[example.Route][example.Outcome]++
+	if example.Outcome != Same && len(r.results.Examples) < maxExamples {
+		r.results.Examples = append(r.results.Examples, example)
 	}
-	if talk := r.talks[hash]; talk != nil {
-		if talk.Compared++; found.Outcome.IsDifferent() {
-			talk.Different++
+	if conversation := r.conversations[hash]; conversation != nil {
+		if conversation.Compared++; example.Outcome.Differs() {
+			conversation.Differing++
 		}
 	}
 }
@@ -198,31 +198,31 @@
 // Example:
 //
 //	page := record.Page()
-func (r *Record) Page() Page {
+func (r *Recorder) Results() Results {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	out := r.page
+	out := r.results
 	out.Gaps, out.Counts = map[string]uint64{}, map[string]map[Outcome]uint64{}
-	for why, count := range r.page.Gaps {
-		out.Gaps[why] = count
+	for reason, count := range r.results.Gaps {
+		out.Gaps[reason] = count
 	}
-	for lane, counts := range r.page.Counts {
-		out.Counts[lane] = map[Outcome]uint64{}
+	for route, counts := range r.results.Counts {
+		out.Counts[route] = map[Outcome]uint64{}
 		for outcome, count := range counts {
-			out.Counts[lane][outcome] = count
+			out.Counts[route][outcome] = count
 		}
 	}
-	out.Examples = slices.Clone(r.page.Examples)
-	for _, talk := range r.talks {
-		out.Talks = append(out.Talks, *talk)
+	out.Examples = slices.Clone(r.results.Examples)
+	for _, conversation := range r.conversations {
+		out.Conversations = append(out.Conversations, *conversation)
 	}
-	slices.SortFunc(out.Talks, func(a, z Talk) int { return cmp.Compare(a.Hash, z.Hash) })
+	slices.SortFunc(out.Conversations, func(a, b Conversation) int { return cmp.Compare(a.Hash, b.Hash) })
 	return out
 }
 
 // Tally is what a node tells the holder of the duty of one mirror since it last
 // told.
-type Tally struct {
+type CountDelta struct {
 	Name   string `cbor:"1,keyasint"`
 	Copied uint64 `cbor:"2,keyasint,omitempty"`
 	Lost   uint64 `cbor:"3,keyasint,omitempty"`
@@ -233,10 +233,10 @@
 // Example:
 //
 //	report.Mirrored = append(report.Mirrored, record.Tell(name))
-func (r *Record) Tell(name string) Tally {
+func (r *Recorder) TakeDelta(name string) CountDelta {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	out := Tally{name, r.copied - r.toldCopied, r.lost - r.told}
-	r.toldCopied, r.told = r.copied, r.lost
-	return out
+	delta := CountDelta{name, r.copied - r.reportedCopied, r.lost - r.reportedLost}
+	r.reportedCopied, r.reportedLost = r.copied, r.lost
+	return delta
 }
--- a/internal/objects/own.go
+++ b/internal/objects/own.go
@@ -106,7 +106,7 @@
 		return errors.Trace(err)
 	}
 	mirror := mirror.Mirror{
-		Name: o.Metadata.Name, Lanes: o.Spec.Lanes, Hosts: o.Spec.Hosts, Shadow: o.Spec.Shadow, Share: o.Spec.Share,
+		Name: o.Metadata.Name, Routes: o.Spec.Lanes, Hosts: o.Spec.Hosts, Shadow: o.Spec.Shadow, Share: o.Spec.Share,
 		Header: o.Spec.Conversation.Header, Cookie: o.Spec.Conversation.Cookie, Until: o.Spec.Until,
 	}
 	if err := mirror.Check(); err != nil {
--- a/internal/proxy/mirror.go
+++ b/internal/proxy/mirror.go
@@ -28,7 +28,7 @@
 // original.
 type mirrorJob struct {
 	mirror   *config.Mirror
-	record   *mirror.Record
+	record   *mirror.Recorder
 	request  *upstream.Request
 	route    *config.Route
 	hash     uint64
@@ -49,12 +49,12 @@
 type mirrorSender struct {
 	queue   chan mirrorJob
 	lock    sync.Mutex
-	records map[string]*mirror.Record
+	records map[string]*mirror.Recorder
 	pools   map[string]*upstream.Pool
 }
 
 func newMirrorSender() *mirrorSender {
-	return &mirrorSender{queue: make(chan mirrorJob, mirrorQueueSize), records: map[string]*mirror.Record{}, pools: map[string]*upstream.Pool{}}
+	return &mirrorSender{queue: make(chan mirrorJob, mirrorQueueSize), records: map[string]*mirror.Recorder{}, pools: map[string]*upstream.Pool{}}
 }
 
 // closeUnlisted closes the connections to servers that are no longer listed under their address.
@@ -79,12 +79,12 @@
 func poolName(server feed.Server) string { return server.ID + " " + server.Address }
 
 // recordOf returns the comparison record of a mirror.
-func (m *mirrorSender) recordOf(name string) *mirror.Record {
+func (m *mirrorSender) recordOf(name string) *mirror.Recorder {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	record := m.records[name]
 	if record == nil {
-		record = mirror.NewRecord()
+		record = mirror.NewRecorder()
 		m.records[name] = record
 	}
 	return record
@@ -118,21 +118,21 @@
 	}
 	record := p.trafficMirror.recordOf(m.Name)
 	conversation := m.Conversation(req.Header, req.key.Key, req.clientAddress)
-	draw := m.Draw(req.route.Host, conversation)
+	draw := m.SamplePoint(req.route.Host, conversation)
 	if draw >= grant.Share {
 		return
 	}
 	hasher := fnv.New64a()
 	_, _ = hasher.Write([]byte(req.route.Host + "\x00" + conversation))
 	hash := hasher.Sum64()
-	record.Under(grant)
-	number, era := record.Meet(hash, draw)
+	record.SetGrant(grant)
+	number, era := record.AddOriginal(hash, draw)
 	switch {
 	case response == nil:
-		record.Miss(hash, era, "the original's outcome is not known")
+		record.AddGap(hash, era, "the original's outcome is not known")
 		return
 	case !req.snapshot.grantsValid(p.clock.Steady()):
-		record.Miss(hash, era, "the order had lapsed here")
+		record.AddGap(hash, era, "the order had lapsed here")
 		return
 	}
 	job := mirrorJob{
@@ -144,13 +144,13 @@
 	}
 	mirrored := *req.Request
 	mirrored.Header = req.Header.Clone()
-	mirrored.Header.Set(mirror.Marker, fmt.Sprintf("%s; version=%d; node=%s; number=%d; at=%d; settled=%t",
-		m.Name, m.Version, p.settings.Load().Platform.NodeName, number, p.clock.Wall().UnixMilli(), grant.IsSettled))
+	mirrored.Header.Set(mirror.ShadowHeader, fmt.Sprintf("%s; version=%d; node=%s; number=%d; at=%d; settled=%t",
+		m.Name, m.Version, p.settings.Load().Platform.NodeName, number, p.clock.Wall().UnixMilli(), grant.Settled))
 	job.request = &mirrored
 	select {
 	case p.trafficMirror.queue <- job:
 	default:
-		record.Miss(hash, era, "the inbox was full")
+		record.AddGap(hash, era, "the inbox was full")
 	}
 }
 
@@ -167,17 +167,17 @@
 
 // mirrorPages returns the comparison records of this node.
 func (p *proxy) mirrorPages(struct{}) messages.Mirrored {
-	result := messages.Mirrored{Node: p.settings.Load().Platform.NodeName, Life: p.incarnation, Pages: map[string]mirror.Page{}}
+	result := messages.Mirrored{Node: p.settings.Load().Platform.NodeName, Life: p.incarnation, Pages: map[string]mirror.Results{}}
 	for name, record := range p.trafficMirror.allRecords() {
-		result.Pages[name] = record.Page()
+		result.Pages[name] = record.Results()
 	}
 	return result
 }
 
-func (m *mirrorSender) allRecords() map[string]*mirror.Record {
+func (m *mirrorSender) allRecords() map[string]*mirror.Recorder {
 	m.lock.Lock()
 	defer m.lock.Unlock()
-	result := map[string]*mirror.Record{}
+	result := map[string]*mirror.Recorder{}
 	for name, record := range m.records {
 		result[name] = record
 	}
@@ -185,9 +185,9 @@
 }
 
 // tallies returns the counts of mirrored requests for the report.
-func (m *mirrorSender) tallies() (result []mirror.Tally) {
+func (m *mirrorSender) tallies() (result []mirror.CountDelta) {
 	for name, record := range m.allRecords() {
-		result = append(result, record.Tell(name))
+		result = append(result, record.TakeDelta(name))
 	}
 	return result
 }
--- a/internal/proxy/mirror_send.go
+++ b/internal/proxy/mirror_send.go
@@ -28,12 +28,12 @@
 func (p *proxy) sendMirrored(job mirrorJob) {
 	server := p.snapshot.Load().balancer.Home(job.mirror.Shadow, job.position)
 	if server == nil {
-		job.record.Miss(job.hash, job.era, "the shadow has no server")
+		job.record.AddGap(job.hash, job.era, "the shadow has no server")
 		return
 	}
 	if !p.outbound.IsFree() || !p.inbound.IsFree() {
 		// Original requests have precedence on the link.
-		job.record.Miss(job.hash, job.era, "the link was busy")
+		job.record.AddGap(job.hash, job.era, "the link was busy")
 		return
 	}
 	bufferBytes := int64(mirrorBufferBytes)
@@ -48,18 +48,18 @@
 	})
 	latency := time.Since(start)
 	if err != nil && errors.Is(err, upstream.ErrNotSent) {
-		job.record.Miss(job.hash, job.era, "the copy could not be sent")
+		job.record.AddGap(job.hash, job.era, "the copy could not be sent")
 		return
 	}
 	example := mirror.Example{
-		Lane: job.route.Name, Attempt: job.request.Attempt, Outcome: job.compare(response, err, latency), Live: job.status,
-		LiveMs: job.liveLatency.Milliseconds(), TookMs: latency.Milliseconds(),
+		Route: job.route.Name, Attempt: job.request.Attempt, Outcome: job.compare(response, err, latency), LiveStatus: job.status,
+		LiveMs: job.liveLatency.Milliseconds(), ShadowMs: latency.Milliseconds(),
 	}
 	if response != nil {
-		example.Shadow = response.Status
+		example.ShadowStatus = response.Status
 		response.Finish(false)
 	}
-	job.record.Compare(job.hash, job.era, example)
+	job.record.AddComparison(job.hash, job.era, example)
 }
 
 // maySendMirrored is the last check before the first byte is sent: the server must
@@ -79,18 +79,18 @@
 func (j *mirrorJob) compare(response *upstream.Response, err error, latency time.Duration) mirror.Outcome {
 	switch {
 	case err != nil:
-		return mirror.Silent
+		return mirror.NoReply
 	case response.IsNotExecuted():
-		return mirror.Turned
+		return mirror.Refused
 	case response.Status/100 != j.status/100:
-		return mirror.Status
+		return mirror.StatusDiffers
 	case response.Remainder != nil || !j.bodyComplete:
 		if response.Length != j.length {
-			return mirror.Body
+			return mirror.BodyDiffers
 		}
 	default:
 		if sum := sha256.Sum256(response.Body); !bytes.Equal(sum[:], j.bodyDigest[:]) {
-			return mirror.Body
+			return mirror.BodyDiffers
 		}
 	}
 	if mirror.IsSlow(j.liveLatency, latency) {
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -116,7 +116,7 @@
 		return nil, apierror.New(apierror.BadInquiry, "exactly one attempt ID is required")
 	case limits.MaxHeaderBytes > 0 && headerSize(r) > limits.MaxHeaderBytes:
 		return nil, apierror.New(apierror.HeaderTooLarge, "")
-	case len(r.Header.Values(mirror.Marker)) > 0:
+	case len(r.Header.Values(mirror.ShadowHeader)) > 0:
 		return nil, apierror.New(apierror.Shadowed, "")
 	case !req.snapshot.complete:
 		return nil, apierror.New(apierror.NoServer, "the configuration has not been received yet")
