--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -44,10 +44,6 @@
 }
 
 // Check looks at a mirror by itself. The error names field and reason.
-//
-// Example:
-//
-//	err := mirror.Check()
 func (m Mirror) Check() error {
 	err := validation.ValidateStruct(&m,
 		validation.Field(&m.Name, validation.Required),
@@ -61,10 +57,6 @@
 }
 
 // Covers tells whether the mirror copies from a lane.
-//
-// Example:
-//
-//	if mirror.Covers(lane) { copy() }
 func (m Mirror) Covers(route Route) bool {
 	return slices.Contains(m.Routes, route.Name) ||
 		slices.ContainsFunc(m.Hosts, func(host string) bool { return strings.EqualFold(host, route.Host) })
@@ -72,10 +64,6 @@
 
 // CheckAll holds the mirrors that have not ended against the lanes and services
 // there are. The error names what does not fit.
-//
-// Example:
-//
-//	err := mirror.CheckAll(mirrors, lanes, isService, time.Now())
 func CheckAll(mirrors []Mirror, routes []Route, isService func(string) bool, now time.Time) error {
 	mirrorOfRoute := map[string]string{}
 	for _, m := range mirrors {
@@ -103,10 +91,6 @@
 
 // CheckNamed refuses a mirror that names a lane or a host which is not there. It
 // is asked when the mirror is sent; a lane may be dropped later.
-//
-// Example:
-//
-//	err := mirror.CheckNamed(lanes)
 func (m Mirror) CheckReferences(routes []Route) error {
 	for _, name := range m.Routes {
 		if !slices.ContainsFunc(routes, func(route Route) bool { return route.Name == name }) {
@@ -123,10 +107,6 @@
 
 // Conversation is the name of the conversation that an inquiry belongs to: the
 // same at every node and for every retry.
-//
-// Example:
-//
-//	name := mirror.Conversation(r.Header, key, clientAddress)
 func (m Mirror) Conversation(header http.Header, key, address string) string {
 	if m.Header != "" {
 		if value := header.Get(m.Header); value != "" {
@@ -147,19 +127,11 @@
 // Draw is where the conversation falls between 0 and 1; it is copied while that is
 // below the share in force. It depends on the mirror's name and its shadow, and on
 // the conversation, so a change of the share adds or takes whole conversations.
-//
-// Example:
-//
-//	isCopied := mirror.Draw(tenant, conversation) < grant.Share
 func (m Mirror) SamplePoint(tenant, conversation string) float64 {
 	return shedding.Draw(0, m.Name, m.Shadow, tenant, conversation)
 }
 
 // LifeOf is a node's part of the sum of all lives.
-//
-// Example:
-//
-//	lives ^= mirror.LifeOf(report.Node, report.Life)
 func IncarnationHash(node, incarnation string) uint64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(node + "\x00" + incarnation))
--- a/internal/mirror/record.go
+++ b/internal/mirror/record.go
@@ -24,18 +24,10 @@
 )
 
 // IsDifferent tells whether the shadow did not do as the live side did.
-//
-// Example:
-//
-//	if outcome.IsDifferent() { differing++ }
 func (o Outcome) Differs() bool { return o != Same && o != Slow }
 
 // IsSlow tells whether a copy took more than twice as long as its original, and
 // long enough for that to say something.
-//
-// Example:
-//
-//	if mirror.IsSlow(live, took) { outcome = mirror.Slow }
 func IsSlow(live, shadow time.Duration) bool { return shadow > max(slowFactor*live, minSlowTime) }
 
 // Talk is one conversation as one node saw it in one era.
@@ -55,10 +47,6 @@
 
 // IsWhole tells whether all of the conversation's copies reached the shadow and
 // were compared, as far as this node knows.
-//
-// Example:
-//
-//	if talk.IsWhole() { whole++ }
 func (c Conversation) IsWhole() bool { return !c.Partial && c.Gaps == 0 && c.Compared == c.Copies }
 
 // Example is a difference for operators to look at, without its bodies.
@@ -103,18 +91,10 @@
 }
 
 // NewRecord makes an empty record.
-//
-// Example:
-//
-//	record := mirror.NewRecord()
 func NewRecorder() *Recorder { return &Recorder{conversations: map[uint64]*Conversation{}} }
 
 // Under takes the grant in force. With a new version or era all begins anew: of
 // what was before, nothing is claimed.
-//
-// Example:
-//
-//	record.Under(grant)
 func (r *Recorder) SetGrant(grant Grant) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -126,10 +106,6 @@
 
 // Meet notes an original of a conversation that is copied, and gives the copy its
 // number and era.
-//
-// Example:
-//
-//	number, era := record.Meet(hash, draw)
 func (r *Recorder) AddOriginal(hash uint64, samplePoint float64) (number, era uint64) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -150,10 +126,6 @@
 }
 
 // Miss notes that the shadow does not get the copy of an original.
-//
-// Example:
-//
-//	record.Miss(hash, era, "inbox full")
 func (r *Recorder) AddGap(hash, era uint64, reason string) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -168,10 +140,6 @@
 }
 
 // Compare notes what came of a copy.
-//
-// Example:
-//
-//	record.Compare(hash, era, example)
 func (r *Recorder) AddComparison(hash, era uint64, example Example) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -194,10 +162,6 @@
 }
 
 // Page is all that is known, for the inspector.
-//
-// Example:
-//
-//	page := record.Page()
 func (r *Recorder) Results() Results {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -229,10 +193,6 @@
 }
 
 // Tell is the tally since the last telling.
-//
-// Example:
-//
-//	report.Mirrored = append(report.Mirrored, record.Tell(name))
 func (r *Recorder) TakeDelta(name string) CountDelta {
 	r.lock.Lock()
 	defer r.lock.Unlock()
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -8,65 +8,70 @@
 	"ploverhitch/internal/timetable"
 )
 
-// Plan is what the bounds allow a trial.
+// Bounds are the configured limits that a rollout has to keep.
 type Bounds struct {
-	// CanaryShare is the share of a service's inquiries that a bad version may
-	// have had by its term.
+	// CanaryShare is the largest share of a service's requests that a bad version
+	// may have received by the end of its rollout.
 	CanaryShare float64
-	// Ack is within how long an operator's order is repeated.
+	// CommandTimeout is the time within which an operator's client repeats a
+	// command.
 	CommandTimeout time.Duration
 }
 
-// Facts are what the holder of the duty knows at one moment.
+// Observation is what the leader knows of a rollout at one moment.
 type Observation struct {
 	Elapsed time.Duration
-	// InPhase is how long the trial has been in its phase.
+	// InPhase is how long the rollout has been in its current phase.
 	InPhase time.Duration
 	Finding outlier.Finding
-	// Ready and Old are what the servers of the new and of the old version can
-	// take at once.
+	// ReadyCapacity and OldCapacity are the numbers of concurrent requests that
+	// the servers of the new and of the old version can take.
 	ReadyCapacity, OldCapacity int
 	ProxyProgress              outlier.Touch
 }
 
 const (
-	// shiftPart and shiftLongest are the part of the term that is kept for
-	// taking over, and how long that may be.
+	// shiftFraction is the fraction of a rollout's duration that is kept for
+	// shifting traffic to the new version; maxShiftTime is its upper limit.
 	shiftFraction = 0.4
 	maxShiftTime  = 5 * time.Second
 	endFraction   = 0.06
 	maxEndTime    = 700 * time.Millisecond
-	// readyPart is how much of the old servers' capacity must be there.
+	// minReadyFraction is the part of the old servers' capacity that the new
+	// servers must have before traffic is shifted to them.
 	minReadyFraction = 0.7
-	// seenWanted is how many deliveries the trial wants to see.
-	targetSamples     = 220
+	// targetSamples is the number of requests on the new version that the canary
+	// phase aims for.
+	targetSamples = 220
+	// minCanaryFraction and maxCanaryFraction limit the share of the canary phase,
+	// as fractions of Bounds.CanaryShare.
 	minCanaryFraction = 0.25
 	maxCanaryFraction = 0.6
 )
 
-// ramp is the share at each step of taking over, and how long a step lasts: a
-// version that turns bad only under load is met before it has everything.
+// shiftShares are the shares of the steps in which traffic is shifted to the new
+// version. The steps reveal a version that fails only under load before it
+// receives all traffic.
 var shiftShares = []float64{0.15, 0.35, 0.65}
 
+// shiftStepTime is the time between two steps.
 const shiftStepTime = 400 * time.Millisecond
 
 func (s State) duration() time.Duration { return s.Duration.Std() }
 
-// reserve is how long before the term the shift begins, end how long before
-// it a trial that has not ended is ended.
+// shiftReserve is the time before the end of the rollout at which the shift
+// begins.
 func (s State) shiftReserve() time.Duration {
 	return min(maxShiftTime, time.Duration(shiftFraction*float64(s.duration())))
 }
 
+// endReserve is the time before the end of the rollout at which an undecided
+// rollout is ended.
 func (s State) endReserve() time.Duration {
 	return min(maxEndTime, time.Duration(endFraction*float64(s.duration())))
 }
 
-// Share is the part of the subject's inquiries that the new version gets.
-//
-// Example:
-//
-//	part := state.Share(plan, facts)
+// Share returns the share of the service's requests that the new version gets.
 func (s State) Share(bounds Bounds, observed Observation) float64 {
 	switch s.Phase {
 	case Canary:
@@ -84,11 +89,8 @@
 	return 0
 }
 
-// Next is the event that the facts come to.
-//
-// Example:
-//
-//	event, reason := state.Next(facts)
+// Next returns the event that follows from an observation of a service's rollout,
+// and its reason, or NoEvent.
 func (s State) Next(observed Observation) (event Event, reason string) {
 	remaining := s.duration() - observed.Elapsed
 	fit := observed.Finding.Verdict == outlier.Fit
@@ -100,7 +102,7 @@
 	case s.Phase == Draining && (observed.ProxyProgress.IsLeft() || remaining <= s.endReserve()):
 		return Drained, ""
 	case remaining <= s.endReserve():
-		return TimedOut, "undecided at the term: " + observed.Finding.Reason
+		return TimedOut, "undecided at the end of the rollout: " + observed.Finding.Reason
 	case s.Phase == Canary && remaining <= s.shiftReserve():
 		ready := float64(observed.ReadyCapacity) >= minReadyFraction*float64(observed.OldCapacity)
 		if fit && ready && remaining > s.shiftReserve()/2 {
@@ -112,11 +114,8 @@
 	return NoEvent, ""
 }
 
-// IsRepeat tells whether an order is the last one once more.
-//
-// Example:
-//
-//	if state.IsRepeat("v2", duration, sinceOrder, plan) { answer(200) }
+// IsRepeat reports whether a start command repeats the last one. The last command
+// is recognized while its rollout is active and for two command timeouts after it.
 func (s State) IsRepeat(target string, duration timetable.Span, sinceCommand time.Duration, bounds Bounds) bool {
 	return s.Number > 0 && s.TargetVersion == target && s.Duration == duration && (s.Phase.IsActive() || sinceCommand < 2*bounds.CommandTimeout)
 }
--- a/internal/rollout/stage.go
+++ b/internal/rollout/stage.go
@@ -7,22 +7,15 @@
 	"ploverhitch/internal/outlier"
 )
 
-// StagePrefix begins the subject of a staged change of lanes.
+// StagedPrefix is the prefix of the subject of a staged change of routes.
 const StagedPrefix = "lanes/"
 
-// IsStaged tells a staged change of lanes from a service's version.
-//
-// Example:
-//
-//	if state.IsStaged() { event, reason = state.NextWave(facts) }
+// IsStaged reports whether the rollout is a staged change of routes and not a
+// service's version.
 func (s State) IsStaged() bool { return len(s.Items) > 0 }
 
-// Reached names the nodes that the waves have reached so far; once the change
-// is proved, it is every node's.
-//
-// Example:
-//
-//	isHere := slices.Contains(state.Reached(), node)
+// ReachedNodes returns the nodes of the current and the earlier waves; after the
+// canary phase these are all nodes.
 func (s State) ReachedNodes() (nodes []string) {
 	for i, wave := range s.Waves {
 		if i <= s.Wave || s.Phase != Canary {
@@ -32,12 +25,8 @@
 	return nodes
 }
 
-// Waves parts nodes into waves: the first one, the others of its cell, and then
-// cell by cell.
-//
-// Example:
-//
-//	waves := rollout.Waves("edge-1", []string{"edge-1", "edge-2"}, cellOf)
+// PlanWaves divides the nodes into waves: the first node, the other nodes of its
+// zone, and then zone by zone.
 func PlanWaves(first string, nodes []string, zoneOf func(string) string) (waves [][]string) {
 	waves = append(waves, []string{first})
 	zoneIndex := map[string]int{}
@@ -62,30 +51,29 @@
 	return waves
 }
 
-// StageFacts are what the holder knows of a staged change at one moment.
+// StagedObservation is what the leader knows of a staged change at one moment.
 type StagedObservation struct {
 	Elapsed, InWave time.Duration
 	Finding         outlier.Finding
-	// Silent is a reached node that reports no more; IsUnheard, that one has not
-	// reported just now.
+	// SilentNode is a reached node that has stopped reporting. ReportMissing is
+	// set while a reached node has no recent report.
 	SilentNode    string
 	ReportMissing bool
-	// IsDoubled: a key with two runs was seen in the records since the order.
+	// DuplicateRun is set if the idempotency records show a key that was executed
+	// twice since the change was started.
 	DuplicateRun bool
-	// IsSuperseded: an ordinary change of one of the items came in between.
+	// Superseded is set if an ordinary change of one of the items was made
+	// meanwhile.
 	Superseded bool
-	// IsCommitted: the manifest holds the change.
+	// Committed is set once the configuration contains the change.
 	Committed bool
 }
 
-// leastInWave is how long a wave lasts at least: what turns late takes a while.
+// minWaveTime is the minimum time of a wave: late replies show only after a while.
 const minWaveTime = 1500 * time.Millisecond
 
-// NextWave is the event that the facts of a staged change come to.
-//
-// Example:
-//
-//	event, reason := state.NextWave(facts)
+// NextStaged returns the event that follows from an observation of a staged
+// change, and its reason, or NoEvent.
 func (s State) NextStaged(observed StagedObservation) (event Event, reason string) {
 	inWaves := s.Phase == Canary
 	switch {
@@ -96,15 +84,15 @@
 	case s.Phase == Draining:
 		return Drained, ""
 	case inWaves && observed.Superseded:
-		return Superseded, "an ordinary change of the same item came in between"
+		return Superseded, "an ordinary change of the same item was made meanwhile"
 	case inWaves && observed.DuplicateRun:
-		return Failed, "a key with two runs is in the records"
+		return Failed, "an idempotency key was executed twice"
 	case inWaves && observed.Finding.Verdict == outlier.Unfit:
 		return Failed, observed.Finding.Reason
 	case inWaves && observed.SilentNode != "":
-		return Failed, "node " + observed.SilentNode + " reports no more"
+		return Failed, "node " + observed.SilentNode + " stopped reporting"
 	case inWaves && s.duration()-observed.Elapsed <= 0:
-		return TimedOut, "undecided at the term: " + observed.Finding.Reason
+		return TimedOut, "undecided at the end of the rollout: " + observed.Finding.Reason
 	case !inWaves || observed.InWave < minWaveTime || observed.ReportMissing || observed.Finding.IsSuspect || observed.Finding.Verdict != outlier.Fit:
 		return NoEvent, ""
 	case s.Wave+1 < len(s.Waves):
@@ -113,11 +101,8 @@
 	return Passed, ""
 }
 
-// UsedUp names an item whose version fell back before, or an older one.
-//
-// Example:
-//
-//	if name := ended.UsedUp(items); name != "" { refuse(name) }
+// RevertedItem returns the name of an item whose version is not newer than the one
+// that this change reverted, or "".
 func (s State) RevertedItem(items []config.Item) string {
 	if s.Phase != Reverted {
 		return ""
--- a/internal/rollout/stage_test.go
+++ b/internal/rollout/stage_test.go
@@ -149,7 +149,7 @@
 		l := newLine(4)
 		l.silent = "a02"
 		l.run()
-		Expect(l.state.Reason).To(Equal("node a02 reports no more"))
+		Expect(l.state.Reason).To(Equal("node a02 stopped reporting"))
 		state := newLine(5).state
 		event, _ := state.NextStaged(rollout.StagedObservation{Elapsed: 2 * time.Minute})
 		Expect(event).To(Equal(rollout.TimedOut))
--- a/internal/rollout/state.go
+++ b/internal/rollout/state.go
@@ -1,6 +1,6 @@
-// Package rollout is the one state machine by which something new is brought in
-// under traffic: a service's version, or a staged change of lanes. It has no
-// clock, network or disk of its own.
+// Package rollout is the state machine that introduces a change under traffic: a
+// new version of a service, or a staged change of routes. It has no clock, network
+// or disk of its own.
 package rollout
 
 import (
@@ -10,67 +10,64 @@
 	"ploverhitch/internal/timetable"
 )
 
-// Phase is how far a trial has come. Phases only go forward, until another
-// order begins anew.
+// Phase is the progress of a rollout. Phases only go forward until another rollout
+// of the same subject starts.
 type Phase uint8
 
 // The phases.
 const (
-	// Idle: a version is in force and none was ever ordered.
+	// Idle means that no rollout was ever started; a version is in force.
 	Idle Phase = iota
-	// Trying: what is new gets a small share, or a first wave of nodes.
+	// Canary means that the change gets a small share of the traffic, or the first
+	// waves of nodes.
 	Canary
-	// Shifting: it was found fit and takes over, step by step.
+	// Shifting means that the change was found fit and traffic moves to it step by
+	// step.
 	Shifting
-	// Emptying: it has everything; what runs at the old one ends.
+	// Draining means that the change has all traffic; the requests still running at
+	// the old version end.
 	Draining
-	// Complete and Reverted are the ends.
+	// Complete and Reverted are the final phases.
 	Complete
 	Reverted
 )
 
 var phaseNames = [...]string{"idle", "trying", "shifting", "emptying", "complete", "reverted"}
 
-// String names the phase.
-//
-// Example:
-//
-//	rollout.Trying.String() // "trying"
+// String returns the phase's name in the operator API.
 func (p Phase) String() string { return phaseNames[p] }
 
-// IsActive tells whether the trial has not ended.
-//
-// Example:
-//
-//	if state.Phase.IsActive() { drive(state) }
+// IsActive reports whether a rollout is under way.
 func (p Phase) IsActive() bool { return p == Canary || p == Shifting || p == Draining }
 
-// Event is what moves a trial on.
+// Event moves a rollout to its next phase.
 type Event uint8
 
-// The events; None moves nothing.
+// The events; NoEvent changes nothing.
 const (
 	NoEvent Event = iota
 	Started
-	// WaveHeld: a wave of a staged change held, and another follows.
+	// WavePassed: a wave of a staged change passed and another one follows.
 	WavePassed
-	// Proved: what is new was found fit.
+	// Passed: the change was found fit.
 	Passed
-	// Shifted: it has everything.
+	// Shifted: the change has all traffic.
 	Shifted
-	// Emptied: nothing runs at the old one any more.
+	// Drained: no request runs at the old version any more.
 	Drained
-	// Harmed: it does harm. Lapsed: the term ends without an answer.
-	// Superseded: an ordinary change overtook it. Halted: the operator said so.
+	// Failed: the change does harm. TimedOut: the rollout's duration ends without
+	// a verdict. Superseded: an ordinary change of the same item was made. Halted:
+	// the operator stopped it.
 	Failed
 	TimedOut
 	Superseded
 	Halted
 )
 
+// abortEvents are the events that revert any active rollout.
 var abortEvents = map[Event]Phase{Failed: Reverted, TimedOut: Reverted, Superseded: Reverted, Halted: Reverted}
 
-// table says which phase follows on what; any other event is refused.
+// transitions holds by phase and event the next phase; other events are refused.
 var transitions = map[Phase]map[Event]Phase{
 	Idle:     {Started: Canary},
 	Canary:   withAborts(map[Event]Phase{WavePassed: Canary, Passed: Shifting}),
@@ -87,43 +84,37 @@
 	return events
 }
 
-// State is one subject's trial as a majority keeps it.
+// State is the state of one subject's rollout, stored on a majority of the members.
 type State struct {
-	// Subject is a service, or a staged change's own name.
+	// Subject is a service, or the name of a staged change with StagedPrefix.
 	Subject string `cbor:"1,keyasint"`
 	Number  uint64 `cbor:"2,keyasint"`
 	Phase   Phase  `cbor:"3,keyasint"`
-	// InForce is the version in force, Target the one last ordered.
+	// CurrentVersion is the version in force, TargetVersion the one of the last
+	// start command.
 	CurrentVersion string         `cbor:"4,keyasint,omitempty"`
 	TargetVersion  string         `cbor:"5,keyasint,omitempty"`
 	Duration       timetable.Span `cbor:"6,keyasint,omitempty"`
-	// Elapsed is how much of the term was over when this was written.
+	// Elapsed is the part of Duration that had passed when this state was written.
 	Elapsed timetable.Span `cbor:"7,keyasint,omitempty"`
 	Reason  string         `cbor:"8,keyasint,omitempty"`
-	// Term and Count order the writings: the duty's term, then its own count.
+	// Term and Count order the states: by the leader's term, then by its own count.
 	Term  uint64 `cbor:"9,keyasint"`
 	Count uint64 `cbor:"10,keyasint"`
-	// Items and Waves belong to a staged change: what it would make of the
-	// manifest, and the nodes that it reaches, wave by wave.
+	// Items and Waves belong to a staged change: the changed items of the
+	// configuration, and the nodes of each wave.
 	Items []config.Item `cbor:"11,keyasint,omitempty"`
 	Waves [][]string    `cbor:"12,keyasint,omitempty"`
 	Wave  int           `cbor:"13,keyasint,omitempty"`
 }
 
-// Outranks tells whether this writing is newer than the other.
-//
-// Example:
-//
-//	if incoming.Outranks(held) { keep(incoming) }
+// NewerThan reports whether this state was written after the other.
 func (s State) NewerThan(other State) bool {
 	return s.Term > other.Term || s.Term == other.Term && s.Count > other.Count
 }
 
-// Step is the state after an event, and whether the event has its place there.
-//
-// Example:
-//
-//	next, isDone := state.Step(rollout.Proved, "", 9*time.Second)
+// Apply returns the state after an event, and whether the event is allowed in the
+// current phase.
 func (s State) Apply(event Event, reason string, elapsed time.Duration) (next State, ok bool) {
 	phase, found := transitions[s.Phase][event]
 	if !found {
@@ -141,11 +132,8 @@
 	return next, true
 }
 
-// Order is the state after an order for the subject.
-//
-// Example:
-//
-//	next, isDone := state.Order("v2", timetable.Span(12*time.Second))
+// Start returns the state after a start command for the subject, and whether the
+// command is allowed in the current phase.
 func (s State) Start(target string, duration timetable.Span) (next State, ok bool) {
 	if next, ok = s.Apply(Started, "", 0); !ok {
 		return s, false
@@ -155,11 +143,7 @@
 	return next, true
 }
 
-// Answer is the state's name for operators: active, complete or reverted.
-//
-// Example:
-//
-//	rollout.State{Phase: rollout.Trying}.Answer() // "active"
+// Status returns the state's name for operators: active, complete or reverted.
 func (s State) Status() string {
 	if s.Phase.IsActive() {
 		return "active"
