--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -1,6 +1,6 @@
-// Package mirror copies whole conversations to a shadow build: every node
-// chooses the same ones with no talk between them, no copy ever reaches a server
-// that serves clients, and what came of the copies is counted, gaps included.
+// Package mirror copies whole conversations to a shadow service: every node selects
+// the same ones without coordination, no copy ever reaches a server that serves
+// clients, and the outcomes of the copies are counted, gaps included.
 package mirror
 
 import (
@@ -16,54 +16,54 @@
 	"ploverhitch/internal/shedding"
 )
 
-// Marker is the header that every copy bears, and that nothing which is to reach
-// a live server may bear.
+// ShadowHeader is the header that every copy carries and that no request to a live
+// server may carry.
 const ShadowHeader = "Ploverhitch-Shadow"
 
-// Mirror is an operator's order to copy conversations on some lanes to the
-// servers of a shadow service.
+// Mirror is an operator's configuration for copying conversations on some routes to
+// the servers of a shadow service.
 type Mirror struct {
 	Name   string   `json:"Name"`
 	Routes []string `json:"Routes,omitempty"`
 	Hosts  []string `json:"Hosts,omitempty"`
 	Shadow string   `json:"Shadow"`
-	// Share is the part of all conversations that is copied.
+	// Share is the fraction of all conversations that is copied.
 	Share float64 `json:"Share"`
-	// Header or Cookie names the conversation; without both the operation's key
-	// does, or else the client's address.
+	// Header or Cookie identifies the conversation; without them the idempotency
+	// key does, or else the client's address.
 	Header string `json:"Header,omitempty"`
 	Cookie string `json:"Cookie,omitempty"`
-	// Until is when the mirror ends by itself.
+	// Until is the time at which the mirror ends by itself.
 	Until time.Time `json:"Until"`
 }
 
-// Lane is what a mirror has to know of a lane.
+// Route holds the properties of a route that mirrors depend on.
 type Route struct {
 	Name, Host string
 	Services   []string
 }
 
-// Check looks at a mirror by itself. The error names field and reason.
+// Check validates a mirror on its own. The error names the field and the reason.
 func (m Mirror) Check() error {
 	err := validation.ValidateStruct(&m,
 		validation.Field(&m.Name, validation.Required),
 		validation.Field(&m.Shadow, validation.Required),
 		validation.Field(&m.Share, validation.Min(0.0), validation.Max(1.0)),
 		validation.Field(&m.Until, validation.Required),
-		validation.Field(&m.Cookie, validation.When(m.Header != "", validation.Empty.Error("stands beside Header; one of them names the conversation"))),
+		validation.Field(&m.Cookie, validation.When(m.Header != "", validation.Empty.Error("is set together with Header; only one of them may identify the conversation"))),
 		validation.Field(&m.Routes, validation.When(len(m.Hosts) == 0, validation.Required.Error("is empty, and so is Hosts"))),
 	)
 	return errors.Annotatef(err, "mirror %s", m.Name)
 }
 
-// Covers tells whether the mirror copies from a lane.
+// Covers reports whether the mirror copies requests of a route.
 func (m Mirror) Covers(route Route) bool {
 	return slices.Contains(m.Routes, route.Name) ||
 		slices.ContainsFunc(m.Hosts, func(host string) bool { return strings.EqualFold(host, route.Host) })
 }
 
-// CheckAll holds the mirrors that have not ended against the lanes and services
-// there are. The error names what does not fit.
+// CheckAll validates the mirrors that have not ended against the existing routes and
+// services, and against each other. The error names the conflict.
 func CheckAll(mirrors []Mirror, routes []Route, isService func(string) bool, now time.Time) error {
 	mirrorOfRoute := map[string]string{}
 	for _, m := range mirrors {
@@ -75,13 +75,13 @@
 		}
 		for _, route := range routes {
 			if slices.Contains(route.Services, m.Shadow) {
-				return errors.NotValidf("mirror %s: shadow service %s, to which lane %s delivers,", m.Name, m.Shadow, route.Name)
+				return errors.NotValidf("mirror %s: shadow service %s, to which route %s sends requests,", m.Name, m.Shadow, route.Name)
 			}
 			if !m.Covers(route) {
 				continue
 			}
 			if other, found := mirrorOfRoute[route.Name]; found {
-				return errors.NotValidf("mirror %s: lane %s, which mirror %s copies too,", m.Name, route.Name, other)
+				return errors.NotValidf("mirror %s: route %s, which mirror %s copies too,", m.Name, route.Name, other)
 			}
 			mirrorOfRoute[route.Name] = m.Name
 		}
@@ -89,12 +89,12 @@
 	return nil
 }
 
-// CheckNamed refuses a mirror that names a lane or a host which is not there. It
-// is asked when the mirror is sent; a lane may be dropped later.
+// CheckReferences rejects a mirror that names a route or a host that does not exist.
+// It is called when the mirror is submitted; a route may be removed later.
 func (m Mirror) CheckReferences(routes []Route) error {
 	for _, name := range m.Routes {
 		if !slices.ContainsFunc(routes, func(route Route) bool { return route.Name == name }) {
-			return errors.NotFoundf("mirror %s: lane %s", m.Name, name)
+			return errors.NotFoundf("mirror %s: route %s", m.Name, name)
 		}
 	}
 	for _, host := range m.Hosts {
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// Conversation is the name of the conversation that an inquiry belongs to: the
+// Conversation returns the name of the conversation that a request belongs to: the
 // same at every node and for every retry.
 func (m Mirror) Conversation(header http.Header, key, address string) string {
 	if m.Header != "" {
@@ -124,30 +124,33 @@
 	return "address " + address
 }
 
-// Draw is where the conversation falls between 0 and 1; it is copied while that is
-// below the share in force. It depends on the mirror's name and its shadow, and on
-// the conversation, so a change of the share adds or takes whole conversations.
+// SamplePoint maps the conversation to a number between 0 and 1; it is copied while
+// that is below the share in force. It depends only on the mirror's name and shadow
+// service, the tenant and the conversation, so a change of the share adds or removes
+// whole conversations.
 func (m Mirror) SamplePoint(tenant, conversation string) float64 {
 	return shedding.Draw(0, m.Name, m.Shadow, tenant, conversation)
 }
 
-// LifeOf is a node's part of the sum of all lives.
+// IncarnationHash returns a node's contribution to Grant.Incarnations, the XOR over
+// the nodes.
 func IncarnationHash(node, incarnation string) uint64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(node + "\x00" + incarnation))
 	return hash.Sum64()
 }
 
-// Grant lets the nodes copy for a mirror. It lapses as all grants do.
+// Grant allows the nodes to copy requests for a mirror. It expires like all grants.
 type Grant struct {
 	Name    string  `cbor:"1,keyasint" json:"Name"`
 	Version uint64  `cbor:"2,keyasint" json:"Version"`
 	Share   float64 `cbor:"3,keyasint" json:"Share"`
-	// Era numbers the spans within which no node came or went; only within one can
-	// a conversation be known to be whole.
+	// Era numbers the periods in which no node joined, left or restarted; only
+	// within one can a conversation be known to be complete.
 	Era uint64 `cbor:"4,keyasint" json:"Era"`
-	// Lives is the sum over the nodes of that era, each in its present life.
+	// Incarnations is the combined IncarnationHash of the nodes of the era, each in
+	// its current incarnation.
 	Incarnations uint64 `cbor:"6,keyasint" json:"Lives"`
-	// IsSettled: all nodes that report work by this grant's era.
+	// Settled is set once all reporting nodes use this grant's era.
 	Settled bool `cbor:"5,keyasint,omitempty" json:"IsSettled"`
 }
--- a/internal/mirror/recorder.go
+++ b/internal/mirror/recorder.go
@@ -7,49 +7,50 @@
 	"time"
 )
 
-// Outcome is what came of one copy beside its original.
+// Outcome is the result of comparing a copy's reply with its original's.
 type Outcome string
 
 // The outcomes of a copy.
 const (
 	Same Outcome = "same"
-	// Status: the class of the status differs; Body: the body does.
+	// StatusDiffers: the status class differs. BodyDiffers: the body differs.
 	StatusDiffers Outcome = "status"
 	BodyDiffers   Outcome = "body"
-	// Slow: the same reply, in more than twice the original's time.
+	// Slow: the same reply, but in more than twice the original's time.
 	Slow Outcome = "slow"
-	// Silent: no whole reply came; Turned: the shadow turned the copy away.
+	// NoReply: no complete reply arrived. Refused: the shadow rejected the copy.
 	NoReply Outcome = "silent"
 	Refused Outcome = "turned"
 )
 
-// IsDifferent tells whether the shadow did not do as the live side did.
+// Differs reports whether the shadow's reply differs from the live one; a slow reply
+// does not count.
 func (o Outcome) Differs() bool { return o != Same && o != Slow }
 
-// IsSlow tells whether a copy took more than twice as long as its original, and
-// long enough for that to say something.
+// IsSlow reports whether a copy took more than twice as long as its original, and
+// long enough for the difference to be significant.
 func IsSlow(live, shadow time.Duration) bool { return shadow > max(slowFactor*live, minSlowTime) }
 
-// Talk is one conversation as one node saw it in one era.
+// Conversation holds the counts of one conversation at one node in one era.
 type Conversation struct {
 	Hash uint64 `cbor:"1,keyasint"`
-	// Draw is where it falls between 0 and 1.
+	// SamplePoint is the result of Mirror.SamplePoint.
 	SamplePoint float64 `cbor:"2,keyasint" json:"Draw"`
 	Copies      uint32  `cbor:"3,keyasint"`
 	Compared    uint32  `cbor:"4,keyasint,omitempty"`
 	Differing   uint32  `cbor:"5,keyasint,omitempty" json:"Different"`
-	// Gaps are originals that were delivered, or may have been, and whose copy the
-	// shadow did not get.
+	// Gaps counts the originals that were delivered, or may have been, and whose
+	// copy did not reach the shadow.
 	Gaps uint32 `cbor:"6,keyasint,omitempty"`
-	// IsPartial: it was met before every node had the order.
+	// Partial is set if a request was seen before every node had the grant.
 	Partial bool `cbor:"7,keyasint,omitempty" json:"IsPartial"`
 }
 
-// IsWhole tells whether all of the conversation's copies reached the shadow and
+// IsWhole reports whether all of the conversation's copies reached the shadow and
 // were compared, as far as this node knows.
 func (c Conversation) IsWhole() bool { return !c.Partial && c.Gaps == 0 && c.Compared == c.Copies }
 
-// Example is a difference for operators to look at, without its bodies.
+// Example is one difference for operators to inspect, without the bodies.
 type Example struct {
 	Route        string  `cbor:"1,keyasint" json:"Route"`
 	Attempt      string  `cbor:"2,keyasint" json:"Attempt"`
@@ -60,15 +61,15 @@
 	ShadowMs     int64   `cbor:"7,keyasint" json:"TookMs"`
 }
 
-// Page is what one node knows of one mirror.
+// Results are one node's results for one mirror.
 type Results struct {
 	Grant Grant `cbor:"1,keyasint"`
-	// Counts are the outcomes by lane; Gaps, why copies were not sent.
+	// Counts holds the outcomes by route, Gaps the copies not sent by reason.
 	Counts        map[string]map[Outcome]uint64 `cbor:"2,keyasint,omitempty"`
 	Gaps          map[string]uint64             `cbor:"3,keyasint,omitempty"`
 	Conversations []Conversation                `cbor:"4,keyasint,omitempty" json:"Talks"`
 	Examples      []Example                     `cbor:"5,keyasint,omitempty"`
-	// Untracked are conversations beyond what the node keeps.
+	// Untracked counts the requests of conversations beyond the node's limit.
 	Untracked uint64 `cbor:"6,keyasint,omitempty"`
 }
 
@@ -79,22 +80,23 @@
 	minSlowTime      = 20 * time.Millisecond
 )
 
-// Record keeps what one node knows of one mirror.
+// Recorder collects one node's results for one mirror.
 type Recorder struct {
 	lock          sync.Mutex
 	results       Results
 	conversations map[uint64]*Conversation
-	// number counts the copies, told those that were told as sent or as gaps.
+	// lastNumber is the number of the last copy; reportedCopied and reportedLost
+	// are the values of copied and lost in the last report.
 	lastNumber                   uint64
 	copied, lost                 uint64
 	reportedCopied, reportedLost uint64
 }
 
-// NewRecord makes an empty record.
+// NewRecorder returns an empty recorder.
 func NewRecorder() *Recorder { return &Recorder{conversations: map[uint64]*Conversation{}} }
 
-// Under takes the grant in force. With a new version or era all begins anew: of
-// what was before, nothing is claimed.
+// SetGrant sets the grant in force. A new version or era discards all earlier
+// results, as they cannot be known to be complete.
 func (r *Recorder) SetGrant(grant Grant) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -104,7 +106,7 @@
 	r.results.Grant = grant
 }
 
-// Meet notes an original of a conversation that is copied, and gives the copy its
+// AddOriginal counts an original of a copied conversation, and returns the copy's
 // number and era.
 func (r *Recorder) AddOriginal(hash uint64, samplePoint float64) (number, era uint64) {
 	r.lock.Lock()
@@ -125,7 +127,7 @@
 	return r.lastNumber, r.results.Grant.Era
 }
 
-// Miss notes that the shadow does not get the copy of an original.
+// AddGap counts an original whose copy does not reach the shadow.
 func (r *Recorder) AddGap(hash, era uint64, reason string) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -139,7 +141,7 @@
 	}
 }
 
-// Compare notes what came of a copy.
+// AddComparison counts the outcome of a copy.
 func (r *Recorder) AddComparison(hash, era uint64, example Example) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -161,7 +163,7 @@
 	}
 }
 
-// Page is all that is known, for the inspector.
+// Results returns a copy of all results, for the inspector.
 func (r *Recorder) Results() Results {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -184,15 +186,15 @@
 	return out
 }
 
-// Tally is what a node tells the holder of the duty of one mirror since it last
-// told.
+// CountDelta holds the copies of one mirror that a node reports to the leader: those
+// since its last report.
 type CountDelta struct {
 	Name   string `cbor:"1,keyasint"`
 	Copied uint64 `cbor:"2,keyasint,omitempty"`
 	Lost   uint64 `cbor:"3,keyasint,omitempty"`
 }
 
-// Tell is the tally since the last telling.
+// TakeDelta returns the counts since its last call.
 func (r *Recorder) TakeDelta(name string) CountDelta {
 	r.lock.Lock()
 	defer r.lock.Unlock()
--- a/internal/outlier/court.go
+++ b/internal/outlier/court.go
@@ -146,7 +146,7 @@
 //
 // Example:
 //
-//	lives := court.Lives(2500*time.Millisecond, loopline.LifeOf)
+//	lives := court.Lives(2500*time.Millisecond, mirror.IncarnationHash)
 func (c *Court) Lives(span time.Duration, figure func(node, life string) uint64) (sum uint64) {
 	for node, held := range c.witnesses {
 		if c.IsFresh(node, span) {
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -15,205 +15,206 @@
 	"ploverhitch/internal/timetable"
 )
 
-func TestTrial(t *testing.T) {
+func TestRollout(t *testing.T) {
 	RegisterFailHandler(Fail)
 	RunSpecs(t, "rollout")
 }
 
-var plan = rollout.Bounds{CanaryShare: 0.1, CommandTimeout: 4 * time.Second}
-
-// world is a slow plain model of a service under a trial: proxies that hear the
-// share late or not at all, restart, and send single inquiries.
-type world struct {
-	hand   *timetable.Hand
-	random *rand.Rand
-	court  *outlier.Court
-	state  rollout.State
-	phase  time.Duration
-	// bad tells the chance of a bad reply on trial, by elapsed time and lane.
-	bad func(elapsed time.Duration, lane string, part float64) float64
-	// deaf is the part of the proxies that hear nothing after a while.
-	deaf float64
-
-	boxes      []*outlier.Box
-	lives      []int
-	allowances []*balancer.Allowance
-	heardPart  []float64
-	heardAt    []time.Duration
-	part       float64
-
-	total, onTrial, badReplies int
-	fiftieth                   time.Duration
-	lastTrial                  time.Duration
+var bounds = rollout.Bounds{CanaryShare: 0.1, CommandTimeout: 4 * time.Second}
+
+// serviceModel is a simple model of a service during a rollout: its proxies receive
+// the share late or not at all, restart, and send single requests.
+type serviceModel struct {
+	clock          *timetable.Hand
+	random         *rand.Rand
+	detector       *outlier.Court
+	state          rollout.State
+	phaseStartedAt time.Duration
+	// faultRate is the probability of a failed reply of the new version, by elapsed
+	// time, route and share.
+	faultRate func(elapsed time.Duration, route string, share float64) float64
+	// unreachable is the fraction of the proxies that receive nothing after 3 s.
+	unreachable float64
+
+	counters       []*outlier.Box
+	incarnations   []int
+	allowances     []*balancer.Allowance
+	receivedShares []float64
+	receivedAt     []time.Duration
+	share          float64
+
+	total, canaryRequests, canaryFailures int
+	fiftiethFailureAt                     time.Duration
+	lastCanaryAt                          time.Duration
 }
 
 const (
-	proxies  = 20
-	perTick  = 20 // inquiries of all proxies in 20 ms: 1000 a second
-	tick     = 20 * time.Millisecond
-	granted  = 1200 * time.Millisecond
-	duration = 14 * time.Second
+	proxies         = 20
+	requestsPerTick = 20 // requests of all proxies in 20 ms: 1000 per second
+	tick            = 20 * time.Millisecond
+	shareLifetime   = 1200 * time.Millisecond
+	duration        = 14 * time.Second
 )
 
-func newWorld(seed uint64) *world {
-	w := &world{hand: &timetable.Hand{}, random: rand.New(rand.NewPCG(seed, 3))}
-	w.court = outlier.NewCourt(w.hand)
-	w.state, _ = rollout.State{Subject: "s", CurrentVersion: "v1"}.Start("v2", timetable.Span(duration))
+func newServiceModel(seed uint64) *serviceModel {
+	m := &serviceModel{clock: &timetable.Hand{}, random: rand.New(rand.NewPCG(seed, 3))}
+	m.detector = outlier.NewCourt(m.clock)
+	m.state, _ = rollout.State{Subject: "s", CurrentVersion: "v1"}.Start("v2", timetable.Span(duration))
 	for range proxies {
-		w.boxes, w.allowances = append(w.boxes, outlier.NewBox()), append(w.allowances, &balancer.Allowance{})
-		w.lives, w.heardPart, w.heardAt = append(w.lives, 0), append(w.heardPart, 0), append(w.heardAt, -time.Hour)
+		m.counters, m.allowances = append(m.counters, outlier.NewBox()), append(m.allowances, &balancer.Allowance{})
+		m.incarnations, m.receivedShares, m.receivedAt = append(m.incarnations, 0), append(m.receivedShares, 0), append(m.receivedAt, -time.Hour)
 	}
-	w.bad = func(time.Duration, string, float64) float64 { return 0.004 }
-	return w
+	m.faultRate = func(time.Duration, string, float64) float64 { return 0.004 }
+	return m
 }
 
-func (w *world) send(proxy int) {
-	w.total++
-	lane := []string{"read", "read", "read", "read", "read", "read", "read", "read", "read", "rare"}[w.random.IntN(10)]
-	now := w.hand.Now
-	isTrial := now-w.heardAt[proxy] < granted && w.heardPart[proxy] > 0 &&
-		w.allowances[proxy].Take(w.state.Number, w.heardPart[proxy], lane)
+func (m *serviceModel) send(proxy int) {
+	m.total++
+	route := []string{"read", "read", "read", "read", "read", "read", "read", "read", "read", "rare"}[m.random.IntN(10)]
+	now := m.clock.Now
+	onCanary := now-m.receivedAt[proxy] < shareLifetime && m.receivedShares[proxy] > 0 &&
+		m.allowances[proxy].Take(m.state.Number, m.receivedShares[proxy], route)
 	outcome := outlier.Good
 	chance := 0.004
-	if isTrial {
-		w.onTrial++
-		w.lastTrial = now
-		chance = w.bad(now, lane, w.heardPart[proxy])
+	if onCanary {
+		m.canaryRequests++
+		m.lastCanaryAt = now
+		chance = m.faultRate(now, route, m.receivedShares[proxy])
 	}
-	if w.random.Float64() < chance {
+	if m.random.Float64() < chance {
 		outcome = outlier.Failed
-		if isTrial {
-			if w.badReplies++; w.badReplies == 50 {
-				w.fiftieth = now
+		if onCanary {
+			if m.canaryFailures++; m.canaryFailures == 50 {
+				m.fiftiethFailureAt = now
 			}
 		}
 	}
-	w.boxes[proxy].Note(outlier.Mark{Subject: "s", Number: w.state.Number, Lane: lane, IsTrial: isTrial}, outcome)
+	m.counters[proxy].Note(outlier.Mark{Subject: "s", Number: m.state.Number, Lane: route, IsTrial: onCanary}, outcome)
 }
 
-func (w *world) facts(behind int) rollout.Observation {
+func (m *serviceModel) observe(behind int) rollout.Observation {
 	touch := outlier.Touch{Proxies: proxies, Behind: behind}
-	return rollout.Observation{Elapsed: w.hand.Now, InPhase: w.hand.Now - w.phase, Finding: w.court.Hearing("s", w.state.Number, 0), ReadyCapacity: 100, OldCapacity: 100, ProxyProgress: touch}
+	return rollout.Observation{Elapsed: m.clock.Now, InPhase: m.clock.Now - m.phaseStartedAt, Finding: m.detector.Hearing("s", m.state.Number, 0), ReadyCapacity: 100, OldCapacity: 100, ProxyProgress: touch}
 }
 
-// run plays until the term's end.
-func (w *world) run() {
-	for w.hand.Now < duration {
-		for range perTick {
-			w.send(w.random.IntN(proxies))
+// run simulates the whole duration of the rollout.
+func (m *serviceModel) run() {
+	for m.clock.Now < duration {
+		for range requestsPerTick {
+			m.send(m.random.IntN(proxies))
 		}
-		w.hand.Sleep(tick)
-		if w.hand.Now%(100*time.Millisecond) != 0 {
+		m.clock.Sleep(tick)
+		if m.clock.Now%(100*time.Millisecond) != 0 {
 			continue
 		}
 		for i := range proxies {
-			isDeaf := float64(i) < w.deaf*proxies && w.hand.Now > 3*time.Second
-			if !isDeaf && w.random.IntN(3) > 0 { // news that comes late, or not
-				w.heardPart[i], w.heardAt[i] = w.part, w.hand.Now
+			unreachable := float64(i) < m.unreachable*proxies && m.clock.Now > 3*time.Second
+			if !unreachable && m.random.IntN(3) > 0 { // updates that arrive late or not at all
+				m.receivedShares[i], m.receivedAt[i] = m.share, m.clock.Now
 			}
-			if w.random.IntN(400) == 0 { // a restart forgets its counts
-				w.boxes[i], w.allowances[i] = outlier.NewBox(), &balancer.Allowance{}
-				w.lives[i]++
+			if m.random.IntN(400) == 0 { // a restart loses the counts
+				m.counters[i], m.allowances[i] = outlier.NewBox(), &balancer.Allowance{}
+				m.incarnations[i]++
 			}
-			if w.random.IntN(2) == 0 {
-				report := w.boxes[i].Report(fmt.Sprint(i), fmt.Sprint(w.lives[i]))
-				w.court.Hear(report)
-				if w.random.IntN(10) == 0 {
-					w.court.Hear(report)
+			if m.random.IntN(2) == 0 {
+				report := m.counters[i].Report(fmt.Sprint(i), fmt.Sprint(m.incarnations[i]))
+				m.detector.Hear(report)
+				if m.random.IntN(10) == 0 {
+					m.detector.Hear(report)
 				}
 			}
 		}
-		w.court.Tend()
-		facts := w.facts(0)
-		if event, reason := w.state.Next(facts); event != rollout.NoEvent {
-			next, isDone := w.state.Apply(event, reason, w.hand.Now)
-			Expect(isDone).To(BeTrue())
-			w.state, w.phase = next, w.hand.Now
+		m.detector.Tend()
+		observed := m.observe(0)
+		if event, reason := m.state.Next(observed); event != rollout.NoEvent {
+			next, ok := m.state.Apply(event, reason, m.clock.Now)
+			Expect(ok).To(BeTrue())
+			m.state, m.phaseStartedAt = next, m.clock.Now
 		}
-		w.part = w.state.Share(plan, w.facts(0))
+		m.share = m.state.Share(bounds, m.observe(0))
 	}
 }
 
-var _ = Describe("a trial", func() {
-	It("completes with a version that is fit, before its term", func() {
+var _ = Describe("a rollout", func() {
+	It("completes with a fit version before its duration ends", func() {
 		for seed := range uint64(12) {
-			w := newWorld(seed)
-			w.run()
-			Expect(w.state.Phase).To(Equal(rollout.Complete), "seed %d: %s", seed, w.state.Reason)
-			Expect(w.state.CurrentVersion).To(Equal("v2"))
-			Expect(w.state.Elapsed.Std()).To(BeNumerically("<", duration))
+			m := newServiceModel(seed)
+			m.run()
+			Expect(m.state.Phase).To(Equal(rollout.Complete), "seed %d: %s", seed, m.state.Reason)
+			Expect(m.state.CurrentVersion).To(Equal("v2"))
+			Expect(m.state.Elapsed.Std()).To(BeNumerically("<", duration))
 		}
 	})
 
-	DescribeTable("reverts a bad version, within its exposure and on time",
-		func(bad func(elapsed time.Duration, lane string, part float64) float64) {
+	DescribeTable("reverts a bad version within its exposure limit and on time",
+		func(faultRate func(elapsed time.Duration, route string, share float64) float64) {
 			for seed := range uint64(12) {
-				w := newWorld(seed)
-				w.bad, w.deaf = bad, 0.1
-				w.run()
-				Expect(w.state.Phase).To(Equal(rollout.Reverted), "seed %d", seed)
-				Expect(w.state.CurrentVersion).To(Equal("v1"))
-				Expect(float64(w.onTrial)).To(BeNumerically("<", 0.1*float64(w.total)+50), "seed %d", seed)
-				if w.fiftieth > 0 {
-					Expect(w.lastTrial - w.fiftieth).To(BeNumerically("<", 3*time.Second))
+				m := newServiceModel(seed)
+				m.faultRate, m.unreachable = faultRate, 0.1
+				m.run()
+				Expect(m.state.Phase).To(Equal(rollout.Reverted), "seed %d", seed)
+				Expect(m.state.CurrentVersion).To(Equal("v1"))
+				Expect(float64(m.canaryRequests)).To(BeNumerically("<", 0.1*float64(m.total)+50), "seed %d", seed)
+				if m.fiftiethFailureAt > 0 {
+					Expect(m.lastCanaryAt - m.fiftiethFailureAt).To(BeNumerically("<", 3*time.Second))
 				}
 			}
 		},
-		Entry("from the start", func(time.Duration, string, float64) float64 { return 0.5 }),
-		Entry("late", func(elapsed time.Duration, _ string, _ float64) float64 { return after(elapsed, 3*time.Second) }),
-		Entry("very late", func(elapsed time.Duration, _ string, _ float64) float64 { return after(elapsed, 8*time.Second) }),
-		Entry("on one lane", func(_ time.Duration, lane string, _ float64) float64 {
-			if lane == "rare" {
+		Entry("failing from the start", func(time.Duration, string, float64) float64 { return 0.5 }),
+		Entry("failing after 3 s", func(elapsed time.Duration, _ string, _ float64) float64 { return failsAfter(elapsed, 3*time.Second) }),
+		Entry("failing after 8 s", func(elapsed time.Duration, _ string, _ float64) float64 { return failsAfter(elapsed, 8*time.Second) }),
+		Entry("failing on one route", func(_ time.Duration, route string, _ float64) float64 {
+			if route == "rare" {
 				return 0.5
 			}
 			return 0.004
 		}),
-		Entry("under load", func(_ time.Duration, _ string, part float64) float64 {
-			if part > 0.3 {
+		Entry("failing under load", func(_ time.Duration, _ string, share float64) float64 {
+			if share > 0.3 {
 				return 0.5
 			}
 			return 0.004
 		}),
 	)
 
-	It("does not complete on no evidence, and says why", func() {
+	It("does not complete without evidence, and gives the reason", func() {
 		state, _ := rollout.State{Subject: "s", CurrentVersion: "v1"}.Start("v2", timetable.Span(duration))
-		court := outlier.NewCourt(&timetable.Hand{})
-		facts := rollout.Observation{Elapsed: duration - 500*time.Millisecond, Finding: court.Hearing("s", 1, 0), ReadyCapacity: 100, OldCapacity: 100}
-		event, reason := state.Next(facts)
+		detector := outlier.NewCourt(&timetable.Hand{})
+		observed := rollout.Observation{Elapsed: duration - 500*time.Millisecond, Finding: detector.Hearing("s", 1, 0), ReadyCapacity: 100, OldCapacity: 100}
+		event, reason := state.Next(observed)
 		Expect(event).To(Equal(rollout.TimedOut))
 		Expect(reason).To(ContainSubstring("too little is seen"))
 	})
 
-	It("goes on only from where it is: every event out of place is refused", func() {
+	It("rejects every event that its phase does not allow", func() {
 		state, _ := rollout.State{Subject: "s", CurrentVersion: "v1"}.Start("v2", timetable.Span(duration))
 		for _, event := range []rollout.Event{rollout.Shifted, rollout.Drained, rollout.Started} {
-			_, isDone := state.Apply(event, "", 0)
-			Expect(isDone).To(BeFalse())
+			_, ok := state.Apply(event, "", 0)
+			Expect(ok).To(BeFalse())
 		}
 		ended, _ := state.Apply(rollout.Failed, "", 0)
 		for _, event := range []rollout.Event{rollout.Passed, rollout.Shifted, rollout.Drained, rollout.Failed, rollout.TimedOut} {
-			_, isDone := ended.Apply(event, "", 0)
-			Expect(isDone).To(BeFalse())
+			_, ok := ended.Apply(event, "", 0)
+			Expect(ok).To(BeFalse())
 		}
 		Expect(ended.Status()).To(Equal("reverted"))
 	})
 
-	It("takes the last order once more for a while, and another one only after the end", func() {
+	It("recognizes a repeated command for a while, and starts another rollout only after the end", func() {
 		state, _ := rollout.State{Subject: "s", CurrentVersion: "v1"}.Start("v2", timetable.Span(duration))
-		Expect(state.IsRepeat("v2", timetable.Span(duration), time.Second, plan)).To(BeTrue())
-		Expect(state.IsRepeat("v3", timetable.Span(duration), time.Second, plan)).To(BeFalse())
-		_, isDone := state.Start("v3", timetable.Span(duration))
-		Expect(isDone).To(BeFalse())
+		Expect(state.IsRepeat("v2", timetable.Span(duration), time.Second, bounds)).To(BeTrue())
+		Expect(state.IsRepeat("v3", timetable.Span(duration), time.Second, bounds)).To(BeFalse())
+		_, ok := state.Start("v3", timetable.Span(duration))
+		Expect(ok).To(BeFalse())
 		ended, _ := state.Apply(rollout.TimedOut, "", duration)
-		Expect(ended.IsRepeat("v2", timetable.Span(duration), time.Minute, plan)).To(BeFalse())
-		next, isDone := ended.Start("v2", timetable.Span(duration))
-		Expect(isDone).To(BeTrue())
+		Expect(ended.IsRepeat("v2", timetable.Span(duration), time.Minute, bounds)).To(BeFalse())
+		next, ok := ended.Start("v2", timetable.Span(duration))
+		Expect(ok).To(BeTrue())
 		Expect(next.Number).To(BeEquivalentTo(2))
 	})
 })
 
-func after(elapsed, start time.Duration) float64 {
+func failsAfter(elapsed, start time.Duration) float64 {
 	if elapsed > start {
 		return 0.5
 	}
