--- a/internal/rollout/decide.go
+++ b/internal/rollout/decide.go
@@ -35,8 +35,10 @@
 	// shifting traffic to the new version; maxShiftTime is its upper limit.
 	shiftFraction = 0.4
 	maxShiftTime  = 5 * time.Second
-	endFraction   = 0.06
-	maxEndTime    = 700 * time.Millisecond
+	// endFraction is the fraction of a rollout's duration before its end at which an
+	// undecided rollout is ended; maxEndTime is its upper limit.
+	endFraction = 0.06
+	maxEndTime  = 700 * time.Millisecond
 	// minReadyFraction is the part of the old servers' capacity that the new
 	// servers must have before traffic is shifted to them.
 	minReadyFraction = 0.7
