--- a/internal/config/extensions.go
+++ b/internal/config/extensions.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"ploverhitch/internal/apierror"
-	"ploverhitch/internal/loopline"
+	"ploverhitch/internal/mirror"
 	"ploverhitch/internal/shedding"
 	"ploverhitch/internal/sites"
 )
@@ -19,7 +19,7 @@
 	SiteItem: {"site", func(body json.RawMessage) error { return json.Unmarshal(body, &sites.Site{}) }},
 	PlanItem: {"plan", func(body json.RawMessage) error { return json.Unmarshal(body, &shedding.Plan{}) }},
 	MirrorItem: {"mirror", func(body json.RawMessage) error {
-		var mirror loopline.Mirror
+		var mirror mirror.Mirror
 		if err := json.Unmarshal(body, &mirror); err != nil {
 			return err
 		}
@@ -102,9 +102,9 @@
 	return out
 }
 
-func (s ItemSet) mirrorRoutes() (out []loopline.Lane) {
+func (s ItemSet) mirrorRoutes() (out []mirror.Route) {
 	s.eachRoute(func(route RouteSpec, host string) {
-		out = append(out, loopline.Lane{Name: route.Name, Host: host, Services: route.Services()})
+		out = append(out, mirror.Route{Name: route.Name, Host: host, Services: route.Services()})
 	})
 	return out
 }
@@ -119,8 +119,8 @@
 }
 
 // Mirrors returns the configured mirrors and their versions.
-func (s ItemSet) Mirrors() ([]loopline.Mirror, []Version) {
-	return decodeClass[loopline.Mirror](s, MirrorItem)
+func (s ItemSet) Mirrors() ([]mirror.Mirror, []Version) {
+	return decodeClass[mirror.Mirror](s, MirrorItem)
 }
 
 // CheckExtensions validates the extension items of an updated set against its routes and
@@ -132,10 +132,10 @@
 		return found && !item.Removed
 	}
 	mirrors, _ := s.Mirrors()
-	var routes []loopline.Lane
+	var routes []mirror.Route
 	if len(mirrors) > 0 {
 		routes = s.mirrorRoutes()
-		if err := loopline.CheckAll(mirrors, routes, serviceExists, now); err != nil {
+		if err := mirror.CheckAll(mirrors, routes, serviceExists, now); err != nil {
 			return apierror.New(apierror.InvalidManifest, err.Error())
 		}
 	}
@@ -146,9 +146,9 @@
 		case item.ID.Class == PlanItem:
 			err = s.checkPlan(item)
 		case item.ID.Class == MirrorItem:
-			var mirror loopline.Mirror
+			var mirror mirror.Mirror
 			if err = json.Unmarshal(item.Body, &mirror); err == nil {
-				err = mirror.CheckNamed(routes)
+				err = mirror.CheckReferences(routes)
 			}
 		}
 		if err != nil {
--- a/internal/config/routing_table.go
+++ b/internal/config/routing_table.go
@@ -5,7 +5,7 @@
 	"sort"
 	"strings"
 
-	"ploverhitch/internal/loopline"
+	"ploverhitch/internal/mirror"
 	"ploverhitch/internal/shedding"
 )
 
@@ -22,7 +22,7 @@
 
 // Mirror is a mirror with its version.
 type Mirror struct {
-	loopline.Mirror
+	mirror.Mirror
 	Version Version
 }
 
@@ -100,10 +100,10 @@
 
 func (t *RoutingTable) assignMirrors(items ItemSet) {
 	mirrors, versions := items.Mirrors()
-	for i, mirror := range mirrors {
-		versioned := &Mirror{mirror, versions[i]}
+	for i, declared := range mirrors {
+		versioned := &Mirror{declared, versions[i]}
 		t.eachRoute(func(route *Route) {
-			if mirror.Covers(loopline.Lane{Name: route.Name, Host: route.Host}) {
+			if declared.Covers(mirror.Route{Name: route.Name, Host: route.Host}) {
 				route.Mirror = versioned
 			}
 		})
--- a/internal/control/commands.go
+++ b/internal/control/commands.go
@@ -7,7 +7,7 @@
 	"ploverhitch/internal/clock"
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/messages"
-	"ploverhitch/internal/trial"
+	"ploverhitch/internal/rollout"
 )
 
 // runCommand runs an operator's command in the coordinator's loop and replies with the
@@ -53,14 +53,14 @@
 		c.recordRepeat(state)
 		return apierror.None, ""
 	case state.Phase.IsActive():
-		return apierror.OrderInProgress, "the rollout of version " + state.Target + " is in progress"
+		return apierror.OrderInProgress, "the rollout of version " + state.TargetVersion + " is in progress"
 	}
-	next, permitted := state.Order(in.Target, clock.Duration(in.Duration))
+	next, permitted := state.Start(in.Target, clock.Duration(in.Duration))
 	if !permitted {
 		return apierror.OrderInProgress, ""
 	}
-	if in.Target == state.InForce {
-		next.Phase, next.Reason = trial.Complete, "the version is in force"
+	if in.Target == state.CurrentVersion {
+		next.Phase, next.Reason = rollout.Complete, "the version is in force"
 	}
 	c.detector.ForgetBefore(in.Service, next.Number)
 	if err := c.commitState(next); err != nil {
@@ -71,9 +71,9 @@
 	return apierror.None, ""
 }
 
-func (c *coordinator) rolloutPlan() trial.Plan {
+func (c *coordinator) rolloutPlan() rollout.Bounds {
 	bounds := c.settings.Load().Platform.Bounds
-	return trial.Plan{CanaryShare: bounds.CanaryShare, Ack: bounds.Ack.Std()}
+	return rollout.Bounds{CanaryShare: bounds.CanaryShare, CommandTimeout: bounds.Ack.Std()}
 }
 
 // repeatedCommand is the time of the last repetition of an accepted command.
@@ -84,7 +84,7 @@
 
 // sinceCommand returns the time since the command of a rollout was last received. An
 // operator whose acknowledgements are lost repeats it, even after the rollout has ended.
-func (c *coordinator) sinceCommand(state trial.State) time.Duration {
+func (c *coordinator) sinceCommand(state rollout.State) time.Duration {
 	last := c.rolloutStartedAt(state)
 	if repeated := c.repeatedCommands[state.Subject]; repeated.number == state.Number {
 		last = max(last, repeated.at)
@@ -92,6 +92,6 @@
 	return time.Duration(c.clock.Monotonic() - last)
 }
 
-func (c *coordinator) recordRepeat(state trial.State) {
+func (c *coordinator) recordRepeat(state rollout.State) {
 	c.repeatedCommands[state.Subject] = repeatedCommand{state.Number, c.clock.Monotonic()}
 }
--- a/internal/control/commands_test.go
+++ b/internal/control/commands_test.go
@@ -9,12 +9,12 @@
 	"ploverhitch/internal/clock"
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/messages"
+	"ploverhitch/internal/rollout"
 	"ploverhitch/internal/settings"
-	"ploverhitch/internal/trial"
 )
 
 // newTestCoordinator returns the coordinator of a leader that stores the state of a rollout.
-func newTestCoordinator(state trial.State) (*coordinator, *clock.Manual) {
+func newTestCoordinator(state rollout.State) (*coordinator, *clock.Manual) {
 	manualClock := &clock.Manual{Now: time.Hour}
 	n := &node{self: "self", clock: manualClock, log: func(string, string, ...any) {}}
 	set := &settings.Settings{}
@@ -28,7 +28,7 @@
 
 func TestRepeatedStartCommandStartsNoSecondRollout(t *testing.T) {
 	duration := clock.Duration(9 * time.Second)
-	c, manualClock := newTestCoordinator(trial.State{Subject: "s", Number: 1, Target: "v2", Duration: duration, Phase: trial.Reverted})
+	c, manualClock := newTestCoordinator(rollout.State{Subject: "s", Number: 1, TargetVersion: "v2", Duration: duration, Phase: rollout.Reverted})
 	for range 5 {
 		manualClock.Now += 15 * time.Second
 		kind, detail := c.startRollout(messages.StartRollout{Service: "s", Target: "v2", Duration: int64(duration)})
@@ -44,8 +44,8 @@
 
 func TestRepeatedStagedStartAndHaltAreAccepted(t *testing.T) {
 	items := []config.Item{{ID: config.ID{Class: config.RouteItem, Name: "l"}, Version: 2}}
-	subject := trial.StagePrefix + "change"
-	c, manualClock := newTestCoordinator(trial.State{Subject: subject, Number: 1, Items: items, Phase: trial.Reverted, Reason: haltedByOperator})
+	subject := rollout.StagedPrefix + "change"
+	c, manualClock := newTestCoordinator(rollout.State{Subject: subject, Number: 1, Items: items, Phase: rollout.Reverted, Reason: haltedByOperator})
 	for range 3 {
 		manualClock.Now += 15 * time.Second
 		if kind, detail := c.startStagedChange(messages.StagedChange{Name: "change", Items: items}); kind != apierror.None {
@@ -59,7 +59,7 @@
 
 func TestCommandThatWaitedLongerThanItsCallerHasNoEffect(t *testing.T) {
 	for wait, late := range map[time.Duration]bool{commandTimeout - time.Millisecond: false, commandTimeout: true} {
-		c, manualClock := newTestCoordinator(trial.State{Subject: "s"})
+		c, manualClock := newTestCoordinator(rollout.State{Subject: "s"})
 		c.isLeader.Store(true)
 		results := make(chan messages.OrderResponse, 1)
 		executed := false
--- a/internal/control/grades.go
+++ b/internal/control/grades.go
@@ -7,7 +7,7 @@
 
 	"ploverhitch/internal/balancer"
 	"ploverhitch/internal/feed"
-	"ploverhitch/internal/trial"
+	"ploverhitch/internal/rollout"
 )
 
 // assignGrades sets the grade of each server, which determines the requests that it may
@@ -17,7 +17,7 @@
 	for i, server := range fleet.Servers {
 		state, known := c.states[server.Service]
 		switch {
-		case !c.tracksVersions() || !known || state.InForce == "" || server.Revision == state.InForce:
+		case !c.tracksVersions() || !known || state.CurrentVersion == "" || server.Revision == state.CurrentVersion:
 			fleet.Servers[i].Admission = feed.Open
 		default:
 			fleet.Servers[i].Admission = feed.Blocked
@@ -53,9 +53,9 @@
 
 // grantShare grants the target version of a rollout its share of the requests, on as many
 // servers as make each of them about as busy as one that runs the version in force.
-func (c *coordinator) grantShare(fleet *feed.Fleet, state trial.State, progress *rolloutProgress) {
+func (c *coordinator) grantShare(fleet *feed.Fleet, state rollout.State, progress *rolloutProgress) {
 	inPhase := time.Duration(c.clock.Monotonic() - progress.phaseStartedAt)
-	share := state.Share(c.rolloutPlan(), trial.Facts{InPhase: inPhase, Finding: progress.finding})
+	share := state.Share(c.rolloutPlan(), rollout.Observation{InPhase: inPhase, Finding: progress.finding})
 	fleet.Shares = append(fleet.Shares, feed.CanaryShare{Service: state.Subject, Number: state.Number, Fraction: share})
 	current, target := splitByVersion(fleet.Servers, state)
 	count := max(2, int(math.Ceil(share*float64(len(current))*serverCountFactor)))
@@ -78,13 +78,13 @@
 
 // splitByVersion returns the indexes of a service's ready servers that run the version in
 // force, and of those that run the target version.
-func splitByVersion(servers []feed.Server, state trial.State) (current, target []int) {
+func splitByVersion(servers []feed.Server, state rollout.State) (current, target []int) {
 	for i, server := range servers {
 		switch {
 		case server.Service != state.Subject || !server.IsReady:
-		case server.Revision == state.Target:
+		case server.Revision == state.TargetVersion:
 			target = append(target, i)
-		case server.Revision == state.InForce:
+		case server.Revision == state.CurrentVersion:
 			current = append(current, i)
 		}
 	}
--- a/internal/control/rollout_replication.go
+++ b/internal/control/rollout_replication.go
@@ -4,7 +4,7 @@
 	"ploverhitch/internal/apierror"
 	"ploverhitch/internal/clock"
 	"ploverhitch/internal/messages"
-	"ploverhitch/internal/trial"
+	"ploverhitch/internal/rollout"
 )
 
 // rolloutStart is the latest possible start of a rollout on this node's monotonic clock.
@@ -23,7 +23,7 @@
 			return nil
 		}
 		stored := t.rollouts[state.Subject]
-		if accepted = !stored.Outranks(state); !accepted || !state.Outranks(stored) {
+		if accepted = !stored.NewerThan(state); !accepted || !state.NewerThan(stored) {
 			return nil
 		}
 		n.recordRolloutStart(state)
@@ -34,7 +34,7 @@
 
 // recordRolloutStart records the start of a rollout that its elapsed time implies, if it is
 // earlier than the known one.
-func (n *node) recordRolloutStart(state trial.State) {
+func (n *node) recordRolloutStart(state rollout.State) {
 	startedAt := n.clock.Monotonic() - clock.Instant(state.Elapsed)
 	if value, known := n.rolloutStarts.Load(state.Subject); known {
 		if start := value.(rolloutStart); start.number == state.Number {
@@ -45,7 +45,7 @@
 }
 
 // rolloutStartedAt returns the start time of a rollout as far as this node knows it.
-func (n *node) rolloutStartedAt(state trial.State) clock.Instant {
+func (n *node) rolloutStartedAt(state rollout.State) clock.Instant {
 	if value, known := n.rolloutStarts.Load(state.Subject); known {
 		if start := value.(rolloutStart); start.number == state.Number {
 			return start.startedAt
@@ -67,7 +67,7 @@
 
 func (t *tables) mergeRollouts(page messages.MemberStateResponse) (records []record) {
 	for _, state := range page.Rollouts {
-		if state.Outranks(t.rollouts[state.Subject]) {
+		if state.NewerThan(t.rollouts[state.Subject]) {
 			t.rollouts[state.Subject] = state
 			records = append(records, record{Rollout: &state})
 		}
@@ -78,9 +78,9 @@
 // collectRollouts reads the rollouts from a majority of the members. It returns the newest
 // state of each, whether all members of the majority had the same states, and their
 // highest term.
-func (n *node) collectRollouts() (states map[string]trial.State, consistent bool, highestTerm uint64, err error) {
+func (n *node) collectRollouts() (states map[string]rollout.State, consistent bool, highestTerm uint64, err error) {
 	view, count := n.view(), 0
-	states, consistent = map[string]trial.State{}, true
+	states, consistent = map[string]rollout.State{}, true
 	copies := map[string]int{}
 	callAll(n, view.Members, messages.KindReadRollouts, messages.ReadRollouts{Epoch: view.Epoch}, callTimeout, func(_ string, reply messages.ReadRolloutsResponse) bool {
 		if !reply.OK {
@@ -91,10 +91,10 @@
 		for _, state := range reply.States {
 			newest, known := states[state.Subject]
 			switch {
-			case !known || state.Outranks(newest):
+			case !known || state.NewerThan(newest):
 				consistent = consistent && !known
 				states[state.Subject], copies[state.Subject] = state, 1
-			case newest.Outranks(state):
+			case newest.NewerThan(state):
 				consistent = false
 			default:
 				copies[state.Subject]++
@@ -112,7 +112,7 @@
 }
 
 // writeRollout persists a state of a rollout on a majority of the members.
-func (n *node) writeRollout(state trial.State) error {
+func (n *node) writeRollout(state rollout.State) error {
 	view := n.view()
 	if !n.majorityDone(view, messages.KindWriteRollout, messages.WriteRollout{Epoch: view.Epoch, State: state}, persistTimeout) {
 		return apierror.New(apierror.ControlPlaneUnavailable, "cannot persist the rollout on a majority of the members")
@@ -122,7 +122,7 @@
 
 // readRollout reads a rollout from a majority of the members. A state that only some of
 // them have is first written to a majority, so that no later read returns an older one.
-func (n *node) readRollout(subject string) (state trial.State, err error) {
+func (n *node) readRollout(subject string) (state rollout.State, err error) {
 	states, consistent, _, err := n.collectRollouts()
 	if err != nil {
 		return state, err
--- a/internal/control/staged_coordinator.go
+++ b/internal/control/staged_coordinator.go
@@ -10,7 +10,7 @@
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/messages"
-	"ploverhitch/internal/trial"
+	"ploverhitch/internal/rollout"
 )
 
 const (
@@ -35,10 +35,10 @@
 
 // startStagedChange handles an operator's command to start a staged change.
 func (c *coordinator) startStagedChange(in messages.StagedChange) (kind apierror.Kind, detail string) {
-	subject := trial.StagePrefix + in.Name
+	subject := rollout.StagedPrefix + in.Name
 	state := c.states[subject]
 	sameChange := state.Number > 0 && sameItems(state.Items, in.Items)
-	if sameChange && (state.Phase.IsActive() || c.sinceCommand(state) < 2*c.rolloutPlan().Ack) {
+	if sameChange && (state.Phase.IsActive() || c.sinceCommand(state) < 2*c.rolloutPlan().CommandTimeout) {
 		c.recordRepeat(state)
 		return apierror.None, ""
 	}
@@ -46,7 +46,7 @@
 		if other.IsStaged() && other.Phase.IsActive() {
 			return apierror.OrderInProgress, other.Subject + " is in progress"
 		}
-		if name := other.UsedUp(in.Items); name != "" {
+		if name := other.RevertedItem(in.Items); name != "" {
 			return apierror.OrderInProgress, "the version of " + name + " was reverted before and is used up"
 		}
 	}
@@ -69,7 +69,7 @@
 		return apierror.NotFound, "node " + in.First + " is not known or does not report"
 	}
 	state.Subject = subject
-	next, permitted := state.Order(in.Name, clock.Duration(in.Duration))
+	next, permitted := state.Start(in.Name, clock.Duration(in.Duration))
 	if !permitted {
 		return apierror.OrderInProgress, ""
 	}
@@ -84,14 +84,14 @@
 
 // haltStagedChange handles an operator's command to halt a staged change.
 func (c *coordinator) haltStagedChange(in messages.StagedChange) (kind apierror.Kind, detail string) {
-	state, known := c.states[trial.StagePrefix+in.Name]
+	state, known := c.states[rollout.StagedPrefix+in.Name]
 	if !known {
 		return apierror.NotFound, in.Name
 	}
 	if !state.Phase.IsActive() && state.Reason == haltedByOperator {
 		return apierror.None, ""
 	}
-	next, permitted := state.Step(trial.Halted, haltedByOperator, time.Duration(c.clock.Monotonic()-c.rolloutStartedAt(state)))
+	next, permitted := state.Apply(rollout.Halted, haltedByOperator, time.Duration(c.clock.Monotonic()-c.rolloutStartedAt(state)))
 	if !permitted {
 		return apierror.OrderInProgress, "the staged change has ended"
 	}
@@ -122,15 +122,15 @@
 	if !slices.Contains(nodes, first) {
 		return nil
 	}
-	return trial.Waves(first, nodes, func(node string) string { return c.proxyZones[node] })
+	return rollout.PlanWaves(first, nodes, func(node string) string { return c.proxyZones[node] })
 }
 
 // advanceStagedChange moves a staged change to its next wave or phase if the facts permit
 // it.
-func (c *coordinator) advanceStagedChange(state trial.State) {
+func (c *coordinator) advanceStagedChange(state rollout.State) {
 	progress := c.progressOf(state)
 	now := c.clock.Monotonic()
-	facts := trial.StageFacts{
+	facts := rollout.StagedObservation{
 		Elapsed: time.Duration(now - c.rolloutStartedAt(state)), InWave: time.Duration(now - progress.phaseStartedAt),
 		Finding: c.detector.Evaluate(state.Subject, state.Number, state.Wave),
 	}
@@ -145,24 +145,24 @@
 			committed = committed && stored.Version == item.Version && string(stored.Body) == string(item.Body)
 		}
 	})
-	facts.IsDoubled = duplicates > progress.knownDuplicates
-	facts.IsSuperseded = len(newer) < len(state.Items)
-	for _, node := range state.Reached() {
-		facts.IsUnheard = facts.IsUnheard || !c.detector.ReportedWithin(node, waveReportMaxAge)
+	facts.DuplicateRun = duplicates > progress.knownDuplicates
+	facts.Superseded = len(newer) < len(state.Items)
+	for _, node := range state.ReachedNodes() {
+		facts.ReportMissing = facts.ReportMissing || !c.detector.ReportedWithin(node, waveReportMaxAge)
 		if facts.InWave > nodeSilenceTimeout && !c.detector.ReportedWithin(node, nodeSilenceTimeout) {
-			facts.Silent = node
+			facts.SilentNode = node
 		}
 	}
-	if state.Phase == trial.Shifting {
-		if facts.IsCommitted = committed; !committed {
-			facts.IsCommitted = c.modify(state.Items) == nil
+	if state.Phase == rollout.Shifting {
+		if facts.Committed = committed; !committed {
+			facts.Committed = c.modify(state.Items) == nil
 		}
 	}
-	event, reason := state.NextWave(facts)
-	if event == trial.None {
+	event, reason := state.NextStaged(facts)
+	if event == rollout.NoEvent {
 		return
 	}
-	next, permitted := state.Step(event, reason, facts.Elapsed)
+	next, permitted := state.Apply(event, reason, facts.Elapsed)
 	if !permitted || c.commitState(next) != nil {
 		return
 	}
@@ -172,8 +172,8 @@
 
 // stageGrant returns the form in which a staged change is published to the proxies: a
 // grant, like a share.
-func stageGrant(state trial.State) feed.StagedChange {
-	return feed.StagedChange{Subject: state.Subject, Number: state.Number, Wave: state.Wave, Nodes: state.Reached(), Items: state.Items}
+func stageGrant(state rollout.State) feed.StagedChange {
+	return feed.StagedChange{Subject: state.Subject, Number: state.Number, Wave: state.Wave, Nodes: state.ReachedNodes(), Items: state.Items}
 }
 
 func (c *coordinator) stageGrants() (grants []feed.StagedChange) {
--- a/internal/control/tables.go
+++ b/internal/control/tables.go
@@ -10,9 +10,9 @@
 	"ploverhitch/internal/control/registry"
 	"ploverhitch/internal/feed"
 	"ploverhitch/internal/idempotency"
-	"ploverhitch/internal/loopline"
 	"ploverhitch/internal/membership"
-	"ploverhitch/internal/trial"
+	"ploverhitch/internal/mirror"
+	"ploverhitch/internal/rollout"
 )
 
 // record is one change in the log; exactly one field is set.
@@ -24,7 +24,7 @@
 	Term     *membership.Term     `cbor:"5,keyasint,omitempty"`
 	Trusted  *bool                `cbor:"6,keyasint,omitempty"`
 	Fleet    *feed.Fleet          `cbor:"7,keyasint,omitempty"`
-	Rollout  *trial.State         `cbor:"8,keyasint,omitempty"`
+	Rollout  *rollout.State       `cbor:"8,keyasint,omitempty"`
 	// Change is a decided change of the item set, Page is a part of a whole set, and
 	// Durable is the registry's acceptor. Items occurs only in logs of older builds.
 	Change  *registry.Change       `cbor:"9,keyasint,omitempty"`
@@ -49,7 +49,7 @@
 	fleet feed.Fleet
 	// fleetReceivedAt is when the fleet was received, 0 if it was read from the disk.
 	fleetReceivedAt clock.Instant
-	rollouts        map[string]trial.State
+	rollouts        map[string]rollout.State
 	trusted         bool
 	empty           bool
 	digest          string
@@ -58,13 +58,13 @@
 	// mirrorsDigest.
 	compiled       *config.RoutingTable
 	compiledDigest string
-	mirrors        []loopline.Mirror
+	mirrors        []mirror.Mirror
 	versions       []config.Version
 	mirrorsDigest  string
 }
 
 func newTables(policy idempotency.Policy) *tables {
-	return &tables{voter: idempotency.NewVoter(policy), registry: registry.NewReplica(), rollouts: map[string]trial.State{}, empty: true}
+	return &tables{voter: idempotency.NewVoter(policy), registry: registry.NewReplica(), rollouts: map[string]rollout.State{}, empty: true}
 }
 
 // apply updates the tables with one record, both when it is created and when the log
@@ -134,7 +134,7 @@
 
 // currentMirrors returns the mirroring rules. The configuration is searched again only
 // after an item has changed.
-func (t *tables) currentMirrors() ([]loopline.Mirror, []config.Version) {
+func (t *tables) currentMirrors() ([]mirror.Mirror, []config.Version) {
 	if digest := t.configurationDigest(); t.mirrorsDigest != digest {
 		t.mirrors, t.versions = t.configuration().Mirrors()
 		t.mirrorsDigest = digest
--- a/internal/control/takeover_test.go
+++ b/internal/control/takeover_test.go
@@ -17,7 +17,7 @@
 	"ploverhitch/internal/idempotency"
 	"ploverhitch/internal/membership"
 	"ploverhitch/internal/messages"
-	"ploverhitch/internal/trial"
+	"ploverhitch/internal/rollout"
 )
 
 var _ = Describe("a node that becomes the leader", func() {
@@ -80,8 +80,8 @@
 			n.onRecord(messages.Record{Intent: intent}, func(done messages.Ack) { stored <- done })
 			<-stored
 		}
-		staged := trial.State{
-			Subject: trial.StagePrefix + "change", Number: 1, Term: 1, Count: 1, Phase: trial.Trying, Duration: clock.Duration(time.Minute),
+		staged := rollout.State{
+			Subject: rollout.StagedPrefix + "change", Number: 1, Term: 1, Count: 1, Phase: rollout.Canary, Duration: clock.Duration(time.Minute),
 			Items: []config.Item{{ID: config.ID{Class: config.RouteItem, Name: "fee"}, Version: 1, Host: "h"}}, Waves: [][]string{{"edge-1"}},
 		}
 		written := make(chan messages.Ack, 1)
@@ -90,7 +90,7 @@
 		becomeLeader(2)
 		n.coordinator.coordinate()
 		Expect(n.coordinator.states[staged.Subject].Reason).To(BeEmpty())
-		Expect(n.coordinator.states[staged.Subject].Phase).To(Equal(trial.Trying))
+		Expect(n.coordinator.states[staged.Subject].Phase).To(Equal(rollout.Canary))
 		// A duplicate that is found from now on halts it.
 		third := completedIntent(1, 10)
 		third.Attempt = "a third"
@@ -98,7 +98,7 @@
 		n.onRecord(messages.Record{Intent: third}, func(done messages.Ack) { stored <- done })
 		<-stored
 		n.coordinator.coordinate()
-		Expect(n.coordinator.states[staged.Subject].Phase).To(Equal(trial.Reverted))
+		Expect(n.coordinator.states[staged.Subject].Phase).To(Equal(rollout.Reverted))
 	})
 })
 
--- a/internal/feed/fleet.go
+++ b/internal/feed/fleet.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"ploverhitch/internal/config"
-	"ploverhitch/internal/loopline"
+	"ploverhitch/internal/mirror"
 	"ploverhitch/internal/shedding"
 )
 
@@ -100,7 +100,7 @@
 	// Cutoffs is the load that all nodes shed, Mirrors the traffic that they copy. Both
 	// are grants, like a CanaryShare.
 	Cutoffs []shedding.Cutoff `cbor:"11,keyasint,omitempty"`
-	Mirrors []loopline.Grant  `cbor:"12,keyasint,omitempty"`
+	Mirrors []mirror.Grant    `cbor:"12,keyasint,omitempty"`
 }
 
 // HasGrants reports whether the fleet holds grants, which expire unless renewed.
--- a/internal/inspector/mirror.go
+++ b/internal/inspector/mirror.go
@@ -8,8 +8,8 @@
 	"strings"
 
 	"ploverhitch/internal/control"
-	"ploverhitch/internal/loopline"
 	"ploverhitch/internal/messages"
+	"ploverhitch/internal/mirror"
 )
 
 // parityLeast is how many whole conversations without a difference it takes to
@@ -18,18 +18,18 @@
 
 // Mirroring is what came of one mirror, summed over all nodes.
 type Mirroring struct {
-	Name   string                                 `json:"Name"`
-	Grant  *loopline.Grant                        `json:"Grant,omitempty"`
-	Counts map[string]map[loopline.Outcome]uint64 `json:"Counts"`
-	Gaps   map[string]uint64                      `json:"Gaps"`
+	Name   string                               `json:"Name"`
+	Grant  *mirror.Grant                        `json:"Grant,omitempty"`
+	Counts map[string]map[mirror.Outcome]uint64 `json:"Counts"`
+	Gaps   map[string]uint64                    `json:"Gaps"`
 	// Seen are the conversations met since the nodes last changed, Whole those of
 	// which every copy reached the shadow, Differing the whole ones with a
 	// difference, Untracked those beyond what nodes keep.
-	Seen      int                `json:"Seen"`
-	Whole     int                `json:"Whole"`
-	Differing int                `json:"Differing"`
-	Untracked uint64             `json:"Untracked"`
-	Examples  []loopline.Example `json:"Examples"`
+	Seen      int              `json:"Seen"`
+	Whole     int              `json:"Whole"`
+	Differing int              `json:"Differing"`
+	Untracked uint64           `json:"Untracked"`
+	Examples  []mirror.Example `json:"Examples"`
 	// Claim is what may be said of the whole conversations, and why not more.
 	Claim string `json:"Claim"`
 }
@@ -41,11 +41,11 @@
 // Example:
 //
 //	sum := inspector.Sum("east", grant, nodes)
-func Sum(name string, grant *loopline.Grant, nodes []messages.MirrorStatus) Mirroring {
-	out := Mirroring{Name: name, Grant: grant, Counts: map[string]map[loopline.Outcome]uint64{}, Gaps: map[string]uint64{}, Examples: []loopline.Example{}}
-	talks, lives, isOneEra := map[uint64]loopline.Talk{}, uint64(0), true
+func Sum(name string, grant *mirror.Grant, nodes []messages.MirrorStatus) Mirroring {
+	out := Mirroring{Name: name, Grant: grant, Counts: map[string]map[mirror.Outcome]uint64{}, Gaps: map[string]uint64{}, Examples: []mirror.Example{}}
+	talks, lives, isOneEra := map[uint64]mirror.Conversation{}, uint64(0), true
 	for _, node := range nodes {
-		lives ^= loopline.LifeOf(node.Node, node.Incarnation)
+		lives ^= mirror.IncarnationHash(node.Node, node.Incarnation)
 		page, isThere := node.Pages[name]
 		if !isThere {
 			continue
@@ -53,7 +53,7 @@
 		isOneEra = isOneEra && grant != nil && page.Grant.Era == grant.Era && page.Grant.Version == grant.Version
 		for lane, counts := range page.Counts {
 			if out.Counts[lane] == nil {
-				out.Counts[lane] = map[loopline.Outcome]uint64{}
+				out.Counts[lane] = map[mirror.Outcome]uint64{}
 			}
 			for outcome, count := range counts {
 				out.Counts[lane][outcome] += count
@@ -62,11 +62,11 @@
 		for why, count := range page.Gaps {
 			out.Gaps[why] += count
 		}
-		for _, talk := range page.Talks {
+		for _, talk := range page.Conversations {
 			sum := talks[talk.Hash]
-			sum.Draw, sum.IsPartial = talk.Draw, sum.IsPartial || talk.IsPartial
+			sum.SamplePoint, sum.Partial = talk.SamplePoint, sum.Partial || talk.Partial
 			sum.Copies, sum.Compared = sum.Copies+talk.Copies, sum.Compared+talk.Compared
-			sum.Different, sum.Gaps = sum.Different+talk.Different, sum.Gaps+talk.Gaps
+			sum.Differing, sum.Gaps = sum.Differing+talk.Differing, sum.Gaps+talk.Gaps
 			talks[talk.Hash] = sum
 		}
 		out.Untracked += page.Untracked
@@ -74,9 +74,9 @@
 	}
 	for _, talk := range talks {
 		out.Seen++
-		if grant != nil && talk.IsWhole() && talk.Draw < grant.Share {
+		if grant != nil && talk.IsWhole() && talk.SamplePoint < grant.Share {
 			out.Whole++
-			if talk.Different > 0 {
+			if talk.Differing > 0 {
 				out.Differing++
 			}
 		}
@@ -84,7 +84,7 @@
 	switch {
 	case grant == nil:
 		out.Whole, out.Differing, out.Claim = 0, 0, "nothing: the mirror is not in force"
-	case !grant.IsSettled || lives != grant.Lives || !isOneEra:
+	case !grant.Settled || lives != grant.Incarnations || !isOneEra:
 		out.Whole, out.Differing, out.Claim = 0, 0, "nothing: not all nodes have answered by one order"
 	case out.Differing > 0:
 		out.Claim = fmt.Sprintf("%d of %d whole conversations differ", out.Differing, out.Whole)
@@ -120,13 +120,13 @@
 		}
 		nodes = append(nodes, node)
 	}
-	for _, mirror := range page.Mirrors {
-		at := slices.IndexFunc(page.Grants, func(g loopline.Grant) bool { return g.Name == mirror.Name })
+	for _, declared := range page.Mirrors {
+		at := slices.IndexFunc(page.Grants, func(g mirror.Grant) bool { return g.Name == declared.Name })
 		if at < 0 {
-			out = append(out, Sum(mirror.Name, nil, nodes))
+			out = append(out, Sum(declared.Name, nil, nodes))
 			continue
 		}
-		out = append(out, Sum(mirror.Name, &page.Grants[at], nodes))
+		out = append(out, Sum(declared.Name, &page.Grants[at], nodes))
 	}
 	return out, unheard, nil
 }
@@ -159,7 +159,7 @@
 			details = append(details, []string{sum.Name, "", "gap: " + why, strconv.FormatUint(sum.Gaps[why], 10)})
 		}
 		for _, e := range sum.Examples {
-			details = append(details, []string{sum.Name, e.Lane, "example: " + string(e.Outcome), fmt.Sprintf("%s live %d in %d ms, shadow %d in %d ms", e.Attempt, e.Live, e.LiveMs, e.Shadow, e.TookMs)})
+			details = append(details, []string{sum.Name, e.Route, "example: " + string(e.Outcome), fmt.Sprintf("%s live %d in %d ms, shadow %d in %d ms", e.Attempt, e.LiveStatus, e.LiveMs, e.ShadowStatus, e.ShadowMs)})
 		}
 	}
 	c.print(append([]Mirroring{}, sums...), append(rows, details...))
--- a/internal/inspector/mirror_test.go
+++ b/internal/inspector/mirror_test.go
@@ -8,38 +8,38 @@
 	. "github.com/onsi/gomega"
 
 	"ploverhitch/internal/inspector"
-	"ploverhitch/internal/loopline"
 	"ploverhitch/internal/messages"
+	"ploverhitch/internal/mirror"
 )
 
 var _ = Describe("the sum of what nodes know of a mirror", func() {
 	// converse lets learners talk to nodes by turns; isChosen says whether a node
 	// copies one part of a conversation.
-	converse := func(isChosen func(node int, draw float64) bool) (grant *loopline.Grant, nodes []messages.MirrorStatus, parts map[uint64]int) {
-		m := loopline.Mirror{Name: "m", Shadow: "next"}
-		grant = &loopline.Grant{Name: "m", Version: 1, Share: 0.5, Era: 1, IsSettled: true}
-		records := make([]*loopline.Record, 4)
+	converse := func(isChosen func(node int, draw float64) bool) (grant *mirror.Grant, nodes []messages.MirrorStatus, parts map[uint64]int) {
+		m := mirror.Mirror{Name: "m", Shadow: "next"}
+		grant = &mirror.Grant{Name: "m", Version: 1, Share: 0.5, Era: 1, Settled: true}
+		records := make([]*mirror.Recorder, 4)
 		for node := range records {
-			grant.Lives ^= loopline.LifeOf(fmt.Sprint("n", node), "a")
+			grant.Incarnations ^= mirror.IncarnationHash(fmt.Sprint("n", node), "a")
 		}
 		for node := range records {
-			records[node] = loopline.NewRecord()
-			records[node].Under(*grant)
+			records[node] = mirror.NewRecorder()
+			records[node].SetGrant(*grant)
 		}
 		random, parts := rand.New(rand.NewPCG(1, 1)), map[uint64]int{}
 		for learner := range uint64(200) {
-			draw := m.Draw("h", fmt.Sprint(learner))
+			draw := m.SamplePoint("h", fmt.Sprint(learner))
 			for range 4 {
 				node := random.IntN(4)
 				if isChosen(node, draw) {
 					parts[learner]++
-					_, era := records[node].Meet(learner, draw)
-					records[node].Compare(learner, era, loopline.Example{Lane: "l", Outcome: loopline.Same})
+					_, era := records[node].AddOriginal(learner, draw)
+					records[node].AddComparison(learner, era, mirror.Example{Route: "l", Outcome: mirror.Same})
 				}
 			}
 		}
 		for node, record := range records {
-			nodes = append(nodes, messages.MirrorStatus{Node: fmt.Sprint("n", node), Incarnation: "a", Pages: map[string]loopline.Page{"m": record.Page()}})
+			nodes = append(nodes, messages.MirrorStatus{Node: fmt.Sprint("n", node), Incarnation: "a", Pages: map[string]mirror.Results{"m": record.Results()}})
 		}
 		return grant, nodes, parts
 	}
@@ -77,7 +77,7 @@
 		other.Era = 2
 		Expect(inspector.Sum("m", &other, nodes).Whole).To(BeZero())
 		other = *grant
-		other.IsSettled = false
+		other.Settled = false
 		Expect(inspector.Sum("m", &other, nodes).Claim).To(HavePrefix("nothing"))
 		Expect(inspector.Sum("m", nil, nodes).Claim).To(HavePrefix("nothing"))
 	})
--- a/internal/messages/operator.go
+++ b/internal/messages/operator.go
@@ -2,7 +2,7 @@
 
 import (
 	"ploverhitch/internal/balancer"
-	"ploverhitch/internal/loopline"
+	"ploverhitch/internal/mirror"
 )
 
 // Moves is a proxy's response to a balancer.Change: the running operations of the
@@ -60,7 +60,7 @@
 // MirrorStatus is what a proxy recorded about mirrored requests since it started.
 // Incarnation identifies this run of the proxy.
 type MirrorStatus struct {
-	Node        string                   `cbor:"1,keyasint" json:"Node"`
-	Incarnation string                   `cbor:"2,keyasint" json:"Life"`
-	Pages       map[string]loopline.Page `cbor:"3,keyasint,omitempty" json:"Pages"`
+	Node        string                    `cbor:"1,keyasint" json:"Node"`
+	Incarnation string                    `cbor:"2,keyasint" json:"Life"`
+	Pages       map[string]mirror.Results `cbor:"3,keyasint,omitempty" json:"Pages"`
 }
--- a/internal/messages/repair.go
+++ b/internal/messages/repair.go
@@ -3,7 +3,7 @@
 import (
 	"ploverhitch/internal/idempotency"
 	"ploverhitch/internal/membership"
-	"ploverhitch/internal/trial"
+	"ploverhitch/internal/rollout"
 )
 
 // Digests asks a member for the digests of its intent ranges. The member must be in
@@ -59,7 +59,7 @@
 	Trusted  bool                `cbor:"2,keyasint"`
 	Acceptor membership.Acceptor `cbor:"5,keyasint"`
 	Term     membership.Term     `cbor:"6,keyasint"`
-	Rollouts []trial.State       `cbor:"7,keyasint,omitempty"`
+	Rollouts []rollout.State     `cbor:"7,keyasint,omitempty"`
 }
 
 // Leave announces that a member is about to shut down. The receiver responds once it
--- a/internal/messages/report.go
+++ b/internal/messages/report.go
@@ -1,7 +1,7 @@
 package messages
 
 import (
-	"ploverhitch/internal/loopline"
+	"ploverhitch/internal/mirror"
 	"ploverhitch/internal/outlier"
 	"ploverhitch/internal/shedding"
 	"ploverhitch/internal/sites"
@@ -15,8 +15,8 @@
 	Uses     []sites.Usage  `cbor:"3,keyasint,omitempty"`
 	// Loads and Mirrors count the load and the mirrored requests since the last report
 	// that was received.
-	Loads   []shedding.Load  `cbor:"4,keyasint,omitempty"`
-	Mirrors []loopline.Tally `cbor:"5,keyasint,omitempty"`
+	Loads   []shedding.Load     `cbor:"4,keyasint,omitempty"`
+	Mirrors []mirror.CountDelta `cbor:"5,keyasint,omitempty"`
 }
 
 // ProxyReportResponse is the response to ProxyReport: how much capacity of other
--- a/internal/messages/rollouts.go
+++ b/internal/messages/rollouts.go
@@ -5,13 +5,13 @@
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/membership"
 	"ploverhitch/internal/outlier"
-	"ploverhitch/internal/trial"
+	"ploverhitch/internal/rollout"
 )
 
 // WriteRollout writes the state of a rollout to a member.
 type WriteRollout struct {
 	Epoch membership.Epoch `cbor:"1,keyasint"`
-	State trial.State      `cbor:"2,keyasint"`
+	State rollout.State    `cbor:"2,keyasint"`
 }
 
 // ReadRollouts asks a member for the states of all rollouts.
@@ -23,9 +23,9 @@
 // FenceTerm is the highest leader term that the member knows; it refuses writes of
 // lower terms.
 type ReadRolloutsResponse struct {
-	OK        bool          `cbor:"1,keyasint"`
-	FenceTerm uint64        `cbor:"2,keyasint"`
-	States    []trial.State `cbor:"3,keyasint,omitempty"`
+	OK        bool            `cbor:"1,keyasint"`
+	FenceTerm uint64          `cbor:"2,keyasint"`
+	States    []rollout.State `cbor:"3,keyasint,omitempty"`
 }
 
 // StartRollout forwards an operator's order for a rollout to the leader.
--- a/internal/objects/own.go
+++ b/internal/objects/own.go
@@ -7,7 +7,7 @@
 	"sigs.k8s.io/yaml"
 
 	"ploverhitch/internal/config"
-	"ploverhitch/internal/loopline"
+	"ploverhitch/internal/mirror"
 	"ploverhitch/internal/shedding"
 	"ploverhitch/internal/sites"
 )
@@ -72,7 +72,7 @@
 		Revision config.Version `json:"Revision"`
 	}
 	mirrorCall struct {
-		loopline.Mirror
+		mirror.Mirror
 		Revision config.Version `json:"Revision"`
 	}
 )
@@ -105,8 +105,8 @@
 	if err := yaml.UnmarshalStrict(document, &o); err != nil {
 		return errors.Trace(err)
 	}
-	mirror := loopline.Mirror{
-		Name: o.Metadata.Name, Lanes: o.Spec.Lanes, Hosts: o.Spec.Hosts, Shadow: o.Spec.Shadow, Share: o.Spec.Share,
+	mirror := mirror.Mirror{
+		Name: o.Metadata.Name, Routes: o.Spec.Lanes, Hosts: o.Spec.Hosts, Shadow: o.Spec.Shadow, Share: o.Spec.Share,
 		Header: o.Spec.Conversation.Header, Cookie: o.Spec.Conversation.Cookie, Until: o.Spec.Until,
 	}
 	if err := mirror.Check(); err != nil {
--- a/internal/proxy/mirror.go
+++ b/internal/proxy/mirror.go
@@ -10,8 +10,8 @@
 	"ploverhitch/internal/balancer"
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/feed"
-	"ploverhitch/internal/loopline"
 	"ploverhitch/internal/messages"
+	"ploverhitch/internal/mirror"
 	"ploverhitch/internal/upstream"
 )
 
@@ -28,7 +28,7 @@
 // original.
 type mirrorJob struct {
 	mirror   *config.Mirror
-	record   *loopline.Record
+	record   *mirror.Recorder
 	request  *upstream.Request
 	route    *config.Route
 	hash     uint64
@@ -49,12 +49,12 @@
 type mirrorSender struct {
 	queue   chan mirrorJob
 	lock    sync.Mutex
-	records map[string]*loopline.Record
+	records map[string]*mirror.Recorder
 	pools   map[string]*upstream.Pool
 }
 
 func newMirrorSender() *mirrorSender {
-	return &mirrorSender{queue: make(chan mirrorJob, mirrorQueueSize), records: map[string]*loopline.Record{}, pools: map[string]*upstream.Pool{}}
+	return &mirrorSender{queue: make(chan mirrorJob, mirrorQueueSize), records: map[string]*mirror.Recorder{}, pools: map[string]*upstream.Pool{}}
 }
 
 // closeUnlisted closes the connections to servers that are no longer listed under their address.
@@ -79,12 +79,12 @@
 func poolName(server feed.Server) string { return server.ID + " " + server.Address }
 
 // recordOf returns the comparison record of a mirror.
-func (m *mirrorSender) recordOf(name string) *loopline.Record {
+func (m *mirrorSender) recordOf(name string) *mirror.Recorder {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	record := m.records[name]
 	if record == nil {
-		record = loopline.NewRecord()
+		record = mirror.NewRecorder()
 		m.records[name] = record
 	}
 	return record
@@ -118,21 +118,21 @@
 	}
 	record := p.trafficMirror.recordOf(m.Name)
 	conversation := m.Conversation(req.Header, req.key.Key, req.clientAddress)
-	draw := m.Draw(req.route.Host, conversation)
+	draw := m.SamplePoint(req.route.Host, conversation)
 	if draw >= grant.Share {
 		return
 	}
 	hasher := fnv.New64a()
 	_, _ = hasher.Write([]byte(req.route.Host + "\x00" + conversation))
 	hash := hasher.Sum64()
-	record.Under(grant)
-	number, era := record.Meet(hash, draw)
+	record.SetGrant(grant)
+	number, era := record.AddOriginal(hash, draw)
 	switch {
 	case response == nil:
-		record.Miss(hash, era, "the original's outcome is not known")
+		record.AddGap(hash, era, "the original's outcome is not known")
 		return
 	case !req.snapshot.grantsValid(p.clock.Monotonic()):
-		record.Miss(hash, era, "the order had lapsed here")
+		record.AddGap(hash, era, "the order had lapsed here")
 		return
 	}
 	job := mirrorJob{
@@ -144,40 +144,40 @@
 	}
 	mirrored := *req.Request
 	mirrored.Header = req.Header.Clone()
-	mirrored.Header.Set(loopline.Marker, fmt.Sprintf("%s; version=%d; node=%s; number=%d; at=%d; settled=%t",
-		m.Name, m.Version, p.settings.Load().Platform.NodeName, number, p.clock.Wall().UnixMilli(), grant.IsSettled))
+	mirrored.Header.Set(mirror.ShadowHeader, fmt.Sprintf("%s; version=%d; node=%s; number=%d; at=%d; settled=%t",
+		m.Name, m.Version, p.settings.Load().Platform.NodeName, number, p.clock.Wall().UnixMilli(), grant.Settled))
 	job.request = &mirrored
 	select {
 	case p.trafficMirror.queue <- job:
 	default:
-		record.Miss(hash, era, "the inbox was full")
+		record.AddGap(hash, era, "the inbox was full")
 	}
 }
 
 // mirrorGrant returns the last grant that this node received for a mirror, even if it
 // has expired.
-func (s *snapshot) mirrorGrant(m *config.Mirror) (grant loopline.Grant, ok bool) {
+func (s *snapshot) mirrorGrant(m *config.Mirror) (grant mirror.Grant, ok bool) {
 	for _, grant = range s.mirrorGrants {
 		if grant.Name == m.Name && grant.Version == uint64(m.Version) {
 			return grant, true
 		}
 	}
-	return loopline.Grant{}, false
+	return mirror.Grant{}, false
 }
 
 // mirrorPages returns the comparison records of this node.
 func (p *proxy) mirrorPages(struct{}) messages.MirrorStatus {
-	result := messages.MirrorStatus{Node: p.settings.Load().Platform.NodeName, Incarnation: p.incarnation, Pages: map[string]loopline.Page{}}
+	result := messages.MirrorStatus{Node: p.settings.Load().Platform.NodeName, Incarnation: p.incarnation, Pages: map[string]mirror.Results{}}
 	for name, record := range p.trafficMirror.allRecords() {
-		result.Pages[name] = record.Page()
+		result.Pages[name] = record.Results()
 	}
 	return result
 }
 
-func (m *mirrorSender) allRecords() map[string]*loopline.Record {
+func (m *mirrorSender) allRecords() map[string]*mirror.Recorder {
 	m.lock.Lock()
 	defer m.lock.Unlock()
-	result := map[string]*loopline.Record{}
+	result := map[string]*mirror.Recorder{}
 	for name, record := range m.records {
 		result[name] = record
 	}
@@ -185,9 +185,9 @@
 }
 
 // tallies returns the counts of mirrored requests for the report.
-func (m *mirrorSender) tallies() (result []loopline.Tally) {
+func (m *mirrorSender) tallies() (result []mirror.CountDelta) {
 	for name, record := range m.allRecords() {
-		result = append(result, record.Tell(name))
+		result = append(result, record.TakeDelta(name))
 	}
 	return result
 }
--- a/internal/proxy/mirror_send.go
+++ b/internal/proxy/mirror_send.go
@@ -11,7 +11,7 @@
 	"ploverhitch/internal/balancer"
 	"ploverhitch/internal/clock"
 	"ploverhitch/internal/config"
-	"ploverhitch/internal/loopline"
+	"ploverhitch/internal/mirror"
 	"ploverhitch/internal/upstream"
 )
 
@@ -28,12 +28,12 @@
 func (p *proxy) sendMirrored(job mirrorJob) {
 	server := p.snapshot.Load().balancer.HomeServer(job.mirror.Shadow, job.position)
 	if server == nil {
-		job.record.Miss(job.hash, job.era, "the shadow has no server")
+		job.record.AddGap(job.hash, job.era, "the shadow has no server")
 		return
 	}
 	if !p.outbound.IsFree() || !p.inbound.IsFree() {
 		// Original requests have precedence on the link.
-		job.record.Miss(job.hash, job.era, "the link was busy")
+		job.record.AddGap(job.hash, job.era, "the link was busy")
 		return
 	}
 	bufferBytes := int64(mirrorBufferBytes)
@@ -48,18 +48,18 @@
 	})
 	latency := time.Since(start)
 	if err != nil && errors.Is(err, upstream.ErrNotSent) {
-		job.record.Miss(job.hash, job.era, "the copy could not be sent")
+		job.record.AddGap(job.hash, job.era, "the copy could not be sent")
 		return
 	}
-	example := loopline.Example{
-		Lane: job.route.Name, Attempt: job.request.Attempt, Outcome: job.compare(response, err, latency), Live: job.status,
-		LiveMs: job.liveLatency.Milliseconds(), TookMs: latency.Milliseconds(),
+	example := mirror.Example{
+		Route: job.route.Name, Attempt: job.request.Attempt, Outcome: job.compare(response, err, latency), LiveStatus: job.status,
+		LiveMs: job.liveLatency.Milliseconds(), ShadowMs: latency.Milliseconds(),
 	}
 	if response != nil {
-		example.Shadow = response.Status
+		example.ShadowStatus = response.Status
 		response.Finish(false)
 	}
-	job.record.Compare(job.hash, job.era, example)
+	job.record.AddComparison(job.hash, job.era, example)
 }
 
 // maySendMirrored is the last check before the first byte is sent: the server must
@@ -76,25 +76,25 @@
 }
 
 // compare classifies the result of a mirrored request against the original.
-func (j *mirrorJob) compare(response *upstream.Response, err error, latency time.Duration) loopline.Outcome {
+func (j *mirrorJob) compare(response *upstream.Response, err error, latency time.Duration) mirror.Outcome {
 	switch {
 	case err != nil:
-		return loopline.Silent
+		return mirror.NoReply
 	case response.IsNotExecuted():
-		return loopline.Turned
+		return mirror.Refused
 	case response.Status/100 != j.status/100:
-		return loopline.Status
+		return mirror.StatusDiffers
 	case response.Remainder != nil || !j.bodyComplete:
 		if response.Length != j.length {
-			return loopline.Body
+			return mirror.BodyDiffers
 		}
 	default:
 		if sum := sha256.Sum256(response.Body); !bytes.Equal(sum[:], j.bodyDigest[:]) {
-			return loopline.Body
+			return mirror.BodyDiffers
 		}
 	}
-	if loopline.IsSlow(j.liveLatency, latency) {
-		return loopline.Slow
+	if mirror.IsSlow(j.liveLatency, latency) {
+		return mirror.Slow
 	}
-	return loopline.Same
+	return mirror.Same
 }
--- a/internal/proxy/mirror_test.go
+++ b/internal/proxy/mirror_test.go
@@ -12,7 +12,7 @@
 	"ploverhitch/internal/clock"
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/feed"
-	"ploverhitch/internal/loopline"
+	"ploverhitch/internal/mirror"
 	"ploverhitch/internal/settings"
 )
 
@@ -51,14 +51,14 @@
 		fleet := feed.Fleet{Term: 1, Count: 1, Servers: []feed.Server{{ID: "x-1", Service: service, Address: address, Capacity: 2, IsReady: isReady}}}
 		return &snapshot{
 			manifest: items.Compile(), balancer: balancer.NewServerSet(balancer.Locality{Node: "n"}).WithFleet(fleet), fleetReceivedAt: clock.Instant(time.Hour),
-			mirrorGrants: []loopline.Grant{{Name: "build", Version: version, Share: 1}},
+			mirrorGrants: []mirror.Grant{{Name: "build", Version: version, Share: 1}},
 		}
 	}
 
 	It("allows only a listed server of a shadow that no route delivers to, under a valid grant", func() {
 		manualClock := &clock.Manual{Now: time.Hour}
 		p := newProxy(&settings.Settings{}, manualClock, func(string, string, ...any) {})
-		mirror := &config.Mirror{Mirror: loopline.Mirror{Name: "build", Shadow: "next"}, Version: 3}
+		mirror := &config.Mirror{Mirror: mirror.Mirror{Name: "build", Shadow: "next"}, Version: 3}
 		server := &balancer.Endpoint{Server: feed.Server{ID: "x-1", Service: "next", Address: "a:1", IsReady: true}}
 		maySend := func(s *snapshot) bool { p.snapshot.Store(s); return p.maySendMirrored(mirror, server) }
 		Expect(maySend(stateWith("a:1", "next", true, 3, "fees"))).To(BeTrue())
