--- a/cmd/measure/measures.go
+++ b/cmd/measure/measures.go
@@ -182,10 +182,10 @@
 
 func cutoff(size int) result {
 	gauge := shedding.NewGauge(timetable.Real(), func() uint64 { return 1 })
-	loads := []shedding.Load{{Service: "a", Offered: 9, Sent: 9, Turned: 3}, {Service: "b", Tier: 1, Offered: 9, Sent: 9}}
+	loads := []shedding.Load{{Service: "a", Offered: 9, Sent: 9, Rejected: 3}, {Service: "b", Tier: 1, Offered: 9, Sent: 9}}
 	return result{size * written(loads), repeated(func() {
 		for proxy := range size {
-			gauge.Hear(fmt.Sprint("edge-", proxy), loads)
+			gauge.Add(fmt.Sprint("edge-", proxy), loads)
 		}
 		gauge.Decide(func(string) float64 { return 1 })
 	})}
--- a/internal/config/own.go
+++ b/internal/config/own.go
@@ -105,11 +105,11 @@
 }
 
 // gaugeLane is what the order of tiers knows of a route.
-func (l *RouteSpec) gaugeLane(host string) shedding.Lane {
-	return shedding.Lane{Name: l.Name, Host: host, Priority: l.Priority, Kind: gaugeKinds[l.RouteType]}
+func (l *RouteSpec) gaugeLane(host string) shedding.Route {
+	return shedding.Route{Name: l.Name, Host: host, Priority: l.Priority, Kind: gaugeKinds[l.RouteType]}
 }
 
-func (b Book) gaugeLanes() (out []shedding.Lane) {
+func (b Book) gaugeLanes() (out []shedding.Route) {
 	b.eachLane(func(lane RouteSpec, host string) { out = append(out, lane.gaugeLane(host)) })
 	return out
 }
--- a/internal/config/sheet.go
+++ b/internal/config/sheet.go
@@ -106,9 +106,9 @@
 
 // layTiers gives every route its place in the order of what is turned away.
 func (s *Sheet) layTiers() {
-	var lanes []shedding.Lane
+	var lanes []shedding.Route
 	s.each(func(lane *Route) { lanes = append(lanes, lane.gaugeLane(lane.Host)) })
-	s.Order = shedding.Arrange(s.Plan, lanes)
+	s.Order = shedding.NewOrder(s.Plan, lanes)
 	s.each(func(lane *Route) { lane.Tier = s.Order.TierOf(lane.Name) })
 }
 
--- a/internal/control/load.go
+++ b/internal/control/load.go
@@ -24,7 +24,7 @@
 	c.loadGauge = shedding.NewGauge(c.clock, rand.Uint64)
 	c.store.read(func(t *tables) {
 		if t.fleetFresh(c.clock.Steady(), cutoffsMaxAge) {
-			c.loadGauge.Hold(t.fleet.Cutoffs)
+			c.loadGauge.Restore(t.fleet.Cutoffs)
 		}
 	})
 }
@@ -70,24 +70,24 @@
 // LoadPage contains the order of the tiers, the cutoffs in force and, at the leader, the
 // load measurements on which they are based.
 type LoadPage struct {
-	Mode     string             `json:"Mode"`
-	Order    []shedding.Rung    `json:"Order"`
-	Cutoffs  []shedding.Cutoff  `json:"Cutoffs"`
-	Accounts []shedding.Account `json:"Accounts"`
-	IsLeader bool               `json:"IsHolder"`
-	Leader   string             `json:"Holder"`
+	Mode     string              `json:"Mode"`
+	Order    []shedding.TierInfo `json:"Order"`
+	Cutoffs  []shedding.Cutoff   `json:"Cutoffs"`
+	Accounts []shedding.Account  `json:"Accounts"`
+	IsLeader bool                `json:"IsHolder"`
+	Leader   string              `json:"Holder"`
 }
 
 func (n *node) loadEndpoint(context.Context, any) (any, error) {
 	c := n.coordinator
-	page := LoadPage{Mode: n.settings.Load().Tuning.Loadgauge, Order: []shedding.Rung{}, Cutoffs: []shedding.Cutoff{}, Accounts: []shedding.Account{}, Leader: n.leader()}
+	page := LoadPage{Mode: n.settings.Load().Tuning.Loadgauge, Order: []shedding.TierInfo{}, Cutoffs: []shedding.Cutoff{}, Accounts: []shedding.Account{}, Leader: n.leader()}
 	runAndWait(c.loop, func() {
 		if page.IsLeader = c.ensureLeading(); page.IsLeader {
 			page.Accounts = append(page.Accounts, c.loadGauge.Accounts()...)
 		}
 	})
 	n.store.read(func(t *tables) {
-		page.Order = append(page.Order, t.compiledConfiguration().Order.Rungs()...)
+		page.Order = append(page.Order, t.compiledConfiguration().Order.Tiers()...)
 		if t.fleetFresh(n.clock.Steady(), feed.GrantSpan) {
 			page.Cutoffs = append(page.Cutoffs, t.fleet.Cutoffs...)
 		}
--- a/internal/control/member_test.go
+++ b/internal/control/member_test.go
@@ -102,7 +102,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		n.learnAndWait([]registry.Change{{Index: 1, Items: []config.Item{{ID: config.ID{Class: config.RouteItem, Name: "fee"}, Version: 1, Host: "h", Body: body}}}})
 		Expect(reserve(3, "old")).To(Equal(idempotency.Granted))
-		cutoff := shedding.Cutoff{Service: "fees", Number: 1, Seed: 5, Tier: 0, Part: 1}
+		cutoff := shedding.Cutoff{Service: "fees", Number: 1, Seed: 5, Tier: 0, Fraction: 1}
 		Expect(sendFleet(feed.Fleet{Term: 1, Count: 1, Cutoffs: []shedding.Cutoff{cutoff}})).To(BeTrue())
 		Expect(reserve(3, "new")).To(Equal(idempotency.Shed))
 		Expect(reserve(3, "old")).To(Equal(idempotency.Granted), "the vote given to the attempt earlier remains valid")
--- a/internal/control/sites.go
+++ b/internal/control/sites.go
@@ -24,7 +24,7 @@
 		c.detector.AddReport(in.Evidence)
 		c.proxyZones[in.Evidence.Node] = in.Cell
 		if c.loadGaugeOn() {
-			c.loadGauge.Hear(in.Evidence.Node, in.Loads)
+			c.loadGauge.Add(in.Evidence.Node, in.Loads)
 		}
 		c.recordCopies(in.Mirrored)
 		if c.ensureLeading() && c.siteTree != nil {
--- a/internal/inspector/load.go
+++ b/internal/inspector/load.go
@@ -60,8 +60,8 @@
 		switch {
 		case tier > cutoff.Tier:
 			out = append(out, cutoff.Service+" all")
-		case tier == cutoff.Tier && cutoff.Part > 0:
-			out = append(out, fmt.Sprintf("%s %.0f%%", cutoff.Service, 100*cutoff.Part))
+		case tier == cutoff.Tier && cutoff.Fraction > 0:
+			out = append(out, fmt.Sprintf("%s %.0f%%", cutoff.Service, 100*cutoff.Fraction))
 		}
 	}
 	return strings.Join(out, ", ")
@@ -75,13 +75,13 @@
 	rows := [][]string{{"TIER", "PLAN", "PRIORITY", "KIND", "LANES", "TURNED AWAY"}}
 	for _, rung := range load.Order {
 		rows = append(rows, []string{
-			strconv.Itoa(int(rung.Tier)), rung.Plan, strconv.Itoa(rung.Priority), rung.Kind, strings.Join(rung.Lanes, ","), shedOf(rung.Tier, load.Cutoffs),
+			strconv.Itoa(int(rung.Tier)), rung.Plan, strconv.Itoa(rung.Priority), rung.Kind, strings.Join(rung.Routes, ","), shedOf(rung.Tier, load.Cutoffs),
 		})
 	}
 	rows = append(rows, nil, []string{"SERVICE", "TIER", "OFFERED", "TURNED AWAY", "SENT", "FULL", "LATE"})
 	for _, a := range load.Accounts {
 		row := []string{a.Service, strconv.Itoa(int(a.Tier))}
-		for _, count := range []uint32{a.Offered, a.Shed, a.Sent, a.Turned, a.Late} {
+		for _, count := range []uint32{a.Offered, a.Shed, a.Sent, a.Rejected, a.Late} {
 			row = append(row, strconv.FormatUint(uint64(count), 10))
 		}
 		rows = append(rows, row)
--- a/internal/loopline/mirror.go
+++ b/internal/loopline/mirror.go
@@ -152,7 +152,7 @@
 //
 //	isCopied := mirror.Draw(tenant, conversation) < grant.Share
 func (m Mirror) Draw(tenant, conversation string) float64 {
-	return shedding.Draw(0, m.Name, m.Shadow, tenant, conversation)
+	return shedding.HashFraction(0, m.Name, m.Shadow, tenant, conversation)
 }
 
 // LifeOf is a node's part of the sum of all lives.
--- a/internal/objects/own.go
+++ b/internal/objects/own.go
@@ -38,10 +38,10 @@
 	Spec   struct {
 		Conversation string `json:"conversation"`
 		Tiers        []struct {
-			Name  string   `json:"name"`
-			Order int      `json:"order"`
-			Hosts []string `json:"hosts"`
-			Lanes []string `json:"lanes"`
+			Name   string   `json:"name"`
+			Order  int      `json:"order"`
+			Hosts  []string `json:"hosts"`
+			Routes []string `json:"lanes"`
 		} `json:"tiers"`
 	} `json:"spec"`
 }
--- a/internal/proxy/idempotency.go
+++ b/internal/proxy/idempotency.go
@@ -77,7 +77,7 @@
 // rejectOverload sheds the request because the control-plane members refused to create
 // its intent under overload.
 func (a *keyedAttempt) rejectOverload(context.Context, endpoint.Endpoint) (any, error) {
-	a.shedder.counter.Shed(a.request.service, a.request.route.Tier)
+	a.shedder.counter.CountShed(a.request.service, a.request.route.Tier)
 	return nil, a.request.overloadError()
 }
 
--- a/internal/proxy/shed.go
+++ b/internal/proxy/shed.go
@@ -70,7 +70,7 @@
 			rejected = rejected || cutoff.Service == req.service && cutoff.Sheds(tier, req.shedNames()...)
 		}
 	}
-	p.shedder.counter.Offer(req.service, tier, req.route.RouteType == config.Idempotent, rejected)
+	p.shedder.counter.CountRequest(req.service, tier, req.route.RouteType == config.Idempotent, rejected)
 	if rejected {
 		return req.overloadError()
 	}
@@ -95,7 +95,7 @@
 	if target == 0 {
 		target = apierror.AnswerOf(apierror.Shed).RetryAfter
 	}
-	retryAfter := target/2 + time.Duration(shedding.Draw(1, i.Attempt)*float64(target))
+	retryAfter := target/2 + time.Duration(shedding.HashFraction(1, i.Attempt)*float64(target))
 	return &apierror.Error{Kind: apierror.Shed, Detail: i.service, After: retryAfter.Round(time.Millisecond)}
 }
 
@@ -120,14 +120,14 @@
 	outcome, route := shedding.InTime, d.request.route
 	switch {
 	case response.IsNotExecuted():
-		outcome = shedding.Turned
+		outcome = shedding.Rejected
 	case route.RouteType == config.Download:
 		// The duration of a download depends on this node's link more than on the
 		// service.
 	case route.TargetLatency > 0 && latency > max(route.TargetLatency.Std(), lateFactor*d.stats.base()):
 		outcome = shedding.Late
 	}
-	d.shedder.counter.Try(d.request.service, route.Tier, server.ID, outcome)
+	d.shedder.counter.CountAttempt(d.request.service, route.Tier, server.ID, outcome)
 	d.outcomes.RecordLoad(server.ID, outcome != shedding.InTime)
 }
 
@@ -141,8 +141,8 @@
 	p.shedder.lock.Lock()
 	defer p.shedder.lock.Unlock()
 	p.shedder.pending = shedding.Sum(p.shedder.pending, loads)
-	p.shedder.localGauge.Hear("", loads)
-	p.shedder.localGauge.Decide(p.shedder.counter.Strained)
+	p.shedder.localGauge.Add("", loads)
+	p.shedder.localGauge.Decide(p.shedder.counter.OverloadedShare)
 	return overloaded
 }
 
--- a/internal/shedding/account.go
+++ b/internal/shedding/account.go
@@ -7,14 +7,14 @@
 
 // Account is what the window shows of one service and tier, for operators to read.
 type Account struct {
-	Service string `json:"Service"`
-	Tier    Tier   `json:"Tier"`
-	Offered uint32 `json:"Offered"`
-	Shed    uint32 `json:"Shed"`
-	Sent    uint32 `json:"Sent"`
-	Turned  uint32 `json:"Turned"`
-	Late    uint32 `json:"Late"`
-	IsKeyed bool   `json:"IsKeyed"`
+	Service  string `json:"Service"`
+	Tier     Tier   `json:"Tier"`
+	Offered  uint32 `json:"Offered"`
+	Shed     uint32 `json:"Shed"`
+	Sent     uint32 `json:"Sent"`
+	Rejected uint32 `json:"Turned"`
+	Late     uint32 `json:"Late"`
+	Keyed    bool   `json:"IsKeyed"`
 }
 
 // Accounts are the windows of all services, by tier.
@@ -23,15 +23,15 @@
 //
 //	for _, account := range gauge.Accounts() { print(account) }
 func (g *Gauge) Accounts() (out []Account) {
-	g.turn()
-	for _, service := range slices.Sorted(maps.Keys(g.columns)) {
+	g.advance()
+	for _, service := range slices.Sorted(maps.Keys(g.services)) {
 		var sum []Load
-		for _, rows := range g.columns[service].rows {
-			for _, loads := range rows {
+		for _, loadsByNode := range g.services[service].loads {
+			for _, loads := range loadsByNode {
 				sum = Sum(sum, loads)
 			}
 		}
-		slices.SortFunc(sum, func(a, z Load) int { return int(a.Tier) - int(z.Tier) })
+		slices.SortFunc(sum, func(a, b Load) int { return int(a.Tier) - int(b.Tier) })
 		for _, l := range sum {
 			out = append(out, Account(l))
 		}
--- a/internal/shedding/calm_test.go
+++ b/internal/shedding/calm_test.go
@@ -13,32 +13,32 @@
 
 var _ = Describe("what is no overload of the whole cluster", func() {
 	It("is one sick server, or one node in trouble", func() {
-		w := newWorld(3, 12)
-		w.servers[0].isIll = true
+		w := newCluster(3, 12)
+		w.servers[0].failing = true
 		w.run(0.7, 10*time.Second)
-		Expect(w.holder.Cutoffs()).To(BeEmpty())
-		gauge := shedding.NewGauge(w.hand, w.random.Uint64)
+		Expect(w.leader.Cutoffs()).To(BeEmpty())
+		gauge := shedding.NewGauge(w.clock, w.random.Uint64)
 		for range 20 {
-			w.hand.Now += 250 * time.Millisecond
+			w.clock.Now += 250 * time.Millisecond
 			for number := range 10 {
 				load := shedding.Load{Service: "s", Offered: 20, Sent: 20}
 				if number == 0 {
-					load.Turned = 20
+					load.Rejected = 20
 				}
-				gauge.Hear(fmt.Sprint(number), []shedding.Load{load})
+				gauge.Add(fmt.Sprint(number), []shedding.Load{load})
 			}
 			Expect(gauge.Decide(func(string) float64 { return 1 })).To(BeFalse())
 		}
 	})
 
 	It("is keyed operations that are late, or turned away now and then: they are refused only where servers turn most away", func() {
-		for turned, isRefused := range map[uint32]bool{0: false, 20: false, 45: false, 60: true} {
-			hand := &timetable.Hand{Now: time.Hour}
-			gauge := shedding.NewGauge(hand, func() uint64 { return 5 })
+		for turned, expectShed := range map[uint32]bool{0: false, 20: false, 45: false, 60: true} {
+			clock := &timetable.Hand{Now: time.Hour}
+			gauge := shedding.NewGauge(clock, func() uint64 { return 5 })
 			for range 40 {
-				hand.Now += 250 * time.Millisecond
-				load := shedding.Load{Service: "s", Offered: 100, Sent: 100, Late: 60 - turned, Turned: turned, IsKeyed: true}
-				gauge.Hear("a", []shedding.Load{load})
+				clock.Now += 250 * time.Millisecond
+				load := shedding.Load{Service: "s", Offered: 100, Sent: 100, Late: 60 - turned, Rejected: turned, Keyed: true}
+				gauge.Add("a", []shedding.Load{load})
 				gauge.Decide(func(string) float64 { return 1 })
 			}
 			shed := 0
@@ -49,17 +49,17 @@
 					}
 				}
 			}
-			Expect(shed > 0).To(Equal(isRefused), "%d turned away", turned)
+			Expect(shed > 0).To(Equal(expectShed), "%d turned away", turned)
 		}
 	})
 
 	It("never goes back to an older number when the holder changes", func() {
-		hand := &timetable.Hand{Now: time.Hour}
-		gauge := shedding.NewGauge(hand, func() uint64 { return 5 })
-		gauge.Hold([]shedding.Cutoff{{Service: "s", Number: 41, Seed: 9, Tier: 1, Part: 0.5}})
+		clock := &timetable.Hand{Now: time.Hour}
+		gauge := shedding.NewGauge(clock, func() uint64 { return 5 })
+		gauge.Restore([]shedding.Cutoff{{Service: "s", Number: 41, Seed: 9, Tier: 1, Fraction: 0.5}})
 		for range 40 {
-			hand.Now += 250 * time.Millisecond
-			gauge.Hear("a", []shedding.Load{{Service: "s", Tier: 1, Offered: 100, Sent: 60, Turned: 40}})
+			clock.Now += 250 * time.Millisecond
+			gauge.Add("a", []shedding.Load{{Service: "s", Tier: 1, Offered: 100, Sent: 60, Rejected: 40}})
 			gauge.Decide(func(string) float64 { return 1 })
 		}
 		Expect(gauge.Cutoffs()).To(HaveLen(1))
--- a/internal/shedding/clients_test.go
+++ b/internal/shedding/clients_test.go
@@ -10,13 +10,13 @@
 )
 
 // verdict is what a node says of an inquiry that bears no key.
-func (w *world) verdict(n *node, lane, name string) bool {
+func (w *cluster) rejects(n *node, route, name string) bool {
 	cutoffs := n.cutoffs
-	if w.isAlone || w.hand.Now-n.heardAt > 3*time.Second {
-		cutoffs = n.floor.Cutoffs()
+	if w.localOnly || w.clock.Now-n.updatedAt > 3*time.Second {
+		cutoffs = n.localGauge.Cutoffs()
 	}
 	for _, cutoff := range cutoffs {
-		if cutoff.Sheds(w.order.TierOf(lane), "h", name) {
+		if cutoff.Sheds(w.order.TierOf(route), "h", name) {
 			return true
 		}
 	}
@@ -24,8 +24,8 @@
 }
 
 // sheds is what one member says of a new key.
-func (w *world) sheds(m *member, key string) bool {
-	if w.hand.Now-m.heardAt > 1200*time.Millisecond {
+func (w *cluster) sheds(m *member, key string) bool {
+	if w.clock.Now-m.updatedAt > 1200*time.Millisecond {
 		return false
 	}
 	for _, cutoff := range m.cutoffs {
@@ -36,107 +36,107 @@
 	return false
 }
 
-func (w *world) ask(c *client) {
-	c.tries++
-	c.at = w.hand.Now
+func (w *cluster) send(c *client) {
+	c.attempts++
+	c.sentAt = w.clock.Now
 	n := w.nodes[w.random.IntN(len(w.nodes))]
-	tier := w.order.TierOf(c.lane)
-	isShed := false
-	if c.lane == "release" {
-		n.counter.Offer("s", tier, true, false)
-		if isShed = !w.secure(c); isShed {
-			n.counter.Shed("s", tier)
+	tier := w.order.TierOf(c.route)
+	shed := false
+	if c.route == "release" {
+		n.counter.CountRequest("s", tier, true, false)
+		if shed = !w.reserve(c); shed {
+			n.counter.CountShed("s", tier)
 		}
 	} else {
-		isShed = w.verdict(n, c.lane, c.key)
-		n.counter.Offer("s", tier, false, isShed)
+		shed = w.rejects(n, c.route, c.key)
+		n.counter.CountRequest("s", tier, false, shed)
 	}
-	if isShed {
-		w.refuse(c)
+	if shed {
+		w.reject(c)
 		return
 	}
-	a, z := w.servers[w.random.IntN(len(w.servers))], w.servers[w.random.IntN(len(w.servers))]
-	if len(z.work) < len(a.work) {
-		a = z
+	a, b := w.servers[w.random.IntN(len(w.servers))], w.servers[w.random.IntN(len(w.servers))]
+	if len(b.jobs) < len(a.jobs) {
+		a = b
 	}
-	if a.isIll || len(a.work) >= slots+queue {
-		n.counter.Try("s", tier, a.id, shedding.Turned)
-		w.giveBack(c)
-		w.refuse(c)
+	if a.failing || len(a.jobs) >= slots+queue {
+		n.counter.CountAttempt("s", tier, a.id, shedding.Rejected)
+		w.release(c)
+		w.reject(c)
 		return
 	}
-	a.work = append(a.work, job{c: c, node: n})
+	a.jobs = append(a.jobs, job{client: c, node: n})
 }
 
 // secure asks the members for their votes, as a proxy does.
-func (w *world) secure(c *client) bool {
-	c.intent = idempotency.Intent{Key: idempotency.Key{Tenant: "h", Key: c.key}, Attempt: idempotency.Attempt(fmt.Sprint(c.key, "-", c.tries)), Route: c.lane, Reservation: fmt.Sprint(c.key, "-", c.tries)}
-	round := idempotency.NewRound(c.intent.RequestHash, len(w.members), w.hand.Steady(), timetable.Steady(time.Second))
-	c.winners = nil
+func (w *cluster) reserve(c *client) bool {
+	c.intent = idempotency.Intent{Key: idempotency.Key{Tenant: "h", Key: c.key}, Attempt: idempotency.Attempt(fmt.Sprint(c.key, "-", c.attempts)), Route: c.route, Reservation: fmt.Sprint(c.key, "-", c.attempts)}
+	round := idempotency.NewRound(c.intent.RequestHash, len(w.members), w.clock.Steady(), timetable.Steady(time.Second))
+	c.voters = nil
 	for _, m := range w.members {
-		ballot := idempotency.Vote{Verdict: idempotency.Shed}
+		vote := idempotency.Vote{Verdict: idempotency.Shed}
 		if m.voter.Find(c.intent.Key) != nil || !w.sheds(m, c.key) {
-			ballot, _ = m.voter.Reserve(c.intent)
+			vote, _ = m.voter.Reserve(c.intent)
 		}
-		if ballot.Verdict == idempotency.Granted {
-			c.winners = append(c.winners, m)
+		if vote.Verdict == idempotency.Granted {
+			c.voters = append(c.voters, m)
 		}
-		round.AddVote(&ballot)
+		round.AddVote(&vote)
 	}
-	if round.Result(w.hand.Steady()) == idempotency.Won {
+	if round.Result(w.clock.Steady()) == idempotency.Won {
 		return true
 	}
-	w.giveBack(c)
+	w.release(c)
 	return false
 }
 
-func (w *world) giveBack(c *client) {
+func (w *cluster) release(c *client) {
 	released := c.intent
 	released.State = idempotency.Released
-	for _, m := range c.winners {
+	for _, m := range c.voters {
 		_, _ = m.voter.Record(released)
 	}
-	c.winners = nil
+	c.voters = nil
 }
 
-func (w *world) refuse(c *client) {
-	if c.tries < 4 {
-		c.at = w.hand.Now + 10*tick + time.Duration(w.random.IntN(10))*tick
+func (w *cluster) reject(c *client) {
+	if c.attempts < 4 {
+		c.sentAt = w.clock.Now + 10*tick + time.Duration(w.random.IntN(10))*tick
 		w.waiting = append(w.waiting, c)
 		return
 	}
-	w.counts[c.lane].refused++
+	w.counts[c.route].rejected++
 }
 
 // serve works on the first few of a server's queue.
-func (w *world) serve(s *server) {
-	var left []job
-	for i, j := range s.work {
+func (w *cluster) serve(s *server) {
+	var remaining []job
+	for i, j := range s.jobs {
 		if i < slots {
-			j.ends++
+			j.ticks++
 		}
-		if j.ends < workFor {
-			left = append(left, j)
+		if j.ticks < workTicks {
+			remaining = append(remaining, j)
 			continue
 		}
 		outcome := shedding.InTime
-		w.counts[j.c.lane].served++
-		if w.hand.Now-j.c.born > aim {
-			w.counts[j.c.lane].late++
+		w.counts[j.client.route].served++
+		if w.clock.Now-j.client.createdAt > targetLatency {
+			w.counts[j.client.route].late++
 		}
-		if w.hand.Now-j.c.at > aim {
+		if w.clock.Now-j.client.sentAt > targetLatency {
 			outcome = shedding.Late
 		}
-		j.node.counter.Try("s", w.order.TierOf(j.c.lane), s.id, outcome)
-		if j.c.lane == "release" {
-			w.ran[j.c.key]++
-			w.kept[j.c.key] = true
-			done := j.c.intent
+		j.node.counter.CountAttempt("s", w.order.TierOf(j.client.route), s.id, outcome)
+		if j.client.route == "release" {
+			w.executions[j.client.key]++
+			w.completed[j.client.key] = true
+			done := j.client.intent
 			done.State, done.Response = idempotency.Completed, &idempotency.Response{Status: 200}
 			for _, m := range w.members {
 				_, _ = m.voter.Record(done)
 			}
 		}
 	}
-	s.work = left
+	s.jobs = remaining
 }
--- a/internal/shedding/column.go
+++ b/internal/shedding/column.go
@@ -7,17 +7,17 @@
 )
 
 // column is what is known of one service.
-type column struct {
-	rows   [steps]map[string][]Load
+type serviceState struct {
+	loads  [steps]map[string][]Load
 	cutoff Cutoff
-	isOn   bool
+	active bool
 	// since is when the cutoff changed last, calmAt since when the service has been
 	// calm, calm how long it must be so.
-	since, calmAt timetable.Steady
+	changedAt, calmSince timetable.Steady
 	// changed is the step in which it did.
-	changed   int64
-	calm      time.Duration
-	isLowered bool
+	changedStep  int64
+	requiredCalm time.Duration
+	lastLowered  bool
 	// capacity is what the servers carried a second as the cutoff was raised last,
 	// at raisedAt.
 	capacity float64
@@ -25,22 +25,22 @@
 }
 
 // flow is what came in of one tier, and what of it went on to the servers.
-type flow struct {
-	offered, carried float64
-	isKeyed          bool
+type tierFlow struct {
+	offered, admitted float64
+	keyed             bool
 }
 
 // flows sums what came in since a step, by tier.
-func (c *column) flows(from int64) (out []flow) {
-	for at := from; at < from+steps; at++ {
-		for _, loads := range c.rows[at%steps] {
+func (c *serviceState) tierFlows(from int64) (out []tierFlow) {
+	for step := from; step < from+steps; step++ {
+		for _, loads := range c.loads[step%steps] {
 			for _, load := range loads {
 				for len(out) <= int(load.Tier) {
-					out = append(out, flow{})
+					out = append(out, tierFlow{})
 				}
 				out[load.Tier].offered += float64(load.Offered)
-				out[load.Tier].isKeyed = out[load.Tier].isKeyed || load.IsKeyed
-				out[load.Tier].carried += max(0, float64(load.Offered)-float64(load.Shed))
+				out[load.Tier].keyed = out[load.Tier].keyed || load.Keyed
+				out[load.Tier].admitted += max(0, float64(load.Offered)-float64(load.Shed))
 			}
 		}
 	}
@@ -48,35 +48,35 @@
 }
 
 // tally is a service's window in sum.
-type tally struct {
-	sent, turned, late, offered, shed float64
+type windowTotals struct {
+	sent, rejected, late, offered, shed float64
 	// strained nodes are those that met more trouble than a calm service gives.
-	nodes, strained int
+	nodes, overloadedNodes int
 }
 
-func (c *column) sum(from, step int64) (out tally) {
-	type pair struct{ sent, bad float64 }
-	nodes := map[string]pair{}
-	for at := from; at <= step; at++ {
-		for node, loads := range c.rows[at%steps] {
-			one := nodes[node]
+func (c *serviceState) totals(from, last int64) (out windowTotals) {
+	type nodeCounts struct{ sent, overloaded float64 }
+	nodes := map[string]nodeCounts{}
+	for step := from; step <= last; step++ {
+		for node, loads := range c.loads[step%steps] {
+			counts := nodes[node]
 			for _, load := range loads {
 				out.sent += float64(load.Sent)
-				out.turned += float64(load.Turned)
+				out.rejected += float64(load.Rejected)
 				out.late += float64(load.Late)
 				out.offered += float64(load.Offered)
 				out.shed += float64(load.Shed)
-				one.sent += float64(load.Sent)
-				one.bad += float64(load.Turned + load.Late)
+				counts.sent += float64(load.Sent)
+				counts.overloaded += float64(load.Rejected + load.Late)
 			}
-			nodes[node] = one
+			nodes[node] = counts
 		}
 	}
-	for _, one := range nodes {
-		if one.sent > 0 {
+	for _, counts := range nodes {
+		if counts.sent > 0 {
 			out.nodes++
-			if one.bad > calmMost*one.sent {
-				out.strained++
+			if counts.overloaded > calmThreshold*counts.sent {
+				out.overloadedNodes++
 			}
 		}
 	}
@@ -85,57 +85,57 @@
 
 // above is the cutoff that turns a share of what is carried away too, from the last
 // tier on, and of keyed tiers only where mayCutKeyed says so.
-func (c *column) above(share float64, flows []flow, mayCutKeyed bool) Cutoff {
-	left := 0.0
+func (c *serviceState) raisedCutoff(share float64, flows []tierFlow, shedKeyed bool) Cutoff {
+	remaining := 0.0
 	for _, f := range flows {
-		left += share * f.carried
+		remaining += share * f.admitted
 	}
 	next := c.cutoff
 	for tier := min(int(next.Tier), len(flows)-1); tier >= 0; tier-- {
-		if flows[tier].isKeyed && !mayCutKeyed {
+		if flows[tier].keyed && !shedKeyed {
 			return next
 		}
-		part := 0.0
+		fraction := 0.0
 		if Tier(tier) == c.cutoff.Tier {
-			part = c.cutoff.Part
+			fraction = c.cutoff.Fraction
 		}
-		next.Tier, next.Part = Tier(tier), 1
-		if carried := flows[tier].carried; left < carried {
-			next.Part = part + (1-part)*left/carried
+		next.Tier, next.Fraction = Tier(tier), 1
+		if admitted := flows[tier].admitted; remaining < admitted {
+			next.Fraction = fraction + (1-fraction)*remaining/admitted
 			return next
 		}
-		left -= flows[tier].carried
+		remaining -= flows[tier].admitted
 	}
 	return next
 }
 
 // freshPart is the part of what comes in of a tier, all of which is turned away,
 // that is thought to be there for the first time.
-const freshPart = 0.5
+const newRequestShare = 0.5
 
 // below is the cutoff that lets a share more in than is carried, those first that
 // were turned away last. isNone tells that it turns nothing away.
-func (c *column) below(share float64, flows []flow) (next Cutoff, isNone bool) {
-	left := 0.0
+func (c *serviceState) loweredCutoff(share float64, flows []tierFlow) (next Cutoff, none bool) {
+	remaining := 0.0
 	for _, f := range flows {
-		left += share * f.carried
+		remaining += share * f.admitted
 	}
 	next = c.cutoff
 	for tier := max(0, int(next.Tier)); tier < len(flows); tier++ {
-		next.Tier, next.Part = Tier(tier), 1
+		next.Tier, next.Fraction = Tier(tier), 1
 		if Tier(tier) == c.cutoff.Tier {
-			next.Part = c.cutoff.Part
+			next.Fraction = c.cutoff.Fraction
 		}
-		whole := freshPart * flows[tier].offered
-		if next.Part < 1 && flows[tier].carried > 0 {
-			whole = flows[tier].carried / (1 - next.Part)
+		total := newRequestShare * flows[tier].offered
+		if next.Fraction < 1 && flows[tier].admitted > 0 {
+			total = flows[tier].admitted / (1 - next.Fraction)
 		}
-		if whole*next.Part > left {
-			next.Part -= left / whole
+		if total*next.Fraction > remaining {
+			next.Fraction -= remaining / total
 			return next, false
 		}
-		left -= whole * next.Part
-		next.Part = 0
+		remaining -= total * next.Fraction
+		next.Fraction = 0
 	}
 	return next, true
 }
--- a/internal/shedding/counter.go
+++ b/internal/shedding/counter.go
@@ -13,31 +13,31 @@
 	// Late: the reply took far longer than usual, and than the lane's aim.
 	Late
 	// Turned: the server was full.
-	Turned
+	Rejected
 )
 
-type cell struct {
+type loadKey struct {
 	service string
 	tier    Tier
 }
 
 // strain is what one server showed lately.
-type strain struct{ sent, bad float64 }
+type serverLoad struct{ sent, overloaded float64 }
 
 // Counter counts a node's loads between two tellings.
 type Counter struct {
 	lock    sync.Mutex
-	rows    map[cell]*Load
-	servers map[string]map[string]*strain
+	loads   map[loadKey]*Load
+	servers map[string]map[string]*serverLoad
 }
 
 const (
 	// serverFade is what is left of a server's counts at each telling.
-	serverFade = 0.8
+	serverDecay = 0.8
 	// serverLeast is the count under which a server is forgotten.
-	serverLeast = 0.05
+	minServerCount = 0.05
 	// strainedPart is the part of its tries above which a server is strained.
-	strainedPart = 0.1
+	overloadedThreshold = 0.1
 )
 
 // NewCounter makes an empty counter.
@@ -46,16 +46,16 @@
 //
 //	counter := shedding.NewCounter()
 func NewCounter() *Counter {
-	return &Counter{rows: map[cell]*Load{}, servers: map[string]map[string]*strain{}}
+	return &Counter{loads: map[loadKey]*Load{}, servers: map[string]map[string]*serverLoad{}}
 }
 
-func (c *Counter) row(service string, tier Tier) *Load {
-	row := c.rows[cell{service, tier}]
-	if row == nil {
-		row = &Load{Service: service, Tier: tier}
-		c.rows[cell{service, tier}] = row
+func (c *Counter) load(service string, tier Tier) *Load {
+	load := c.loads[loadKey{service, tier}]
+	if load == nil {
+		load = &Load{Service: service, Tier: tier}
+		c.loads[loadKey{service, tier}] = load
 	}
-	return row
+	return load
 }
 
 // Offer counts an inquiry that came in, and whether a cutoff turned it away.
@@ -63,13 +63,13 @@
 // Example:
 //
 //	counter.Offer("fees", tier, isKeyed, isShed)
-func (c *Counter) Offer(service string, tier Tier, isKeyed, isShed bool) {
+func (c *Counter) CountRequest(service string, tier Tier, keyed, shed bool) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	row := c.row(service, tier)
-	row.Offered, row.IsKeyed = row.Offered+1, isKeyed
-	if isShed {
-		row.Shed++
+	load := c.load(service, tier)
+	load.Offered, load.Keyed = load.Offered+1, keyed
+	if shed {
+		load.Shed++
 	}
 }
 
@@ -78,10 +78,10 @@
 // Example:
 //
 //	counter.Shed("fees", tier)
-func (c *Counter) Shed(service string, tier Tier) {
+func (c *Counter) CountShed(service string, tier Tier) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	c.row(service, tier).Shed++
+	c.load(service, tier).Shed++
 }
 
 // Try counts the end of a try at a server.
@@ -89,27 +89,27 @@
 // Example:
 //
 //	counter.Try("fees", tier, "i-7f3a91c2", shedding.Turned)
-func (c *Counter) Try(service string, tier Tier, server string, outcome Outcome) {
+func (c *Counter) CountAttempt(service string, tier Tier, server string, outcome Outcome) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	row := c.row(service, tier)
-	row.Sent++
+	load := c.load(service, tier)
+	load.Sent++
 	switch outcome {
 	case Late:
-		row.Late++
-	case Turned:
-		row.Turned++
+		load.Late++
+	case Rejected:
+		load.Rejected++
 	}
 	if c.servers[service] == nil {
-		c.servers[service] = map[string]*strain{}
+		c.servers[service] = map[string]*serverLoad{}
 	}
-	one := c.servers[service][server]
-	if one == nil {
-		one = &strain{}
-		c.servers[service][server] = one
+	counts := c.servers[service][server]
+	if counts == nil {
+		counts = &serverLoad{}
+		c.servers[service][server] = counts
 	}
-	if one.sent++; outcome != InTime {
-		one.bad++
+	if counts.sent++; outcome != InTime {
+		counts.overloaded++
 	}
 }
 
@@ -119,23 +119,23 @@
 // Example:
 //
 //	loads, isStrained := counter.Take()
-func (c *Counter) Take() (loads []Load, isStrained bool) {
+func (c *Counter) Take() (loads []Load, overloaded bool) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	for _, row := range c.rows {
-		loads = append(loads, *row)
-		isStrained = isStrained || row.Turned+row.Late+row.Shed > 0
+	for _, load := range c.loads {
+		loads = append(loads, *load)
+		overloaded = overloaded || load.Rejected+load.Late+load.Shed > 0
 	}
-	clear(c.rows)
+	clear(c.loads)
 	for _, servers := range c.servers {
-		for id, one := range servers {
-			one.sent, one.bad = one.sent*serverFade, one.bad*serverFade
-			if one.sent < serverLeast {
+		for id, counts := range servers {
+			counts.sent, counts.overloaded = counts.sent*serverDecay, counts.overloaded*serverDecay
+			if counts.sent < minServerCount {
 				delete(servers, id)
 			}
 		}
 	}
-	return loads, isStrained
+	return loads, overloaded
 }
 
 // Strained is the part of a service's servers, of those that this node met lately,
@@ -144,16 +144,16 @@
 // Example:
 //
 //	isChanged := floor.Decide(counter.Strained)
-func (c *Counter) Strained(service string) float64 {
+func (c *Counter) OverloadedShare(service string) float64 {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	bad := 0
-	for _, one := range c.servers[service] {
-		if one.bad > strainedPart*one.sent {
-			bad++
+	overloaded := 0
+	for _, counts := range c.servers[service] {
+		if counts.overloaded > overloadedThreshold*counts.sent {
+			overloaded++
 		}
 	}
-	return float64(bad) / float64(max(1, len(c.servers[service])))
+	return float64(overloaded) / float64(max(1, len(c.servers[service])))
 }
 
 // Sum adds loads of the same service and tier together.
@@ -161,19 +161,19 @@
 // Example:
 //
 //	pending = shedding.Sum(pending, loads)
-func Sum(a, z []Load) []Load {
-	for _, more := range z {
-		isThere := false
+func Sum(a, b []Load) []Load {
+	for _, load := range b {
+		found := false
 		for i := range a {
-			if isThere = a[i].Service == more.Service && a[i].Tier == more.Tier; isThere {
-				a[i].Offered, a[i].Shed, a[i].Sent = a[i].Offered+more.Offered, a[i].Shed+more.Shed, a[i].Sent+more.Sent
-				a[i].Turned, a[i].Late = a[i].Turned+more.Turned, a[i].Late+more.Late
-				a[i].IsKeyed = a[i].IsKeyed || more.IsKeyed
+			if found = a[i].Service == load.Service && a[i].Tier == load.Tier; found {
+				a[i].Offered, a[i].Shed, a[i].Sent = a[i].Offered+load.Offered, a[i].Shed+load.Shed, a[i].Sent+load.Sent
+				a[i].Rejected, a[i].Late = a[i].Rejected+load.Rejected, a[i].Late+load.Late
+				a[i].Keyed = a[i].Keyed || load.Keyed
 				break
 			}
 		}
-		if !isThere {
-			a = append(a, more)
+		if !found {
+			a = append(a, load)
 		}
 	}
 	return a
--- a/internal/shedding/gauge.go
+++ b/internal/shedding/gauge.go
@@ -18,11 +18,11 @@
 	// Sent went to servers and were answered; Turned of them were turned away as
 	// the server was full; Late of them took far longer than usual and than the
 	// lane's aim.
-	Sent   uint32 `cbor:"5,keyasint,omitempty"`
-	Turned uint32 `cbor:"6,keyasint,omitempty"`
-	Late   uint32 `cbor:"7,keyasint,omitempty"`
+	Sent     uint32 `cbor:"5,keyasint,omitempty"`
+	Rejected uint32 `cbor:"6,keyasint,omitempty"`
+	Late     uint32 `cbor:"7,keyasint,omitempty"`
 	// IsKeyed: its inquiries are keyed operations.
-	IsKeyed bool `cbor:"8,keyasint,omitempty"`
+	Keyed bool `cbor:"8,keyasint,omitempty"`
 }
 
 const (
@@ -31,56 +31,56 @@
 	steps  = 6
 	// raiseRest is the least time between two raisings: so long it takes until a
 	// cutoff is everywhere and its effect is seen.
-	raiseRest = 2 * time.Second
+	raiseInterval = 2 * time.Second
 	// calmFirst is how long the service must be calm before the cutoff is lowered,
 	// a third of it lies between two steps; it doubles after each relapse, up to
 	// calmLongest.
-	calmFirst   = 1500 * time.Millisecond
-	calmLongest = 16 * time.Second
+	initialCalm = 1500 * time.Millisecond
+	maxCalm     = 16 * time.Second
 	// turnedMost and lateMost are the shares of what was sent above which a
 	// service is overloaded, calmMost the share under which it is calm.
-	turnedMost = 0.03
-	lateMost   = 0.25
-	calmMost   = 0.02
+	rejectedThreshold = 0.03
+	lateThreshold     = 0.25
+	calmThreshold     = 0.02
 	// keyedMost is the share turned away above which keyed tiers are cut too: there,
 	// most of what a server does is to refuse.
-	keyedMost = 0.5
+	keyedThreshold = 0.5
 	// leastSent is how much must have been sent in the window to judge by it.
-	leastSent = 20
+	minSent = 20
 	// firstMost bounds the first raising, as a share of what was carried, and
 	// againMost a further one: while servers turn inquiries of all tiers away, these
 	// come back and make the load seem larger than it is.
-	firstMost = 0.6
-	againMost = 0.2
+	maxFirstRaise = 0.6
+	maxNextRaise  = 0.2
 	// raiseLeast is the least that one raising turns away of what was carried.
-	raiseLeast = 0.05
+	minRaise = 0.05
 	// carryMore is how much more is carried after one lowering.
-	carryMore = 0.15
+	loweringStep = 0.15
 	// fullPart is the part of what the servers carried while they were full up to
 	// which more is let in, until nothing was raised for probeRest.
-	fullPart  = 0.92
-	probeRest = 20 * time.Second
+	capacityLimit = 0.92
+	probeDelay    = 20 * time.Second
 	// capacityFade is what is left of that measure at the next raising, as servers
 	// may have gone.
-	capacityFade = 0.9
+	capacityDecay = 0.9
 	// spreadSteps are the steps after a change that are not judged: not every node
 	// had heard of it.
-	spreadSteps = 2
+	propagationSteps = 2
 	// judgedSteps are how many steps after those must have passed.
-	judgedSteps = 3
+	minEvaluatedSteps = 3
 	// widePart is the part of the nodes, and of the servers, that must be strained
 	// for an overload of the whole service.
-	widePart = 0.5
+	wideShare = 0.5
 )
 
 // Gauge sums the loads of one node or of all, and decides on the cutoffs. It has
 // one owner.
 type Gauge struct {
-	clock   timetable.Clock
-	columns map[string]*column
-	step    int64
-	number  uint64
-	seed    func() uint64
+	clock      timetable.Clock
+	services   map[string]*serviceState
+	step       int64
+	lastNumber uint64
+	newSeed    func() uint64
 }
 
 // NewGauge makes a gauge with no cutoff; seed gives the seed of each overload.
@@ -88,8 +88,8 @@
 // Example:
 //
 //	gauge := shedding.NewGauge(clock, rand.Uint64)
-func NewGauge(clock timetable.Clock, seed func() uint64) *Gauge {
-	return &Gauge{clock: clock, columns: map[string]*column{}, seed: seed}
+func NewGauge(clock timetable.Clock, newSeed func() uint64) *Gauge {
+	return &Gauge{clock: clock, services: map[string]*serviceState{}, newSeed: newSeed}
 }
 
 // Hold goes on from the cutoffs of an earlier holder.
@@ -97,20 +97,20 @@
 // Example:
 //
 //	gauge.Hold(fleet.Cutoffs)
-func (g *Gauge) Hold(cutoffs []Cutoff) {
+func (g *Gauge) Restore(cutoffs []Cutoff) {
 	now := g.clock.Steady()
 	for _, cutoff := range cutoffs {
-		c := g.column(cutoff.Service)
-		c.cutoff, c.isOn, c.since, c.calmAt = cutoff, true, now, now
-		g.number = max(g.number, cutoff.Number)
+		c := g.service(cutoff.Service)
+		c.cutoff, c.active, c.changedAt, c.calmSince = cutoff, true, now, now
+		g.lastNumber = max(g.lastNumber, cutoff.Number)
 	}
 }
 
-func (g *Gauge) column(service string) *column {
-	c := g.columns[service]
+func (g *Gauge) service(service string) *serviceState {
+	c := g.services[service]
 	if c == nil {
-		c = &column{calm: calmFirst, calmAt: g.clock.Steady()}
-		g.columns[service] = c
+		c = &serviceState{requiredCalm: initialCalm, calmSince: g.clock.Steady()}
+		g.services[service] = c
 	}
 	return c
 }
@@ -120,25 +120,25 @@
 // Example:
 //
 //	gauge.Hear(report.Node, report.Loads)
-func (g *Gauge) Hear(node string, loads []Load) {
-	g.turn()
+func (g *Gauge) Add(node string, loads []Load) {
+	g.advance()
 	for _, load := range loads {
-		c := g.column(load.Service)
-		at := &c.rows[g.step%steps]
-		if *at == nil {
-			*at = map[string][]Load{}
+		c := g.service(load.Service)
+		loadsByNode := &c.loads[g.step%steps]
+		if *loadsByNode == nil {
+			*loadsByNode = map[string][]Load{}
 		}
-		(*at)[node] = append((*at)[node], load)
+		(*loadsByNode)[node] = append((*loadsByNode)[node], load)
 	}
 }
 
 // turn moves to the present step of the window, and empties those passed.
-func (g *Gauge) turn() {
+func (g *Gauge) advance() {
 	now := int64(g.clock.Steady() / timetable.Steady(window/steps))
-	for passed := 0; g.step < now && passed < steps; passed++ {
+	for advanced := 0; g.step < now && advanced < steps; advanced++ {
 		g.step++
-		for _, c := range g.columns {
-			c.rows[g.step%steps] = nil
+		for _, c := range g.services {
+			c.loads[g.step%steps] = nil
 		}
 	}
 	g.step = now
@@ -150,8 +150,8 @@
 //
 //	fleet.Cutoffs = gauge.Cutoffs()
 func (g *Gauge) Cutoffs() (out []Cutoff) {
-	for _, service := range slices.Sorted(maps.Keys(g.columns)) {
-		if c := g.columns[service]; c.isOn {
+	for _, service := range slices.Sorted(maps.Keys(g.services)) {
+		if c := g.services[service]; c.active {
 			out = append(out, c.cutoff)
 		}
 	}
@@ -164,87 +164,89 @@
 // Example:
 //
 //	isChanged := gauge.Decide(court.Strained)
-func (g *Gauge) Decide(strained func(service string) float64) (isChanged bool) {
-	g.turn()
+func (g *Gauge) Decide(overloadedShare func(service string) float64) (changed bool) {
+	g.advance()
 	now := g.clock.Steady()
-	for _, service := range slices.Sorted(maps.Keys(g.columns)) {
-		c := g.columns[service]
-		if g.step-c.changed < spreadSteps+judgedSteps {
+	for _, service := range slices.Sorted(maps.Keys(g.services)) {
+		c := g.services[service]
+		if g.step-c.changedStep < propagationSteps+minEvaluatedSteps {
 			continue
 		}
-		t := c.sum(g.judged(c), g.step)
-		isJudged := t.sent >= leastSent
-		isOver := isJudged && (t.turned > turnedMost*t.sent || t.late > lateMost*t.sent)
-		isWide := float64(t.strained) >= widePart*float64(max(1, t.nodes))
+		t := c.totals(g.firstEvaluatedStep(c), g.step)
+		conclusive := t.sent >= minSent
+		overloaded := conclusive && (t.rejected > rejectedThreshold*t.sent || t.late > lateThreshold*t.sent)
+		widespread := float64(t.overloadedNodes) >= wideShare*float64(max(1, t.nodes))
 		switch {
-		case isOver && isWide && strained(service) >= widePart:
-			c.calmAt = now
-			if !c.isOn || time.Duration(now-c.since) >= raiseRest {
-				isChanged = g.raise(service, c, t) || isChanged
+		case overloaded && widespread && overloadedShare(service) >= wideShare:
+			c.calmSince = now
+			if !c.active || time.Duration(now-c.changedAt) >= raiseInterval {
+				changed = g.raise(service, c, t) || changed
 			}
-		case !c.isOn:
-		case isJudged && t.turned+t.late > calmMost*t.sent:
-			c.calmAt = now
-		case time.Duration(now-c.calmAt) >= c.calm && time.Duration(now-c.since) >= c.calm/3:
-			isChanged = g.lower(c, t) || isChanged
+		case !c.active:
+		case conclusive && t.rejected+t.late > calmThreshold*t.sent:
+			c.calmSince = now
+		case time.Duration(now-c.calmSince) >= c.requiredCalm && time.Duration(now-c.changedAt) >= c.requiredCalm/3:
+			changed = g.lower(c, t) || changed
 		}
 	}
-	return isChanged
+	return changed
 }
 
 // raise turns away as much of what is carried as the servers turned away, or half
 // as much as they were late with.
-func (g *Gauge) raise(service string, c *column, t tally) bool {
+func (g *Gauge) raise(service string, c *serviceState, t windowTotals) bool {
 	now := g.clock.Steady()
-	if c.isLowered && time.Duration(now-c.since) < 2*c.calm {
-		c.calm = min(2*c.calm, calmLongest)
+	if c.lastLowered && time.Duration(now-c.changedAt) < 2*c.requiredCalm {
+		c.requiredCalm = min(2*c.requiredCalm, maxCalm)
 	}
-	flows, most := c.flows(g.judged(c)), againMost
-	if !c.isOn {
-		c.cutoff, most = Cutoff{Service: service, Seed: g.seed(), Tier: Tier(len(flows))}, firstMost
+	flows, maxShare := c.tierFlows(g.firstEvaluatedStep(c)), maxNextRaise
+	if !c.active {
+		c.cutoff, maxShare = Cutoff{Service: service, Seed: g.newSeed(), Tier: Tier(len(flows))}, maxFirstRaise
 	}
 	// Keyed operations that come late, or that a server turns away now and then, are
 	// still better than ones that every node refuses until the cutoff falls.
-	mayCutKeyed := t.turned > keyedMost*t.sent
-	next := c.above(min(most, max(raiseLeast, t.turned/t.sent, t.late/t.sent/2)), flows, mayCutKeyed)
-	if next.Height(len(flows)) <= max(0, c.cutoff.Height(len(flows))) {
+	shedKeyed := t.rejected > keyedThreshold*t.sent
+	next := c.raisedCutoff(min(maxShare, max(minRaise, t.rejected/t.sent, t.late/t.sent/2)), flows, shedKeyed)
+	if next.Level(len(flows)) <= max(0, c.cutoff.Level(len(flows))) {
 		return false
 	}
-	c.isOn, c.isLowered, c.since, c.raisedAt = true, false, now, now
+	c.active, c.lastLowered, c.changedAt, c.raisedAt = true, false, now, now
 	// A raising that followed on another saw less than the servers carry.
-	c.capacity = max(capacityFade*c.capacity, (t.sent-t.turned)/g.span(c))
-	g.put(c, next)
+	c.capacity = max(capacityDecay*c.capacity, (t.sent-t.rejected)/g.evaluatedSeconds(c))
+	g.setCutoff(c, next)
 	return true
 }
 
 // lower lets some of those in that are turned away.
-func (g *Gauge) lower(c *column, t tally) bool {
-	now, carried := g.clock.Steady(), (t.offered-t.shed)/g.span(c)
-	if time.Duration(now-c.raisedAt) < probeRest && carried*(1+carryMore) > fullPart*c.capacity {
+func (g *Gauge) lower(c *serviceState, t windowTotals) bool {
+	now, admittedRate := g.clock.Steady(), (t.offered-t.shed)/g.evaluatedSeconds(c)
+	if time.Duration(now-c.raisedAt) < probeDelay && admittedRate*(1+loweringStep) > capacityLimit*c.capacity {
 		return false
 	}
-	c.since, c.isLowered = now, true
-	next, isNone := c.below(carryMore, c.flows(g.judged(c)))
-	if isNone {
-		c.isOn = false
-		g.number++
+	c.changedAt, c.lastLowered = now, true
+	next, none := c.loweredCutoff(loweringStep, c.tierFlows(g.firstEvaluatedStep(c)))
+	if none {
+		c.active = false
+		g.lastNumber++
 		return true
 	}
-	g.put(c, next)
+	g.setCutoff(c, next)
 	return true
 }
 
 // judged is the first step by which a service is judged: of those before, some
 // nodes had not heard of the cutoff.
-func (g *Gauge) judged(c *column) int64 { return max(g.step-steps, c.changed+spreadSteps) + 1 }
+func (g *Gauge) firstEvaluatedStep(c *serviceState) int64 {
+	return max(g.step-steps, c.changedStep+propagationSteps) + 1
+}
 
 // span is how many seconds are judged.
-func (g *Gauge) span(c *column) float64 {
-	return float64(g.step-g.judged(c)+1) * (window / steps).Seconds()
+func (g *Gauge) evaluatedSeconds(c *serviceState) float64 {
+	return float64(g.step-g.firstEvaluatedStep(c)+1) * (window / steps).Seconds()
 }
 
-func (g *Gauge) put(c *column, next Cutoff) {
-	g.number++
-	next.Number = g.number
-	c.cutoff, c.changed = next, g.step
+func (g *Gauge) setCutoff(c *serviceState, next Cutoff) {
+	g.lastNumber++
+	next.Number = g.lastNumber
+	c.cutoff, c.changedStep = next, g.step
 }
--- a/internal/shedding/order.go
+++ b/internal/shedding/order.go
@@ -35,7 +35,7 @@
 func (k Kind) String() string { return kindNames[k] }
 
 // Lane is what the order has to know of a lane.
-type Lane struct {
+type Route struct {
 	Name, Host string
 	Priority   int
 	Kind       Kind
@@ -44,27 +44,27 @@
 // rank is what lanes are ordered by: the plan's tier, the lane's priority, and
 // its kind. Lanes of one rank share a tier.
 type rank struct {
-	plan, priority int
-	kind           Kind
+	planOrder, priority int
+	kind                Kind
 }
 
 func (r rank) compare(other rank) int {
-	return cmp.Or(cmp.Compare(r.plan, other.plan), cmp.Compare(r.priority, other.priority), cmp.Compare(r.kind, other.kind))
+	return cmp.Or(cmp.Compare(r.planOrder, other.planOrder), cmp.Compare(r.priority, other.priority), cmp.Compare(r.kind, other.kind))
 }
 
 // Rung is one tier of an order, for operators to read.
-type Rung struct {
+type TierInfo struct {
 	Tier     Tier     `json:"Tier"`
 	Plan     string   `json:"Plan,omitempty"`
 	Priority int      `json:"Priority"`
 	Kind     string   `json:"Kind"`
-	Lanes    []string `json:"Routes"`
+	Routes   []string `json:"Routes"`
 }
 
 // Order is the tiers of all lanes. It never changes once made.
 type Order struct {
-	tiers map[string]Tier
-	rungs []Rung
+	tierByRoute map[string]Tier
+	tiers       []TierInfo
 }
 
 // Arrange lays the order of the lanes under a plan, which may be the empty one.
@@ -74,38 +74,38 @@
 // Example:
 //
 //	order := shedding.Arrange(shedding.Plan{}, lanes)
-func Arrange(plan Plan, lanes []Lane) *Order {
-	ranks := make(map[string]rank, len(lanes))
-	firstBulk := rank{plan: len(plan.Tiers) + 1}
-	for _, lane := range lanes {
-		at := rank{plan.orderOf(lane), lane.Priority, lane.Kind}
-		ranks[lane.Name] = at
-		if lane.Kind == Bulk && at.compare(firstBulk) < 0 {
-			firstBulk = at
+func NewOrder(plan Plan, routes []Route) *Order {
+	ranks := make(map[string]rank, len(routes))
+	firstBulk := rank{planOrder: len(plan.Tiers) + 1}
+	for _, route := range routes {
+		routeRank := rank{plan.orderOf(route), route.Priority, route.Kind}
+		ranks[route.Name] = routeRank
+		if route.Kind == Bulk && routeRank.compare(firstBulk) < 0 {
+			firstBulk = routeRank
 		}
 	}
 	var all []rank
-	for _, lane := range lanes {
-		at := ranks[lane.Name]
-		if lane.Kind == Keyed && at.compare(firstBulk) > 0 {
-			at = rank{firstBulk.plan, firstBulk.priority, Keyed}
-			ranks[lane.Name] = at
+	for _, route := range routes {
+		routeRank := ranks[route.Name]
+		if route.Kind == Keyed && routeRank.compare(firstBulk) > 0 {
+			routeRank = rank{firstBulk.planOrder, firstBulk.priority, Keyed}
+			ranks[route.Name] = routeRank
 		}
-		all = append(all, at)
+		all = append(all, routeRank)
 	}
 	slices.SortFunc(all, rank.compare)
 	all = slices.Compact(all)
-	order := &Order{tiers: make(map[string]Tier, len(lanes)), rungs: make([]Rung, len(all))}
-	for i, at := range all {
-		order.rungs[i] = Rung{Tier: Tier(i), Plan: plan.nameOf(at.plan), Priority: at.priority, Kind: at.kind.String()}
+	order := &Order{tierByRoute: make(map[string]Tier, len(routes)), tiers: make([]TierInfo, len(all))}
+	for i, tierRank := range all {
+		order.tiers[i] = TierInfo{Tier: Tier(i), Plan: plan.tierName(tierRank.planOrder), Priority: tierRank.priority, Kind: tierRank.kind.String()}
 	}
-	for _, lane := range lanes {
-		at, _ := slices.BinarySearchFunc(all, ranks[lane.Name], rank.compare)
-		order.tiers[lane.Name] = Tier(at)
-		order.rungs[at].Lanes = append(order.rungs[at].Lanes, lane.Name)
+	for _, route := range routes {
+		index, _ := slices.BinarySearchFunc(all, ranks[route.Name], rank.compare)
+		order.tierByRoute[route.Name] = Tier(index)
+		order.tiers[index].Routes = append(order.tiers[index].Routes, route.Name)
 	}
-	for i := range order.rungs {
-		slices.Sort(order.rungs[i].Lanes)
+	for i := range order.tiers {
+		slices.Sort(order.tiers[i].Routes)
 	}
 	return order
 }
@@ -115,14 +115,14 @@
 // Example:
 //
 //	tier := order.TierOf(lane.Name)
-func (o *Order) TierOf(lane string) Tier { return o.tiers[lane] }
+func (o *Order) TierOf(route string) Tier { return o.tierByRoute[route] }
 
 // Rungs are the tiers from the one that is kept longest.
 //
 // Example:
 //
 //	for _, rung := range order.Rungs() { print(rung) }
-func (o *Order) Rungs() []Rung { return o.rungs }
+func (o *Order) Tiers() []TierInfo { return o.tiers }
 
 // isHost tells whether two names of a host are the same.
-func isHost(a, z string) bool { return strings.EqualFold(a, z) }
+func sameHost(a, b string) bool { return strings.EqualFold(a, b) }
--- a/internal/shedding/plan.go
+++ b/internal/shedding/plan.go
@@ -11,10 +11,10 @@
 // PlanTier is one of the operator's plan tiers: tenants by their hosts, or single
 // lanes. Order 1 is turned away last.
 type PlanTier struct {
-	Name  string   `json:"Name"`
-	Order int      `json:"Order"`
-	Hosts []string `json:"Hosts,omitempty"`
-	Lanes []string `json:"Routes,omitempty"`
+	Name   string   `json:"Name"`
+	Order  int      `json:"Order"`
+	Hosts  []string `json:"Hosts,omitempty"`
+	Routes []string `json:"Routes,omitempty"`
 }
 
 // Plan is the operator's tiers. A lane counts for the tier that names it, or else
@@ -33,40 +33,40 @@
 // Example:
 //
 //	err := plan.Check(lanes)
-func (p Plan) Check(lanes []Lane) error {
+func (p Plan) Check(routes []Route) error {
 	err := validation.ValidateStruct(&p, validation.Field(&p.Name, validation.Required), validation.Field(&p.Tiers, validation.Required))
 	if err != nil {
 		return errors.Annotatef(err, "plan %s", p.Name)
 	}
-	orders, names, taken := map[int]string{}, map[string]bool{}, map[string]string{}
-	take := func(what, tier string) error {
-		if other, isTaken := taken[what]; isTaken {
-			return errors.NotValidf("plan %s: %s, which is in tier %s and in tier %s,", p.Name, what, other, tier)
+	orders, names, assigned := map[int]string{}, map[string]bool{}, map[string]string{}
+	assign := func(member, tier string) error {
+		if other, found := assigned[member]; found {
+			return errors.NotValidf("plan %s: %s, which is in tier %s and in tier %s,", p.Name, member, other, tier)
 		}
-		taken[what] = tier
+		assigned[member] = tier
 		return nil
 	}
 	for _, tier := range p.Tiers {
-		switch other, isTwice := orders[tier.Order]; {
+		switch other, duplicate := orders[tier.Order]; {
 		case tier.Name == "" || names[tier.Name]:
 			return errors.NotValidf("plan %s: tier %q, which has no name or another's,", p.Name, tier.Name)
-		case isTwice:
+		case duplicate:
 			return errors.NotValidf("plan %s: order %d, which tiers %s and %s share,", p.Name, tier.Order, other, tier.Name)
 		}
 		names[tier.Name], orders[tier.Order] = true, tier.Name
 		for _, host := range tier.Hosts {
-			if !slices.ContainsFunc(lanes, func(lane Lane) bool { return isHost(lane.Host, host) }) {
+			if !slices.ContainsFunc(routes, func(route Route) bool { return sameHost(route.Host, host) }) {
 				return errors.NotFoundf("plan %s: host %s of tier %s", p.Name, host, tier.Name)
 			}
-			if err := take("host "+host, tier.Name); err != nil {
+			if err := assign("host "+host, tier.Name); err != nil {
 				return err
 			}
 		}
-		for _, name := range tier.Lanes {
-			if !slices.ContainsFunc(lanes, func(lane Lane) bool { return lane.Name == name }) {
+		for _, name := range tier.Routes {
+			if !slices.ContainsFunc(routes, func(route Route) bool { return route.Name == name }) {
 				return errors.NotFoundf("plan %s: lane %s of tier %s", p.Name, name, tier.Name)
 			}
-			if err := take("lane "+name, tier.Name); err != nil {
+			if err := assign("lane "+name, tier.Name); err != nil {
 				return err
 			}
 		}
@@ -76,13 +76,13 @@
 			return errors.NotValidf("plan %s: order of %d tiers without a tier of order %s,", p.Name, len(p.Tiers), strconv.Itoa(order))
 		}
 	}
-	return p.checkKeyed(lanes)
+	return p.checkKeyedRoutes(routes)
 }
 
 // checkKeyed refuses a keyed lane in a tier below that of a bulk one.
-func (p Plan) checkKeyed(lanes []Lane) error {
-	for _, keyed := range lanes {
-		for _, bulk := range lanes {
+func (p Plan) checkKeyedRoutes(routes []Route) error {
+	for _, keyed := range routes {
+		for _, bulk := range routes {
 			if keyed.Kind == Keyed && bulk.Kind == Bulk && p.orderOf(keyed) > p.orderOf(bulk) {
 				return errors.NotValidf("plan %s: keyed lane %s, which comes after the bulk lane %s,", p.Name, keyed.Name, bulk.Name)
 			}
@@ -92,21 +92,21 @@
 }
 
 // orderOf is the place of a lane's tier in the plan, from 1.
-func (p Plan) orderOf(lane Lane) int {
+func (p Plan) orderOf(route Route) int {
 	for _, tier := range p.Tiers {
-		if slices.Contains(tier.Lanes, lane.Name) {
+		if slices.Contains(tier.Routes, route.Name) {
 			return tier.Order
 		}
 	}
 	for _, tier := range p.Tiers {
-		if slices.ContainsFunc(tier.Hosts, func(host string) bool { return isHost(host, lane.Host) }) {
+		if slices.ContainsFunc(tier.Hosts, func(host string) bool { return sameHost(host, route.Host) }) {
 			return tier.Order
 		}
 	}
 	return len(p.Tiers) + 1
 }
 
-func (p Plan) nameOf(order int) string {
+func (p Plan) tierName(order int) string {
 	for _, tier := range p.Tiers {
 		if tier.Order == order {
 			return tier.Name
--- a/internal/shedding/shedding_test.go
+++ b/internal/shedding/shedding_test.go
@@ -19,10 +19,10 @@
 
 var _ = Describe("the order of tiers", func() {
 	It("goes by priority, and among equals keeps keyed lanes, then reads, then bulk", func() {
-		order := shedding.Arrange(shedding.Plan{}, lanes)
+		order := shedding.NewOrder(shedding.Plan{}, routes)
 		var names []string
-		for _, rung := range order.Rungs() {
-			names = append(names, rung.Lanes...)
+		for _, tier := range order.Tiers() {
+			names = append(names, tier.Routes...)
 		}
 		Expect(names).To(Equal([]string{"release", "urgent", "page", "pack"}))
 	})
@@ -30,33 +30,33 @@
 	It("is the same however the lanes are listed", func() {
 		random := rand.New(rand.NewPCG(1, 2))
 		plan := shedding.Plan{Name: "p", Tiers: []shedding.PlanTier{{Name: "gold", Order: 1, Hosts: []string{"B"}}, {Name: "rest", Order: 2, Hosts: []string{"a"}}}}
-		var all []shedding.Lane
+		var all []shedding.Route
 		for number := range 30 {
-			all = append(all, shedding.Lane{Name: fmt.Sprint("l", number), Host: []string{"a", "b", "c"}[number%3], Priority: number % 4, Kind: shedding.Kind(number % 4)})
+			all = append(all, shedding.Route{Name: fmt.Sprint("l", number), Host: []string{"a", "b", "c"}[number%3], Priority: number % 4, Kind: shedding.Kind(number % 4)})
 		}
-		want := shedding.Arrange(plan, all).Rungs()
+		want := shedding.NewOrder(plan, all).Tiers()
 		for range 20 {
 			random.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-			Expect(shedding.Arrange(plan, all).Rungs()).To(Equal(want))
+			Expect(shedding.NewOrder(plan, all).Tiers()).To(Equal(want))
 		}
 		Expect(want[0].Plan).To(Equal("gold"))
 	})
 
 	It("puts no keyed lane after a bulk one, whatever has become of the lanes", func() {
 		plan := shedding.Plan{Name: "p", Tiers: []shedding.PlanTier{{Name: "gold", Order: 1, Hosts: []string{"a"}}}}
-		order := shedding.Arrange(plan, []shedding.Lane{{Name: "pack", Host: "a", Kind: shedding.Bulk}, {Name: "fee", Host: "z", Kind: shedding.Keyed}})
+		order := shedding.NewOrder(plan, []shedding.Route{{Name: "pack", Host: "a", Kind: shedding.Bulk}, {Name: "fee", Host: "z", Kind: shedding.Keyed}})
 		Expect(order.TierOf("fee")).To(BeNumerically("<", order.TierOf("pack")))
 	})
 
 	DescribeTable("a plan that is wrong is refused by name",
 		func(plan shedding.Plan, reason string) {
 			plan.Name = "p"
-			Expect(plan.Check(append(lanes, shedding.Lane{Name: "far", Host: "z", Kind: shedding.Bulk}))).To(MatchError(ContainSubstring(reason)))
+			Expect(plan.Check(append(routes, shedding.Route{Name: "far", Host: "z", Kind: shedding.Bulk}))).To(MatchError(ContainSubstring(reason)))
 		},
 		Entry("no tiers", shedding.Plan{}, "Tiers"),
 		Entry("an unknown host", shedding.Plan{Tiers: []shedding.PlanTier{{Name: "a", Order: 1, Hosts: []string{"q"}}}}, "host q"),
-		Entry("an unknown lane", shedding.Plan{Tiers: []shedding.PlanTier{{Name: "a", Order: 1, Lanes: []string{"q"}}}}, "lane q"),
-		Entry("a lane in two tiers", shedding.Plan{Tiers: []shedding.PlanTier{{Name: "a", Order: 1, Lanes: []string{"page"}}, {Name: "b", Order: 2, Lanes: []string{"page"}}}}, "lane page"),
+		Entry("an unknown lane", shedding.Plan{Tiers: []shedding.PlanTier{{Name: "a", Order: 1, Routes: []string{"q"}}}}, "lane q"),
+		Entry("a lane in two tiers", shedding.Plan{Tiers: []shedding.PlanTier{{Name: "a", Order: 1, Routes: []string{"page"}}, {Name: "b", Order: 2, Routes: []string{"page"}}}}, "lane page"),
 		Entry("one order twice", shedding.Plan{Tiers: []shedding.PlanTier{{Name: "a", Order: 1}, {Name: "b", Order: 1}}}, "tiers a and b"),
 		Entry("a gap", shedding.Plan{Tiers: []shedding.PlanTier{{Name: "a", Order: 1}, {Name: "b", Order: 3}}}, "tier of order 2"),
 		Entry("a keyed lane after a bulk one", shedding.Plan{Tiers: []shedding.PlanTier{{Name: "a", Order: 1, Hosts: []string{"z"}}}}, "keyed lane release"),
@@ -66,9 +66,9 @@
 var _ = Describe("a cutoff", func() {
 	It("only adds when it is raised and only lets in when it is lowered", func() {
 		const tiers = 4
-		low := shedding.Cutoff{Seed: 7, Tier: 3, Part: 0.4}
-		for _, high := range []shedding.Cutoff{{Seed: 7, Tier: 3, Part: 0.9}, {Seed: 7, Tier: 2, Part: 0.1}} {
-			Expect(high.Height(tiers)).To(BeNumerically(">", low.Height(tiers)))
+		low := shedding.Cutoff{Seed: 7, Tier: 3, Fraction: 0.4}
+		for _, high := range []shedding.Cutoff{{Seed: 7, Tier: 3, Fraction: 0.9}, {Seed: 7, Tier: 2, Fraction: 0.1}} {
+			Expect(high.Level(tiers)).To(BeNumerically(">", low.Level(tiers)))
 			shed := 0
 			for number := range 4000 {
 				tier, name := shedding.Tier(number%tiers), fmt.Sprint("k", number)
@@ -83,28 +83,28 @@
 })
 
 // overload runs a world at the load for some seconds.
-func (w *world) run(load float64, span time.Duration) {
-	for end := w.hand.Now + span; w.hand.Now < end; {
+func (w *cluster) run(load float64, span time.Duration) {
+	for end := w.clock.Now + span; w.clock.Now < end; {
 		w.step(load)
 	}
 }
 
 // disagreements counts, over many names, those on which nodes that work by one
 // cutoff differ.
-func (w *world) disagreements() (count int) {
+func (w *cluster) disagreements() (count int) {
 	for number := range 600 {
-		said, lane := map[uint64]bool{}, lanes[1+number%3].Name
+		decisions, route := map[uint64]bool{}, routes[1+number%3].Name
 		for _, n := range w.nodes {
-			of := uint64(0)
+			version := uint64(0)
 			for _, cutoff := range n.cutoffs {
-				of = cutoff.Number
+				version = cutoff.Number
 			}
-			isShed := w.verdict(n, lane, fmt.Sprint("name", number))
-			if before, isKnown := said[of]; isKnown && before != isShed {
+			rejected := w.rejects(n, route, fmt.Sprint("name", number))
+			if before, known := decisions[version]; known && before != rejected {
 				count++
 				break
 			}
-			said[of] = isShed
+			decisions[version] = rejected
 		}
 	}
 	return count
@@ -112,54 +112,56 @@
 
 var _ = Describe("an overload of the whole cluster", func() {
 	// rush is 2.5 times the capacity, with something that goes wrong in the middle.
-	rush := func(seed uint64, middle func(*world)) *world {
-		w := newWorld(seed, 12)
+	overload := func(seed uint64, fault func(*cluster)) *cluster {
+		w := newCluster(seed, 12)
 		w.run(0.7, 4*time.Second)
 		w.run(2.5, 4*time.Second)
-		middle(w)
+		fault(w)
 		for range 12 {
 			w.run(2.5, time.Second)
-			if !w.isCut {
+			if !w.partitioned {
 				Expect(w.disagreements()).To(BeZero(), "seed %d", seed)
 			}
 		}
-		for key, runs := range w.ran {
+		for key, runs := range w.executions {
 			Expect(runs).To(Equal(1), "seed %d: %s", seed, key)
 		}
 		return w
 	}
-	middles := map[string]func(*world){
-		"nothing more": func(*world) {},
-		"the holder is lost": func(w *world) {
-			w.holder = shedding.NewGauge(w.hand, w.random.Uint64)
-			w.holder.Hold(w.heard(0))
+	faults := map[string]func(*cluster){
+		"nothing more": func(*cluster) {},
+		"the holder is lost": func(w *cluster) {
+			w.leader = shedding.NewGauge(w.clock, w.random.Uint64)
+			w.leader.Restore(w.cutoffsAfter(0))
 		},
-		"the holder is lost with all that it told": func(w *world) { w.holder = shedding.NewGauge(w.hand, w.random.Uint64) },
-		"the core is cut off for a while": func(w *world) {
-			w.isCut = true
+		"the holder is lost with all that it told": func(w *cluster) { w.leader = shedding.NewGauge(w.clock, w.random.Uint64) },
+		"the core is cut off for a while": func(w *cluster) {
+			w.partitioned = true
 			w.run(2.5, 5*time.Second)
-			w.isCut = false
+			w.partitioned = false
 		},
-		"half of the nodes start anew": func(w *world) {
+		"half of the nodes start anew": func(w *cluster) {
 			for number := range len(w.nodes) / 2 {
 				w.nodes[number] = w.newNode()
 			}
 		},
-		"news come late": func(w *world) {
+		"news come late": func(w *cluster) {
 			for _, n := range w.nodes {
 				n.delay += 10 * tick
 			}
 		},
 	}
-	for name, middle := range middles {
+	for name, fault := range faults {
 		It("refuses the last tiers, runs each key once, and keeps the first ones in time, though "+name, func() {
 			for seed := range uint64(4) {
-				w := rush(seed, middle)
+				w := overload(seed, fault)
 				for _, c := range w.counts {
 					*c = count{}
 				}
 				w.run(2.5, 10*time.Second)
-				share := func(lane string) float64 { return float64(w.counts[lane].served) / float64(w.counts[lane].asked) }
+				share := func(route string) float64 {
+					return float64(w.counts[route].served) / float64(w.counts[route].requested)
+				}
 				Expect(share("release")).To(BeNumerically(">", 0.97), "seed %d", seed)
 				Expect(share("urgent")).To(BeNumerically(">", 0.9), "seed %d", seed)
 				Expect(share("pack")).To(BeNumerically("<", 0.3), "seed %d", seed)
@@ -171,14 +173,14 @@
 
 	It("is over without a to and fro", func() {
 		for seed := range uint64(6) {
-			w := rush(seed, func(*world) {})
+			w := overload(seed, func(*cluster) {})
 			w.run(0.7, 3*time.Second)
 			raises, last := 0, 4.0
 			for range 400 {
 				w.run(0.7, tick)
 				height := 0.0
-				for _, cutoff := range w.holder.Cutoffs() {
-					height = cutoff.Height(4)
+				for _, cutoff := range w.leader.Cutoffs() {
+					height = cutoff.Level(4)
 				}
 				if height > last+1e-9 {
 					raises++
@@ -186,13 +188,13 @@
 				last = height
 			}
 			Expect(raises).To(BeNumerically("<=", 1), "seed %d", seed)
-			Expect(w.holder.Cutoffs()).To(BeEmpty(), "seed %d", seed)
+			Expect(w.leader.Cutoffs()).To(BeEmpty(), "seed %d", seed)
 		}
 	})
 
 	It("leaves nodes that each measure alone at odds: the check can fail", func() {
-		w := newWorld(1, 12)
-		w.isAlone = true
+		w := newCluster(1, 12)
+		w.localOnly = true
 		w.run(0.7, 4*time.Second)
 		w.run(2.5, 6*time.Second)
 		Expect(w.disagreements()).To(BeNumerically(">", 10))
