--- a/internal/bandwidth/bandwidth_test.go
+++ b/internal/bandwidth/bandwidth_test.go
@@ -21,125 +21,125 @@
 
 // wire is a slow plain model of a link: a queue that empties at the link's
 // rate. It tells the longest that a short packet would have waited.
-type wire struct {
-	hand    *timetable.Hand
-	perByte time.Duration
-	busy    time.Duration
-	longest time.Duration
+type link struct {
+	clock       *timetable.Hand
+	perByte     time.Duration
+	busyUntil   time.Duration
+	longestWait time.Duration
 }
 
-func (w *wire) Write(text []byte) (int, error) {
-	w.busy = max(w.busy, w.hand.Now) + time.Duration(len(text))*w.perByte
-	w.longest = max(w.longest, w.busy-w.hand.Now)
-	return len(text), nil
+func (l *link) Write(data []byte) (int, error) {
+	l.busyUntil = max(l.busyUntil, l.clock.Now) + time.Duration(len(data))*l.perByte
+	l.longestWait = max(l.longestWait, l.busyUntil-l.clock.Now)
+	return len(data), nil
 }
 
 var _ = Describe("a track", func() {
 	const mbps = 4.0 // 2 microseconds a byte
-	var hand *timetable.Hand
-	BeforeEach(func() { hand = &timetable.Hand{} })
+	var clock *timetable.Hand
+	BeforeEach(func() { clock = &timetable.Hand{} })
 
 	It("never lets bulk queue on the link, and passes all of it", func() {
-		link := &wire{hand: hand, perByte: 2 * time.Microsecond}
+		slowLink := &link{clock: clock, perByte: 2 * time.Microsecond}
 		body := bytes.Repeat([]byte("x"), 200_000)
-		count, err := bandwidth.NewTrack(mbps, hand).Writer(link).Write(body)
+		count, err := bandwidth.NewPacer(mbps, clock).Writer(slowLink).Write(body)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(count).To(Equal(len(body)))
-		Expect(link.longest).To(BeNumerically("<", 12*time.Millisecond))
-		Expect(hand.Now).To(BeNumerically("<", 500*time.Millisecond))
+		Expect(slowLink.longestWait).To(BeNumerically("<", 12*time.Millisecond))
+		Expect(clock.Now).To(BeNumerically("<", 500*time.Millisecond))
 		// Without pacing all of it would stand in the queue at once.
-		bare := &wire{hand: hand, perByte: 2 * time.Microsecond}
-		_, _ = bare.Write(body)
-		Expect(bare.longest).To(BeNumerically(">", 300*time.Millisecond))
+		unpaced := &link{clock: clock, perByte: 2 * time.Microsecond}
+		_, _ = unpaced.Write(body)
+		Expect(unpaced.longestWait).To(BeNumerically(">", 300*time.Millisecond))
 	})
 
 	It("lets bulk yield to short traffic that was noted", func() {
-		track := bandwidth.NewTrack(mbps, hand)
-		track.Note(50_000)
-		track.Pass(bandwidth.Piece)
+		pacer := bandwidth.NewPacer(mbps, clock)
+		pacer.CountShort(50_000)
+		pacer.WaitBulk(bandwidth.ChunkBytes)
 		// The notes take 100 ms, of which 8 ms may still be ahead.
-		Expect(hand.Now).To(BeNumerically("~", 92*time.Millisecond, 2*time.Millisecond))
+		Expect(clock.Now).To(BeNumerically("~", 92*time.Millisecond, 2*time.Millisecond))
 	})
 
 	It("reads what follows the first window no faster than the link has room", func() {
-		track := bandwidth.NewTrack(mbps, hand)
+		pacer := bandwidth.NewPacer(mbps, clock)
 		body := bytes.Repeat([]byte("x"), 100_000)
-		text, err := io.ReadAll(track.Reader(bytes.NewReader(body), int64(len(body)), 60_000))
+		data, err := io.ReadAll(pacer.Reader(bytes.NewReader(body), int64(len(body)), 60_000))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(text).To(Equal(body))
-		Expect(hand.Now).To(BeNumerically("~", 200*time.Millisecond, 20*time.Millisecond))
+		Expect(data).To(Equal(body))
+		Expect(clock.Now).To(BeNumerically("~", 200*time.Millisecond, 20*time.Millisecond))
 	})
 
 	It("reads what is on its way already at once, and counts it", func() {
-		track := bandwidth.NewTrack(mbps, hand)
-		_, err := io.ReadAll(track.Reader(bytes.NewReader(make([]byte, 65_000)), 65_000, 60_000))
+		pacer := bandwidth.NewPacer(mbps, clock)
+		_, err := io.ReadAll(pacer.Reader(bytes.NewReader(make([]byte, 65_000)), 65_000, 60_000))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(hand.Now).To(BeZero())
+		Expect(clock.Now).To(BeZero())
 		// Other bulk waits until it has passed.
-		track.Pass(bandwidth.Piece)
-		Expect(hand.Now).To(BeNumerically("~", 125*time.Millisecond, 10*time.Millisecond))
+		pacer.WaitBulk(bandwidth.ChunkBytes)
+		Expect(clock.Now).To(BeNumerically("~", 125*time.Millisecond, 10*time.Millisecond))
 	})
 
 	It("keeps its distance also where bulk comes piece by piece", func() {
-		link := &wire{hand: hand, perByte: 2 * time.Microsecond}
-		out := bandwidth.NewTrack(mbps, hand).BulkWriter(link)
+		slowLink := &link{clock: clock, perByte: 2 * time.Microsecond}
+		out := bandwidth.NewPacer(mbps, clock).BulkWriter(slowLink)
 		for range 100 {
 			_, err := out.Write(make([]byte, 1000))
 			Expect(err).NotTo(HaveOccurred())
 		}
-		Expect(link.longest).To(BeNumerically("<", 16*time.Millisecond))
-		Expect(hand.Now).To(BeNumerically("~", 215*time.Millisecond, 25*time.Millisecond))
+		Expect(slowLink.longestWait).To(BeNumerically("<", 16*time.Millisecond))
+		Expect(clock.Now).To(BeNumerically("~", 215*time.Millisecond, 25*time.Millisecond))
 		// As short traffic it would not have waited at all.
-		_, _ = bandwidth.NewTrack(mbps, hand).Writer(link).Write(make([]byte, 1000))
-		began := hand.Now
-		_, _ = bandwidth.NewTrack(mbps, hand).Writer(link).Write(make([]byte, 1000))
-		Expect(hand.Now).To(Equal(began))
+		_, _ = bandwidth.NewPacer(mbps, clock).Writer(slowLink).Write(make([]byte, 1000))
+		began := clock.Now
+		_, _ = bandwidth.NewPacer(mbps, clock).Writer(slowLink).Write(make([]byte, 1000))
+		Expect(clock.Now).To(Equal(began))
 	})
 
 	It("leaves short replies and wide links alone", func() {
-		track := bandwidth.NewTrack(mbps, hand)
-		_, _ = io.ReadAll(track.Reader(bytes.NewReader(make([]byte, 5000)), 5000, 60_000))
-		wide := bandwidth.NewTrack(1000, hand)
+		pacer := bandwidth.NewPacer(mbps, clock)
+		_, _ = io.ReadAll(pacer.Reader(bytes.NewReader(make([]byte, 5000)), 5000, 60_000))
+		wide := bandwidth.NewPacer(1000, clock)
 		_, _ = io.ReadAll(wide.Reader(bytes.NewReader(make([]byte, 500_000)), 500_000, 60_000))
 		_, _ = wide.Writer(io.Discard).Write(make([]byte, 500_000))
-		Expect(hand.Now).To(BeZero())
+		Expect(clock.Now).To(BeZero())
 	})
 })
 
 var _ = Describe("the passing of bulk", func() {
 	It("admits what the link can carry in time, and few senders at once", func() {
-		passing := bandwidth.NewPassing(bandwidth.NewTrack(4, &timetable.Hand{}))
-		var leaves []func()
+		limiter := bandwidth.NewBulkLimiter(bandwidth.NewPacer(4, &timetable.Hand{}))
+		var releases []func()
 		for range 10 { // 100 kB take 200 ms each
-			if leave, isAdmitted := passing.Enter(100_000, 700*time.Millisecond); isAdmitted {
-				leaves = append(leaves, leave)
+			if release, admitted := limiter.Admit(100_000, 700*time.Millisecond); admitted {
+				releases = append(releases, release)
 			}
 		}
-		Expect(leaves).To(HaveLen(3))
-		leaves[0]()
-		_, isAdmitted := passing.Enter(100_000, 700*time.Millisecond)
-		Expect(isAdmitted).To(BeTrue())
-		over, cancel := context.WithCancel(context.Background())
+		Expect(releases).To(HaveLen(3))
+		releases[0]()
+		_, admitted := limiter.Admit(100_000, 700*time.Millisecond)
+		Expect(admitted).To(BeTrue())
+		cancelled, cancel := context.WithCancel(context.Background())
 		cancel()
-		end, isTurn := passing.Turn(context.Background())
-		Expect(isTurn).To(BeTrue())
-		_, isTurn = passing.Turn(context.Background())
-		Expect(isTurn).To(BeTrue())
-		_, isTurn = passing.Turn(over)
-		Expect(isTurn).To(BeFalse())
-		end()
-		_, isTurn = passing.Turn(context.Background())
-		Expect(isTurn).To(BeTrue())
+		release, acquired := limiter.AcquireSender(context.Background())
+		Expect(acquired).To(BeTrue())
+		_, acquired = limiter.AcquireSender(context.Background())
+		Expect(acquired).To(BeTrue())
+		_, acquired = limiter.AcquireSender(cancelled)
+		Expect(acquired).To(BeFalse())
+		release()
+		_, acquired = limiter.AcquireSender(context.Background())
+		Expect(acquired).To(BeTrue())
 	})
 
 	It("admits a single one, however large, and all on a wide link", func() {
-		passing := bandwidth.NewPassing(bandwidth.NewTrack(4, &timetable.Hand{}))
-		_, isAdmitted := passing.Enter(100_000_000, time.Millisecond)
-		Expect(isAdmitted).To(BeTrue())
-		wide := bandwidth.NewPassing(bandwidth.NewTrack(1000, &timetable.Hand{}))
+		limiter := bandwidth.NewBulkLimiter(bandwidth.NewPacer(4, &timetable.Hand{}))
+		_, admitted := limiter.Admit(100_000_000, time.Millisecond)
+		Expect(admitted).To(BeTrue())
+		wide := bandwidth.NewBulkLimiter(bandwidth.NewPacer(1000, &timetable.Hand{}))
 		for range 100 {
-			_, isAdmitted = wide.Enter(100_000_000, 0)
-			Expect(isAdmitted).To(BeTrue())
+			_, admitted = wide.Admit(100_000_000, 0)
+			Expect(admitted).To(BeTrue())
 		}
 	})
 })
--- a/internal/bandwidth/passing.go
+++ b/internal/bandwidth/bulk_limiter.go
@@ -9,24 +9,24 @@
 // Passing bounds the bulk that is under way at a node: how much is expected on
 // its link, and how many senders may answer at the same time, as their first
 // windows cannot be held back.
-type Passing struct {
-	track *Track
+type BulkLimiter struct {
+	pacer *Pacer
 	lock  sync.Mutex
 	// bytes is what the bulk under way is expected to bring.
-	bytes int64
-	slots chan struct{}
+	pendingBytes int64
+	senders      chan struct{}
 }
 
 // sendersAtOnce is how many senders may be answering at once.
-const sendersAtOnce = 2
+const maxSenders = 2
 
 // NewPassing makes a passing for the track.
 //
 // Example:
 //
 //	passing := bandwidth.NewPassing(out)
-func NewPassing(track *Track) *Passing {
-	return &Passing{track: track, slots: make(chan struct{}, sendersAtOnce)}
+func NewBulkLimiter(pacer *Pacer) *BulkLimiter {
+	return &BulkLimiter{pacer: pacer, senders: make(chan struct{}, maxSenders)}
 }
 
 // Enter admits bulk of the expected size if it can pass within the span, given
@@ -35,20 +35,20 @@
 // Example:
 //
 //	leave, isAdmitted := passing.Enter(90_000, aim-usual)
-func (p *Passing) Enter(bytes int64, within time.Duration) (leave func(), isAdmitted bool) {
-	if p.track.perByte == 0 {
+func (l *BulkLimiter) Admit(bytes int64, within time.Duration) (release func(), admitted bool) {
+	if l.pacer.perByte == 0 {
 		return func() {}, true
 	}
-	p.lock.Lock()
-	defer p.lock.Unlock()
-	if p.bytes > 0 && p.track.bulkTime(p.bytes+bytes) > within {
+	l.lock.Lock()
+	defer l.lock.Unlock()
+	if l.pendingBytes > 0 && l.pacer.bulkTime(l.pendingBytes+bytes) > within {
 		return nil, false
 	}
-	p.bytes += bytes
+	l.pendingBytes += bytes
 	return func() {
-		p.lock.Lock()
-		defer p.lock.Unlock()
-		p.bytes -= bytes
+		l.lock.Lock()
+		defer l.lock.Unlock()
+		l.pendingBytes -= bytes
 	}, true
 }
 
@@ -57,13 +57,13 @@
 // Example:
 //
 //	end, isTurn := passing.Turn(ctx)
-func (p *Passing) Turn(ctx context.Context) (end func(), isTurn bool) {
-	if p.track.perByte == 0 {
+func (l *BulkLimiter) AcquireSender(ctx context.Context) (release func(), acquired bool) {
+	if l.pacer.perByte == 0 {
 		return func() {}, true
 	}
 	select {
-	case p.slots <- struct{}{}:
-		return func() { <-p.slots }, true
+	case l.senders <- struct{}{}:
+		return func() { <-l.senders }, true
 	case <-ctx.Done():
 		return nil, false
 	}
--- a/internal/bandwidth/track.go
+++ b/internal/bandwidth/pacer.go
@@ -12,32 +12,32 @@
 
 // Track is one direction of a machine's link. Short traffic is only noted; bulk
 // traffic waits for its turn, so that what the link holds at once stays small.
-type Track struct {
+type Pacer struct {
 	clock timetable.Clock
 	// perByte is how long one byte keeps the link busy; 0 if the link is wide.
 	perByte float64
 	lock    sync.Mutex
 	// free is when all that was let onto the track has passed.
-	free timetable.Steady
+	freeAt timetable.Steady
 	// short is the short traffic of late, in bytes that fade, as of shortAt.
-	short   float64
-	shortAt timetable.Steady
+	recentShort float64
+	decayedAt   timetable.Steady
 }
 
 const (
 	// wideLink is from where on a link needs no pacing.
-	wideLink = 200.0
+	unpacedMbps = 200.0
 	// bulkShare is the part of the link that bulk may take.
 	bulkShare = 0.9
 	// ahead is how much of the link's time may be taken at once: as late as an alarm may
 	// ring, or the link stands idle between two pieces.
-	ahead = timetable.Steady(8 * time.Millisecond)
+	maxBacklog = timetable.Steady(8 * time.Millisecond)
 	// shortFade is how fast short traffic fades from memory, shortMost the part of
 	// the link that it is thought to take at most.
-	shortFade = float64(time.Second)
-	shortMost = 0.8
+	decayTime     = float64(time.Second)
+	maxShortShare = 0.8
 	// Piece is the most that should be let onto the track at once.
-	Piece = 2 << 10
+	ChunkBytes = 2 << 10
 )
 
 // NewTrack makes the track of a link of so many Mbit/s; 0 means unknown.
@@ -45,12 +45,12 @@
 // Example:
 //
 //	out := bandwidth.NewTrack(set.Platform.Limits.LinkMbps, clock)
-func NewTrack(mbps float64, clock timetable.Clock) *Track {
-	t := &Track{clock: clock}
-	if mbps > 0 && mbps < wideLink {
-		t.perByte = 8e3 / mbps
+func NewPacer(mbps float64, clock timetable.Clock) *Pacer {
+	p := &Pacer{clock: clock}
+	if mbps > 0 && mbps < unpacedMbps {
+		p.perByte = 8e3 / mbps
 	}
-	return t
+	return p
 }
 
 // Note counts short traffic, which does not wait.
@@ -58,31 +58,31 @@
 // Example:
 //
 //	out.Note(len(reply.Body))
-func (t *Track) Note(bytes int) {
-	if t == nil || t.perByte == 0 {
+func (p *Pacer) CountShort(bytes int) {
+	if p == nil || p.perByte == 0 {
 		return
 	}
-	t.lock.Lock()
-	defer t.lock.Unlock()
-	t.hold(float64(bytes))
-	t.fade()
-	t.short += float64(bytes)
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	p.reserveLocked(float64(bytes))
+	p.decay()
+	p.recentShort += float64(bytes)
 }
 
-func (t *Track) fade() {
-	now := t.clock.Steady()
-	t.short *= math.Exp(-float64(now-t.shortAt) / shortFade)
-	t.shortAt = now
+func (p *Pacer) decay() {
+	now := p.clock.Steady()
+	p.recentShort *= math.Exp(-float64(now-p.decayedAt) / decayTime)
+	p.decayedAt = now
 }
 
 // bulkTime is how long so much bulk takes on what the short traffic of late leaves
 // of the link.
-func (t *Track) bulkTime(bytes int64) time.Duration {
-	t.lock.Lock()
-	defer t.lock.Unlock()
-	t.fade()
-	short := min(shortMost, t.short*t.perByte/shortFade)
-	return time.Duration(float64(bytes) * t.perByte / (bulkShare * (1 - short)))
+func (p *Pacer) bulkTime(bytes int64) time.Duration {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	p.decay()
+	shortShare := min(maxShortShare, p.recentShort*p.perByte/decayTime)
+	return time.Duration(float64(bytes) * p.perByte / (bulkShare * (1 - shortShare)))
 }
 
 // IsNarrow tells whether bulk has to wait for its turn on the track.
@@ -90,16 +90,16 @@
 // Example:
 //
 //	if in.IsNarrow() { passOnAsItComes() }
-func (t *Track) IsNarrow() bool { return t != nil && t.perByte > 0 }
+func (p *Pacer) Paced() bool { return p != nil && p.perByte > 0 }
 
 // Pass lets a piece of bulk onto the track once there is room for it.
 //
 // Example:
 //
 //	in.Pass(bandwidth.Piece)
-func (t *Track) Pass(bytes int) {
-	if wait := t.take(float64(bytes)/bulkShare) - ahead; wait > 0 {
-		t.clock.Sleep(time.Duration(wait))
+func (p *Pacer) WaitBulk(bytes int) {
+	if wait := p.reserve(float64(bytes)/bulkShare) - maxBacklog; wait > 0 {
+		p.clock.Sleep(time.Duration(wait))
 	}
 }
 
@@ -109,13 +109,13 @@
 // Example:
 //
 //	if !out.IsFree() { waitWithCopies() }
-func (t *Track) IsFree() bool {
-	if t == nil || t.perByte == 0 {
+func (p *Pacer) Idle() bool {
+	if p == nil || p.perByte == 0 {
 		return true
 	}
-	t.lock.Lock()
-	defer t.lock.Unlock()
-	return t.free <= t.clock.Steady()
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	return p.freeAt <= p.clock.Steady()
 }
 
 // Burst counts bulk that is on its way already, and waits until it has passed.
@@ -123,25 +123,25 @@
 // Example:
 //
 //	in.Burst(min(window, length))
-func (t *Track) Burst(bytes int) {
-	if wait := t.take(float64(bytes)) + timetable.Steady(float64(bytes)*t.perByte); wait > 0 {
-		t.clock.Sleep(time.Duration(wait))
+func (p *Pacer) WaitBurst(bytes int) {
+	if wait := p.reserve(float64(bytes)) + timetable.Steady(float64(bytes)*p.perByte); wait > 0 {
+		p.clock.Sleep(time.Duration(wait))
 	}
 }
 
-func (t *Track) take(bytes float64) (wait timetable.Steady) {
-	if t == nil || t.perByte == 0 {
+func (p *Pacer) reserve(bytes float64) (wait timetable.Steady) {
+	if p == nil || p.perByte == 0 {
 		return 0
 	}
-	t.lock.Lock()
-	defer t.lock.Unlock()
-	return t.hold(bytes)
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	return p.reserveLocked(bytes)
 }
 
 // hold takes the link for so many bytes; the lock is held.
-func (t *Track) hold(bytes float64) (wait timetable.Steady) {
-	now := t.clock.Steady()
-	start := max(t.free, now)
-	t.free = start + timetable.Steady(bytes*t.perByte)
+func (p *Pacer) reserveLocked(bytes float64) (wait timetable.Steady) {
+	now := p.clock.Steady()
+	start := max(p.freeAt, now)
+	p.freeAt = start + timetable.Steady(bytes*p.perByte)
 	return start - now
 }
--- a/internal/bandwidth/stream.go
+++ b/internal/bandwidth/stream.go
@@ -3,23 +3,23 @@
 import "io"
 
 // BulkLeast is from which length on a reply is bulk.
-const BulkLeast = 12 << 10
+const MinBulkBytes = 12 << 10
 
 // afterMost is how much more than a window may follow on its heels: so little is
 // worth no wait.
-const afterMost = 8 << 10
+const maxBurstExcess = 8 << 10
 
 // reader reads bulk. A sender puts a whole window on its way before anything is
 // read; reading at once would let the next window follow on its heels, and what
 // is short would wait behind both.
 type reader struct {
-	from  io.Reader
-	track *Track
+	source io.Reader
+	pacer  *Pacer
 	// burst is what the sender may have on its way before the first read.
 	burst int
 	// coming is what it may only send once there is room in its window.
-	coming  int64
-	isBegun bool
+	remaining int64
+	started   bool
 }
 
 // Reader reads a reply of the given length (-1 if unknown) at the track's
@@ -28,44 +28,44 @@
 // Example:
 //
 //	body, err := io.ReadAll(in.Reader(response.Body, response.ContentLength, 64<<10))
-func (t *Track) Reader(from io.Reader, length int64, window int) io.Reader {
+func (p *Pacer) Reader(source io.Reader, length int64, window int) io.Reader {
 	switch {
-	case t == nil || t.perByte == 0 || length < 0:
-		return from
-	case length < BulkLeast:
-		t.Note(int(length))
-		return from
+	case p == nil || p.perByte == 0 || length < 0:
+		return source
+	case length < MinBulkBytes:
+		p.CountShort(int(length))
+		return source
 	}
 	burst := min(length, int64(window))
-	if length-burst <= afterMost {
+	if length-burst <= maxBurstExcess {
 		burst = length
 	}
-	return &reader{from: from, track: t, burst: int(burst), coming: length - burst}
+	return &reader{source: source, pacer: p, burst: int(burst), remaining: length - burst}
 }
 
-func (r *reader) Read(into []byte) (count int, err error) {
-	if !r.isBegun {
-		if r.isBegun = true; r.coming > 0 {
-			r.track.Burst(r.burst)
+func (r *reader) Read(buffer []byte) (count int, err error) {
+	if !r.started {
+		if r.started = true; r.remaining > 0 {
+			r.pacer.WaitBurst(r.burst)
 		} else {
 			// All of it is on its way, whether it is read now or later.
-			r.track.take(float64(r.burst))
+			r.pacer.reserve(float64(r.burst))
 		}
 	}
-	if r.coming > 0 {
+	if r.remaining > 0 {
 		// What is read makes room for as much again.
-		into = into[:min(len(into), Piece, int(r.coming))]
-		r.track.Pass(len(into))
-		r.coming -= int64(len(into))
+		buffer = buffer[:min(len(buffer), ChunkBytes, int(r.remaining))]
+		r.pacer.WaitBulk(len(buffer))
+		r.remaining -= int64(len(buffer))
 	}
-	return r.from.Read(into)
+	return r.source.Read(buffer)
 }
 
 type writer struct {
-	to    io.Writer
-	track *Track
+	destination io.Writer
+	pacer       *Pacer
 	// isBulk: whatever is written is part of something long.
-	isBulk bool
+	bulk bool
 }
 
 // Writer writes a reply at the track's pace.
@@ -73,11 +73,11 @@
 // Example:
 //
 //	_, err := out.Writer(w).Write(reply.Body)
-func (t *Track) Writer(to io.Writer) io.Writer {
-	if t == nil || t.perByte == 0 {
-		return to
+func (p *Pacer) Writer(destination io.Writer) io.Writer {
+	if p == nil || p.perByte == 0 {
+		return destination
 	}
-	return &writer{to, t, false}
+	return &writer{destination, p, false}
 }
 
 // BulkWriter writes at the track's pace what comes piece by piece of a long reply.
@@ -85,23 +85,23 @@
 // Example:
 //
 //	_, err := io.Copy(out.BulkWriter(w), reply.Rest)
-func (t *Track) BulkWriter(to io.Writer) io.Writer {
-	if t == nil || t.perByte == 0 {
-		return to
+func (p *Pacer) BulkWriter(destination io.Writer) io.Writer {
+	if p == nil || p.perByte == 0 {
+		return destination
 	}
-	return &writer{to, t, true}
+	return &writer{destination, p, true}
 }
 
-func (w *writer) Write(text []byte) (written int, err error) {
-	if !w.isBulk && len(text) < BulkLeast {
-		w.track.Note(len(text))
-		return w.to.Write(text)
+func (w *writer) Write(data []byte) (written int, err error) {
+	if !w.bulk && len(data) < MinBulkBytes {
+		w.pacer.CountShort(len(data))
+		return w.destination.Write(data)
 	}
-	for written < len(text) && err == nil {
-		piece := text[written:min(len(text), written+Piece)]
-		w.track.Pass(len(piece))
+	for written < len(data) && err == nil {
+		chunk := data[written:min(len(data), written+ChunkBytes)]
+		w.pacer.WaitBulk(len(chunk))
 		var count int
-		count, err = w.to.Write(piece)
+		count, err = w.destination.Write(chunk)
 		written += count
 	}
 	return written, err
--- a/internal/proxy/download.go
+++ b/internal/proxy/download.go
@@ -31,14 +31,14 @@
 		if targetLatency == 0 {
 			targetLatency = time.Until(req.deadline)
 		}
-		release, admitted := p.downloads.Enter(stats.expectedBytes(), targetLatency-stats.mean())
+		release, admitted := p.downloads.Admit(stats.expectedBytes(), targetLatency-stats.mean())
 		if !admitted {
 			return nil, apierror.New(apierror.Busy, "not enough link capacity for the download")
 		}
 		req.releaseLink = release
 		turnCtx, cancel := context.WithTimeout(ctx, targetLatency/turnWaitDivisor)
 		defer cancel()
-		endTurn, gotTurn := p.downloads.Turn(turnCtx)
+		endTurn, gotTurn := p.downloads.AcquireSender(turnCtx)
 		if !gotTurn {
 			return nil, apierror.New(apierror.Busy, "no download slot became free in time")
 		}
--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -224,9 +224,9 @@
 		bufferLimit = max(bufferLimit, maxRecordedBytes)
 	}
 	streamAfter := int64(0)
-	if d.request.route.RouteType == config.Download && d.inbound.IsNarrow() {
+	if d.request.route.RouteType == config.Download && d.inbound.Paced() {
 		// Buffering the whole download first would take a narrow link's time twice.
-		streamAfter = bandwidth.BulkLeast
+		streamAfter = bandwidth.MinBulkBytes
 	}
 	start := d.clock.Steady()
 	response, err := server.Pool.Deliver(upstream.Delivery{
--- a/internal/proxy/mirror_send.go
+++ b/internal/proxy/mirror_send.go
@@ -31,7 +31,7 @@
 		job.record.Miss(job.hash, job.era, "the shadow has no server")
 		return
 	}
-	if !p.outbound.IsFree() || !p.inbound.IsFree() {
+	if !p.outbound.Idle() || !p.inbound.Idle() {
 		// Original requests have precedence on the link.
 		job.record.Miss(job.hash, job.era, "the link was busy")
 		return
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -84,8 +84,8 @@
 	incarnation       string
 	attemptCount      atomic.Uint64
 	// inbound and outbound track the two directions of the machine's network link.
-	inbound, outbound *bandwidth.Track
-	downloads         *bandwidth.Passing
+	inbound, outbound *bandwidth.Pacer
+	downloads         *bandwidth.BulkLimiter
 	// outcomes counts attempt outcomes for the reports to the control plane.
 	outcomes *outlier.Recorder
 	// trialAllowances holds by service how many requests a version on trial may get.
@@ -159,9 +159,9 @@
 	}
 	p.settings.Store(cfg)
 	locality := balancer.Locality{Node: cfg.Platform.NodeName, Zone: cfg.Platform.Cell, SubsetSize: cfg.Tuning.WorkingSet}
-	p.inbound = bandwidth.NewTrack(cfg.Platform.Limits.LinkMbps, clock)
-	p.outbound = bandwidth.NewTrack(cfg.Platform.Limits.LinkMbps, clock)
-	p.downloads = bandwidth.NewPassing(p.outbound)
+	p.inbound = bandwidth.NewPacer(cfg.Platform.Limits.LinkMbps, clock)
+	p.outbound = bandwidth.NewPacer(cfg.Platform.Limits.LinkMbps, clock)
+	p.downloads = bandwidth.NewBulkLimiter(p.outbound)
 	p.snapshot.Store(&snapshot{manifest: config.Book{}.Compile(), balancer: balancer.NewServerSet(locality)})
 	p.serve = endpoint.Chain(p.admissionMiddleware, p.limitingDownloads, p.idempotencyMiddleware)(p.forward)
 	return p
@@ -229,7 +229,7 @@
 	conn := p.connections[address]
 	if conn == nil {
 		conn = rpc.NewLine(address, controlConnectTimeout, controlSilenceTimeout)
-		conn.Again, conn.Sent = func() { p.resendRecent(conn) }, p.outbound.Note
+		conn.Again, conn.Sent = func() { p.resendRecent(conn) }, p.outbound.CountShort
 		p.connections[address] = conn
 	}
 	return conn
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -118,7 +118,7 @@
 	request := delivery.Request
 	text := request.appendHeader(make([]byte, 0, 512+len(request.Body)), remaining, instance)
 	text = append(text, request.Body...)
-	delivery.Outbound.Note(len(text))
+	delivery.Outbound.CountShort(len(text))
 	return c.conn.Write(text)
 }
 
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -39,7 +39,7 @@
 	// response is streamed.
 	StreamThreshold int64
 	// Inbound and Outbound are the two directions of the machine's network link.
-	Inbound, Outbound *bandwidth.Track
+	Inbound, Outbound *bandwidth.Pacer
 	// ClientContext, if set, is canceled when nobody waits for the response any more.
 	// The connection is then closed, so that the server can stop its work.
 	ClientContext context.Context
