--- a/internal/control/leader_lease_test.go
+++ b/internal/control/leader_lease_test.go
@@ -29,7 +29,7 @@
 		listWatch: newListTracker(clock.Steady()),
 	}
 	n.settings.Store(&settings.Settings{Tuning: settings.Defaults()})
-	disk, err := storage.Folder(GinkgoT().TempDir())
+	disk, err := storage.OpenDir(GinkgoT().TempDir())
 	Expect(err).NotTo(HaveOccurred())
 	n.store, err = openStore(disk, idempotency.Policy{OpenLimit: 10, KeyWindow: time.Minute}, clock, func(err error) { Expect(err).NotTo(HaveOccurred()) })
 	Expect(err).NotTo(HaveOccurred())
--- a/internal/control/member_test.go
+++ b/internal/control/member_test.go
@@ -30,7 +30,7 @@
 	BeforeEach(func() {
 		clock = &timetable.Hand{Now: time.Hour}
 		n = &node{self: "a", clock: clock, hub: feed.NewHub(), log: func(string, string, ...any) {}, listWatch: newListTracker(clock.Steady())}
-		disk, err := storage.Folder(GinkgoT().TempDir())
+		disk, err := storage.OpenDir(GinkgoT().TempDir())
 		Expect(err).NotTo(HaveOccurred())
 		n.store, err = openStore(disk, idempotency.Policy{OpenLimit: 10, KeyWindow: time.Minute}, clock, func(err error) { Expect(err).NotTo(HaveOccurred()) })
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -141,7 +141,7 @@
 		ClockMargin: 10 * time.Second, SoftLimitBytes: maxIntentBytes(p.Limits), HardLimitBytes: p.Limits.MemoryMb << 20 * 2 / 5,
 	}
 	reportError := func(err error) { n.log("error", "disk failure", "error", err) }
-	disk, err := storage.Folder(p.DataDir)
+	disk, err := storage.OpenDir(p.DataDir)
 	if err != nil {
 		return err
 	}
--- a/internal/control/repair_bench_test.go
+++ b/internal/control/repair_bench_test.go
@@ -61,7 +61,7 @@
 }
 
 func newBenchStore(b *testing.B) *store {
-	disk, err := storage.Folder(b.TempDir())
+	disk, err := storage.OpenDir(b.TempDir())
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/control/repair_test.go
+++ b/internal/control/repair_test.go
@@ -52,7 +52,7 @@
 
 // useEmptyDisk gives the member an empty disk.
 func (m *member) useEmptyDisk() {
-	disk, err := storage.Folder(GinkgoT().TempDir())
+	disk, err := storage.OpenDir(GinkgoT().TempDir())
 	Expect(err).NotTo(HaveOccurred())
 	policy := idempotency.Policy{OpenLimit: 1 << 20, KeyWindow: time.Minute, Retention: time.Hour}
 	m.store, err = openStore(disk, policy, m.clock, func(err error) { Expect(err).NotTo(HaveOccurred()) })
--- a/internal/control/store.go
+++ b/internal/control/store.go
@@ -163,7 +163,7 @@
 		// several times over.
 		limit = repairLogBytes
 	}
-	if s.log.Grown() >= limit && len(s.unwritten) == 0 {
+	if s.log.BytesSinceCheckpoint() >= limit && len(s.unwritten) == 0 {
 		s.checkpoint()
 	}
 }
@@ -185,7 +185,7 @@
 	if !s.checkpointing.CompareAndSwap(false, true) {
 		return
 	}
-	write, err := s.log.Roll()
+	write, err := s.log.StartCheckpoint()
 	if err != nil {
 		s.checkpointing.Store(false)
 		s.reportError(err)
--- a/internal/shedding/calm_test.go
+++ b/internal/shedding/calm_test.go
@@ -13,13 +13,13 @@
 
 var _ = Describe("what is no overload of the whole cluster", func() {
 	It("is one sick server, or one node in trouble", func() {
-		w := newCluster(3, 12)
-		w.servers[0].failing = true
-		w.run(0.7, 10*time.Second)
-		Expect(w.leader.Cutoffs()).To(BeEmpty())
-		gauge := shedding.NewGauge(w.clock, w.random.Uint64)
+		sim := newSimulation(3, 12)
+		sim.servers[0].failing = true
+		sim.run(0.7, 10*time.Second)
+		Expect(sim.leader.Cutoffs()).To(BeEmpty())
+		gauge := shedding.NewGauge(sim.clock, sim.random.Uint64)
 		for range 20 {
-			w.clock.Now += 250 * time.Millisecond
+			sim.clock.Now += 250 * time.Millisecond
 			for number := range 10 {
 				load := shedding.Load{Service: "s", Offered: 20, Sent: 20}
 				if number == 0 {
--- a/internal/shedding/clients_test.go
+++ b/internal/shedding/clients_test.go
@@ -10,13 +10,13 @@
 )
 
 // verdict is what a node says of an inquiry that bears no key.
-func (w *cluster) rejects(n *node, route, name string) bool {
+func (sim *simulation) rejects(n *node, route, name string) bool {
 	cutoffs := n.cutoffs
-	if w.localOnly || w.clock.Now-n.updatedAt > 3*time.Second {
+	if sim.localOnly || sim.clock.Now-n.updatedAt > 3*time.Second {
 		cutoffs = n.localGauge.Cutoffs()
 	}
 	for _, cutoff := range cutoffs {
-		if cutoff.Sheds(w.order.TierOf(route), "h", name) {
+		if cutoff.Sheds(sim.order.TierOf(route), "h", name) {
 			return true
 		}
 	}
@@ -24,58 +24,58 @@
 }
 
 // sheds is what one member says of a new key.
-func (w *cluster) sheds(m *member, key string) bool {
-	if w.clock.Now-m.updatedAt > 1200*time.Millisecond {
+func (sim *simulation) sheds(m *member, key string) bool {
+	if sim.clock.Now-m.updatedAt > 1200*time.Millisecond {
 		return false
 	}
 	for _, cutoff := range m.cutoffs {
-		if cutoff.Sheds(w.order.TierOf("release"), "h", key) {
+		if cutoff.Sheds(sim.order.TierOf("release"), "h", key) {
 			return true
 		}
 	}
 	return false
 }
 
-func (w *cluster) send(c *client) {
+func (sim *simulation) send(c *client) {
 	c.attempts++
-	c.sentAt = w.clock.Now
-	n := w.nodes[w.random.IntN(len(w.nodes))]
-	tier := w.order.TierOf(c.route)
+	c.sentAt = sim.clock.Now
+	n := sim.nodes[sim.random.IntN(len(sim.nodes))]
+	tier := sim.order.TierOf(c.route)
 	shed := false
 	if c.route == "release" {
 		n.counter.CountRequest("s", tier, true, false)
-		if shed = !w.reserve(c); shed {
+		if shed = !sim.reserve(c); shed {
 			n.counter.CountShed("s", tier)
 		}
 	} else {
-		shed = w.rejects(n, c.route, c.key)
+		shed = sim.rejects(n, c.route, c.key)
 		n.counter.CountRequest("s", tier, false, shed)
 	}
 	if shed {
-		w.reject(c)
+		sim.reject(c)
 		return
 	}
-	a, b := w.servers[w.random.IntN(len(w.servers))], w.servers[w.random.IntN(len(w.servers))]
+	a, b := sim.servers[sim.random.IntN(len(sim.servers))], sim.servers[sim.random.IntN(len(sim.servers))]
 	if len(b.jobs) < len(a.jobs) {
 		a = b
 	}
 	if a.failing || len(a.jobs) >= slots+queue {
 		n.counter.CountAttempt("s", tier, a.id, shedding.Rejected)
-		w.release(c)
-		w.reject(c)
+		sim.release(c)
+		sim.reject(c)
 		return
 	}
 	a.jobs = append(a.jobs, job{client: c, node: n})
 }
 
 // secure asks the members for their votes, as a proxy does.
-func (w *cluster) reserve(c *client) bool {
+func (sim *simulation) reserve(c *client) bool {
 	c.intent = idempotency.Intent{Key: idempotency.Key{Tenant: "h", Key: c.key}, Attempt: idempotency.Attempt(fmt.Sprint(c.key, "-", c.attempts)), Route: c.route, Reservation: fmt.Sprint(c.key, "-", c.attempts)}
-	round := idempotency.NewRound(c.intent.RequestHash, len(w.members), w.clock.Steady(), timetable.Steady(time.Second))
+	round := idempotency.NewRound(c.intent.RequestHash, len(sim.members), sim.clock.Steady(), timetable.Steady(time.Second))
 	c.voters = nil
-	for _, m := range w.members {
+	for _, m := range sim.members {
 		vote := idempotency.Vote{Verdict: idempotency.Shed}
-		if m.voter.Find(c.intent.Key) != nil || !w.sheds(m, c.key) {
+		if m.voter.Find(c.intent.Key) != nil || !sim.sheds(m, c.key) {
 			vote, _ = m.voter.Reserve(c.intent)
 		}
 		if vote.Verdict == idempotency.Granted {
@@ -83,14 +83,14 @@
 		}
 		round.AddVote(&vote)
 	}
-	if round.Result(w.clock.Steady()) == idempotency.Won {
+	if round.Result(sim.clock.Steady()) == idempotency.Won {
 		return true
 	}
-	w.release(c)
+	sim.release(c)
 	return false
 }
 
-func (w *cluster) release(c *client) {
+func (sim *simulation) release(c *client) {
 	released := c.intent
 	released.State = idempotency.Released
 	for _, m := range c.voters {
@@ -99,17 +99,17 @@
 	c.voters = nil
 }
 
-func (w *cluster) reject(c *client) {
+func (sim *simulation) reject(c *client) {
 	if c.attempts < 4 {
-		c.sentAt = w.clock.Now + 10*tick + time.Duration(w.random.IntN(10))*tick
-		w.waiting = append(w.waiting, c)
+		c.sentAt = sim.clock.Now + 10*tick + time.Duration(sim.random.IntN(10))*tick
+		sim.waiting = append(sim.waiting, c)
 		return
 	}
-	w.counts[c.route].rejected++
+	sim.counts[c.route].rejected++
 }
 
 // serve works on the first few of a server's queue.
-func (w *cluster) serve(s *server) {
+func (sim *simulation) serve(s *server) {
 	var remaining []job
 	for i, j := range s.jobs {
 		if i < slots {
@@ -120,20 +120,20 @@
 			continue
 		}
 		outcome := shedding.InTime
-		w.counts[j.client.route].served++
-		if w.clock.Now-j.client.createdAt > targetLatency {
-			w.counts[j.client.route].late++
+		sim.counts[j.client.route].served++
+		if sim.clock.Now-j.client.createdAt > targetLatency {
+			sim.counts[j.client.route].late++
 		}
-		if w.clock.Now-j.client.sentAt > targetLatency {
+		if sim.clock.Now-j.client.sentAt > targetLatency {
 			outcome = shedding.Late
 		}
-		j.node.counter.CountAttempt("s", w.order.TierOf(j.client.route), s.id, outcome)
+		j.node.counter.CountAttempt("s", sim.order.TierOf(j.client.route), s.id, outcome)
 		if j.client.route == "release" {
-			w.executions[j.client.key]++
-			w.completed[j.client.key] = true
+			sim.executions[j.client.key]++
+			sim.completed[j.client.key] = true
 			done := j.client.intent
 			done.State, done.Response = idempotency.Completed, &idempotency.Response{Status: 200}
-			for _, m := range w.members {
+			for _, m := range sim.members {
 				_, _ = m.voter.Record(done)
 			}
 		}
--- a/internal/shedding/cluster_test.go
+++ b/internal/shedding/cluster_test.go
@@ -20,7 +20,7 @@
 
 // The world is a slow plain model of a cluster: nodes that hear late, members
 // that vote, servers that count what they run, and clients that come back.
-type cluster struct {
+type simulation struct {
 	clock   *timetable.Hand
 	random  *rand.Rand
 	order   *shedding.Order
@@ -90,103 +90,103 @@
 	{Name: "pack", Host: "h", Priority: 2, Kind: shedding.Bulk},
 }
 
-func newCluster(seed uint64, nodes int) *cluster {
-	w := &cluster{
+func newSimulation(seed uint64, nodes int) *simulation {
+	sim := &simulation{
 		clock: &timetable.Hand{Now: time.Hour}, random: rand.New(rand.NewPCG(seed, 9)), order: shedding.NewOrder(shedding.Plan{}, routes),
 		executions: map[string]int{}, completed: map[string]bool{}, counts: map[string]*count{},
 	}
 	for range nodes {
-		w.nodes = append(w.nodes, w.newNode())
+		sim.nodes = append(sim.nodes, sim.newNode())
 	}
 	for range 5 {
-		w.members = append(w.members, &member{voter: idempotency.NewVoter(idempotency.Policy{KeyWindow: time.Minute}), delay: w.randomDelay()})
+		sim.members = append(sim.members, &member{voter: idempotency.NewVoter(idempotency.Policy{KeyWindow: time.Minute}), delay: sim.randomDelay()})
 	}
 	for number := range 20 {
-		w.servers = append(w.servers, &server{id: fmt.Sprint("i-", number)})
+		sim.servers = append(sim.servers, &server{id: fmt.Sprint("i-", number)})
 	}
 	for _, route := range routes {
-		w.counts[route.Name] = &count{}
+		sim.counts[route.Name] = &count{}
 	}
-	w.leader = shedding.NewGauge(w.clock, w.random.Uint64)
-	return w
+	sim.leader = shedding.NewGauge(sim.clock, sim.random.Uint64)
+	return sim
 }
 
-func (w *cluster) newNode() *node {
+func (sim *simulation) newNode() *node {
 	return &node{
-		counter: shedding.NewCounter(), localGauge: shedding.NewGauge(w.clock, w.random.Uint64), delay: w.randomDelay(), updatedAt: w.clock.Now,
+		counter: shedding.NewCounter(), localGauge: shedding.NewGauge(sim.clock, sim.random.Uint64), delay: sim.randomDelay(), updatedAt: sim.clock.Now,
 	}
 }
 
-func (w *cluster) randomDelay() time.Duration { return time.Duration(w.random.IntN(12)) * tick }
+func (sim *simulation) randomDelay() time.Duration { return time.Duration(sim.random.IntN(12)) * tick }
 
 // capacity is how many inquiries the servers carry in a tick.
-func (w *cluster) capacity() float64 { return float64(len(w.servers)*slots) / workTicks }
+func (sim *simulation) capacity() float64 { return float64(len(sim.servers)*slots) / workTicks }
 
 // step is one tick of the world under a load that is so many times the capacity.
-func (w *cluster) step(load float64) {
-	w.clock.Now += tick
-	for _, s := range w.servers {
-		w.serve(s)
+func (sim *simulation) step(load float64) {
+	sim.clock.Now += tick
+	for _, s := range sim.servers {
+		sim.serve(s)
 	}
 	mix := []string{"release", "urgent", "urgent", "page", "page", "page", "page", "pack", "pack", "pack"}
-	for range int(load*w.capacity() + w.random.Float64()) {
-		w.requests++
-		route := mix[w.random.IntN(len(mix))]
-		w.counts[route].requested++
-		w.send(&client{route: route, key: fmt.Sprint("k", w.requests), createdAt: w.clock.Now})
-	}
-	waiting := w.waiting
-	w.waiting = nil
+	for range int(load*sim.capacity() + sim.random.Float64()) {
+		sim.requests++
+		route := mix[sim.random.IntN(len(mix))]
+		sim.counts[route].requested++
+		sim.send(&client{route: route, key: fmt.Sprint("k", sim.requests), createdAt: sim.clock.Now})
+	}
+	waiting := sim.waiting
+	sim.waiting = nil
 	for _, c := range waiting {
-		if c.sentAt > w.clock.Now {
-			w.waiting = append(w.waiting, c)
+		if c.sentAt > sim.clock.Now {
+			sim.waiting = append(sim.waiting, c)
 			continue
 		}
-		w.send(c)
+		sim.send(c)
 	}
-	if w.clock.Now%(5*tick) == 0 {
-		w.report()
+	if sim.clock.Now%(5*tick) == 0 {
+		sim.report()
 	}
 }
 
 // report brings the loads to the holder, and its cutoffs to all, each late.
-func (w *cluster) report() {
-	for number, n := range w.nodes {
+func (sim *simulation) report() {
+	for number, n := range sim.nodes {
 		loads, _ := n.counter.Take()
 		n.localGauge.Add("", loads)
 		n.localGauge.Decide(n.counter.OverloadedShare)
-		if !w.partitioned {
-			w.leader.Add(fmt.Sprint(number), loads)
-			n.updatedAt = w.clock.Now
+		if !sim.partitioned {
+			sim.leader.Add(fmt.Sprint(number), loads)
+			n.updatedAt = sim.clock.Now
 		}
 	}
 	overloadedShare := func(string) float64 {
 		sum := 0.0
-		for _, n := range w.nodes {
+		for _, n := range sim.nodes {
 			sum += n.counter.OverloadedShare("s")
 		}
-		return sum / float64(len(w.nodes))
+		return sum / float64(len(sim.nodes))
 	}
-	if w.partitioned || w.localOnly {
+	if sim.partitioned || sim.localOnly {
 		return
 	}
-	if w.leader.Decide(overloadedShare) {
-		w.updates = append(w.updates, update{w.clock.Now, w.leader.Cutoffs()})
-		w.changes++
+	if sim.leader.Decide(overloadedShare) {
+		sim.updates = append(sim.updates, update{sim.clock.Now, sim.leader.Cutoffs()})
+		sim.changes++
 	}
-	for _, n := range w.nodes {
-		n.cutoffs = w.cutoffsAfter(n.delay)
+	for _, n := range sim.nodes {
+		n.cutoffs = sim.cutoffsAfter(n.delay)
 	}
-	for _, m := range w.members {
-		m.updatedAt, m.cutoffs = w.clock.Now, w.cutoffsAfter(m.delay)
+	for _, m := range sim.members {
+		m.updatedAt, m.cutoffs = sim.clock.Now, sim.cutoffsAfter(m.delay)
 	}
 }
 
 // heard is the newest news for somebody who hears so late.
-func (w *cluster) cutoffsAfter(delay time.Duration) []shedding.Cutoff {
-	for i := len(w.updates) - 1; i >= 0; i-- {
-		if w.clock.Now-w.updates[i].at >= delay {
-			return w.updates[i].cutoffs
+func (sim *simulation) cutoffsAfter(delay time.Duration) []shedding.Cutoff {
+	for i := len(sim.updates) - 1; i >= 0; i-- {
+		if sim.clock.Now-sim.updates[i].at >= delay {
+			return sim.updates[i].cutoffs
 		}
 	}
 	return nil
--- a/internal/shedding/shedding_test.go
+++ b/internal/shedding/shedding_test.go
@@ -83,23 +83,23 @@
 })
 
 // overload runs a world at the load for some seconds.
-func (w *cluster) run(load float64, span time.Duration) {
-	for end := w.clock.Now + span; w.clock.Now < end; {
-		w.step(load)
+func (sim *simulation) run(load float64, span time.Duration) {
+	for end := sim.clock.Now + span; sim.clock.Now < end; {
+		sim.step(load)
 	}
 }
 
 // disagreements counts, over many names, those on which nodes that work by one
 // cutoff differ.
-func (w *cluster) disagreements() (count int) {
+func (sim *simulation) disagreements() (count int) {
 	for number := range 600 {
 		decisions, route := map[uint64]bool{}, routes[1+number%3].Name
-		for _, n := range w.nodes {
+		for _, n := range sim.nodes {
 			version := uint64(0)
 			for _, cutoff := range n.cutoffs {
 				version = cutoff.Number
 			}
-			rejected := w.rejects(n, route, fmt.Sprint("name", number))
+			rejected := sim.rejects(n, route, fmt.Sprint("name", number))
 			if before, known := decisions[version]; known && before != rejected {
 				count++
 				break
@@ -112,41 +112,41 @@
 
 var _ = Describe("an overload of the whole cluster", func() {
 	// rush is 2.5 times the capacity, with something that goes wrong in the middle.
-	overload := func(seed uint64, fault func(*cluster)) *cluster {
-		w := newCluster(seed, 12)
-		w.run(0.7, 4*time.Second)
-		w.run(2.5, 4*time.Second)
-		fault(w)
+	overload := func(seed uint64, fault func(*simulation)) *simulation {
+		sim := newSimulation(seed, 12)
+		sim.run(0.7, 4*time.Second)
+		sim.run(2.5, 4*time.Second)
+		fault(sim)
 		for range 12 {
-			w.run(2.5, time.Second)
-			if !w.partitioned {
-				Expect(w.disagreements()).To(BeZero(), "seed %d", seed)
+			sim.run(2.5, time.Second)
+			if !sim.partitioned {
+				Expect(sim.disagreements()).To(BeZero(), "seed %d", seed)
 			}
 		}
-		for key, runs := range w.executions {
+		for key, runs := range sim.executions {
 			Expect(runs).To(Equal(1), "seed %d: %s", seed, key)
 		}
-		return w
+		return sim
 	}
-	faults := map[string]func(*cluster){
-		"nothing more": func(*cluster) {},
-		"the holder is lost": func(w *cluster) {
-			w.leader = shedding.NewGauge(w.clock, w.random.Uint64)
-			w.leader.Restore(w.cutoffsAfter(0))
+	faults := map[string]func(*simulation){
+		"nothing more": func(*simulation) {},
+		"the holder is lost": func(sim *simulation) {
+			sim.leader = shedding.NewGauge(sim.clock, sim.random.Uint64)
+			sim.leader.Restore(sim.cutoffsAfter(0))
 		},
-		"the holder is lost with all that it told": func(w *cluster) { w.leader = shedding.NewGauge(w.clock, w.random.Uint64) },
-		"the core is cut off for a while": func(w *cluster) {
-			w.partitioned = true
-			w.run(2.5, 5*time.Second)
-			w.partitioned = false
+		"the holder is lost with all that it told": func(sim *simulation) { sim.leader = shedding.NewGauge(sim.clock, sim.random.Uint64) },
+		"the core is cut off for a while": func(sim *simulation) {
+			sim.partitioned = true
+			sim.run(2.5, 5*time.Second)
+			sim.partitioned = false
 		},
-		"half of the nodes start anew": func(w *cluster) {
-			for number := range len(w.nodes) / 2 {
-				w.nodes[number] = w.newNode()
+		"half of the nodes start anew": func(sim *simulation) {
+			for number := range len(sim.nodes) / 2 {
+				sim.nodes[number] = sim.newNode()
 			}
 		},
-		"news come late": func(w *cluster) {
-			for _, n := range w.nodes {
+		"news come late": func(sim *simulation) {
+			for _, n := range sim.nodes {
 				n.delay += 10 * tick
 			}
 		},
@@ -154,18 +154,18 @@
 	for name, fault := range faults {
 		It("refuses the last tiers, runs each key once, and keeps the first ones in time, though "+name, func() {
 			for seed := range uint64(4) {
-				w := overload(seed, fault)
-				for _, c := range w.counts {
+				sim := overload(seed, fault)
+				for _, c := range sim.counts {
 					*c = count{}
 				}
-				w.run(2.5, 10*time.Second)
+				sim.run(2.5, 10*time.Second)
 				share := func(route string) float64 {
-					return float64(w.counts[route].served) / float64(w.counts[route].requested)
+					return float64(sim.counts[route].served) / float64(sim.counts[route].requested)
 				}
 				Expect(share("release")).To(BeNumerically(">", 0.97), "seed %d", seed)
 				Expect(share("urgent")).To(BeNumerically(">", 0.9), "seed %d", seed)
 				Expect(share("pack")).To(BeNumerically("<", 0.3), "seed %d", seed)
-				urgent := w.counts["urgent"]
+				urgent := sim.counts["urgent"]
 				Expect(float64(urgent.late)/float64(urgent.served)).To(BeNumerically("<", 0.15), "seed %d", seed)
 			}
 		})
@@ -173,13 +173,13 @@
 
 	It("is over without a to and fro", func() {
 		for seed := range uint64(6) {
-			w := overload(seed, func(*cluster) {})
-			w.run(0.7, 3*time.Second)
+			sim := overload(seed, func(*simulation) {})
+			sim.run(0.7, 3*time.Second)
 			raises, last := 0, 4.0
 			for range 400 {
-				w.run(0.7, tick)
+				sim.run(0.7, tick)
 				height := 0.0
-				for _, cutoff := range w.leader.Cutoffs() {
+				for _, cutoff := range sim.leader.Cutoffs() {
 					height = cutoff.Level(4)
 				}
 				if height > last+1e-9 {
@@ -188,15 +188,15 @@
 				last = height
 			}
 			Expect(raises).To(BeNumerically("<=", 1), "seed %d", seed)
-			Expect(w.leader.Cutoffs()).To(BeEmpty(), "seed %d", seed)
+			Expect(sim.leader.Cutoffs()).To(BeEmpty(), "seed %d", seed)
 		}
 	})
 
 	It("leaves nodes that each measure alone at odds: the check can fail", func() {
-		w := newCluster(1, 12)
-		w.localOnly = true
-		w.run(0.7, 4*time.Second)
-		w.run(2.5, 6*time.Second)
-		Expect(w.disagreements()).To(BeNumerically(">", 10))
+		sim := newSimulation(1, 12)
+		sim.localOnly = true
+		sim.run(0.7, 4*time.Second)
+		sim.run(2.5, 6*time.Second)
+		Expect(sim.disagreements()).To(BeNumerically(">", 10))
 	})
 })
--- a/internal/standin/disk.go
+++ b/internal/standin/disk.go
@@ -224,7 +224,7 @@
 // Example:
 //
 //	err := disk.SyncFolder()
-func (d *Disk) SyncFolder() error {
+func (d *Disk) SyncDir() error {
 	isRefused, isInPart := d.refuses()
 	if isRefused && !isInPart {
 		return errRefused
--- a/internal/storage/batch.go
+++ b/internal/storage/batch.go
@@ -17,10 +17,10 @@
 // a broken batch with a whole one after it was kept once and is damage, while one
 // at the end of the newest segment is a write that did not finish.
 const (
-	batchMark  = 0x70_6c_6f_76
-	headBytes  = 12
-	sizeBytes  = 4
-	batchLimit = 256 << 20
+	batchMagic    = 0x70_6c_6f_76
+	headerBytes   = 12
+	sizeBytes     = 4
+	maxBatchBytes = 256 << 20
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -29,21 +29,21 @@
 const errBroken = errors.ConstError("broken batch")
 
 // packBatch appends a batch of the records. One without records ends a checkpoint.
-func packBatch(out []byte, records [][]byte) []byte {
-	from, size := len(out), headBytes
+func appendBatch(buffer []byte, records [][]byte) []byte {
+	start, size := len(buffer), headerBytes
 	for _, record := range records {
 		size += sizeBytes + len(record)
 	}
-	out = append(slices.Grow(out, size), make([]byte, headBytes)...)
+	buffer = append(slices.Grow(buffer, size), make([]byte, headerBytes)...)
 	for _, record := range records {
-		out = binary.BigEndian.AppendUint32(out, uint32(len(record)))
-		out = append(out, record...)
+		buffer = binary.BigEndian.AppendUint32(buffer, uint32(len(record)))
+		buffer = append(buffer, record...)
 	}
-	body := out[from+headBytes:]
-	binary.BigEndian.PutUint32(out[from:], batchMark)
-	binary.BigEndian.PutUint32(out[from+4:], uint32(len(body)))
-	binary.BigEndian.PutUint32(out[from+8:], checksum(body))
-	return out
+	body := buffer[start+headerBytes:]
+	binary.BigEndian.PutUint32(buffer[start:], batchMagic)
+	binary.BigEndian.PutUint32(buffer[start+4:], uint32(len(body)))
+	binary.BigEndian.PutUint32(buffer[start+8:], checksum(body))
+	return buffer
 }
 
 // checksum covers the size too: a body of zeros does not pass for an empty one.
@@ -55,28 +55,28 @@
 
 // readBatch reads the next batch and returns its body. io.EOF stands for the end of
 // the file, errBroken for anything that is no whole batch.
-func readBatch(r *bufio.Reader) (body []byte, err error) {
-	var head [headBytes]byte
-	if _, err = io.ReadFull(r, head[:]); err == io.EOF {
+func readBatch(r *bufio.Reader) (contents []byte, err error) {
+	var header [headerBytes]byte
+	if _, err = io.ReadFull(r, header[:]); err == io.EOF {
 		return nil, io.EOF
 	}
-	size := binary.BigEndian.Uint32(head[4:])
-	if err != nil || binary.BigEndian.Uint32(head[:]) != batchMark || size > batchLimit {
-		return nil, brokenBy(err)
+	size := binary.BigEndian.Uint32(header[4:])
+	if err != nil || binary.BigEndian.Uint32(header[:]) != batchMagic || size > maxBatchBytes {
+		return nil, batchError(err)
 	}
 	// The buffer grows with what is there: a wrong size must not take its memory.
-	var text bytes.Buffer
-	if _, err = io.CopyN(&text, r, int64(size)); err != nil {
-		return nil, brokenBy(err)
+	var body bytes.Buffer
+	if _, err = io.CopyN(&body, r, int64(size)); err != nil {
+		return nil, batchError(err)
 	}
-	if checksum(text.Bytes()) != binary.BigEndian.Uint32(head[8:]) {
+	if checksum(body.Bytes()) != binary.BigEndian.Uint32(header[8:]) {
 		return nil, errBroken
 	}
-	return text.Bytes(), nil
+	return body.Bytes(), nil
 }
 
 // brokenBy keeps an error of the disk apart from an end that came too soon.
-func brokenBy(err error) error {
+func batchError(err error) error {
 	if err == nil || err == io.EOF || err == io.ErrUnexpectedEOF {
 		return errBroken
 	}
@@ -84,7 +84,7 @@
 }
 
 // eachRecord gives the records of a batch's body to take.
-func eachRecord(body []byte, take func([]byte) error) error {
+func forEachRecord(body []byte, visit func([]byte) error) error {
 	for len(body) > 0 {
 		if len(body) < sizeBytes {
 			return errBroken
@@ -94,7 +94,7 @@
 		if size > len(body) {
 			return errBroken
 		}
-		if err := take(body[:size]); err != nil {
+		if err := visit(body[:size]); err != nil {
 			return err
 		}
 		body = body[size:]
@@ -103,17 +103,17 @@
 }
 
 // findBatch is where in the text the next whole batch begins, or -1.
-func findBatch(text []byte) int {
-	var mark [sizeBytes]byte
-	binary.BigEndian.PutUint32(mark[:], batchMark)
-	for from := 0; ; from++ {
-		at := bytes.Index(text[from:], mark[:])
-		if at < 0 {
+func findBatch(data []byte) int {
+	var magic [sizeBytes]byte
+	binary.BigEndian.PutUint32(magic[:], batchMagic)
+	for start := 0; ; start++ {
+		index := bytes.Index(data[start:], magic[:])
+		if index < 0 {
 			return -1
 		}
-		from += at
-		if _, err := readBatch(bufio.NewReader(bytes.NewReader(text[from:]))); err == nil {
-			return from
+		start += index
+		if _, err := readBatch(bufio.NewReader(bytes.NewReader(data[start:]))); err == nil {
+			return start
 		}
 	}
 }
--- a/internal/storage/checkpoint.go
+++ b/internal/storage/checkpoint.go
@@ -9,29 +9,29 @@
 
 // pieceBytes is how much of a checkpoint is laid out at a time: all of it at once
 // would take as much memory again as the tables.
-const pieceBytes = 256 << 10
+const checkpointBatchBytes = 256 << 10
 
 // pieceRest lies between two pieces, each synced by itself: the log's own syncs, on
 // which votes and news wait, would stand behind a checkpoint written at once.
-const pieceRest = 10 * time.Millisecond
+const checkpointBatchPause = 10 * time.Millisecond
 
 // writeAll writes the records in batches, and the mark of the end.
-func writeAll(file File, records iter.Seq[[]byte]) error {
-	var piece [][]byte
+func writeCheckpoint(file File, records iter.Seq[[]byte]) error {
+	var batch [][]byte
 	bytes := 0
 	for record := range records {
-		piece = append(piece, record)
-		if bytes += len(record); bytes < pieceBytes {
+		batch = append(batch, record)
+		if bytes += len(record); bytes < checkpointBatchBytes {
 			continue
 		}
-		if err := writeBatch(file, piece); err != nil {
+		if err := writeBatch(file, batch); err != nil {
 			return err
 		}
-		time.Sleep(pieceRest)
-		piece, bytes = piece[:0], 0
+		time.Sleep(checkpointBatchPause)
+		batch, bytes = batch[:0], 0
 	}
-	if len(piece) > 0 {
-		if err := writeBatch(file, piece); err != nil {
+	if len(batch) > 0 {
+		if err := writeBatch(file, batch); err != nil {
 			return err
 		}
 	}
@@ -39,7 +39,7 @@
 }
 
 func writeBatch(file File, records [][]byte) error {
-	if _, err := file.Write(packBatch(nil, records)); err != nil {
+	if _, err := file.Write(appendBatch(nil, records)); err != nil {
 		return err
 	}
 	return file.Sync()
@@ -49,21 +49,21 @@
 // removes what it stands for once it is certain to be there.
 func (l *Log) checkpoint(number uint64, records iter.Seq[[]byte]) error {
 	name := checkpointName(number)
-	file, err := createFile(l.disk, name+newSuffix)
+	file, err := createFile(l.disk, name+unfinishedSuffix)
 	if err != nil {
 		return errors.Trace(err)
 	}
-	err = writeAll(file, records)
-	if closed := file.Close(); err == nil {
-		err = closed
+	err = writeCheckpoint(file, records)
+	if closeErr := file.Close(); err == nil {
+		err = closeErr
 	}
 	if err != nil {
 		return errors.Trace(err)
 	}
-	if err = l.disk.Rename(name+newSuffix, name); err != nil {
+	if err = l.disk.Rename(name+unfinishedSuffix, name); err != nil {
 		return errors.Trace(err)
 	}
-	if err = l.disk.SyncFolder(); err != nil {
+	if err = l.disk.SyncDir(); err != nil {
 		return errors.Trace(err)
 	}
 	return l.removeBefore(number)
@@ -72,28 +72,28 @@
 // removeBefore removes the checkpoints and segments below the number, and
 // checkpoints that were never finished.
 func (l *Log) removeBefore(number uint64) error {
-	found, err := list(l.disk)
+	existing, err := listFiles(l.disk)
 	if err != nil {
 		return err
 	}
-	for _, old := range found.unfinished {
+	for _, old := range existing.unfinished {
 		if err := l.disk.Remove(old); err != nil {
 			return errors.Trace(err)
 		}
 	}
-	for _, old := range found.checkpoints {
+	for _, old := range existing.checkpoints {
 		if old < number {
 			if err := l.disk.Remove(checkpointName(old)); err != nil {
 				return errors.Trace(err)
 			}
 		}
 	}
-	for _, old := range found.segments {
+	for _, old := range existing.segments {
 		if old < number {
 			if err := l.disk.Remove(segmentName(old)); err != nil {
 				return errors.Trace(err)
 			}
 		}
 	}
-	return errors.Trace(l.disk.SyncFolder())
+	return errors.Trace(l.disk.SyncDir())
 }
--- a/internal/storage/crash_test.go
+++ b/internal/storage/crash_test.go
@@ -19,8 +19,8 @@
 	disk *standin.Disk
 	log  *storage.Log
 	// offered is everything in its order, kept how much of it was acknowledged.
-	offered []string
-	kept    int
+	offered      []string
+	acknowledged int
 }
 
 func newHistory(seed uint64) *history {
@@ -29,15 +29,15 @@
 
 // open opens the log and checks what it gives back. It tells whether the power
 // lasted.
-func (h *history) open(at string) bool {
+func (h *history) open(description string) bool {
 	log, read, err := open(h.disk)
 	if err != nil {
 		return false
 	}
-	Expect(log.Damages()).To(BeEmpty(), at)
-	Expect(len(read)).To(BeNumerically(">=", h.kept), at)
-	Expect(read).To(Equal(h.offered[:len(read)]), at)
-	h.log, h.offered, h.kept = log, slices.Clone(read), len(read)
+	Expect(log.Damages()).To(BeEmpty(), description)
+	Expect(len(read)).To(BeNumerically(">=", h.acknowledged), description)
+	Expect(read).To(Equal(h.offered[:len(read)]), description)
+	h.log, h.offered, h.acknowledged = log, slices.Clone(read), len(read)
 	return true
 }
 
@@ -46,18 +46,18 @@
 	for range count {
 		h.offered = append(h.offered, fmt.Sprint("record ", len(h.offered)))
 	}
-	for _, record := range h.offered[h.kept:] {
+	for _, record := range h.offered[h.acknowledged:] {
 		batch = append(batch, []byte(record))
 	}
 	if h.log.Append(batch) != nil {
 		return false
 	}
-	h.kept = len(h.offered)
+	h.acknowledged = len(h.offered)
 	return true
 }
 
 func (h *history) checkpoint() bool {
-	write, err := h.log.Roll()
+	write, err := h.log.StartCheckpoint()
 	if err != nil {
 		return false
 	}
@@ -70,41 +70,41 @@
 
 // live is one life of the process: it starts, appends, writes checkpoints and goes
 // on. It stops where the power does.
-func (h *history) live(at string) bool {
-	return h.open(at) && h.append(3) && h.append(1) && h.checkpoint() && h.append(2) && h.checkpoint() && h.append(1)
+func (h *history) run(description string) bool {
+	return h.open(description) && h.append(3) && h.append(1) && h.checkpoint() && h.append(2) && h.checkpoint() && h.append(1)
 }
 
 var _ = Describe("a loss of power", func() {
 	It("at any operation of a life, and again at any of the next, takes nothing that was kept", func() {
-		lives := 0
+		runs := 0
 		for first := 1; ; first++ {
-			isOver := false
+			firstCompleted := false
 			for second := 1; ; second++ {
-				at := fmt.Sprintf("power lost at operation %d, and then at %d", first, second)
+				description := fmt.Sprintf("power lost at operation %d, and then at %d", first, second)
 				h := newHistory(uint64(first*1000 + second))
-				h.live(at)
+				h.run(description)
 				h.disk.PowerFor = first
-				isOver = h.live(at)
+				firstCompleted = h.run(description)
 				h.disk.LosePower()
 				h.disk.PowerFor = second
-				isWhole := h.live(at)
+				secondCompleted := h.run(description)
 				h.disk.LosePower()
-				Expect(h.open(at)).To(BeTrue(), at)
-				lives++
-				if isWhole {
+				Expect(h.open(description)).To(BeTrue(), description)
+				runs++
+				if secondCompleted {
 					break
 				}
 			}
-			if isOver {
+			if firstCompleted {
 				break
 			}
 		}
-		Expect(lives).To(BeNumerically(">", 500))
+		Expect(runs).To(BeNumerically(">", 500))
 	})
 })
 
 var _ = Describe("a damaged disk", func() {
-	const one, two = "segment-0000000000000001", "segment-0000000000000002"
+	const firstSegment, secondSegment = "segment-0000000000000001", "segment-0000000000000002"
 	var h *history
 	var read []string
 
@@ -123,35 +123,35 @@
 
 	It("that spoils a batch is reported with the place, and what stands before and after it is read", func() {
 		// Two records of eight bytes, each with its size, behind the head.
-		h.disk.Spoil(one, 36+20)
+		h.disk.Spoil(firstSegment, 36+20)
 		damages := reopen()
 		Expect(damages).To(HaveLen(1))
-		Expect(damages[0].File).To(Equal(one))
+		Expect(damages[0].File).To(Equal(firstSegment))
 		Expect(damages[0].Offset).To(BeEquivalentTo(36))
 		Expect(read).To(Equal([]string{"record 0", "record 1", "record 4", "record 5"}))
 	})
 
 	It("that loses a segment between two others is reported", func() {
 		Expect(h.open("") && h.append(1) && h.open("") && h.append(1)).To(BeTrue())
-		h.disk.Lose(two)
-		Expect(reopen()).To(ConsistOf(HaveField("File", two)))
+		h.disk.Lose(secondSegment)
+		Expect(reopen()).To(ConsistOf(HaveField("File", secondSegment)))
 		Expect(read).To(HaveLen(7))
 	})
 
 	It("that loses the first segment, or the one of a checkpoint, is reported", func() {
 		Expect(h.open("") && h.append(1)).To(BeTrue())
-		h.disk.Lose(one)
-		Expect(reopen()).To(ConsistOf(HaveField("File", one)))
+		h.disk.Lose(firstSegment)
+		Expect(reopen()).To(ConsistOf(HaveField("File", firstSegment)))
 		h = newHistory(2)
 		Expect(h.open("") && h.append(1) && h.checkpoint()).To(BeTrue())
-		h.disk.Lose(two)
-		Expect(reopen()).To(ConsistOf(HaveField("File", two)))
+		h.disk.Lose(secondSegment)
+		Expect(reopen()).To(ConsistOf(HaveField("File", secondSegment)))
 	})
 
 	DescribeTable("that spoils a checkpoint is never taken for an empty one",
-		func(spoil func(name string)) {
+		func(corrupt func(name string)) {
 			Expect(h.checkpoint() && h.append(1)).To(BeTrue())
-			spoil("checkpoint-0000000000000002")
+			corrupt("checkpoint-0000000000000002")
 			Expect(reopen()).NotTo(BeEmpty())
 			Expect(read).To(ContainElement("record 6"), "what came after it is read")
 		},
--- a/internal/storage/disk.go
+++ b/internal/storage/disk.go
@@ -30,27 +30,27 @@
 	Rename(from, to string) error
 	Remove(name string) error
 	// SyncFolder makes last what was made, renamed and removed before.
-	SyncFolder() error
+	SyncDir() error
 }
 
-type folder string
+type directory string
 
 // Folder is a disk's folder, made if it is not there.
 //
 // Example:
 //
 //	disk, err := storage.Folder("/var/lib/ploverhitch")
-func Folder(path string) (Disk, error) {
+func OpenDir(path string) (Disk, error) {
 	if err := os.MkdirAll(path, 0o755); err != nil {
 		return nil, errors.Annotate(err, "data folder")
 	}
-	return folder(path), nil
+	return directory(path), nil
 }
 
-func (f folder) at(name string) string { return filepath.Join(string(f), name) }
+func (d directory) path(name string) string { return filepath.Join(string(d), name) }
 
-func (f folder) SyncFolder() error {
-	dir, err := os.Open(string(f))
+func (d directory) SyncDir() error {
+	dir, err := os.Open(string(d))
 	if err != nil {
 		return errors.Trace(err)
 	}
@@ -58,8 +58,8 @@
 	return errors.Trace(dir.Sync())
 }
 
-func (f folder) List() (names []string, err error) {
-	entries, err := os.ReadDir(string(f))
+func (d directory) List() (names []string, err error) {
+	entries, err := os.ReadDir(string(d))
 	for _, entry := range entries {
 		if !entry.IsDir() {
 			names = append(names, entry.Name())
@@ -68,18 +68,18 @@
 	return names, errors.Trace(err)
 }
 
-func (f folder) Open(name string) (io.ReadCloser, error) {
-	file, err := os.Open(f.at(name))
+func (d directory) Open(name string) (io.ReadCloser, error) {
+	file, err := os.Open(d.path(name))
 	return file, errors.Trace(err)
 }
 
-func (f folder) Create(name string) (File, error) {
-	file, err := os.OpenFile(f.at(name), os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o644)
+func (d directory) Create(name string) (File, error) {
+	file, err := os.OpenFile(d.path(name), os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o644)
 	return file, errors.Trace(err)
 }
 
-func (f folder) Truncate(name string, size int64) error {
-	file, err := os.OpenFile(f.at(name), os.O_WRONLY, 0)
+func (d directory) Truncate(name string, size int64) error {
+	file, err := os.OpenFile(d.path(name), os.O_WRONLY, 0)
 	if err != nil {
 		return errors.Trace(err)
 	}
@@ -90,8 +90,8 @@
 	return errors.Trace(file.Sync())
 }
 
-func (f folder) Rename(from, to string) error {
-	return errors.Trace(os.Rename(f.at(from), f.at(to)))
+func (d directory) Rename(from, to string) error {
+	return errors.Trace(os.Rename(d.path(from), d.path(to)))
 }
 
-func (f folder) Remove(name string) error { return errors.Trace(os.Remove(f.at(name))) }
+func (d directory) Remove(name string) error { return errors.Trace(os.Remove(d.path(name))) }
--- a/internal/storage/files.go
+++ b/internal/storage/files.go
@@ -12,7 +12,7 @@
 const (
 	segmentPrefix    = "segment-"
 	checkpointPrefix = "checkpoint-"
-	newSuffix        = ".new"
+	unfinishedSuffix = ".new"
 )
 
 func segmentName(number uint64) string    { return fmt.Sprintf(segmentPrefix+"%016x", number) }
@@ -25,19 +25,19 @@
 	unfinished []string
 }
 
-func list(disk Disk) (found files, err error) {
+func listFiles(disk Disk) (found files, err error) {
 	names, err := disk.List()
 	if err != nil {
 		return found, errors.Trace(err)
 	}
 	for _, name := range names {
-		if strings.HasPrefix(name, checkpointPrefix) && strings.HasSuffix(name, newSuffix) {
+		if strings.HasPrefix(name, checkpointPrefix) && strings.HasSuffix(name, unfinishedSuffix) {
 			found.unfinished = append(found.unfinished, name)
 		}
-		if number, isOne := numberOf(name, checkpointPrefix); isOne {
+		if number, ok := parseNumber(name, checkpointPrefix); ok {
 			found.checkpoints = append(found.checkpoints, number)
 		}
-		if number, isOne := numberOf(name, segmentPrefix); isOne {
+		if number, ok := parseNumber(name, segmentPrefix); ok {
 			found.segments = append(found.segments, number)
 		}
 	}
@@ -46,9 +46,9 @@
 	return found, nil
 }
 
-func numberOf(name, prefix string) (number uint64, isOne bool) {
-	text, isOne := strings.CutPrefix(name, prefix)
-	if !isOne {
+func parseNumber(name, prefix string) (number uint64, ok bool) {
+	text, ok := strings.CutPrefix(name, prefix)
+	if !ok {
 		return 0, false
 	}
 	number, err := strconv.ParseUint(text, 16, 64)
@@ -56,9 +56,9 @@
 }
 
 // from lists the segments from a number on.
-func (f files) from(number uint64) []uint64 {
-	at, _ := slices.BinarySearch(f.segments, number)
-	return f.segments[at:]
+func (f files) segmentsFrom(number uint64) []uint64 {
+	index, _ := slices.BinarySearch(f.segments, number)
+	return f.segments[index:]
 }
 
 // createFile makes an empty file that lasts.
@@ -68,7 +68,7 @@
 		return nil, errors.Trace(err)
 	}
 	if err = file.Sync(); err == nil {
-		err = disk.SyncFolder()
+		err = disk.SyncDir()
 	}
 	if err != nil {
 		_ = file.Close()
--- a/internal/storage/log.go
+++ b/internal/storage/log.go
@@ -8,22 +8,22 @@
 	"github.com/juju/errors"
 )
 
-const segmentBytes = 8 << 20
+const maxSegmentBytes = 8 << 20
 
 // Log is a log in segments. Append has one caller at a time.
 type Log struct {
-	disk   Disk
-	file   File
-	number uint64
+	disk    Disk
+	file    File
+	segment uint64
 	// good is how far the open segment is known to be kept.
-	good int64
+	syncedBytes int64
 	// isTorn says that what follows good must be cut before going on.
-	isTorn bool
+	torn bool
 	// damages are the places that were kept once and cannot be read.
 	damages []Damage
 
-	lock  sync.Mutex
-	grown int64
+	lock                 sync.Mutex
+	bytesSinceCheckpoint int64
 }
 
 // Open reads what the disk holds, gives every record to replay in the order in
@@ -37,32 +37,32 @@
 //
 //	log, err := storage.Open(disk, func(record []byte) error { return tables.Apply(record) })
 func Open(disk Disk, replay func(record []byte) error) (*Log, error) {
-	found, err := list(disk)
+	found, err := listFiles(disk)
 	if err != nil {
 		return nil, err
 	}
 	l := &Log{disk: disk}
 	first := max(l.replayCheckpoint(found, replay), 1)
-	l.number = first - 1
-	segments := found.from(first)
-	for at, number := range segments {
-		if number != l.number+1 {
-			l.miss(l.number + 1)
+	l.segment = first - 1
+	segments := found.segmentsFrom(first)
+	for index, number := range segments {
+		if number != l.segment+1 {
+			l.recordMissing(l.segment + 1)
 		}
-		l.number = number
-		if err := l.replaySegment(number, at == len(segments)-1, replay); err != nil {
+		l.segment = number
+		if err := l.replaySegment(number, index == len(segments)-1, replay); err != nil {
 			return nil, err
 		}
 	}
 	if len(segments) == 0 && first > 1 {
 		// The checkpoint's own segment was made before it.
-		l.miss(first)
-		l.number = first
+		l.recordMissing(first)
+		l.segment = first
 	}
-	return l, l.next()
+	return l, l.openNextSegment()
 }
 
-func (l *Log) miss(number uint64) {
+func (l *Log) recordMissing(number uint64) {
 	l.damages = append(l.damages, Damage{File: segmentName(number), Reason: "the segment is missing"})
 }
 
@@ -74,24 +74,24 @@
 	if len(found.checkpoints) == 0 {
 		return 0
 	}
-	number := l.newestWhole(found.checkpoints)
-	read := scanFile(l.disk, checkpointName(number), replay)
-	l.damages = append(l.damages, read.damages...)
-	if !read.isEnded || read.isTorn {
-		l.damages = append(l.damages, Damage{File: checkpointName(number), Offset: read.offset, Reason: "the checkpoint is not whole"})
+	number := l.newestComplete(found.checkpoints)
+	result := scanFile(l.disk, checkpointName(number), replay)
+	l.damages = append(l.damages, result.damages...)
+	if !result.endMarked || result.torn {
+		l.damages = append(l.damages, Damage{File: checkpointName(number), Offset: result.offset, Reason: "the checkpoint is not whole"})
 	}
 	return number
 }
 
 // newestWhole is the newest checkpoint that is whole, or the newest of all. Where
 // there is only one, it is not read for that: nothing could take its place.
-func (l *Log) newestWhole(checkpoints []uint64) uint64 {
+func (l *Log) newestComplete(checkpoints []uint64) uint64 {
 	newest := checkpoints[len(checkpoints)-1]
 	if len(checkpoints) == 1 {
 		return newest
 	}
 	for _, number := range slices.Backward(checkpoints) {
-		if scanFile(l.disk, checkpointName(number), func([]byte) error { return nil }).isWhole() {
+		if scanFile(l.disk, checkpointName(number), func([]byte) error { return nil }).complete() {
 			return number
 		}
 	}
@@ -99,24 +99,24 @@
 }
 
 // isWhole tells whether a checkpoint was read from its beginning to its end.
-func (s *scan) isWhole() bool {
-	return s.isEnded && !s.isTorn && !s.isUnreadable && len(s.damages) == 0
+func (s *scan) complete() bool {
+	return s.endMarked && !s.torn && !s.unreadable && len(s.damages) == 0
 }
 
 // replaySegment reads one segment. Only the newest may end in a write that did not
 // finish, which is cut off.
-func (l *Log) replaySegment(number uint64, isNewest bool, replay func([]byte) error) error {
+func (l *Log) replaySegment(number uint64, newest bool, replay func([]byte) error) error {
 	name := segmentName(number)
-	read := scanFile(l.disk, name, replay)
-	l.damages = append(l.damages, read.damages...)
-	l.grown += read.offset
-	if read.isTorn && !isNewest {
-		l.damages = append(l.damages, Damage{File: name, Offset: read.offset, Reason: errBroken.Error()})
+	result := scanFile(l.disk, name, replay)
+	l.damages = append(l.damages, result.damages...)
+	l.bytesSinceCheckpoint += result.offset
+	if result.torn && !newest {
+		l.damages = append(l.damages, Damage{File: name, Offset: result.offset, Reason: errBroken.Error()})
 	}
-	if !isNewest || read.isUnreadable {
+	if !newest || result.unreadable {
 		return nil
 	}
-	return errors.Trace(l.disk.Truncate(name, read.offset))
+	return errors.Trace(l.disk.Truncate(name, result.offset))
 }
 
 // Damages lists the places that were kept once and could not be read: what was read
@@ -127,15 +127,15 @@
 //	if len(log.Damages()) > 0 { rebuildFromOthers() }
 func (l *Log) Damages() []Damage { return l.damages }
 
-func (l *Log) next() error {
-	file, err := createFile(l.disk, segmentName(l.number+1))
+func (l *Log) openNextSegment() error {
+	file, err := createFile(l.disk, segmentName(l.segment+1))
 	if err != nil {
 		return errors.Trace(err)
 	}
 	if l.file != nil {
 		_ = l.file.Close()
 	}
-	l.file, l.number, l.good, l.isTorn = file, l.number+1, 0, false
+	l.file, l.segment, l.syncedBytes, l.torn = file, l.segment+1, 0, false
 	return nil
 }
 
@@ -146,30 +146,30 @@
 //
 //	if err := log.Append(records); err == nil { answerAll() }
 func (l *Log) Append(records [][]byte) error {
-	if l.isTorn {
-		if err := l.disk.Truncate(segmentName(l.number), l.good); err != nil {
+	if l.torn {
+		if err := l.disk.Truncate(segmentName(l.segment), l.syncedBytes); err != nil {
 			return errors.Trace(err)
 		}
-		if err := l.next(); err != nil {
+		if err := l.openNextSegment(); err != nil {
 			return errors.Trace(err)
 		}
 	}
-	text := packBatch(nil, records)
-	_, err := l.file.Write(text)
+	batch := appendBatch(nil, records)
+	_, err := l.file.Write(batch)
 	if err == nil {
 		err = l.file.Sync()
 	}
 	if err != nil {
-		l.isTorn = true
+		l.torn = true
 		return errors.Trace(err)
 	}
-	l.good += int64(len(text))
+	l.syncedBytes += int64(len(batch))
 	l.lock.Lock()
-	l.grown += int64(len(text))
+	l.bytesSinceCheckpoint += int64(len(batch))
 	l.lock.Unlock()
-	if l.good >= segmentBytes {
-		if err := l.next(); err != nil {
-			l.isTorn = true
+	if l.syncedBytes >= maxSegmentBytes {
+		if err := l.openNextSegment(); err != nil {
+			l.torn = true
 		}
 	}
 	return nil
@@ -181,10 +181,10 @@
 // Example:
 //
 //	if log.Grown() > 32<<20 { begin(log) }
-func (l *Log) Grown() int64 {
+func (l *Log) BytesSinceCheckpoint() int64 {
 	l.lock.Lock()
 	defer l.lock.Unlock()
-	return l.grown
+	return l.bytesSinceCheckpoint
 }
 
 // Roll starts a new segment and returns the closure that writes the checkpoint
@@ -195,16 +195,16 @@
 //	write, err := log.Roll()
 //	records := tables.Records()
 //	go write(slices.Values(records))
-func (l *Log) Roll() (write func(records iter.Seq[[]byte]) error, err error) {
-	if l.isTorn {
+func (l *Log) StartCheckpoint() (write func(records iter.Seq[[]byte]) error, err error) {
+	if l.torn {
 		return nil, errors.NotValidf("checkpoint on a torn log")
 	}
-	if err := l.next(); err != nil {
+	if err := l.openNextSegment(); err != nil {
 		return nil, errors.Trace(err)
 	}
-	number := l.number
+	number := l.segment
 	l.lock.Lock()
-	l.grown = 0
+	l.bytesSinceCheckpoint = 0
 	l.lock.Unlock()
 	return func(records iter.Seq[[]byte]) error { return l.checkpoint(number, records) }, nil
 }
--- a/internal/storage/scan.go
+++ b/internal/storage/scan.go
@@ -31,10 +31,10 @@
 	offset int64
 	// isTorn says that the file ends in something that is no batch, isUnreadable that
 	// the disk does not give the file.
-	isTorn, isUnreadable bool
+	torn, unreadable bool
 	// isEnded says that the last batch was the mark of a checkpoint's end.
-	isEnded bool
-	damages []Damage
+	endMarked bool
+	damages   []Damage
 }
 
 // scanFile gives each record of a file to replay. It goes on behind what it cannot
@@ -45,28 +45,28 @@
 	if s.readLegacy() {
 		return s
 	}
-	s.isTorn, s.isEnded = false, false
+	s.torn, s.endMarked = false, false
 	for {
-		err := s.read()
+		err := s.readBatches()
 		if err == io.EOF {
 			return s
 		}
 		if !errors.Is(err, errBroken) {
-			s.damage(err)
-			s.isUnreadable = true
+			s.recordDamage(err)
+			s.unreadable = true
 			return s
 		}
-		next, isFound := s.find()
-		if !isFound {
-			s.isTorn = true
+		next, found := s.findNextBatch()
+		if !found {
+			s.torn = true
 			return s
 		}
-		s.damage(err)
+		s.recordDamage(err)
 		s.offset = next
 	}
 }
 
-func (s *scan) damage(err error) {
+func (s *scan) recordDamage(err error) {
 	s.damages = append(s.damages, Damage{File: s.name, Offset: s.offset, Reason: err.Error()})
 }
 
@@ -85,7 +85,7 @@
 
 // read goes through whole batches until the end of the file, for which it returns
 // io.EOF, or the first that is broken.
-func (s *scan) read() error {
+func (s *scan) readBatches() error {
 	file, err := s.open()
 	if err != nil {
 		return errors.Annotate(err, "unreadable")
@@ -97,34 +97,34 @@
 		if err != nil {
 			return err
 		}
-		s.isEnded = len(body) == 0
-		if err := eachRecord(body, s.take); err != nil {
-			s.damage(err)
+		s.endMarked = len(body) == 0
+		if err := forEachRecord(body, s.replayRecord); err != nil {
+			s.recordDamage(err)
 		}
-		s.offset += int64(headBytes + len(body))
+		s.offset += int64(headerBytes + len(body))
 	}
 }
 
 // take gives one record to replay. One that replay refuses is damage: the bytes are
 // as they were written, and yet no record.
-func (s *scan) take(record []byte) error {
+func (s *scan) replayRecord(record []byte) error {
 	if err := s.replay(record); err != nil {
-		s.damage(err)
+		s.recordDamage(err)
 	}
 	return nil
 }
 
 // find looks for the next whole batch behind the place reached.
-func (s *scan) find() (at int64, isFound bool) {
+func (s *scan) findNextBatch() (offset int64, found bool) {
 	file, err := s.open()
 	if err != nil {
 		return 0, false
 	}
 	defer file.Close()
-	text, _ := io.ReadAll(file)
-	if len(text) == 0 {
+	data, _ := io.ReadAll(file)
+	if len(data) == 0 {
 		return 0, false
 	}
-	place := findBatch(text[1:])
-	return s.offset + 1 + int64(place), place >= 0
+	index := findBatch(data[1:])
+	return s.offset + 1 + int64(index), index >= 0
 }
--- a/internal/storage/ballast_test.go
+++ b/internal/storage/storage_test.go
@@ -13,7 +13,7 @@
 	"ploverhitch/internal/storage"
 )
 
-func TestBallast(t *testing.T) {
+func TestStorage(t *testing.T) {
 	RegisterFailHandler(Fail)
 	RunSpecs(t, "ballast")
 }
@@ -36,41 +36,41 @@
 			Expect(err).NotTo(HaveOccurred())
 			// The plain model: all that was offered, and how much of it is kept.
 			var offered []string
-			kept := 0
+			acknowledged := 0
 			for step := range 120 {
-				switch draw := random.IntN(20); {
-				case draw < 14:
+				switch choice := random.IntN(20); {
+				case choice < 14:
 					offered = append(offered, strconv.Itoa(step))
 					disk.IsRefusing = random.IntN(6) == 0
 					var batch [][]byte
-					for _, record := range offered[kept:] {
+					for _, record := range offered[acknowledged:] {
 						batch = append(batch, []byte(record))
 					}
 					if log.Append(batch) == nil {
-						kept = len(offered)
+						acknowledged = len(offered)
 					}
 					disk.IsRefusing = false
-				case draw < 16 && kept == len(offered):
-					if write, err := log.Roll(); err == nil {
+				case choice < 16 && acknowledged == len(offered):
+					if write, err := log.StartCheckpoint(); err == nil {
 						var all [][]byte
 						for _, record := range offered {
 							all = append(all, []byte(record))
 						}
 						Expect(write(slices.Values(all))).To(Succeed())
 					}
-				case draw >= 17:
+				case choice >= 17:
 					// A loss of power, or only a kill: then all that was
 					// written is there, and no more certain than before.
-					if draw >= 18 {
+					if choice >= 18 {
 						disk.LosePower()
 					}
 					var read []string
 					log, read, err = open(disk)
 					Expect(err).NotTo(HaveOccurred())
 					Expect(log.Damages()).To(BeEmpty())
-					Expect(len(read)).To(BeNumerically(">=", kept))
+					Expect(len(read)).To(BeNumerically(">=", acknowledged))
 					Expect(read).To(HaveExactElements(offered[:len(read)]))
-					offered, kept = offered[:len(read)], len(read)
+					offered, acknowledged = offered[:len(read)], len(read)
 				}
 			}
 		}
@@ -90,7 +90,7 @@
 		Expect(log.Damages()[0].File).To(Equal("segment-0000000000000001"))
 		Expect(read).To(BeEmpty())
 		Expect(log.Append([][]byte{[]byte("three")})).To(Succeed())
-		write, err := log.Roll()
+		write, err := log.StartCheckpoint()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(write(slices.Values([][]byte{[]byte("three")}))).To(Succeed())
 		log, read, err = open(disk)
@@ -100,12 +100,12 @@
 	})
 
 	It("works on a real folder", func() {
-		disk, err := storage.Folder(GinkgoT().TempDir())
+		disk, err := storage.OpenDir(GinkgoT().TempDir())
 		Expect(err).NotTo(HaveOccurred())
 		log, _, err := open(disk)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(log.Append([][]byte{[]byte("kept")})).To(Succeed())
-		write, err := log.Roll()
+		write, err := log.StartCheckpoint()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(log.Append([][]byte{[]byte("later")})).To(Succeed())
 		Expect(write(slices.Values([][]byte{[]byte("checkpoint")}))).To(Succeed())
