--- a/internal/shedding/account.go
+++ b/internal/shedding/account.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// Account is what the window shows of one service and tier, for operators to read.
+// Account contains the load counts of one service and tier over the window, for
+// operators.
 type Account struct {
 	Service  string `json:"Service"`
 	Tier     Tier   `json:"Tier"`
@@ -17,11 +18,8 @@
 	Keyed    bool   `json:"IsKeyed"`
 }
 
-// Accounts are the windows of all services, by tier.
-//
-// Example:
-//
-//	for _, account := range gauge.Accounts() { print(account) }
+// Accounts returns the load counts of all services over the window, sorted by
+// service and tier.
 func (g *Gauge) Accounts() (out []Account) {
 	g.advance()
 	for _, service := range slices.Sorted(maps.Keys(g.services)) {
--- a/internal/shedding/calm_test.go
+++ b/internal/shedding/calm_test.go
@@ -11,8 +11,8 @@
 	"ploverhitch/internal/timetable"
 )
 
-var _ = Describe("what is no overload of the whole cluster", func() {
-	It("is one sick server, or one node in trouble", func() {
+var _ = Describe("trouble that is no overload of the whole service", func() {
+	It("includes one failing server, and one node whose attempts are rejected", func() {
 		sim := newSimulation(3, 12)
 		sim.servers[0].failing = true
 		sim.run(0.7, 10*time.Second)
@@ -31,13 +31,13 @@
 		}
 	})
 
-	It("is keyed operations that are late, or turned away now and then: they are refused only where servers turn most away", func() {
-		for turned, expectShed := range map[uint32]bool{0: false, 20: false, 45: false, 60: true} {
+	It("includes keyed operations that are late or sometimes rejected: they are shed only if servers reject most of them", func() {
+		for rejected, expectShed := range map[uint32]bool{0: false, 20: false, 45: false, 60: true} {
 			clock := &timetable.Hand{Now: time.Hour}
 			gauge := shedding.NewGauge(clock, func() uint64 { return 5 })
 			for range 40 {
 				clock.Now += 250 * time.Millisecond
-				load := shedding.Load{Service: "s", Offered: 100, Sent: 100, Late: 60 - turned, Rejected: turned, Keyed: true}
+				load := shedding.Load{Service: "s", Offered: 100, Sent: 100, Late: 60 - rejected, Rejected: rejected, Keyed: true}
 				gauge.Add("a", []shedding.Load{load})
 				gauge.Decide(func(string) float64 { return 1 })
 			}
@@ -49,11 +49,11 @@
 					}
 				}
 			}
-			Expect(shed > 0).To(Equal(expectShed), "%d turned away", turned)
+			Expect(shed > 0).To(Equal(expectShed), "%d rejected", rejected)
 		}
 	})
 
-	It("never goes back to an older number when the holder changes", func() {
+	It("does not return to an older cutoff number when the leader changes", func() {
 		clock := &timetable.Hand{Now: time.Hour}
 		gauge := shedding.NewGauge(clock, func() uint64 { return 5 })
 		gauge.Restore([]shedding.Cutoff{{Service: "s", Number: 41, Seed: 9, Tier: 1, Fraction: 0.5}})
--- a/internal/shedding/clients_test.go
+++ b/internal/shedding/clients_test.go
@@ -9,7 +9,7 @@
 	"ploverhitch/internal/timetable"
 )
 
-// verdict is what a node says of an inquiry that bears no key.
+// rejects reports whether a node rejects a request without an idempotency key.
 func (sim *simulation) rejects(n *node, route, name string) bool {
 	cutoffs := n.cutoffs
 	if sim.localOnly || sim.clock.Now-n.updatedAt > 3*time.Second {
@@ -23,7 +23,7 @@
 	return false
 }
 
-// sheds is what one member says of a new key.
+// sheds reports whether a member rejects a new key.
 func (sim *simulation) sheds(m *member, key string) bool {
 	if sim.clock.Now-m.updatedAt > 1200*time.Millisecond {
 		return false
@@ -68,7 +68,8 @@
 	a.jobs = append(a.jobs, job{client: c, node: n})
 }
 
-// secure asks the members for their votes, as a proxy does.
+// reserve collects the votes of the members as a proxy does, and reports whether the
+// reservation has a majority.
 func (sim *simulation) reserve(c *client) bool {
 	c.intent = idempotency.Intent{Key: idempotency.Key{Tenant: "h", Key: c.key}, Attempt: idempotency.Attempt(fmt.Sprint(c.key, "-", c.attempts)), Route: c.route, Reservation: fmt.Sprint(c.key, "-", c.attempts)}
 	round := idempotency.NewRound(c.intent.RequestHash, len(sim.members), sim.clock.Steady(), timetable.Steady(time.Second))
@@ -108,7 +109,7 @@
 	sim.counts[c.route].rejected++
 }
 
-// serve works on the first few of a server's queue.
+// serve runs one tick of the jobs that occupy the server's slots.
 func (sim *simulation) serve(s *server) {
 	var remaining []job
 	for i, j := range s.jobs {
--- a/internal/shedding/cluster_test.go
+++ b/internal/shedding/cluster_test.go
@@ -18,8 +18,8 @@
 	queue         = 8
 )
 
-// The world is a slow plain model of a cluster: nodes that hear late, members
-// that vote, servers that count what they run, and clients that come back.
+// simulation is a simple model of a cluster: nodes that receive updates late, members
+// that vote, servers that count executions, and clients that retry.
 type simulation struct {
 	clock   *timetable.Hand
 	random  *rand.Rand
@@ -28,10 +28,10 @@
 	members []*member
 	servers []*server
 	leader  *shedding.Gauge
-	// news is what the holder told, and when.
+	// updates are the cutoffs that the leader published, with their times.
 	updates []update
-	// isCut: the core tells nothing and hears nothing. isAlone: every node goes by
-	// its own measure from the start, which is the control.
+	// partitioned disconnects the control plane from all nodes. localOnly makes each
+	// node apply its local gauge from the start, as a control experiment.
 	partitioned, localOnly bool
 	waiting                []*client
 	requests               int
@@ -119,10 +119,10 @@
 
 func (sim *simulation) randomDelay() time.Duration { return time.Duration(sim.random.IntN(12)) * tick }
 
-// capacity is how many inquiries the servers carry in a tick.
+// capacity returns how many requests the servers complete per tick.
 func (sim *simulation) capacity() float64 { return float64(len(sim.servers)*slots) / workTicks }
 
-// step is one tick of the world under a load that is so many times the capacity.
+// step simulates one tick under a load given as a multiple of the capacity.
 func (sim *simulation) step(load float64) {
 	sim.clock.Now += tick
 	for _, s := range sim.servers {
@@ -149,7 +149,8 @@
 	}
 }
 
-// report brings the loads to the holder, and its cutoffs to all, each late.
+// report delivers the loads to the leader, and the leader's cutoffs to all nodes and
+// members with their delays.
 func (sim *simulation) report() {
 	for number, n := range sim.nodes {
 		loads, _ := n.counter.Take()
@@ -182,7 +183,7 @@
 	}
 }
 
-// heard is the newest news for somebody who hears so late.
+// cutoffsAfter returns the newest cutoffs that are at least as old as the delay.
 func (sim *simulation) cutoffsAfter(delay time.Duration) []shedding.Cutoff {
 	for i := len(sim.updates) - 1; i >= 0; i-- {
 		if sim.clock.Now-sim.updates[i].at >= delay {
--- a/internal/shedding/counter.go
+++ b/internal/shedding/counter.go
@@ -4,15 +4,16 @@
 	"sync"
 )
 
-// Outcome is what a try showed of the service's load.
+// Outcome is what an attempt shows about the load of its service.
 type Outcome uint8
 
-// The outcomes of a try.
+// The outcomes of an attempt.
 const (
 	InTime Outcome = iota
-	// Late: the reply took far longer than usual, and than the lane's aim.
+	// Late means that the response took much longer than usual and longer than the
+	// target latency of the route.
 	Late
-	// Turned: the server was full.
+	// Rejected means that the server was full.
 	Rejected
 )
 
@@ -21,10 +22,11 @@
 	tier    Tier
 }
 
-// strain is what one server showed lately.
+// serverLoad counts the recent attempts at one server, and those that were rejected
+// or late.
 type serverLoad struct{ sent, overloaded float64 }
 
-// Counter counts a node's loads between two tellings.
+// Counter counts the loads of a node between two reports.
 type Counter struct {
 	lock    sync.Mutex
 	loads   map[loadKey]*Load
@@ -32,19 +34,16 @@
 }
 
 const (
-	// serverFade is what is left of a server's counts at each telling.
+	// serverDecay is the factor applied to a server's counts at each report.
 	serverDecay = 0.8
-	// serverLeast is the count under which a server is forgotten.
+	// minServerCount is the count below which a server is removed.
 	minServerCount = 0.05
-	// strainedPart is the part of its tries above which a server is strained.
+	// overloadedThreshold is the share of rejected or late attempts above which a
+	// server counts as overloaded.
 	overloadedThreshold = 0.1
 )
 
-// NewCounter makes an empty counter.
-//
-// Example:
-//
-//	counter := shedding.NewCounter()
+// NewCounter returns an empty counter.
 func NewCounter() *Counter {
 	return &Counter{loads: map[loadKey]*Load{}, servers: map[string]map[string]*serverLoad{}}
 }
@@ -58,11 +57,7 @@
 	return load
 }
 
-// Offer counts an inquiry that came in, and whether a cutoff turned it away.
-//
-// Example:
-//
-//	counter.Offer("fees", tier, isKeyed, isShed)
+// CountRequest counts a request that arrived, and whether a cutoff rejected it.
 func (c *Counter) CountRequest(service string, tier Tier, keyed, shed bool) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -73,22 +68,14 @@
 	}
 }
 
-// Shed counts an inquiry that had been offered and was turned away after all.
-//
-// Example:
-//
-//	counter.Shed("fees", tier)
+// CountShed counts a request as rejected that CountRequest counted as admitted.
 func (c *Counter) CountShed(service string, tier Tier) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	c.load(service, tier).Shed++
 }
 
-// Try counts the end of a try at a server.
-//
-// Example:
-//
-//	counter.Try("fees", tier, "i-7f3a91c2", shedding.Turned)
+// CountAttempt counts a finished attempt at a server.
 func (c *Counter) CountAttempt(service string, tier Tier, server string, outcome Outcome) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -113,12 +100,8 @@
 	}
 }
 
-// Take is what was counted since the last taking, and whether any of it shows a
-// strain.
-//
-// Example:
-//
-//	loads, isStrained := counter.Take()
+// Take returns the counts since the last call and resets them. overloaded reports
+// whether any request was rejected or any attempt was rejected or late.
 func (c *Counter) Take() (loads []Load, overloaded bool) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -138,12 +121,8 @@
 	return loads, overloaded
 }
 
-// Strained is the part of a service's servers, of those that this node met lately,
-// that turned inquiries away or were late.
-//
-// Example:
-//
-//	isChanged := floor.Decide(counter.Strained)
+// OverloadedShare returns the share of overloaded servers among those of the service
+// that this node used recently.
 func (c *Counter) OverloadedShare(service string) float64 {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -156,11 +135,7 @@
 	return float64(overloaded) / float64(max(1, len(c.servers[service])))
 }
 
-// Sum adds loads of the same service and tier together.
-//
-// Example:
-//
-//	pending = shedding.Sum(pending, loads)
+// Sum adds the loads of b to those of the same service and tier in a.
 func Sum(a, b []Load) []Load {
 	for _, load := range b {
 		found := false
--- a/internal/shedding/gauge.go
+++ b/internal/shedding/gauge.go
@@ -8,73 +8,75 @@
 	"ploverhitch/internal/timetable"
 )
 
-// Load is what one node counted of a service and a tier since it last told.
+// Load contains what one node counted for a service and tier since its last report.
 type Load struct {
 	Service string `cbor:"1,keyasint"`
 	Tier    Tier   `cbor:"2,keyasint"`
-	// Offered came in, Shed of them were turned away by a cutoff.
+	// Offered counts the requests that arrived, Shed those that a cutoff rejected.
 	Offered uint32 `cbor:"3,keyasint,omitempty"`
 	Shed    uint32 `cbor:"4,keyasint,omitempty"`
-	// Sent went to servers and were answered; Turned of them were turned away as
-	// the server was full; Late of them took far longer than usual and than the
-	// lane's aim.
+	// Sent counts the attempts that a server answered, Rejected those that it
+	// rejected because it was full, and Late those that took much longer than usual
+	// and longer than the target latency of the route.
 	Sent     uint32 `cbor:"5,keyasint,omitempty"`
 	Rejected uint32 `cbor:"6,keyasint,omitempty"`
 	Late     uint32 `cbor:"7,keyasint,omitempty"`
-	// IsKeyed: its inquiries are keyed operations.
+	// Keyed reports whether the requests have idempotency keys.
 	Keyed bool `cbor:"8,keyasint,omitempty"`
 }
 
 const (
-	// window is the span that is judged, in so many steps.
+	// window is the time over which loads are evaluated, divided into steps.
 	window = 1500 * time.Millisecond
 	steps  = 6
-	// raiseRest is the least time between two raisings: so long it takes until a
-	// cutoff is everywhere and its effect is seen.
+	// raiseInterval is the minimum time between two raises. A cutoff takes this long
+	// to reach all nodes and show an effect.
 	raiseInterval = 2 * time.Second
-	// calmFirst is how long the service must be calm before the cutoff is lowered,
-	// a third of it lies between two steps; it doubles after each relapse, up to
-	// calmLongest.
+	// initialCalm is how long a service must be calm before its cutoff is lowered;
+	// a third of it must pass between two lowerings. It doubles after each relapse,
+	// up to maxCalm.
 	initialCalm = 1500 * time.Millisecond
 	maxCalm     = 16 * time.Second
-	// turnedMost and lateMost are the shares of what was sent above which a
-	// service is overloaded, calmMost the share under which it is calm.
+	// rejectedThreshold and lateThreshold are the shares of the sent attempts above
+	// which a service is overloaded. Up to calmThreshold, rejected and late together,
+	// it is calm.
 	rejectedThreshold = 0.03
 	lateThreshold     = 0.25
 	calmThreshold     = 0.02
-	// keyedMost is the share turned away above which keyed tiers are cut too: there,
-	// most of what a server does is to refuse.
+	// keyedThreshold is the share of rejected attempts above which keyed tiers are
+	// shed too: servers then reject most of the attempts that they receive.
 	keyedThreshold = 0.5
-	// leastSent is how much must have been sent in the window to judge by it.
+	// minSent is the number of attempts in the window that an evaluation needs.
 	minSent = 20
-	// firstMost bounds the first raising, as a share of what was carried, and
-	// againMost a further one: while servers turn inquiries of all tiers away, these
-	// come back and make the load seem larger than it is.
+	// maxFirstRaise limits the first raise, as a share of the admitted requests, and
+	// maxNextRaise each further one. While servers reject requests of all tiers,
+	// retries make the load look larger than it is.
 	maxFirstRaise = 0.6
 	maxNextRaise  = 0.2
-	// raiseLeast is the least that one raising turns away of what was carried.
+	// minRaise is the minimum share of the admitted requests that a raise rejects.
 	minRaise = 0.05
-	// carryMore is how much more is carried after one lowering.
+	// loweringStep is how many more requests one lowering admits, as a share of the
+	// admitted ones.
 	loweringStep = 0.15
-	// fullPart is the part of what the servers carried while they were full up to
-	// which more is let in, until nothing was raised for probeRest.
+	// capacityLimit is the share of the measured capacity that lowering may use until
+	// probeDelay has passed since the last raise.
 	capacityLimit = 0.92
 	probeDelay    = 20 * time.Second
-	// capacityFade is what is left of that measure at the next raising, as servers
-	// may have gone.
+	// capacityDecay is the factor applied to the measured capacity at the next raise,
+	// because servers may have left.
 	capacityDecay = 0.9
-	// spreadSteps are the steps after a change that are not judged: not every node
-	// had heard of it.
+	// propagationSteps is the number of steps after a change that are not evaluated,
+	// because not all nodes have received the cutoff yet.
 	propagationSteps = 2
-	// judgedSteps are how many steps after those must have passed.
+	// minEvaluatedSteps is how many further steps must pass before the next decision.
 	minEvaluatedSteps = 3
-	// widePart is the part of the nodes, and of the servers, that must be strained
-	// for an overload of the whole service.
+	// wideShare is the share of the nodes, and of the servers, that must be overloaded
+	// for the whole service to count as overloaded.
 	wideShare = 0.5
 )
 
-// Gauge sums the loads of one node or of all, and decides on the cutoffs. It has
-// one owner.
+// Gauge collects the loads of one node or of all nodes and decides on the cutoffs.
+// It is not safe for concurrent use.
 type Gauge struct {
 	clock      timetable.Clock
 	services   map[string]*serviceState
@@ -83,20 +85,13 @@
 	newSeed    func() uint64
 }
 
-// NewGauge makes a gauge with no cutoff; seed gives the seed of each overload.
-//
-// Example:
-//
-//	gauge := shedding.NewGauge(clock, rand.Uint64)
+// NewGauge returns a gauge without cutoffs. newSeed returns the seed for a new
+// overload.
 func NewGauge(clock timetable.Clock, newSeed func() uint64) *Gauge {
 	return &Gauge{clock: clock, services: map[string]*serviceState{}, newSeed: newSeed}
 }
 
-// Hold goes on from the cutoffs of an earlier holder.
-//
-// Example:
-//
-//	gauge.Hold(fleet.Cutoffs)
+// Restore continues from the cutoffs of an earlier leader.
 func (g *Gauge) Restore(cutoffs []Cutoff) {
 	now := g.clock.Steady()
 	for _, cutoff := range cutoffs {
@@ -115,11 +110,7 @@
 	return c
 }
 
-// Hear takes what a node counted.
-//
-// Example:
-//
-//	gauge.Hear(report.Node, report.Loads)
+// Add adds the loads that a node counted.
 func (g *Gauge) Add(node string, loads []Load) {
 	g.advance()
 	for _, load := range loads {
@@ -132,7 +123,8 @@
 	}
 }
 
-// turn moves to the present step of the window, and empties those passed.
+// advance moves to the current step of the window and clears the steps since the
+// last call.
 func (g *Gauge) advance() {
 	now := int64(g.clock.Steady() / timetable.Steady(window/steps))
 	for advanced := 0; g.step < now && advanced < steps; advanced++ {
@@ -144,11 +136,7 @@
 	g.step = now
 }
 
-// Cutoffs are those in force, in the order of their services.
-//
-// Example:
-//
-//	fleet.Cutoffs = gauge.Cutoffs()
+// Cutoffs returns the cutoffs in force, sorted by service.
 func (g *Gauge) Cutoffs() (out []Cutoff) {
 	for _, service := range slices.Sorted(maps.Keys(g.services)) {
 		if c := g.services[service]; c.active {
@@ -158,12 +146,9 @@
 	return out
 }
 
-// Decide looks at every service, and raises or lowers its cutoff; strained tells
-// which part of a service's servers turn inquiries away or are late with them.
-//
-// Example:
-//
-//	isChanged := gauge.Decide(court.Strained)
+// Decide raises or lowers the cutoff of each service where its load requires it, and
+// reports whether any cutoff changed. overloadedShare returns the share of a
+// service's servers that reject requests or answer them late.
 func (g *Gauge) Decide(overloadedShare func(service string) float64) (changed bool) {
 	g.advance()
 	now := g.clock.Steady()
@@ -192,8 +177,8 @@
 	return changed
 }
 
-// raise turns away as much of what is carried as the servers turned away, or half
-// as much as they were late with.
+// raise increases the rejected share of the admitted requests by the larger of the
+// rejected share and half of the late share of the attempts.
 func (g *Gauge) raise(service string, c *serviceState, t windowTotals) bool {
 	now := g.clock.Steady()
 	if c.lastLowered && time.Duration(now-c.changedAt) < 2*c.requiredCalm {
@@ -203,21 +188,21 @@
 	if !c.active {
 		c.cutoff, maxShare = Cutoff{Service: service, Seed: g.newSeed(), Tier: Tier(len(flows))}, maxFirstRaise
 	}
-	// Keyed operations that come late, or that a server turns away now and then, are
-	// still better than ones that every node refuses until the cutoff falls.
+	// Keyed operations that complete late or that a server sometimes rejects are
+	// better than ones that every node rejects until the cutoff is lowered.
 	shedKeyed := t.rejected > keyedThreshold*t.sent
 	next := c.raisedCutoff(min(maxShare, max(minRaise, t.rejected/t.sent, t.late/t.sent/2)), flows, shedKeyed)
 	if next.Level(len(flows)) <= max(0, c.cutoff.Level(len(flows))) {
 		return false
 	}
 	c.active, c.lastLowered, c.changedAt, c.raisedAt = true, false, now, now
-	// A raising that followed on another saw less than the servers carry.
+	// A raise soon after another one measures less than the capacity of the servers.
 	c.capacity = max(capacityDecay*c.capacity, (t.sent-t.rejected)/g.evaluatedSeconds(c))
 	g.setCutoff(c, next)
 	return true
 }
 
-// lower lets some of those in that are turned away.
+// lower admits some of the rejected requests.
 func (g *Gauge) lower(c *serviceState, t windowTotals) bool {
 	now, admittedRate := g.clock.Steady(), (t.offered-t.shed)/g.evaluatedSeconds(c)
 	if time.Duration(now-c.raisedAt) < probeDelay && admittedRate*(1+loweringStep) > capacityLimit*c.capacity {
@@ -234,13 +219,13 @@
 	return true
 }
 
-// judged is the first step by which a service is judged: of those before, some
-// nodes had not heard of the cutoff.
+// firstEvaluatedStep returns the first step to evaluate. In earlier ones, some nodes
+// had not received the cutoff yet.
 func (g *Gauge) firstEvaluatedStep(c *serviceState) int64 {
 	return max(g.step-steps, c.changedStep+propagationSteps) + 1
 }
 
-// span is how many seconds are judged.
+// evaluatedSeconds returns the length of the evaluated steps.
 func (g *Gauge) evaluatedSeconds(c *serviceState) float64 {
 	return float64(g.step-g.firstEvaluatedStep(c)+1) * (window / steps).Seconds()
 }
--- a/internal/shedding/order.go
+++ b/internal/shedding/order.go
@@ -1,7 +1,7 @@
-// Package shedding decides which inquiries are turned away first when a whole
-// service is overloaded, so that every node says the same of each: an order of
-// tiers that follows from the manifest alone, a cutoff in that order which the
-// holder of the duty publishes, and a verdict by hash.
+// Package shedding decides which requests are rejected first when a whole service is
+// overloaded, with the same result at every node: the order of the tiers follows from
+// the manifest alone, the leader publishes a cutoff in that order, and within a tier
+// a hash decides.
 package shedding
 
 import (
@@ -10,14 +10,14 @@
 	"strings"
 )
 
-// Tier is a place in the order: tier 0 is turned away last.
+// Tier is a position in the order of load shedding. Tier 0 is rejected last.
 type Tier int
 
-// Kind is what sort of inquiries a lane carries; of equal rank, the greater kind
-// is turned away first.
+// Kind is the kind of requests that a route carries. Among routes with the same plan
+// tier and priority, the greater kind is rejected first.
 type Kind uint8
 
-// The kinds, from the one kept longest.
+// The kinds of routes, starting with the one that is rejected last.
 const (
 	Keyed Kind = iota
 	Once
@@ -27,22 +27,18 @@
 
 var kindNames = map[Kind]string{Keyed: "keyed", Once: "once", Read: "read", Bulk: "bulk"}
 
-// String names the kind.
-//
-// Example:
-//
-//	shedding.Bulk.String() // "bulk"
+// String returns the name of the kind.
 func (k Kind) String() string { return kindNames[k] }
 
-// Lane is what the order has to know of a lane.
+// Route contains the properties of a route that decide its tier.
 type Route struct {
 	Name, Host string
 	Priority   int
 	Kind       Kind
 }
 
-// rank is what lanes are ordered by: the plan's tier, the lane's priority, and
-// its kind. Lanes of one rank share a tier.
+// rank is the sort key of routes: the order of the plan tier, then the priority and
+// the kind of the route. Routes of the same rank share a tier.
 type rank struct {
 	planOrder, priority int
 	kind                Kind
@@ -52,7 +48,7 @@
 	return cmp.Or(cmp.Compare(r.planOrder, other.planOrder), cmp.Compare(r.priority, other.priority), cmp.Compare(r.kind, other.kind))
 }
 
-// Rung is one tier of an order, for operators to read.
+// TierInfo describes one tier of an order, for operators.
 type TierInfo struct {
 	Tier     Tier     `json:"Tier"`
 	Plan     string   `json:"Plan,omitempty"`
@@ -61,19 +57,15 @@
 	Routes   []string `json:"Routes"`
 }
 
-// Order is the tiers of all lanes. It never changes once made.
+// Order assigns a tier to each route. It is immutable.
 type Order struct {
 	tierByRoute map[string]Tier
 	tiers       []TierInfo
 }
 
-// Arrange lays the order of the lanes under a plan, which may be the empty one.
-// It is a function of both and of nothing else. Whatever the plan says, no keyed
-// lane comes after a bulk one: lanes may have changed since the plan was checked.
-//
-// Example:
-//
-//	order := shedding.Arrange(shedding.Plan{}, lanes)
+// NewOrder returns the order of the routes under a plan, which may be empty. It
+// depends on nothing else. Whatever the plan says, no keyed route comes after a bulk
+// one, because routes may have changed since the plan was checked.
 func NewOrder(plan Plan, routes []Route) *Order {
 	ranks := make(map[string]rank, len(routes))
 	firstBulk := rank{planOrder: len(plan.Tiers) + 1}
@@ -110,19 +102,11 @@
 	return order
 }
 
-// TierOf is the tier of a lane; one that is not known is turned away last.
-//
-// Example:
-//
-//	tier := order.TierOf(lane.Name)
+// TierOf returns the tier of a route. Requests of an unknown route are rejected last.
 func (o *Order) TierOf(route string) Tier { return o.tierByRoute[route] }
 
-// Rungs are the tiers from the one that is kept longest.
-//
-// Example:
-//
-//	for _, rung := range order.Rungs() { print(rung) }
+// Tiers returns the tiers, starting with the one that is rejected last.
 func (o *Order) Tiers() []TierInfo { return o.tiers }
 
-// isHost tells whether two names of a host are the same.
+// sameHost compares two host names without regard to case.
 func sameHost(a, b string) bool { return strings.EqualFold(a, b) }
--- a/internal/shedding/plan.go
+++ b/internal/shedding/plan.go
@@ -8,8 +8,8 @@
 	"github.com/juju/errors"
 )
 
-// PlanTier is one of the operator's plan tiers: tenants by their hosts, or single
-// lanes. Order 1 is turned away last.
+// PlanTier is a tier of an operator's plan: tenants, named by their hosts, or single
+// routes. The tier with order 1 is rejected last.
 type PlanTier struct {
 	Name   string   `json:"Name"`
 	Order  int      `json:"Order"`
@@ -17,22 +17,17 @@
 	Routes []string `json:"Routes,omitempty"`
 }
 
-// Plan is the operator's tiers. A lane counts for the tier that names it, or else
-// for the one that names its host; lanes that no tier names come after all tiers.
+// Plan contains the operator's tiers. A route belongs to the tier that names it, or
+// else to the one that names its host. Routes in no tier come after all tiers.
 type Plan struct {
 	Name  string     `json:"Name"`
 	Tiers []PlanTier `json:"Tiers"`
-	// Conversation names the header that tells one client from another; without
-	// it, or where a client does not send it, its address does.
+	// Conversation names the header that identifies a client. Without it, or if a
+	// client does not send it, the client's address is used.
 	Conversation string `json:"Conversation,omitempty"`
 }
 
-// Check looks at the plan by itself and against the lanes there are. The error
-// names what is wrong.
-//
-// Example:
-//
-//	err := plan.Check(lanes)
+// Check validates the plan by itself and against the existing routes.
 func (p Plan) Check(routes []Route) error {
 	err := validation.ValidateStruct(&p, validation.Field(&p.Name, validation.Required), validation.Field(&p.Tiers, validation.Required))
 	if err != nil {
@@ -41,7 +36,7 @@
 	orders, names, assigned := map[int]string{}, map[string]bool{}, map[string]string{}
 	assign := func(member, tier string) error {
 		if other, found := assigned[member]; found {
-			return errors.NotValidf("plan %s: %s, which is in tier %s and in tier %s,", p.Name, member, other, tier)
+			return errors.NotValidf("plan %s: %s in tiers %s and %s", p.Name, member, other, tier)
 		}
 		assigned[member] = tier
 		return nil
@@ -49,9 +44,9 @@
 	for _, tier := range p.Tiers {
 		switch other, duplicate := orders[tier.Order]; {
 		case tier.Name == "" || names[tier.Name]:
-			return errors.NotValidf("plan %s: tier %q, which has no name or another's,", p.Name, tier.Name)
+			return errors.NotValidf("plan %s: empty or duplicate tier name %q", p.Name, tier.Name)
 		case duplicate:
-			return errors.NotValidf("plan %s: order %d, which tiers %s and %s share,", p.Name, tier.Order, other, tier.Name)
+			return errors.NotValidf("plan %s: order %d of both tiers %s and %s", p.Name, tier.Order, other, tier.Name)
 		}
 		names[tier.Name], orders[tier.Order] = true, tier.Name
 		for _, host := range tier.Hosts {
@@ -64,34 +59,35 @@
 		}
 		for _, name := range tier.Routes {
 			if !slices.ContainsFunc(routes, func(route Route) bool { return route.Name == name }) {
-				return errors.NotFoundf("plan %s: lane %s of tier %s", p.Name, name, tier.Name)
+				return errors.NotFoundf("plan %s: route %s of tier %s", p.Name, name, tier.Name)
 			}
-			if err := assign("lane "+name, tier.Name); err != nil {
+			if err := assign("route "+name, tier.Name); err != nil {
 				return err
 			}
 		}
 	}
 	for order := 1; order <= len(p.Tiers); order++ {
 		if orders[order] == "" {
-			return errors.NotValidf("plan %s: order of %d tiers without a tier of order %s,", p.Name, len(p.Tiers), strconv.Itoa(order))
+			return errors.NotValidf("plan %s: list of %d tiers without a tier of order %s", p.Name, len(p.Tiers), strconv.Itoa(order))
 		}
 	}
 	return p.checkKeyedRoutes(routes)
 }
 
-// checkKeyed refuses a keyed lane in a tier below that of a bulk one.
+// checkKeyedRoutes returns an error if a keyed route is in a later tier than a bulk
+// route.
 func (p Plan) checkKeyedRoutes(routes []Route) error {
 	for _, keyed := range routes {
 		for _, bulk := range routes {
 			if keyed.Kind == Keyed && bulk.Kind == Bulk && p.orderOf(keyed) > p.orderOf(bulk) {
-				return errors.NotValidf("plan %s: keyed lane %s, which comes after the bulk lane %s,", p.Name, keyed.Name, bulk.Name)
+				return errors.NotValidf("plan %s: keyed route %s after bulk route %s", p.Name, keyed.Name, bulk.Name)
 			}
 		}
 	}
 	return nil
 }
 
-// orderOf is the place of a lane's tier in the plan, from 1.
+// orderOf returns the order of a route's tier in the plan, starting at 1.
 func (p Plan) orderOf(route Route) int {
 	for _, tier := range p.Tiers {
 		if slices.Contains(tier.Routes, route.Name) {
--- a/internal/shedding/service_state.go
+++ b/internal/shedding/service_state.go
@@ -6,31 +6,32 @@
 	"ploverhitch/internal/timetable"
 )
 
-// column is what is known of one service.
+// serviceState is the window of loads and the cutoff of one service.
 type serviceState struct {
 	loads  [steps]map[string][]Load
 	cutoff Cutoff
 	active bool
-	// since is when the cutoff changed last, calmAt since when the service has been
-	// calm, calm how long it must be so.
+	// changedAt is when the cutoff last changed, calmSince when the service became
+	// calm, and requiredCalm how long it must stay calm before the cutoff is lowered.
 	changedAt, calmSince timetable.Steady
-	// changed is the step in which it did.
+	// changedStep is the step in which the cutoff last changed.
 	changedStep  int64
 	requiredCalm time.Duration
 	lastLowered  bool
-	// capacity is what the servers carried a second as the cutoff was raised last,
-	// at raisedAt.
+	// capacity is the number of requests per second that the servers executed when
+	// the cutoff was last raised, at raisedAt.
 	capacity float64
 	raisedAt timetable.Steady
 }
 
-// flow is what came in of one tier, and what of it went on to the servers.
+// tierFlow counts the requests of one tier that arrived and those that no cutoff
+// rejected.
 type tierFlow struct {
 	offered, admitted float64
 	keyed             bool
 }
 
-// flows sums what came in since a step, by tier.
+// tierFlows sums the requests since the step by tier.
 func (c *serviceState) tierFlows(from int64) (out []tierFlow) {
 	for step := from; step < from+steps; step++ {
 		for _, loads := range c.loads[step%steps] {
@@ -47,10 +48,11 @@
 	return out
 }
 
-// tally is a service's window in sum.
+// windowTotals sums a service's loads over the evaluated steps.
 type windowTotals struct {
 	sent, rejected, late, offered, shed float64
-	// strained nodes are those that met more trouble than a calm service gives.
+	// overloadedNodes counts the nodes whose share of rejected and late attempts
+	// exceeds calmThreshold.
 	nodes, overloadedNodes int
 }
 
@@ -83,8 +85,9 @@
 	return out
 }
 
-// above is the cutoff that turns a share of what is carried away too, from the last
-// tier on, and of keyed tiers only where mayCutKeyed says so.
+// raisedCutoff returns a cutoff that also rejects the given share of the admitted
+// requests, starting with the last tier. It rejects requests of keyed tiers only if
+// shedKeyed is set.
 func (c *serviceState) raisedCutoff(share float64, flows []tierFlow, shedKeyed bool) Cutoff {
 	remaining := 0.0
 	for _, f := range flows {
@@ -109,12 +112,13 @@
 	return next
 }
 
-// freshPart is the part of what comes in of a tier, all of which is turned away,
-// that is thought to be there for the first time.
+// newRequestShare is the assumed share of first requests, as opposed to retries, in
+// a tier whose requests are all rejected.
 const newRequestShare = 0.5
 
-// below is the cutoff that lets a share more in than is carried, those first that
-// were turned away last. isNone tells that it turns nothing away.
+// loweredCutoff returns a cutoff that admits more requests, by the given share of
+// the admitted ones, starting with those that were rejected last. none reports that
+// nothing is left to reject.
 func (c *serviceState) loweredCutoff(share float64, flows []tierFlow) (next Cutoff, none bool) {
 	remaining := 0.0
 	for _, f := range flows {
--- a/internal/shedding/shedding_test.go
+++ b/internal/shedding/shedding_test.go
@@ -18,7 +18,7 @@
 }
 
 var _ = Describe("the order of tiers", func() {
-	It("goes by priority, and among equals keeps keyed lanes, then reads, then bulk", func() {
+	It("follows priority, and within a priority rejects bulk routes first, then reads, then keyed routes", func() {
 		order := shedding.NewOrder(shedding.Plan{}, routes)
 		var names []string
 		for _, tier := range order.Tiers() {
@@ -27,7 +27,7 @@
 		Expect(names).To(Equal([]string{"release", "urgent", "page", "pack"}))
 	})
 
-	It("is the same however the lanes are listed", func() {
+	It("does not depend on the order in which the routes are listed", func() {
 		random := rand.New(rand.NewPCG(1, 2))
 		plan := shedding.Plan{Name: "p", Tiers: []shedding.PlanTier{{Name: "gold", Order: 1, Hosts: []string{"B"}}, {Name: "rest", Order: 2, Hosts: []string{"a"}}}}
 		var all []shedding.Route
@@ -42,29 +42,29 @@
 		Expect(want[0].Plan).To(Equal("gold"))
 	})
 
-	It("puts no keyed lane after a bulk one, whatever has become of the lanes", func() {
+	It("puts no keyed route after a bulk one, even if the routes changed after the plan was checked", func() {
 		plan := shedding.Plan{Name: "p", Tiers: []shedding.PlanTier{{Name: "gold", Order: 1, Hosts: []string{"a"}}}}
 		order := shedding.NewOrder(plan, []shedding.Route{{Name: "pack", Host: "a", Kind: shedding.Bulk}, {Name: "fee", Host: "z", Kind: shedding.Keyed}})
 		Expect(order.TierOf("fee")).To(BeNumerically("<", order.TierOf("pack")))
 	})
 
-	DescribeTable("a plan that is wrong is refused by name",
+	DescribeTable("rejects an invalid plan and names the fault",
 		func(plan shedding.Plan, reason string) {
 			plan.Name = "p"
 			Expect(plan.Check(append(routes, shedding.Route{Name: "far", Host: "z", Kind: shedding.Bulk}))).To(MatchError(ContainSubstring(reason)))
 		},
 		Entry("no tiers", shedding.Plan{}, "Tiers"),
 		Entry("an unknown host", shedding.Plan{Tiers: []shedding.PlanTier{{Name: "a", Order: 1, Hosts: []string{"q"}}}}, "host q"),
-		Entry("an unknown lane", shedding.Plan{Tiers: []shedding.PlanTier{{Name: "a", Order: 1, Routes: []string{"q"}}}}, "lane q"),
-		Entry("a lane in two tiers", shedding.Plan{Tiers: []shedding.PlanTier{{Name: "a", Order: 1, Routes: []string{"page"}}, {Name: "b", Order: 2, Routes: []string{"page"}}}}, "lane page"),
-		Entry("one order twice", shedding.Plan{Tiers: []shedding.PlanTier{{Name: "a", Order: 1}, {Name: "b", Order: 1}}}, "tiers a and b"),
-		Entry("a gap", shedding.Plan{Tiers: []shedding.PlanTier{{Name: "a", Order: 1}, {Name: "b", Order: 3}}}, "tier of order 2"),
-		Entry("a keyed lane after a bulk one", shedding.Plan{Tiers: []shedding.PlanTier{{Name: "a", Order: 1, Hosts: []string{"z"}}}}, "keyed lane release"),
+		Entry("an unknown route", shedding.Plan{Tiers: []shedding.PlanTier{{Name: "a", Order: 1, Routes: []string{"q"}}}}, "route q"),
+		Entry("a route in two tiers", shedding.Plan{Tiers: []shedding.PlanTier{{Name: "a", Order: 1, Routes: []string{"page"}}, {Name: "b", Order: 2, Routes: []string{"page"}}}}, "route page"),
+		Entry("two tiers of the same order", shedding.Plan{Tiers: []shedding.PlanTier{{Name: "a", Order: 1}, {Name: "b", Order: 1}}}, "tiers a and b"),
+		Entry("a gap in the orders", shedding.Plan{Tiers: []shedding.PlanTier{{Name: "a", Order: 1}, {Name: "b", Order: 3}}}, "tier of order 2"),
+		Entry("a keyed route after a bulk one", shedding.Plan{Tiers: []shedding.PlanTier{{Name: "a", Order: 1, Hosts: []string{"z"}}}}, "keyed route release"),
 	)
 })
 
 var _ = Describe("a cutoff", func() {
-	It("only adds when it is raised and only lets in when it is lowered", func() {
+	It("rejects all requests of the lower cutoff when it is raised, and no new ones when it is lowered", func() {
 		const tiers = 4
 		low := shedding.Cutoff{Seed: 7, Tier: 3, Fraction: 0.4}
 		for _, high := range []shedding.Cutoff{{Seed: 7, Tier: 3, Fraction: 0.9}, {Seed: 7, Tier: 2, Fraction: 0.1}} {
@@ -82,15 +82,15 @@
 	})
 })
 
-// overload runs a world at the load for some seconds.
+// run simulates the load for the duration.
 func (sim *simulation) run(load float64, span time.Duration) {
 	for end := sim.clock.Now + span; sim.clock.Now < end; {
 		sim.step(load)
 	}
 }
 
-// disagreements counts, over many names, those on which nodes that work by one
-// cutoff differ.
+// disagreements counts the sampled names for which nodes with the same cutoff decide
+// differently.
 func (sim *simulation) disagreements() (count int) {
 	for number := range 600 {
 		decisions, route := map[uint64]bool{}, routes[1+number%3].Name
@@ -111,7 +111,7 @@
 }
 
 var _ = Describe("an overload of the whole cluster", func() {
-	// rush is 2.5 times the capacity, with something that goes wrong in the middle.
+	// overload simulates 2.5 times the capacity, with a fault in the middle.
 	overload := func(seed uint64, fault func(*simulation)) *simulation {
 		sim := newSimulation(seed, 12)
 		sim.run(0.7, 4*time.Second)
@@ -129,30 +129,30 @@
 		return sim
 	}
 	faults := map[string]func(*simulation){
-		"nothing more": func(*simulation) {},
-		"the holder is lost": func(sim *simulation) {
+		"nothing else fails": func(*simulation) {},
+		"the leader is replaced": func(sim *simulation) {
 			sim.leader = shedding.NewGauge(sim.clock, sim.random.Uint64)
 			sim.leader.Restore(sim.cutoffsAfter(0))
 		},
-		"the holder is lost with all that it told": func(sim *simulation) { sim.leader = shedding.NewGauge(sim.clock, sim.random.Uint64) },
-		"the core is cut off for a while": func(sim *simulation) {
+		"the leader and its published cutoffs are lost": func(sim *simulation) { sim.leader = shedding.NewGauge(sim.clock, sim.random.Uint64) },
+		"the control plane is unreachable for 5 seconds": func(sim *simulation) {
 			sim.partitioned = true
 			sim.run(2.5, 5*time.Second)
 			sim.partitioned = false
 		},
-		"half of the nodes start anew": func(sim *simulation) {
+		"half of the nodes restart": func(sim *simulation) {
 			for number := range len(sim.nodes) / 2 {
 				sim.nodes[number] = sim.newNode()
 			}
 		},
-		"news come late": func(sim *simulation) {
+		"updates arrive late": func(sim *simulation) {
 			for _, n := range sim.nodes {
 				n.delay += 10 * tick
 			}
 		},
 	}
 	for name, fault := range faults {
-		It("refuses the last tiers, runs each key once, and keeps the first ones in time, though "+name, func() {
+		It("rejects the last tiers, executes each key once, and serves the first tiers in time when "+name, func() {
 			for seed := range uint64(4) {
 				sim := overload(seed, fault)
 				for _, c := range sim.counts {
@@ -171,28 +171,28 @@
 		})
 	}
 
-	It("is over without a to and fro", func() {
+	It("ends without the cutoff oscillating", func() {
 		for seed := range uint64(6) {
 			sim := overload(seed, func(*simulation) {})
 			sim.run(0.7, 3*time.Second)
 			raises, last := 0, 4.0
 			for range 400 {
 				sim.run(0.7, tick)
-				height := 0.0
+				level := 0.0
 				for _, cutoff := range sim.leader.Cutoffs() {
-					height = cutoff.Level(4)
+					level = cutoff.Level(4)
 				}
-				if height > last+1e-9 {
+				if level > last+1e-9 {
 					raises++
 				}
-				last = height
+				last = level
 			}
 			Expect(raises).To(BeNumerically("<=", 1), "seed %d", seed)
 			Expect(sim.leader.Cutoffs()).To(BeEmpty(), "seed %d", seed)
 		}
 	})
 
-	It("leaves nodes that each measure alone at odds: the check can fail", func() {
+	It("makes nodes disagree that each apply their own gauge, which shows that the check can fail", func() {
 		sim := newSimulation(1, 12)
 		sim.localOnly = true
 		sim.run(0.7, 4*time.Second)
--- a/internal/standin/overload_test.go
+++ b/internal/standin/overload_test.go
@@ -166,7 +166,7 @@
 		s := start(19200, "on")
 		status, reason := s.post(1, "/v1/plans/modify", `{"Upsert":[{"Name":"p","Tiers":[{"Name":"gold","Order":1,"Routes":["pack"]}],"Revision":"r1"}]}`)
 		Expect(status).To(Equal(400))
-		Expect(reason).To(ContainSubstring("keyed lane"))
+		Expect(reason).To(ContainSubstring("keyed route"))
 		status, reason = s.post(1, "/v1/plans/modify", `{"Upsert":[{"Name":"p","Tiers":[{"Name":"gold","Order":1,"Routes":["fee","seat","page"]}],"Revision":"r2"}]}`)
 		Expect(status).To(Equal(200), reason)
 		Eventually(func() string { return s.state("/v1/load") }).Should(ContainSubstring(`"Plan":"gold"`))
