--- a/internal/bandwidth/bandwidth_test.go
+++ b/internal/bandwidth/bandwidth_test.go
@@ -19,8 +19,8 @@
 	RunSpecs(t, "bandwidth")
 }
 
-// wire is a slow plain model of a link: a queue that empties at the link's
-// rate. It tells the longest that a short packet would have waited.
+// link is a simple model of a network link: a queue that drains at the link's rate.
+// It records the longest time that a short packet would have waited.
 type link struct {
 	clock       *timetable.Hand
 	perByte     time.Duration
@@ -34,12 +34,12 @@
 	return len(data), nil
 }
 
-var _ = Describe("a track", func() {
+var _ = Describe("a pacer", func() {
 	const mbps = 4.0 // 2 microseconds a byte
 	var clock *timetable.Hand
 	BeforeEach(func() { clock = &timetable.Hand{} })
 
-	It("never lets bulk queue on the link, and passes all of it", func() {
+	It("writes all of a bulk response and keeps the link's queue short", func() {
 		slowLink := &link{clock: clock, perByte: 2 * time.Microsecond}
 		body := bytes.Repeat([]byte("x"), 200_000)
 		count, err := bandwidth.NewPacer(mbps, clock).Writer(slowLink).Write(body)
@@ -47,21 +47,21 @@
 		Expect(count).To(Equal(len(body)))
 		Expect(slowLink.longestWait).To(BeNumerically("<", 12*time.Millisecond))
 		Expect(clock.Now).To(BeNumerically("<", 500*time.Millisecond))
-		// Without pacing all of it would stand in the queue at once.
+		// Without pacing, the whole response is in the queue at once.
 		unpaced := &link{clock: clock, perByte: 2 * time.Microsecond}
 		_, _ = unpaced.Write(body)
 		Expect(unpaced.longestWait).To(BeNumerically(">", 300*time.Millisecond))
 	})
 
-	It("lets bulk yield to short traffic that was noted", func() {
+	It("delays bulk traffic behind counted short traffic", func() {
 		pacer := bandwidth.NewPacer(mbps, clock)
 		pacer.CountShort(50_000)
 		pacer.WaitBulk(bandwidth.ChunkBytes)
-		// The notes take 100 ms, of which 8 ms may still be ahead.
+		// The short traffic takes 100 ms, of which 8 ms may remain as backlog.
 		Expect(clock.Now).To(BeNumerically("~", 92*time.Millisecond, 2*time.Millisecond))
 	})
 
-	It("reads what follows the first window no faster than the link has room", func() {
+	It("reads the bytes after the first window no faster than the link carries them", func() {
 		pacer := bandwidth.NewPacer(mbps, clock)
 		body := bytes.Repeat([]byte("x"), 100_000)
 		data, err := io.ReadAll(pacer.Reader(bytes.NewReader(body), int64(len(body)), 60_000))
@@ -70,17 +70,17 @@
 		Expect(clock.Now).To(BeNumerically("~", 200*time.Millisecond, 20*time.Millisecond))
 	})
 
-	It("reads what is on its way already at once, and counts it", func() {
+	It("reads bytes that are already in flight without waiting, and counts them", func() {
 		pacer := bandwidth.NewPacer(mbps, clock)
 		_, err := io.ReadAll(pacer.Reader(bytes.NewReader(make([]byte, 65_000)), 65_000, 60_000))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(clock.Now).To(BeZero())
-		// Other bulk waits until it has passed.
+		// Other bulk traffic waits until the link has carried them.
 		pacer.WaitBulk(bandwidth.ChunkBytes)
 		Expect(clock.Now).To(BeNumerically("~", 125*time.Millisecond, 10*time.Millisecond))
 	})
 
-	It("keeps its distance also where bulk comes piece by piece", func() {
+	It("paces a bulk response that is written in short parts", func() {
 		slowLink := &link{clock: clock, perByte: 2 * time.Microsecond}
 		out := bandwidth.NewPacer(mbps, clock).BulkWriter(slowLink)
 		for range 100 {
@@ -89,25 +89,25 @@
 		}
 		Expect(slowLink.longestWait).To(BeNumerically("<", 16*time.Millisecond))
 		Expect(clock.Now).To(BeNumerically("~", 215*time.Millisecond, 25*time.Millisecond))
-		// As short traffic it would not have waited at all.
+		// Short traffic of the same size does not wait.
 		_, _ = bandwidth.NewPacer(mbps, clock).Writer(slowLink).Write(make([]byte, 1000))
 		began := clock.Now
 		_, _ = bandwidth.NewPacer(mbps, clock).Writer(slowLink).Write(make([]byte, 1000))
 		Expect(clock.Now).To(Equal(began))
 	})
 
-	It("leaves short replies and wide links alone", func() {
+	It("does not delay short responses or traffic on fast links", func() {
 		pacer := bandwidth.NewPacer(mbps, clock)
 		_, _ = io.ReadAll(pacer.Reader(bytes.NewReader(make([]byte, 5000)), 5000, 60_000))
-		wide := bandwidth.NewPacer(1000, clock)
-		_, _ = io.ReadAll(wide.Reader(bytes.NewReader(make([]byte, 500_000)), 500_000, 60_000))
-		_, _ = wide.Writer(io.Discard).Write(make([]byte, 500_000))
+		fastLink := bandwidth.NewPacer(1000, clock)
+		_, _ = io.ReadAll(fastLink.Reader(bytes.NewReader(make([]byte, 500_000)), 500_000, 60_000))
+		_, _ = fastLink.Writer(io.Discard).Write(make([]byte, 500_000))
 		Expect(clock.Now).To(BeZero())
 	})
 })
 
-var _ = Describe("the passing of bulk", func() {
-	It("admits what the link can carry in time, and few senders at once", func() {
+var _ = Describe("the bulk limiter", func() {
+	It("admits responses that the link can carry in time, and limits concurrent senders", func() {
 		limiter := bandwidth.NewBulkLimiter(bandwidth.NewPacer(4, &timetable.Hand{}))
 		var releases []func()
 		for range 10 { // 100 kB take 200 ms each
@@ -132,13 +132,13 @@
 		Expect(acquired).To(BeTrue())
 	})
 
-	It("admits a single one, however large, and all on a wide link", func() {
+	It("admits a single response of any size, and all responses on a fast link", func() {
 		limiter := bandwidth.NewBulkLimiter(bandwidth.NewPacer(4, &timetable.Hand{}))
 		_, admitted := limiter.Admit(100_000_000, time.Millisecond)
 		Expect(admitted).To(BeTrue())
-		wide := bandwidth.NewBulkLimiter(bandwidth.NewPacer(1000, &timetable.Hand{}))
+		unlimited := bandwidth.NewBulkLimiter(bandwidth.NewPacer(1000, &timetable.Hand{}))
 		for range 100 {
-			_, admitted = wide.Admit(100_000_000, 0)
+			_, admitted = unlimited.Admit(100_000_000, 0)
 			Expect(admitted).To(BeTrue())
 		}
 	})
--- a/internal/bandwidth/bulk_limiter.go
+++ b/internal/bandwidth/bulk_limiter.go
@@ -6,35 +6,28 @@
 	"time"
 )
 
-// Passing bounds the bulk that is under way at a node: how much is expected on
-// its link, and how many senders may answer at the same time, as their first
-// windows cannot be held back.
+// BulkLimiter limits the bulk responses in progress at a node: how many bytes are
+// expected on its link, and how many servers may send at the same time, because the
+// first window of each sender cannot be paced.
 type BulkLimiter struct {
 	pacer *Pacer
 	lock  sync.Mutex
-	// bytes is what the bulk under way is expected to bring.
+	// pendingBytes is the expected size of all bulk responses in progress.
 	pendingBytes int64
 	senders      chan struct{}
 }
 
-// sendersAtOnce is how many senders may be answering at once.
+// maxSenders is how many servers may send bulk responses at the same time.
 const maxSenders = 2
 
-// NewPassing makes a passing for the track.
-//
-// Example:
-//
-//	passing := bandwidth.NewPassing(out)
+// NewBulkLimiter returns a limiter for the pacer's link.
 func NewBulkLimiter(pacer *Pacer) *BulkLimiter {
 	return &BulkLimiter{pacer: pacer, senders: make(chan struct{}, maxSenders)}
 }
 
-// Enter admits bulk of the expected size if it can pass within the span, given
-// what is under way and what short traffic leaves of the link, and returns the closure that ends it.
-//
-// Example:
-//
-//	leave, isAdmitted := passing.Enter(90_000, aim-usual)
+// Admit admits a bulk response of the expected size if the link can carry it within
+// the duration, given the responses in progress and the share that short traffic
+// leaves free. It returns a function that ends the response.
 func (l *BulkLimiter) Admit(bytes int64, within time.Duration) (release func(), admitted bool) {
 	if l.pacer.perByte == 0 {
 		return func() {}, true
@@ -52,11 +45,8 @@
 	}, true
 }
 
-// Turn waits until one more sender may answer, or the context ends.
-//
-// Example:
-//
-//	end, isTurn := passing.Turn(ctx)
+// AcquireSender waits until one more server may send, or the context ends. It
+// returns a function that releases the sender's slot.
 func (l *BulkLimiter) AcquireSender(ctx context.Context) (release func(), acquired bool) {
 	if l.pacer.perByte == 0 {
 		return func() {}, true
--- a/internal/bandwidth/pacer.go
+++ b/internal/bandwidth/pacer.go
@@ -1,5 +1,5 @@
-// Package bandwidth keeps distance between the bytes of bulk replies on a
-// machine's link, so that short inquiries and replies never queue behind them.
+// Package bandwidth paces bulk responses on a machine's network link, so that short
+// requests and responses do not queue behind them.
 package bandwidth
 
 import (
@@ -10,41 +10,42 @@
 	"ploverhitch/internal/timetable"
 )
 
-// Track is one direction of a machine's link. Short traffic is only noted; bulk
-// traffic waits for its turn, so that what the link holds at once stays small.
+// Pacer paces one direction of a machine's network link. Short traffic is only
+// counted. Bulk traffic waits until the link has room, so that the link's queue stays
+// short.
 type Pacer struct {
 	clock timetable.Clock
-	// perByte is how long one byte keeps the link busy; 0 if the link is wide.
+	// perByte is how many nanoseconds one byte occupies the link; 0 if the link is not
+	// paced.
 	perByte float64
 	lock    sync.Mutex
-	// free is when all that was let onto the track has passed.
+	// freeAt is when the link has carried all bytes reserved so far.
 	freeAt timetable.Steady
-	// short is the short traffic of late, in bytes that fade, as of shortAt.
+	// recentShort is the recent short traffic in bytes, with exponential decay, as of
+	// decayedAt.
 	recentShort float64
 	decayedAt   timetable.Steady
 }
 
 const (
-	// wideLink is from where on a link needs no pacing.
+	// unpacedMbps is the rate from which a link needs no pacing.
 	unpacedMbps = 200.0
-	// bulkShare is the part of the link that bulk may take.
+	// bulkShare is the share of the link that bulk traffic may use.
 	bulkShare = 0.9
-	// ahead is how much of the link's time may be taken at once: as late as an alarm may
-	// ring, or the link stands idle between two pieces.
+	// maxBacklog is how much of the link's time may be reserved ahead. It covers the
+	// delay with which a timer may fire; otherwise the link is idle between two chunks.
 	maxBacklog = timetable.Steady(8 * time.Millisecond)
-	// shortFade is how fast short traffic fades from memory, shortMost the part of
-	// the link that it is thought to take at most.
+	// decayTime is the time constant in nanoseconds with which counted short traffic
+	// decays. maxShortShare is the maximum share of the link assumed for it.
 	decayTime     = float64(time.Second)
 	maxShortShare = 0.8
-	// Piece is the most that should be let onto the track at once.
+	// ChunkBytes is the maximum number of bulk bytes that callers should pass to
+	// WaitBulk at once.
 	ChunkBytes = 2 << 10
 )
 
-// NewTrack makes the track of a link of so many Mbit/s; 0 means unknown.
-//
-// Example:
-//
-//	out := bandwidth.NewTrack(set.Platform.Limits.LinkMbps, clock)
+// NewPacer returns a pacer for a link with the given rate in Mbit/s. A rate of 0 is
+// unknown, and the link is not paced.
 func NewPacer(mbps float64, clock timetable.Clock) *Pacer {
 	p := &Pacer{clock: clock}
 	if mbps > 0 && mbps < unpacedMbps {
@@ -53,11 +54,7 @@
 	return p
 }
 
-// Note counts short traffic, which does not wait.
-//
-// Example:
-//
-//	out.Note(len(reply.Body))
+// CountShort counts short traffic, which does not wait.
 func (p *Pacer) CountShort(bytes int) {
 	if p == nil || p.perByte == 0 {
 		return
@@ -75,8 +72,8 @@
 	p.decayedAt = now
 }
 
-// bulkTime is how long so much bulk takes on what the short traffic of late leaves
-// of the link.
+// bulkTime returns how long bulk traffic takes on the share of the link that recent
+// short traffic leaves free.
 func (p *Pacer) bulkTime(bytes int64) time.Duration {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -85,30 +82,19 @@
 	return time.Duration(float64(bytes) * p.perByte / (bulkShare * (1 - shortShare)))
 }
 
-// IsNarrow tells whether bulk has to wait for its turn on the track.
-//
-// Example:
-//
-//	if in.IsNarrow() { passOnAsItComes() }
+// Paced reports whether bulk traffic has to wait for room on the link.
 func (p *Pacer) Paced() bool { return p != nil && p.perByte > 0 }
 
-// Pass lets a piece of bulk onto the track once there is room for it.
-//
-// Example:
-//
-//	in.Pass(bandwidth.Piece)
+// WaitBulk reserves the link for a chunk of bulk traffic and waits until there is
+// room for it.
 func (p *Pacer) WaitBulk(bytes int) {
 	if wait := p.reserve(float64(bytes)/bulkShare) - maxBacklog; wait > 0 {
 		p.clock.Sleep(time.Duration(wait))
 	}
 }
 
-// IsFree tells whether all that was let onto the track has passed; a wide link is
-// always free.
-//
-// Example:
-//
-//	if !out.IsFree() { waitWithCopies() }
+// Idle reports whether the link has carried all bytes reserved so far. A link that is
+// not paced is always idle.
 func (p *Pacer) Idle() bool {
 	if p == nil || p.perByte == 0 {
 		return true
@@ -118,11 +104,8 @@
 	return p.freeAt <= p.clock.Steady()
 }
 
-// Burst counts bulk that is on its way already, and waits until it has passed.
-//
-// Example:
-//
-//	in.Burst(min(window, length))
+// WaitBurst counts bulk traffic that is already in flight and waits until the link
+// has carried it.
 func (p *Pacer) WaitBurst(bytes int) {
 	if wait := p.reserve(float64(bytes)) + timetable.Steady(float64(bytes)*p.perByte); wait > 0 {
 		p.clock.Sleep(time.Duration(wait))
@@ -138,7 +121,8 @@
 	return p.reserveLocked(bytes)
 }
 
-// hold takes the link for so many bytes; the lock is held.
+// reserveLocked reserves the link for the bytes and returns the wait before they can
+// be sent. The caller holds the lock.
 func (p *Pacer) reserveLocked(bytes float64) (wait timetable.Steady) {
 	now := p.clock.Steady()
 	start := max(p.freeAt, now)
--- a/internal/bandwidth/stream.go
+++ b/internal/bandwidth/stream.go
@@ -2,32 +2,29 @@
 
 import "io"
 
-// BulkLeast is from which length on a reply is bulk.
+// MinBulkBytes is the length from which a response is bulk traffic.
 const MinBulkBytes = 12 << 10
 
-// afterMost is how much more than a window may follow on its heels: so little is
-// worth no wait.
+// maxBurstExcess is how many bytes beyond the first window are treated as part of it:
+// so few are not worth a wait.
 const maxBurstExcess = 8 << 10
 
-// reader reads bulk. A sender puts a whole window on its way before anything is
-// read; reading at once would let the next window follow on its heels, and what
-// is short would wait behind both.
+// reader reads a bulk response. A sender transmits a whole window before anything is
+// read. Reading immediately would let the next window follow directly, and short
+// traffic would wait behind both.
 type reader struct {
 	source io.Reader
 	pacer  *Pacer
-	// burst is what the sender may have on its way before the first read.
+	// burst is the number of bytes that may be in flight before the first read.
 	burst int
-	// coming is what it may only send once there is room in its window.
+	// remaining is the number of bytes that the sender can transmit only once there is
+	// room in its window.
 	remaining int64
 	started   bool
 }
 
-// Reader reads a reply of the given length (-1 if unknown) at the track's
-// pace, from a sender that may have a window on its way.
-//
-// Example:
-//
-//	body, err := io.ReadAll(in.Reader(response.Body, response.ContentLength, 64<<10))
+// Reader returns a reader that paces a response of the given length (-1 if unknown)
+// from a sender that may have a whole window in flight.
 func (p *Pacer) Reader(source io.Reader, length int64, window int) io.Reader {
 	switch {
 	case p == nil || p.perByte == 0 || length < 0:
@@ -48,12 +45,12 @@
 		if r.started = true; r.remaining > 0 {
 			r.pacer.WaitBurst(r.burst)
 		} else {
-			// All of it is on its way, whether it is read now or later.
+			// All bytes are in flight, whether they are read now or later.
 			r.pacer.reserve(float64(r.burst))
 		}
 	}
 	if r.remaining > 0 {
-		// What is read makes room for as much again.
+		// Each byte read lets the sender transmit another one.
 		buffer = buffer[:min(len(buffer), ChunkBytes, int(r.remaining))]
 		r.pacer.WaitBulk(len(buffer))
 		r.remaining -= int64(len(buffer))
@@ -64,15 +61,12 @@
 type writer struct {
 	destination io.Writer
 	pacer       *Pacer
-	// isBulk: whatever is written is part of something long.
+	// bulk makes all writes count as bulk traffic, however short they are.
 	bulk bool
 }
 
-// Writer writes a reply at the track's pace.
-//
-// Example:
-//
-//	_, err := out.Writer(w).Write(reply.Body)
+// Writer returns a writer that paces responses of at least MinBulkBytes, each written
+// with a single call of Write.
 func (p *Pacer) Writer(destination io.Writer) io.Writer {
 	if p == nil || p.perByte == 0 {
 		return destination
@@ -80,11 +74,7 @@
 	return &writer{destination, p, false}
 }
 
-// BulkWriter writes at the track's pace what comes piece by piece of a long reply.
-//
-// Example:
-//
-//	_, err := io.Copy(out.BulkWriter(w), reply.Rest)
+// BulkWriter returns a writer that paces a bulk response written in parts.
 func (p *Pacer) BulkWriter(destination io.Writer) io.Writer {
 	if p == nil || p.perByte == 0 {
 		return destination
