--- a/internal/storage/batch.go
+++ b/internal/storage/batch.go
@@ -11,11 +11,11 @@
 	"github.com/juju/errors"
 )
 
-// A file holds batches, one after the other. A batch is a mark, the size and the
-// checksum of its body, and the body: records, each with its size before it. A batch
-// is kept whole or not at all, and one is synced before the next is written, so that
-// a broken batch with a whole one after it was kept once and is damage, while one
-// at the end of the newest segment is a write that did not finish.
+// A file is a sequence of batches. A batch consists of a magic number, the size and the
+// checksum of its body, and the body: records, each preceded by its size. A batch is
+// durable as a whole or not at all, and it is synced before the next one is written.
+// A broken batch followed by a valid one was therefore durable once and is damage,
+// while one at the end of the newest segment is an unfinished write.
 const (
 	batchMagic    = 0x70_6c_6f_76
 	headerBytes   = 12
@@ -25,10 +25,11 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// errBroken says that what stands at a place is no whole batch.
+// errBroken means that there is no valid batch at an offset.
 const errBroken = errors.ConstError("broken batch")
 
-// packBatch appends a batch of the records. One without records ends a checkpoint.
+// appendBatch appends a batch with the records to the buffer. A batch without records
+// ends a checkpoint.
 func appendBatch(buffer []byte, records [][]byte) []byte {
 	start, size := len(buffer), headerBytes
 	for _, record := range records {
@@ -46,15 +47,15 @@
 	return buffer
 }
 
-// checksum covers the size too: a body of zeros does not pass for an empty one.
+// checksum covers the size too, so a body of zeros is not mistaken for an empty one.
 func checksum(body []byte) uint32 {
 	var size [sizeBytes]byte
 	binary.BigEndian.PutUint32(size[:], uint32(len(body)))
 	return crc32.Update(crc32.Checksum(size[:], castagnoli), castagnoli, body)
 }
 
-// readBatch reads the next batch and returns its body. io.EOF stands for the end of
-// the file, errBroken for anything that is no whole batch.
+// readBatch reads the next batch and returns its body. It returns io.EOF at the end of
+// the file and errBroken if there is no valid batch.
 func readBatch(r *bufio.Reader) (contents []byte, err error) {
 	var header [headerBytes]byte
 	if _, err = io.ReadFull(r, header[:]); err == io.EOF {
@@ -64,7 +65,7 @@
 	if err != nil || binary.BigEndian.Uint32(header[:]) != batchMagic || size > maxBatchBytes {
 		return nil, batchError(err)
 	}
-	// The buffer grows with what is there: a wrong size must not take its memory.
+	// The buffer grows with the bytes read, so a wrong size does not allocate memory.
 	var body bytes.Buffer
 	if _, err = io.CopyN(&body, r, int64(size)); err != nil {
 		return nil, batchError(err)
@@ -75,7 +76,7 @@
 	return body.Bytes(), nil
 }
 
-// brokenBy keeps an error of the disk apart from an end that came too soon.
+// batchError distinguishes a disk error from a premature end of the file.
 func batchError(err error) error {
 	if err == nil || err == io.EOF || err == io.ErrUnexpectedEOF {
 		return errBroken
@@ -83,7 +84,7 @@
 	return errors.Trace(err)
 }
 
-// eachRecord gives the records of a batch's body to take.
+// forEachRecord calls visit for each record in the body of a batch.
 func forEachRecord(body []byte, visit func([]byte) error) error {
 	for len(body) > 0 {
 		if len(body) < sizeBytes {
@@ -102,7 +103,7 @@
 	return nil
 }
 
-// findBatch is where in the text the next whole batch begins, or -1.
+// findBatch returns the index of the next valid batch in the data, or -1.
 func findBatch(data []byte) int {
 	var magic [sizeBytes]byte
 	binary.BigEndian.PutUint32(magic[:], batchMagic)
--- a/internal/storage/checkpoint.go
+++ b/internal/storage/checkpoint.go
@@ -7,15 +7,16 @@
 	"github.com/juju/errors"
 )
 
-// pieceBytes is how much of a checkpoint is laid out at a time: all of it at once
-// would take as much memory again as the tables.
+// checkpointBatchBytes is the size from which a batch of a checkpoint is written.
+// Encoding the whole checkpoint at once would take as much memory again as the tables.
 const checkpointBatchBytes = 256 << 10
 
-// pieceRest lies between two pieces, each synced by itself: the log's own syncs, on
-// which votes and news wait, would stand behind a checkpoint written at once.
+// checkpointBatchPause is the pause between two batches of a checkpoint, which are
+// synced separately. The syncs of the log, on which votes and updates wait, would
+// otherwise queue behind the whole checkpoint.
 const checkpointBatchPause = 10 * time.Millisecond
 
-// writeAll writes the records in batches, and the mark of the end.
+// writeCheckpoint writes the records in batches, followed by the end marker.
 func writeCheckpoint(file File, records iter.Seq[[]byte]) error {
 	var batch [][]byte
 	bytes := 0
@@ -45,8 +46,8 @@
 	return file.Sync()
 }
 
-// checkpoint writes the checkpoint of all before the segment of that number, and
-// removes what it stands for once it is certain to be there.
+// checkpoint writes the checkpoint that replaces all segments before the given number,
+// and removes those segments once the checkpoint is durable.
 func (l *Log) checkpoint(number uint64, records iter.Seq[[]byte]) error {
 	name := checkpointName(number)
 	file, err := createFile(l.disk, name+unfinishedSuffix)
@@ -69,8 +70,8 @@
 	return l.removeBefore(number)
 }
 
-// removeBefore removes the checkpoints and segments below the number, and
-// checkpoints that were never finished.
+// removeBefore removes the checkpoints and segments below the number, and all
+// unfinished checkpoints.
 func (l *Log) removeBefore(number uint64) error {
 	existing, err := listFiles(l.disk)
 	if err != nil {
--- a/internal/storage/crash_test.go
+++ b/internal/storage/crash_test.go
@@ -14,11 +14,12 @@
 	"ploverhitch/internal/storage"
 )
 
-// history is what a log was given: the plain model of what it must give back.
+// history models the records that a log must return when it is opened.
 type history struct {
 	disk *standin.Disk
 	log  *storage.Log
-	// offered is everything in its order, kept how much of it was acknowledged.
+	// offered contains all appended records in order, acknowledged how many of them
+	// were acknowledged.
 	offered      []string
 	acknowledged int
 }
@@ -27,8 +28,8 @@
 	return &history{disk: standin.NewDisk(rand.New(rand.NewPCG(seed, 11)))}
 }
 
-// open opens the log and checks what it gives back. It tells whether the power
-// lasted.
+// open opens the log and checks the records that it returns. It returns false if the
+// power failed.
 func (h *history) open(description string) bool {
 	log, read, err := open(h.disk)
 	if err != nil {
@@ -68,14 +69,14 @@
 	return write(slices.Values(all)) == nil
 }
 
-// live is one life of the process: it starts, appends, writes checkpoints and goes
-// on. It stops where the power does.
+// run simulates one run of the process: it opens the log, appends records and writes
+// checkpoints. It stops when the power fails.
 func (h *history) run(description string) bool {
 	return h.open(description) && h.append(3) && h.append(1) && h.checkpoint() && h.append(2) && h.checkpoint() && h.append(1)
 }
 
 var _ = Describe("a loss of power", func() {
-	It("at any operation of a life, and again at any of the next, takes nothing that was kept", func() {
+	It("during any operation of a run, and again during any of the next, loses no acknowledged record", func() {
 		runs := 0
 		for first := 1; ; first++ {
 			firstCompleted := false
@@ -108,7 +109,7 @@
 	var h *history
 	var read []string
 
-	// reopen opens the log without the checks of a disk in order.
+	// reopen opens the log without the checks that apply to an undamaged disk.
 	reopen := func() []storage.Damage {
 		var err error
 		h.log, read, err = open(h.disk)
@@ -121,8 +122,8 @@
 		Expect(h.open("") && h.append(2) && h.append(2) && h.append(2)).To(BeTrue())
 	})
 
-	It("that spoils a batch is reported with the place, and what stands before and after it is read", func() {
-		// Two records of eight bytes, each with its size, behind the head.
+	It("with a corrupt batch is reported with file and offset, and the batches before and after it are read", func() {
+		// Each batch has a header and two records of eight bytes, each with its size.
 		h.disk.Spoil(firstSegment, 36+20)
 		damages := reopen()
 		Expect(damages).To(HaveLen(1))
@@ -131,14 +132,14 @@
 		Expect(read).To(Equal([]string{"record 0", "record 1", "record 4", "record 5"}))
 	})
 
-	It("that loses a segment between two others is reported", func() {
+	It("with a missing segment between two others is reported", func() {
 		Expect(h.open("") && h.append(1) && h.open("") && h.append(1)).To(BeTrue())
 		h.disk.Lose(secondSegment)
 		Expect(reopen()).To(ConsistOf(HaveField("File", secondSegment)))
 		Expect(read).To(HaveLen(7))
 	})
 
-	It("that loses the first segment, or the one of a checkpoint, is reported", func() {
+	It("without the first segment, or the first one after a checkpoint, is reported", func() {
 		Expect(h.open("") && h.append(1)).To(BeTrue())
 		h.disk.Lose(firstSegment)
 		Expect(reopen()).To(ConsistOf(HaveField("File", firstSegment)))
@@ -148,25 +149,25 @@
 		Expect(reopen()).To(ConsistOf(HaveField("File", secondSegment)))
 	})
 
-	DescribeTable("that spoils a checkpoint is never taken for an empty one",
+	DescribeTable("with a corrupt checkpoint is not treated as an empty disk",
 		func(corrupt func(name string)) {
 			Expect(h.checkpoint() && h.append(1)).To(BeTrue())
 			corrupt("checkpoint-0000000000000002")
 			Expect(reopen()).NotTo(BeEmpty())
-			Expect(read).To(ContainElement("record 6"), "what came after it is read")
+			Expect(read).To(ContainElement("record 6"), "the record appended after the checkpoint is read")
 		},
-		Entry("at its beginning", func(name string) { h.disk.Spoil(name, 0) }),
-		Entry("in its middle", func(name string) { h.disk.Spoil(name, 40) }),
-		Entry("by cutting it to nothing", func(name string) { Expect(h.disk.Truncate(name, 0)).To(Succeed()) }),
-		Entry("by cutting off its end", func(name string) { Expect(h.disk.Truncate(name, 12+6*12)).To(Succeed()) }),
+		Entry("corrupt at its beginning", func(name string) { h.disk.Spoil(name, 0) }),
+		Entry("corrupt in its middle", func(name string) { h.disk.Spoil(name, 40) }),
+		Entry("truncated to zero bytes", func(name string) { Expect(h.disk.Truncate(name, 0)).To(Succeed()) }),
+		Entry("truncated before its end marker", func(name string) { Expect(h.disk.Truncate(name, 12+6*12)).To(Succeed()) }),
 	)
 
-	It("that spoils a checkpoint costs nothing while the one before it and its segments are there", func() {
+	It("with a corrupt checkpoint loses nothing while the previous one and its segments exist", func() {
 		fallbacks := 0
 		for seed := range uint64(20) {
 			h = newHistory(seed)
 			Expect(h.open("") && h.append(2) && h.checkpoint() && h.append(1)).To(BeTrue())
-			// The power goes before what the next checkpoint stands for is removed.
+			// The power fails before the files that the next checkpoint replaces are removed.
 			h.disk.PowerFor = 13
 			Expect(h.checkpoint()).To(BeFalse())
 			h.disk.LosePower()
@@ -185,7 +186,7 @@
 		Expect(fallbacks).To(BeNumerically(">", 5))
 	})
 
-	It("whose record the reader refuses is reported, and the rest is read", func() {
+	It("with a record that replay rejects is reported, and the other records are read", func() {
 		var rest []string
 		log, err := storage.Open(h.disk, func(record []byte) error {
 			if string(record) == "record 2" {
@@ -200,7 +201,7 @@
 	})
 })
 
-var _ = Describe("files of a build before batches", func() {
+var _ = Describe("files of a version without batches", func() {
 	legacy := func(records ...string) (text []byte) {
 		for _, record := range records {
 			text = binary.BigEndian.AppendUint32(text, uint32(len(record)))
@@ -222,7 +223,7 @@
 		write("checkpoint-0000000000000002", legacy("one", "two"))
 	})
 
-	It("are read, a torn end of the newest cut off, and gone on from", func() {
+	It("are read, an unfinished write in the newest one is truncated, and new records can be appended", func() {
 		torn := legacy("three", "four")
 		write("segment-0000000000000002", torn[:len(torn)-1])
 		log, read, err := open(disk)
@@ -236,7 +237,7 @@
 		Expect(read).To(Equal([]string{"one", "two", "three", "five"}))
 	})
 
-	It("are damage where a record of one that is not the newest is broken", func() {
+	It("are reported as damaged if a file other than the newest has a broken record", func() {
 		write("segment-0000000000000002", legacy("three", "four"))
 		write("segment-0000000000000003", legacy("five"))
 		disk.Spoil("segment-0000000000000002", 20)
--- a/internal/storage/disk.go
+++ b/internal/storage/disk.go
@@ -1,5 +1,5 @@
-// Package storage keeps a process's records on disk: a log in segments, with
-// checkpoints beside it. A record is kept once Append has returned.
+// Package storage stores a process's records on disk in a segmented log with
+// checkpoints. A record is durable once Append has returned without an error.
 package storage
 
 import (
@@ -10,39 +10,36 @@
 	"github.com/juju/errors"
 )
 
-// File is one open file that grows at its end.
+// File is an open file to which data is appended.
 type File interface {
 	io.Writer
 	Sync() error
 	Close() error
 }
 
-// Disk is the folder that a log lives in; tests have one that loses power.
+// Disk is the directory that contains a log. Tests use an implementation that simulates
+// loss of power.
 type Disk interface {
 	List() ([]string, error)
 	// Open opens a file for reading.
 	Open(name string) (io.ReadCloser, error)
-	// Create makes an empty file in place of any of that name. That it is there,
-	// like a renaming or a removal, lasts only once the folder is synced.
+	// Create creates an empty file and replaces any file of that name. Like a rename or
+	// a removal, this is durable only once the directory is synced.
 	Create(name string) (File, error)
-	// Truncate cuts a file and syncs it, at the size that it has, too.
+	// Truncate truncates and syncs a file, even if it already has the given size.
 	Truncate(name string, size int64) error
 	Rename(from, to string) error
 	Remove(name string) error
-	// SyncFolder makes last what was made, renamed and removed before.
+	// SyncDir makes all earlier creations, renames and removals durable.
 	SyncDir() error
 }
 
 type directory string
 
-// Folder is a disk's folder, made if it is not there.
-//
-// Example:
-//
-//	disk, err := storage.Folder("/var/lib/ploverhitch")
+// OpenDir returns the directory at the path as a Disk and creates it if necessary.
 func OpenDir(path string) (Disk, error) {
 	if err := os.MkdirAll(path, 0o755); err != nil {
-		return nil, errors.Annotate(err, "data folder")
+		return nil, errors.Annotate(err, "create data directory")
 	}
 	return directory(path), nil
 }
--- a/internal/storage/files.go
+++ b/internal/storage/files.go
@@ -18,10 +18,10 @@
 func segmentName(number uint64) string    { return fmt.Sprintf(segmentPrefix+"%016x", number) }
 func checkpointName(number uint64) string { return fmt.Sprintf(checkpointPrefix+"%016x", number) }
 
-// files are the files of a log, in the order of their numbers.
+// files lists the files of a log, sorted by number.
 type files struct {
 	checkpoints, segments []uint64
-	// unfinished are checkpoints that were not written to their end.
+	// unfinished contains the names of checkpoints that were not completely written.
 	unfinished []string
 }
 
@@ -55,13 +55,13 @@
 	return number, err == nil
 }
 
-// from lists the segments from a number on.
+// segmentsFrom returns the segments from the number on.
 func (f files) segmentsFrom(number uint64) []uint64 {
 	index, _ := slices.BinarySearch(f.segments, number)
 	return f.segments[index:]
 }
 
-// createFile makes an empty file that lasts.
+// createFile durably creates an empty file.
 func createFile(disk Disk, name string) (File, error) {
 	file, err := disk.Create(name)
 	if err != nil {
--- a/internal/storage/fuzz_test.go
+++ b/internal/storage/fuzz_test.go
@@ -10,7 +10,8 @@
 
 const fuzzedSegment = "segment-0000000000000001"
 
-// FuzzSegment gives the log a segment of any bytes: it must open, and go on.
+// FuzzSegment checks that a log opens and accepts records if its segment contains
+// arbitrary bytes.
 func FuzzSegment(f *testing.F) {
 	disk := standin.NewDisk(rand.New(rand.NewPCG(1, 1)))
 	log, err := storage.Open(disk, func([]byte) error { return nil })
--- a/internal/storage/legacy.go
+++ b/internal/storage/legacy.go
@@ -6,13 +6,13 @@
 	"io"
 )
 
-// legacyHeadBytes is the head of a record in the files of builds before batches:
-// its size and its checksum.
+// legacyHeaderBytes is the length of a record's header, its size and its checksum, in
+// files written by versions without batches.
 const legacyHeaderBytes = 8
 
-// readLegacy reads a file of an older build, record by record, and tells whether it
-// is one. It is read whole into memory: the first start with this build writes the
-// files anew.
+// readLegacy reads a file of a version without batches, record by record, and reports
+// whether the file has that format. It reads the whole file into memory, which happens
+// only until the first start of a newer version has rewritten the files.
 func (s *scan) readLegacy() (legacy bool) {
 	file, err := s.disk.Open(s.name)
 	if err != nil {
@@ -41,7 +41,7 @@
 	return s.offset > 0
 }
 
-// legacyRecord is the whole record at the start of the text, or nil.
+// legacyRecord returns the complete record at the start of the data, or nil.
 func legacyRecord(data []byte) []byte {
 	if len(data) < legacyHeaderBytes {
 		return nil
--- a/internal/storage/log.go
+++ b/internal/storage/log.go
@@ -10,32 +10,29 @@
 
 const maxSegmentBytes = 8 << 20
 
-// Log is a log in segments. Append has one caller at a time.
+// Log is a segmented log. Append must not be called concurrently.
 type Log struct {
 	disk    Disk
 	file    File
 	segment uint64
-	// good is how far the open segment is known to be kept.
+	// syncedBytes is the length of the open segment that is known to be durable.
 	syncedBytes int64
-	// isTorn says that what follows good must be cut before going on.
+	// torn means that the segment must be truncated to syncedBytes before the next
+	// append.
 	torn bool
-	// damages are the places that were kept once and cannot be read.
+	// damages lists the data that was durable once and cannot be read.
 	damages []Damage
 
 	lock                 sync.Mutex
 	bytesSinceCheckpoint int64
 }
 
-// Open reads what the disk holds, gives every record to replay in the order in
-// which it was kept, cuts a torn tail, and starts a new segment. What was found
-// is synced before it is relied on: a process that was killed between a write
-// and its sync left records that the next loss of power could still take. A record
-// that replay refuses, and whatever else cannot be read, is damage and does not
-// keep the log from opening.
-//
-// Example:
-//
-//	log, err := storage.Open(disk, func(record []byte) error { return tables.Apply(record) })
+// Open reads the files on the disk, passes every record to replay in the order in
+// which it was appended, truncates an unfinished write, and starts a new segment. The
+// newest segment is synced before its records are relied on: a process that was killed
+// between a write and its sync leaves records that a loss of power could still remove.
+// A record that replay rejects, and all other data that cannot be read, is damage and
+// does not prevent the log from opening.
 func Open(disk Disk, replay func(record []byte) error) (*Log, error) {
 	found, err := listFiles(disk)
 	if err != nil {
@@ -55,7 +52,7 @@
 		}
 	}
 	if len(segments) == 0 && first > 1 {
-		// The checkpoint's own segment was made before it.
+		// The first segment after a checkpoint is created before the checkpoint.
 		l.recordMissing(first)
 		l.segment = first
 	}
@@ -66,10 +63,10 @@
 	l.damages = append(l.damages, Damage{File: segmentName(number), Reason: "the segment is missing"})
 }
 
-// replayCheckpoint reads the newest checkpoint that is whole and returns the number
-// of the first segment behind it. A newer one that is not whole is passed over if
-// the segments since the older one are there; if no checkpoint is whole, what can
-// be read of the newest counts, as damage.
+// replayCheckpoint reads the newest complete checkpoint and returns the number of the
+// first segment after it. It skips newer incomplete checkpoints; segments missing since
+// the older one are damage. If no checkpoint is complete, it replays the readable
+// records of the newest one and records damage.
 func (l *Log) replayCheckpoint(found files, replay func([]byte) error) (first uint64) {
 	if len(found.checkpoints) == 0 {
 		return 0
@@ -78,13 +75,13 @@
 	result := scanFile(l.disk, checkpointName(number), replay)
 	l.damages = append(l.damages, result.damages...)
 	if !result.endMarked || result.torn {
-		l.damages = append(l.damages, Damage{File: checkpointName(number), Offset: result.offset, Reason: "the checkpoint is not whole"})
+		l.damages = append(l.damages, Damage{File: checkpointName(number), Offset: result.offset, Reason: "the checkpoint is incomplete"})
 	}
 	return number
 }
 
-// newestWhole is the newest checkpoint that is whole, or the newest of all. Where
-// there is only one, it is not read for that: nothing could take its place.
+// newestComplete returns the newest complete checkpoint, or the newest one if none is
+// complete. A single checkpoint is not read, because there is no alternative to it.
 func (l *Log) newestComplete(checkpoints []uint64) uint64 {
 	newest := checkpoints[len(checkpoints)-1]
 	if len(checkpoints) == 1 {
@@ -98,13 +95,13 @@
 	return newest
 }
 
-// isWhole tells whether a checkpoint was read from its beginning to its end.
+// complete reports whether a checkpoint was read from beginning to end without damage.
 func (s *scan) complete() bool {
 	return s.endMarked && !s.torn && !s.unreadable && len(s.damages) == 0
 }
 
-// replaySegment reads one segment. Only the newest may end in a write that did not
-// finish, which is cut off.
+// replaySegment reads one segment. Only the newest one may end in an unfinished write,
+// which is truncated.
 func (l *Log) replaySegment(number uint64, newest bool, replay func([]byte) error) error {
 	name := segmentName(number)
 	result := scanFile(l.disk, name, replay)
@@ -119,12 +116,8 @@
 	return errors.Trace(l.disk.Truncate(name, result.offset))
 }
 
-// Damages lists the places that were kept once and could not be read: what was read
-// may then lack some, and the node must not rely on it alone.
-//
-// Example:
-//
-//	if len(log.Damages()) > 0 { rebuildFromOthers() }
+// Damages lists the data that was durable once and could not be read. If there is any,
+// the replayed records may be incomplete, and the node must not rely on them alone.
 func (l *Log) Damages() []Damage { return l.damages }
 
 func (l *Log) openNextSegment() error {
@@ -139,12 +132,8 @@
 	return nil
 }
 
-// Append keeps the records: on nil they are on disk; on an error they may or
-// may not be, and the caller offers them again before anything later.
-//
-// Example:
-//
-//	if err := log.Append(records); err == nil { answerAll() }
+// Append writes the records and syncs them. After an error the records may or may not
+// be durable, and the caller must append them again before any later ones.
 func (l *Log) Append(records [][]byte) error {
 	if l.torn {
 		if err := l.disk.Truncate(segmentName(l.segment), l.syncedBytes); err != nil {
@@ -175,26 +164,16 @@
 	return nil
 }
 
-// Grown tells how many bytes a start would have to read beyond the newest
+// BytesSinceCheckpoint returns how many bytes a restart has to read after the newest
 // checkpoint.
-//
-// Example:
-//
-//	if log.Grown() > 32<<20 { begin(log) }
 func (l *Log) BytesSinceCheckpoint() int64 {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	return l.bytesSinceCheckpoint
 }
 
-// Roll starts a new segment and returns the closure that writes the checkpoint
-// of all before it, which may run beside further Appends.
-//
-// Example:
-//
-//	write, err := log.Roll()
-//	records := tables.Records()
-//	go write(slices.Values(records))
+// StartCheckpoint starts a new segment and returns the function that writes the
+// checkpoint of everything before it. The function may run concurrently with Append.
 func (l *Log) StartCheckpoint() (write func(records iter.Seq[[]byte]) error, err error) {
 	if l.torn {
 		return nil, errors.NotValidf("checkpoint on a torn log")
--- a/internal/storage/scan.go
+++ b/internal/storage/scan.go
@@ -8,38 +8,34 @@
 	"github.com/juju/errors"
 )
 
-// Damage is a place of a file that was kept once and cannot be read.
+// Damage is a position in a file whose data was durable once and cannot be read.
 type Damage struct {
 	File   string
 	Offset int64
 	Reason string
 }
 
-// String names the place and what is wrong with it.
-//
-// Example:
-//
-//	note("error", "damage", "at", damage)
+// String returns the file, the offset and the reason.
 func (d Damage) String() string { return fmt.Sprintf("%s at byte %d: %s", d.File, d.Offset, d.Reason) }
 
-// scan is one reading of a file.
+// scan is the state of reading one file.
 type scan struct {
 	disk   Disk
 	name   string
 	replay func(record []byte) error
-	// offset is the place reached: the end of the last whole batch, once it is over.
+	// offset is the current position; after the scan, the end of the last valid batch.
 	offset int64
-	// isTorn says that the file ends in something that is no batch, isUnreadable that
-	// the disk does not give the file.
+	// torn means that the file ends in data that is no valid batch, unreadable that
+	// reading from the disk failed.
 	torn, unreadable bool
-	// isEnded says that the last batch was the mark of a checkpoint's end.
+	// endMarked means that the last batch was the end marker of a checkpoint.
 	endMarked bool
 	damages   []Damage
 }
 
-// scanFile gives each record of a file to replay. It goes on behind what it cannot
-// read and reports that as damage; a break with nothing whole behind it is only
-// marked as a torn end, which the caller judges.
+// scanFile passes each record of a file to replay. It skips data that it cannot read
+// and records it as damage. A broken batch without a valid one after it is only marked
+// as torn; the caller decides whether that is damage.
 func scanFile(disk Disk, name string, replay func(record []byte) error) *scan {
 	s := &scan{disk: disk, name: name, replay: replay}
 	if s.readLegacy() {
@@ -70,7 +66,7 @@
 	s.damages = append(s.damages, Damage{File: s.name, Offset: s.offset, Reason: err.Error()})
 }
 
-// open opens the file at the place reached.
+// open opens the file at the current offset.
 func (s *scan) open() (io.ReadCloser, error) {
 	file, err := s.disk.Open(s.name)
 	if err != nil {
@@ -83,8 +79,8 @@
 	return file, nil
 }
 
-// read goes through whole batches until the end of the file, for which it returns
-// io.EOF, or the first that is broken.
+// readBatches reads batches up to the end of the file, for which it returns io.EOF, or
+// up to the first broken one.
 func (s *scan) readBatches() error {
 	file, err := s.open()
 	if err != nil {
@@ -105,8 +101,8 @@
 	}
 }
 
-// take gives one record to replay. One that replay refuses is damage: the bytes are
-// as they were written, and yet no record.
+// replayRecord passes one record to replay. A record that replay rejects is damage: its
+// checksum is valid, but its contents are not.
 func (s *scan) replayRecord(record []byte) error {
 	if err := s.replay(record); err != nil {
 		s.recordDamage(err)
@@ -114,7 +110,7 @@
 	return nil
 }
 
-// find looks for the next whole batch behind the place reached.
+// findNextBatch finds the next valid batch after the current offset.
 func (s *scan) findNextBatch() (offset int64, found bool) {
 	file, err := s.open()
 	if err != nil {
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -15,7 +15,7 @@
 
 func TestStorage(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "ballast")
+	RunSpecs(t, "storage")
 }
 
 func open(disk storage.Disk) (*storage.Log, []string, error) {
@@ -28,13 +28,13 @@
 }
 
 var _ = Describe("the log", func() {
-	It("keeps what Append returned for, through losses of power and refusing disks", func() {
+	It("keeps all records that Append acknowledged, despite losses of power and failing writes", func() {
 		for seed := range uint64(150) {
 			random := rand.New(rand.NewPCG(seed, 7))
 			disk := standin.NewDisk(random)
 			log, _, err := open(disk)
 			Expect(err).NotTo(HaveOccurred())
-			// The plain model: all that was offered, and how much of it is kept.
+			// The model: all appended records, and how many of them are acknowledged.
 			var offered []string
 			acknowledged := 0
 			for step := range 120 {
@@ -59,8 +59,8 @@
 						Expect(write(slices.Values(all))).To(Succeed())
 					}
 				case choice >= 17:
-					// A loss of power, or only a kill: then all that was
-					// written is there, and no more certain than before.
+					// A loss of power, or only a kill, after which all written
+					// data is present but unsynced data is still not durable.
 					if choice >= 18 {
 						disk.LosePower()
 					}
@@ -76,7 +76,7 @@
 		}
 	})
 
-	It("reports records that were kept and cannot be read", func() {
+	It("reports durable records that cannot be read", func() {
 		disk := standin.NewDisk(rand.New(rand.NewPCG(1, 1)))
 		log, _, err := open(disk)
 		Expect(err).NotTo(HaveOccurred())
@@ -99,7 +99,7 @@
 		Expect(read).To(Equal([]string{"three"}))
 	})
 
-	It("works on a real folder", func() {
+	It("works in a real directory", func() {
 		disk, err := storage.OpenDir(GinkgoT().TempDir())
 		Expect(err).NotTo(HaveOccurred())
 		log, _, err := open(disk)
