--- a/internal/config/own.go
+++ b/internal/config/own.go
@@ -91,7 +91,7 @@
 //
 // Example:
 //
-//	order := shedding.Arrange(book.Plan(), routes)
+//	order := shedding.NewOrder(book.Plan(), routes)
 func (b Book) Plan() (plan shedding.Plan) {
 	if plans, _ := own[shedding.Plan](b, PlanItem); len(plans) > 0 {
 		plan = plans[0]
--- a/internal/shedding/clients_test.go
+++ b/internal/shedding/clients_test.go
@@ -38,7 +38,7 @@
 
 func (sim *simulation) send(c *client) {
 	c.attempts++
-	c.sentAt = sim.clock.Now
+	c.attemptAt = sim.clock.Now
 	n := sim.nodes[sim.random.IntN(len(sim.nodes))]
 	tier := sim.order.TierOf(c.route)
 	shed := false
@@ -102,7 +102,7 @@
 
 func (sim *simulation) reject(c *client) {
 	if c.attempts < 4 {
-		c.sentAt = sim.clock.Now + 10*tick + time.Duration(sim.random.IntN(10))*tick
+		c.attemptAt = sim.clock.Now + 10*tick + time.Duration(sim.random.IntN(10))*tick
 		sim.waiting = append(sim.waiting, c)
 		return
 	}
@@ -125,7 +125,7 @@
 		if sim.clock.Now-j.client.createdAt > targetLatency {
 			sim.counts[j.client.route].late++
 		}
-		if sim.clock.Now-j.client.sentAt > targetLatency {
+		if sim.clock.Now-j.client.attemptAt > targetLatency {
 			outcome = shedding.Late
 		}
 		j.node.counter.CountAttempt("s", sim.order.TierOf(j.client.route), s.id, outcome)
--- a/internal/shedding/cluster_test.go
+++ b/internal/shedding/cluster_test.go
@@ -77,7 +77,7 @@
 
 type client struct {
 	route, key        string
-	createdAt, sentAt time.Duration
+	createdAt, attemptAt time.Duration
 	attempts          int
 	intent            idempotency.Intent
 	voters            []*member
@@ -138,7 +138,7 @@
 	waiting := sim.waiting
 	sim.waiting = nil
 	for _, c := range waiting {
-		if c.sentAt > sim.clock.Now {
+		if c.attemptAt > sim.clock.Now {
 			sim.waiting = append(sim.waiting, c)
 			continue
 		}
--- a/internal/storage/fuzz_test.go
+++ b/internal/storage/fuzz_test.go
@@ -23,13 +23,13 @@
 			f.Fatal(err)
 		}
 	}
-	whole := disk.Bytes(fuzzedSegment)
-	f.Add(whole)
-	f.Add(whole[:len(whole)-2])
-	f.Add(whole[5:])
+	segment := disk.Bytes(fuzzedSegment)
+	f.Add(segment)
+	f.Add(segment[:len(segment)-2])
+	f.Add(segment[5:])
 	f.Add([]byte{})
 	f.Add([]byte{0x70, 0x6c, 0x6f, 0x76, 0xff, 0xff, 0xff, 0xff, 0, 0, 0, 0})
-	f.Add(append([]byte("plov"), whole...))
+	f.Add(append([]byte("plov"), segment...))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		disk := standin.NewDisk(rand.New(rand.NewPCG(1, 1)))
 		file, err := disk.Create(fuzzedSegment)
