--- a/internal/shedding/gauge.go
+++ b/internal/shedding/gauge.go
@@ -95,13 +95,13 @@
 func (g *Gauge) Restore(cutoffs []Cutoff) {
 	now := g.clock.Steady()
 	for _, cutoff := range cutoffs {
-		c := g.service(cutoff.Service)
+		c := g.stateOf(cutoff.Service)
 		c.cutoff, c.active, c.changedAt, c.calmSince = cutoff, true, now, now
 		g.lastNumber = max(g.lastNumber, cutoff.Number)
 	}
 }
 
-func (g *Gauge) service(service string) *serviceState {
+func (g *Gauge) stateOf(service string) *serviceState {
 	c := g.services[service]
 	if c == nil {
 		c = &serviceState{requiredCalm: initialCalm, calmSince: g.clock.Steady()}
@@ -114,7 +114,7 @@
 func (g *Gauge) Add(node string, loads []Load) {
 	g.advance()
 	for _, load := range loads {
-		c := g.service(load.Service)
+		c := g.stateOf(load.Service)
 		loadsByNode := &c.loads[g.step%steps]
 		if *loadsByNode == nil {
 			*loadsByNode = map[string][]Load{}
--- a/internal/shedding/cluster_test.go
+++ b/internal/shedding/simulation_test.go
@@ -76,11 +76,11 @@
 }
 
 type client struct {
-	route, key        string
+	route, key           string
 	createdAt, attemptAt time.Duration
-	attempts          int
-	intent            idempotency.Intent
-	voters            []*member
+	attempts             int
+	intent               idempotency.Intent
+	voters               []*member
 }
 
 var routes = []shedding.Route{
