--- a/internal/shedding/gauge.go
+++ b/internal/shedding/gauge.go
@@ -95,27 +95,27 @@
 func (g *Gauge) Restore(cutoffs []Cutoff) {
 	now := g.clock.Steady()
 	for _, cutoff := range cutoffs {
-		c := g.stateOf(cutoff.Service)
-		c.cutoff, c.active, c.changedAt, c.calmSince = cutoff, true, now, now
+		state := g.stateOf(cutoff.Service)
+		state.cutoff, state.active, state.changedAt, state.calmSince = cutoff, true, now, now
 		g.lastNumber = max(g.lastNumber, cutoff.Number)
 	}
 }
 
 func (g *Gauge) stateOf(service string) *serviceState {
-	c := g.services[service]
-	if c == nil {
-		c = &serviceState{requiredCalm: initialCalm, calmSince: g.clock.Steady()}
-		g.services[service] = c
+	state := g.services[service]
+	if state == nil {
+		state = &serviceState{requiredCalm: initialCalm, calmSince: g.clock.Steady()}
+		g.services[service] = state
 	}
-	return c
+	return state
 }
 
 // Add adds the loads that a node counted.
 func (g *Gauge) Add(node string, loads []Load) {
 	g.advance()
 	for _, load := range loads {
-		c := g.stateOf(load.Service)
-		loadsByNode := &c.loads[g.step%steps]
+		state := g.stateOf(load.Service)
+		loadsByNode := &state.loads[g.step%steps]
 		if *loadsByNode == nil {
 			*loadsByNode = map[string][]Load{}
 		}
@@ -129,8 +129,8 @@
 	now := int64(g.clock.Steady() / timetable.Steady(window/steps))
 	for advanced := 0; g.step < now && advanced < steps; advanced++ {
 		g.step++
-		for _, c := range g.services {
-			c.loads[g.step%steps] = nil
+		for _, state := range g.services {
+			state.loads[g.step%steps] = nil
 		}
 	}
 	g.step = now
@@ -139,8 +139,8 @@
 // Cutoffs returns the cutoffs in force, sorted by service.
 func (g *Gauge) Cutoffs() (out []Cutoff) {
 	for _, service := range slices.Sorted(maps.Keys(g.services)) {
-		if c := g.services[service]; c.active {
-			out = append(out, c.cutoff)
+		if state := g.services[service]; state.active {
+			out = append(out, state.cutoff)
 		}
 	}
 	return out
@@ -153,25 +153,25 @@
 	g.advance()
 	now := g.clock.Steady()
 	for _, service := range slices.Sorted(maps.Keys(g.services)) {
-		c := g.services[service]
-		if g.step-c.changedStep < propagationSteps+minEvaluatedSteps {
+		state := g.services[service]
+		if g.step-state.changedStep < propagationSteps+minEvaluatedSteps {
 			continue
 		}
-		t := c.totals(g.firstEvaluatedStep(c), g.step)
+		t := state.totals(g.firstEvaluatedStep(state), g.step)
 		conclusive := t.sent >= minSent
 		overloaded := conclusive && (t.rejected > rejectedThreshold*t.sent || t.late > lateThreshold*t.sent)
 		widespread := float64(t.overloadedNodes) >= wideShare*float64(max(1, t.nodes))
 		switch {
 		case overloaded && widespread && overloadedShare(service) >= wideShare:
-			c.calmSince = now
-			if !c.active || time.Duration(now-c.changedAt) >= raiseInterval {
-				changed = g.raise(service, c, t) || changed
+			state.calmSince = now
+			if !state.active || time.Duration(now-state.changedAt) >= raiseInterval {
+				changed = g.raise(service, state, t) || changed
 			}
-		case !c.active:
+		case !state.active:
 		case conclusive && t.rejected+t.late > calmThreshold*t.sent:
-			c.calmSince = now
-		case time.Duration(now-c.calmSince) >= c.requiredCalm && time.Duration(now-c.changedAt) >= c.requiredCalm/3:
-			changed = g.lower(c, t) || changed
+			state.calmSince = now
+		case time.Duration(now-state.calmSince) >= state.requiredCalm && time.Duration(now-state.changedAt) >= state.requiredCalm/3:
+			changed = g.lower(state, t) || changed
 		}
 	}
 	return changed
@@ -179,59 +179,59 @@
 
 // raise increases the rejected share of the admitted requests by the larger of the
 // rejected share and half of the late share of the attempts.
-func (g *Gauge) raise(service string, c *serviceState, t windowTotals) bool {
+func (g *Gauge) raise(service string, state *serviceState, t windowTotals) bool {
 	now := g.clock.Steady()
-	if c.lastLowered && time.Duration(now-c.changedAt) < 2*c.requiredCalm {
-		c.requiredCalm = min(2*c.requiredCalm, maxCalm)
+	if state.lastLowered && time.Duration(now-state.changedAt) < 2*state.requiredCalm {
+		state.requiredCalm = min(2*state.requiredCalm, maxCalm)
 	}
-	flows, maxShare := c.tierFlows(g.firstEvaluatedStep(c)), maxNextRaise
-	if !c.active {
-		c.cutoff, maxShare = Cutoff{Service: service, Seed: g.newSeed(), Tier: Tier(len(flows))}, maxFirstRaise
+	flows, maxShare := state.tierFlows(g.firstEvaluatedStep(state)), maxNextRaise
+	if !state.active {
+		state.cutoff, maxShare = Cutoff{Service: service, Seed: g.newSeed(), Tier: Tier(len(flows))}, maxFirstRaise
 	}
 	// Keyed operations that complete late or that a server sometimes rejects are
 	// better than ones that every node rejects until the cutoff is lowered.
 	shedKeyed := t.rejected > keyedThreshold*t.sent
-	next := c.raisedCutoff(min(maxShare, max(minRaise, t.rejected/t.sent, t.late/t.sent/2)), flows, shedKeyed)
-	if next.Level(len(flows)) <= max(0, c.cutoff.Level(len(flows))) {
+	next := state.raisedCutoff(min(maxShare, max(minRaise, t.rejected/t.sent, t.late/t.sent/2)), flows, shedKeyed)
+	if next.Level(len(flows)) <= max(0, state.cutoff.Level(len(flows))) {
 		return false
 	}
-	c.active, c.lastLowered, c.changedAt, c.raisedAt = true, false, now, now
+	state.active, state.lastLowered, state.changedAt, state.raisedAt = true, false, now, now
 	// A raise soon after another one measures less than the capacity of the servers.
-	c.capacity = max(capacityDecay*c.capacity, (t.sent-t.rejected)/g.evaluatedSeconds(c))
-	g.setCutoff(c, next)
+	state.capacity = max(capacityDecay*state.capacity, (t.sent-t.rejected)/g.evaluatedSeconds(state))
+	g.setCutoff(state, next)
 	return true
 }
 
 // lower admits some of the rejected requests.
-func (g *Gauge) lower(c *serviceState, t windowTotals) bool {
-	now, admittedRate := g.clock.Steady(), (t.offered-t.shed)/g.evaluatedSeconds(c)
-	if time.Duration(now-c.raisedAt) < probeDelay && admittedRate*(1+loweringStep) > capacityLimit*c.capacity {
+func (g *Gauge) lower(state *serviceState, t windowTotals) bool {
+	now, admittedRate := g.clock.Steady(), (t.offered-t.shed)/g.evaluatedSeconds(state)
+	if time.Duration(now-state.raisedAt) < probeDelay && admittedRate*(1+loweringStep) > capacityLimit*state.capacity {
 		return false
 	}
-	c.changedAt, c.lastLowered = now, true
-	next, none := c.loweredCutoff(loweringStep, c.tierFlows(g.firstEvaluatedStep(c)))
+	state.changedAt, state.lastLowered = now, true
+	next, none := state.loweredCutoff(loweringStep, state.tierFlows(g.firstEvaluatedStep(state)))
 	if none {
-		c.active = false
+		state.active = false
 		g.lastNumber++
 		return true
 	}
-	g.setCutoff(c, next)
+	g.setCutoff(state, next)
 	return true
 }
 
 // firstEvaluatedStep returns the first step to evaluate. In earlier ones, some nodes
 // had not received the cutoff yet.
-func (g *Gauge) firstEvaluatedStep(c *serviceState) int64 {
-	return max(g.step-steps, c.changedStep+propagationSteps) + 1
+func (g *Gauge) firstEvaluatedStep(state *serviceState) int64 {
+	return max(g.step-steps, state.changedStep+propagationSteps) + 1
 }
 
 // evaluatedSeconds returns the length of the evaluated steps.
-func (g *Gauge) evaluatedSeconds(c *serviceState) float64 {
-	return float64(g.step-g.firstEvaluatedStep(c)+1) * (window / steps).Seconds()
+func (g *Gauge) evaluatedSeconds(state *serviceState) float64 {
+	return float64(g.step-g.firstEvaluatedStep(state)+1) * (window / steps).Seconds()
 }
 
-func (g *Gauge) setCutoff(c *serviceState, next Cutoff) {
+func (g *Gauge) setCutoff(state *serviceState, next Cutoff) {
 	g.lastNumber++
 	next.Number = g.lastNumber
-	c.cutoff, c.changedStep = next, g.step
+	state.cutoff, state.changedStep = next, g.step
 }
--- a/internal/shedding/service_state.go
+++ b/internal/shedding/service_state.go
@@ -32,9 +32,9 @@
 }
 
 // tierFlows sums the requests since the step by tier.
-func (c *serviceState) tierFlows(from int64) (out []tierFlow) {
+func (s *serviceState) tierFlows(from int64) (out []tierFlow) {
 	for step := from; step < from+steps; step++ {
-		for _, loads := range c.loads[step%steps] {
+		for _, loads := range s.loads[step%steps] {
 			for _, load := range loads {
 				for len(out) <= int(load.Tier) {
 					out = append(out, tierFlow{})
@@ -56,11 +56,11 @@
 	nodes, overloadedNodes int
 }
 
-func (c *serviceState) totals(from, last int64) (out windowTotals) {
+func (s *serviceState) totals(from, last int64) (out windowTotals) {
 	type nodeCounts struct{ sent, overloaded float64 }
 	nodes := map[string]nodeCounts{}
 	for step := from; step <= last; step++ {
-		for node, loads := range c.loads[step%steps] {
+		for node, loads := range s.loads[step%steps] {
 			counts := nodes[node]
 			for _, load := range loads {
 				out.sent += float64(load.Sent)
@@ -88,19 +88,19 @@
 // raisedCutoff returns a cutoff that also rejects the given share of the admitted
 // requests, starting with the last tier. It rejects requests of keyed tiers only if
 // shedKeyed is set.
-func (c *serviceState) raisedCutoff(share float64, flows []tierFlow, shedKeyed bool) Cutoff {
+func (s *serviceState) raisedCutoff(share float64, flows []tierFlow, shedKeyed bool) Cutoff {
 	remaining := 0.0
 	for _, f := range flows {
 		remaining += share * f.admitted
 	}
-	next := c.cutoff
+	next := s.cutoff
 	for tier := min(int(next.Tier), len(flows)-1); tier >= 0; tier-- {
 		if flows[tier].keyed && !shedKeyed {
 			return next
 		}
 		fraction := 0.0
-		if Tier(tier) == c.cutoff.Tier {
-			fraction = c.cutoff.Fraction
+		if Tier(tier) == s.cutoff.Tier {
+			fraction = s.cutoff.Fraction
 		}
 		next.Tier, next.Fraction = Tier(tier), 1
 		if admitted := flows[tier].admitted; remaining < admitted {
@@ -119,16 +119,16 @@
 // loweredCutoff returns a cutoff that admits more requests, by the given share of
 // the admitted ones, starting with those that were rejected last. none reports that
 // nothing is left to reject.
-func (c *serviceState) loweredCutoff(share float64, flows []tierFlow) (next Cutoff, none bool) {
+func (s *serviceState) loweredCutoff(share float64, flows []tierFlow) (next Cutoff, none bool) {
 	remaining := 0.0
 	for _, f := range flows {
 		remaining += share * f.admitted
 	}
-	next = c.cutoff
+	next = s.cutoff
 	for tier := max(0, int(next.Tier)); tier < len(flows); tier++ {
 		next.Tier, next.Fraction = Tier(tier), 1
-		if Tier(tier) == c.cutoff.Tier {
-			next.Fraction = c.cutoff.Fraction
+		if Tier(tier) == s.cutoff.Tier {
+			next.Fraction = s.cutoff.Fraction
 		}
 		total := newRequestShare * flows[tier].offered
 		if next.Fraction < 1 && flows[tier].admitted > 0 {
