--- a/internal/standin/disk.go
+++ b/internal/standin/disk.go
@@ -219,11 +219,11 @@
 	return d.change(func(folder map[string]*diskFile) { delete(folder, name) })
 }
 
-// SyncFolder makes last what was made, renamed and removed.
+// SyncDir makes last what was made, renamed and removed.
 //
 // Example:
 //
-//	err := disk.SyncFolder()
+//	err := disk.SyncDir()
 func (d *Disk) SyncDir() error {
 	isRefused, isInPart := d.refuses()
 	if isRefused && !isInPart {
