--- a/internal/bandwidth/stream.go
+++ b/internal/bandwidth/stream.go
@@ -2,106 +2,96 @@
 
 import "io"
 
-// BulkLeast is from which length on a reply is bulk.
-const BulkLeast = 12 << 10
+// MinBulkBytes is the length from which a response is bulk traffic.
+const MinBulkBytes = 12 << 10
 
-// afterMost is how much more than a window may follow on its heels: so little is
-// worth no wait.
-const afterMost = 8 << 10
+// maxBurstExcess is how many bytes beyond the first window are treated as part of it:
+// so few are not worth a wait.
+const maxBurstExcess = 8 << 10
 
-// reader reads bulk. A sender puts a whole window on its way before anything is
-// read; reading at once would let the next window follow on its heels, and what
-// is short would wait behind both.
+// reader reads a bulk response. A sender transmits a whole window before anything is
+// read. Reading immediately would let the next window follow directly, and short
+// traffic would wait behind both.
 type reader struct {
-	from  io.Reader
-	track *Track
-	// burst is what the sender may have on its way before the first read.
+	source io.Reader
+	pacer  *Pacer
+	// burst is the number of bytes that may be in flight before the first read.
 	burst int
-	// coming is what it may only send once there is room in its window.
-	coming  int64
-	isBegun bool
+	// remaining is the number of bytes that the sender can transmit only once there is
+	// room in its window.
+	remaining int64
+	started   bool
 }
 
-// Reader reads a reply of the given length (-1 if unknown) at the track's
-// pace, from a sender that may have a window on its way.
-//
-// Example:
-//
-//	body, err := io.ReadAll(in.Reader(response.Body, response.ContentLength, 64<<10))
-func (t *Track) Reader(from io.Reader, length int64, window int) io.Reader {
+// Reader returns a reader that paces a response of the given length (-1 if unknown)
+// from a sender that may have a whole window in flight.
+func (p *Pacer) Reader(source io.Reader, length int64, window int) io.Reader {
 	switch {
-	case t == nil || t.perByte == 0 || length < 0:
-		return from
-	case length < BulkLeast:
-		t.Note(int(length))
-		return from
+	case p == nil || p.perByte == 0 || length < 0:
+		return source
+	case length < MinBulkBytes:
+		p.CountShort(int(length))
+		return source
 	}
 	burst := min(length, int64(window))
-	if length-burst <= afterMost {
+	if length-burst <= maxBurstExcess {
 		burst = length
 	}
-	return &reader{from: from, track: t, burst: int(burst), coming: length - burst}
+	return &reader{source: source, pacer: p, burst: int(burst), remaining: length - burst}
 }
 
-func (r *reader) Read(into []byte) (count int, err error) {
-	if !r.isBegun {
-		if r.isBegun = true; r.coming > 0 {
-			r.track.Burst(r.burst)
+func (r *reader) Read(buffer []byte) (count int, err error) {
+	if !r.started {
+		if r.started = true; r.remaining > 0 {
+			r.pacer.WaitBurst(r.burst)
 		} else {
-			// All of it is on its way, whether it is read now or later.
-			r.track.take(float64(r.burst))
+			// All bytes are in flight, whether they are read now or later.
+			r.pacer.reserve(float64(r.burst))
 		}
 	}
-	if r.coming > 0 {
-		// What is read makes room for as much again.
-		into = into[:min(len(into), Piece, int(r.coming))]
-		r.track.Pass(len(into))
-		r.coming -= int64(len(into))
+	if r.remaining > 0 {
+		// Each byte read lets the sender transmit another one.
+		buffer = buffer[:min(len(buffer), ChunkBytes, int(r.remaining))]
+		r.pacer.WaitBulk(len(buffer))
+		r.remaining -= int64(len(buffer))
 	}
-	return r.from.Read(into)
+	return r.source.Read(buffer)
 }
 
 type writer struct {
-	to    io.Writer
-	track *Track
-	// isBulk: whatever is written is part of something long.
-	isBulk bool
+	destination io.Writer
+	pacer       *Pacer
+	// bulk makes all writes count as bulk traffic, however short they are.
+	bulk bool
 }
 
-// Writer writes a reply at the track's pace.
-//
-// Example:
-//
-//	_, err := out.Writer(w).Write(reply.Body)
-func (t *Track) Writer(to io.Writer) io.Writer {
-	if t == nil || t.perByte == 0 {
-		return to
+// Writer returns a writer that paces responses of at least MinBulkBytes, each written
+// with a single call of Write.
+func (p *Pacer) Writer(destination io.Writer) io.Writer {
+	if p == nil || p.perByte == 0 {
+		return destination
 	}
-	return &writer{to, t, false}
+	return &writer{destination, p, false}
 }
 
-// BulkWriter writes at the track's pace what comes piece by piece of a long reply.
-//
-// Example:
-//
-//	_, err := io.Copy(out.BulkWriter(w), reply.Rest)
-func (t *Track) BulkWriter(to io.Writer) io.Writer {
-	if t == nil || t.perByte == 0 {
-		return to
+// BulkWriter returns a writer that paces a bulk response written in parts.
+func (p *Pacer) BulkWriter(destination io.Writer) io.Writer {
+	if p == nil || p.perByte == 0 {
+		return destination
 	}
-	return &writer{to, t, true}
+	return &writer{destination, p, true}
 }
 
-func (w *writer) Write(text []byte) (written int, err error) {
-	if !w.isBulk && len(text) < BulkLeast {
-		w.track.Note(len(text))
-		return w.to.Write(text)
+func (w *writer) Write(data []byte) (written int, err error) {
+	if !w.bulk && len(data) < MinBulkBytes {
+		w.pacer.CountShort(len(data))
+		return w.destination.Write(data)
 	}
-	for written < len(text) && err == nil {
-		piece := text[written:min(len(text), written+Piece)]
-		w.track.Pass(len(piece))
+	for written < len(data) && err == nil {
+		chunk := data[written:min(len(data), written+ChunkBytes)]
+		w.pacer.WaitBulk(len(chunk))
 		var count int
-		count, err = w.to.Write(piece)
+		count, err = w.destination.Write(chunk)
 		written += count
 	}
 	return written, err
--- a/internal/config/extensions.go
+++ b/internal/config/extensions.go
@@ -93,11 +93,11 @@
 }
 
 // sheddingRoute returns the properties of the route that decide its load shedding tier.
-func (r *RouteSpec) sheddingRoute(host string) shedding.Lane {
-	return shedding.Lane{Name: r.Name, Host: host, Priority: r.Priority, Kind: overloadKinds[r.RouteType]}
+func (r *RouteSpec) sheddingRoute(host string) shedding.Route {
+	return shedding.Route{Name: r.Name, Host: host, Priority: r.Priority, Kind: overloadKinds[r.RouteType]}
 }
 
-func (s ItemSet) sheddingRoutes() (out []shedding.Lane) {
+func (s ItemSet) sheddingRoutes() (out []shedding.Route) {
 	s.eachRoute(func(route RouteSpec, host string) { out = append(out, route.sheddingRoute(host)) })
 	return out
 }
--- a/internal/config/routing_table.go
+++ b/internal/config/routing_table.go
@@ -92,9 +92,9 @@
 
 // assignTiers sets the load shedding tier of every route.
 func (t *RoutingTable) assignTiers() {
-	var routes []shedding.Lane
+	var routes []shedding.Route
 	t.eachRoute(func(route *Route) { routes = append(routes, route.sheddingRoute(route.Host)) })
-	t.Order = shedding.Arrange(t.Plan, routes)
+	t.Order = shedding.NewOrder(t.Plan, routes)
 	t.eachRoute(func(route *Route) { route.Tier = t.Order.TierOf(route.Name) })
 }
 
--- a/internal/control/member_test.go
+++ b/internal/control/member_test.go
@@ -30,7 +30,7 @@
 	BeforeEach(func() {
 		manualClock = &clock.Manual{Now: time.Hour}
 		n = &node{self: "a", clock: manualClock, hub: feed.NewHub(), log: func(string, string, ...any) {}, listWatch: newListTracker(manualClock.Monotonic())}
-		disk, err := storage.Folder(GinkgoT().TempDir())
+		disk, err := storage.OpenDir(GinkgoT().TempDir())
 		Expect(err).NotTo(HaveOccurred())
 		n.store, err = openStore(disk, idempotency.Policy{OpenLimit: 10, KeyWindow: time.Minute}, manualClock, func(err error) { Expect(err).NotTo(HaveOccurred()) })
 		Expect(err).NotTo(HaveOccurred())
@@ -102,7 +102,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		n.learnAndWait([]registry.Change{{Index: 1, Items: []config.Item{{ID: config.ID{Class: config.RouteItem, Name: "fee"}, Version: 1, Host: "h", Body: body}}}})
 		Expect(reserve(3, "old")).To(Equal(idempotency.Granted))
-		cutoff := shedding.Cutoff{Service: "fees", Number: 1, Seed: 5, Tier: 0, Part: 1}
+		cutoff := shedding.Cutoff{Service: "fees", Number: 1, Seed: 5, Tier: 0, Fraction: 1}
 		Expect(sendFleet(feed.Fleet{Term: 1, Count: 1, Cutoffs: []shedding.Cutoff{cutoff}})).To(BeTrue())
 		Expect(reserve(3, "new")).To(Equal(idempotency.Shed))
 		Expect(reserve(3, "old")).To(Equal(idempotency.Granted), "the vote given to the attempt earlier remains valid")
--- a/internal/control/sites.go
+++ b/internal/control/sites.go
@@ -24,7 +24,7 @@
 		c.detector.AddReport(in.Evidence)
 		c.proxyZones[in.Evidence.Node] = in.Zone
 		if c.loadGaugeOn() {
-			c.loadGauge.Hear(in.Evidence.Node, in.Loads)
+			c.loadGauge.Add(in.Evidence.Node, in.Loads)
 		}
 		c.recordCopies(in.Mirrors)
 		if c.ensureLeading() && c.siteTree != nil {
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -129,7 +129,7 @@
 // service, the tenant and the conversation, so a change of the share adds or removes
 // whole conversations.
 func (m Mirror) SamplePoint(tenant, conversation string) float64 {
-	return shedding.Draw(0, m.Name, m.Shadow, tenant, conversation)
+	return shedding.HashFraction(0, m.Name, m.Shadow, tenant, conversation)
 }
 
 // IncarnationHash returns a node's contribution to Grant.Incarnations, the XOR over
--- a/internal/shedding/clients_test.go
+++ b/internal/shedding/clients_test.go
@@ -9,134 +9,135 @@
 	"ploverhitch/internal/shedding"
 )
 
-// verdict is what a node says of an inquiry that bears no key.
-func (w *world) verdict(n *node, lane, name string) bool {
+// rejects reports whether a node rejects a request without an idempotency key.
+func (sim *simulation) rejects(n *node, route, name string) bool {
 	cutoffs := n.cutoffs
-	if w.isAlone || w.hand.Now-n.heardAt > 3*time.Second {
-		cutoffs = n.floor.Cutoffs()
+	if sim.localOnly || sim.clock.Now-n.updatedAt > 3*time.Second {
+		cutoffs = n.localGauge.Cutoffs()
 	}
 	for _, cutoff := range cutoffs {
-		if cutoff.Sheds(w.order.TierOf(lane), "h", name) {
+		if cutoff.Sheds(sim.order.TierOf(route), "h", name) {
 			return true
 		}
 	}
 	return false
 }
 
-// sheds is what one member says of a new key.
-func (w *world) sheds(m *member, key string) bool {
-	if w.hand.Now-m.heardAt > 1200*time.Millisecond {
+// sheds reports whether a member rejects a new key.
+func (sim *simulation) sheds(m *member, key string) bool {
+	if sim.clock.Now-m.updatedAt > 1200*time.Millisecond {
 		return false
 	}
 	for _, cutoff := range m.cutoffs {
-		if cutoff.Sheds(w.order.TierOf("release"), "h", key) {
+		if cutoff.Sheds(sim.order.TierOf("release"), "h", key) {
 			return true
 		}
 	}
 	return false
 }
 
-func (w *world) ask(c *client) {
-	c.tries++
-	c.at = w.hand.Now
-	n := w.nodes[w.random.IntN(len(w.nodes))]
-	tier := w.order.TierOf(c.lane)
-	isShed := false
-	if c.lane == "release" {
-		n.counter.Offer("s", tier, true, false)
-		if isShed = !w.secure(c); isShed {
-			n.counter.Shed("s", tier)
+func (sim *simulation) send(c *client) {
+	c.attempts++
+	c.attemptAt = sim.clock.Now
+	n := sim.nodes[sim.random.IntN(len(sim.nodes))]
+	tier := sim.order.TierOf(c.route)
+	shed := false
+	if c.route == "release" {
+		n.counter.CountRequest("s", tier, true, false)
+		if shed = !sim.reserve(c); shed {
+			n.counter.CountShed("s", tier)
 		}
 	} else {
-		isShed = w.verdict(n, c.lane, c.key)
-		n.counter.Offer("s", tier, false, isShed)
+		shed = sim.rejects(n, c.route, c.key)
+		n.counter.CountRequest("s", tier, false, shed)
 	}
-	if isShed {
-		w.refuse(c)
+	if shed {
+		sim.reject(c)
 		return
 	}
-	a, z := w.servers[w.random.IntN(len(w.servers))], w.servers[w.random.IntN(len(w.servers))]
-	if len(z.work) < len(a.work) {
-		a = z
+	a, b := sim.servers[sim.random.IntN(len(sim.servers))], sim.servers[sim.random.IntN(len(sim.servers))]
+	if len(b.jobs) < len(a.jobs) {
+		a = b
 	}
-	if a.isIll || len(a.work) >= slots+queue {
-		n.counter.Try("s", tier, a.id, shedding.Turned)
-		w.giveBack(c)
-		w.refuse(c)
+	if a.failing || len(a.jobs) >= slots+queue {
+		n.counter.CountAttempt("s", tier, a.id, shedding.Rejected)
+		sim.release(c)
+		sim.reject(c)
 		return
 	}
-	a.work = append(a.work, job{c: c, node: n})
+	a.jobs = append(a.jobs, job{client: c, node: n})
 }
 
-// secure asks the members for their votes, as a proxy does.
-func (w *world) secure(c *client) bool {
-	c.intent = idempotency.Intent{Key: idempotency.Key{Tenant: "h", Key: c.key}, Attempt: idempotency.Attempt(fmt.Sprint(c.key, "-", c.tries)), Route: c.lane, Reservation: fmt.Sprint(c.key, "-", c.tries)}
-	round := idempotency.NewRound(c.intent.RequestHash, len(w.members), w.hand.Monotonic(), clock.Instant(time.Second))
-	c.winners = nil
-	for _, m := range w.members {
-		ballot := idempotency.Vote{Verdict: idempotency.Shed}
-		if m.voter.Find(c.intent.Key) != nil || !w.sheds(m, c.key) {
-			ballot, _ = m.voter.Reserve(c.intent)
+// reserve collects the votes of the members as a proxy does, and reports whether the
+// reservation has a majority.
+func (sim *simulation) reserve(c *client) bool {
+	c.intent = idempotency.Intent{Key: idempotency.Key{Tenant: "h", Key: c.key}, Attempt: idempotency.Attempt(fmt.Sprint(c.key, "-", c.attempts)), Route: c.route, Reservation: fmt.Sprint(c.key, "-", c.attempts)}
+	round := idempotency.NewRound(c.intent.RequestHash, len(sim.members), sim.clock.Monotonic(), clock.Instant(time.Second))
+	c.voters = nil
+	for _, m := range sim.members {
+		vote := idempotency.Vote{Verdict: idempotency.Shed}
+		if m.voter.Find(c.intent.Key) != nil || !sim.sheds(m, c.key) {
+			vote, _ = m.voter.Reserve(c.intent)
 		}
-		if ballot.Verdict == idempotency.Granted {
-			c.winners = append(c.winners, m)
+		if vote.Verdict == idempotency.Granted {
+			c.voters = append(c.voters, m)
 		}
-		round.AddVote(&ballot)
+		round.AddVote(&vote)
 	}
-	if round.Result(w.hand.Monotonic()) == idempotency.Won {
+	if round.Result(sim.clock.Monotonic()) == idempotency.Won {
 		return true
 	}
-	w.giveBack(c)
+	sim.release(c)
 	return false
 }
 
-func (w *world) giveBack(c *client) {
+func (sim *simulation) release(c *client) {
 	released := c.intent
 	released.State = idempotency.Released
-	for _, m := range c.winners {
+	for _, m := range c.voters {
 		_, _ = m.voter.Record(released)
 	}
-	c.winners = nil
+	c.voters = nil
 }
 
-func (w *world) refuse(c *client) {
-	if c.tries < 4 {
-		c.at = w.hand.Now + 10*tick + time.Duration(w.random.IntN(10))*tick
-		w.waiting = append(w.waiting, c)
+func (sim *simulation) reject(c *client) {
+	if c.attempts < 4 {
+		c.attemptAt = sim.clock.Now + 10*tick + time.Duration(sim.random.IntN(10))*tick
+		sim.waiting = append(sim.waiting, c)
 		return
 	}
-	w.counts[c.lane].refused++
+	sim.counts[c.route].rejected++
 }
 
-// serve works on the first few of a server's queue.
-func (w *world) serve(s *server) {
-	var left []job
-	for i, j := range s.work {
+// serve runs one tick of the jobs that occupy the server's slots.
+func (sim *simulation) serve(s *server) {
+	var remaining []job
+	for i, j := range s.jobs {
 		if i < slots {
-			j.ends++
+			j.ticks++
 		}
-		if j.ends < workFor {
-			left = append(left, j)
+		if j.ticks < workTicks {
+			remaining = append(remaining, j)
 			continue
 		}
 		outcome := shedding.InTime
-		w.counts[j.c.lane].served++
-		if w.hand.Now-j.c.born > aim {
-			w.counts[j.c.lane].late++
+		sim.counts[j.client.route].served++
+		if sim.clock.Now-j.client.createdAt > targetLatency {
+			sim.counts[j.client.route].late++
 		}
-		if w.hand.Now-j.c.at > aim {
+		if sim.clock.Now-j.client.attemptAt > targetLatency {
 			outcome = shedding.Late
 		}
-		j.node.counter.Try("s", w.order.TierOf(j.c.lane), s.id, outcome)
-		if j.c.lane == "release" {
-			w.ran[j.c.key]++
-			w.kept[j.c.key] = true
-			done := j.c.intent
+		j.node.counter.CountAttempt("s", sim.order.TierOf(j.client.route), s.id, outcome)
+		if j.client.route == "release" {
+			sim.executions[j.client.key]++
+			sim.completed[j.client.key] = true
+			done := j.client.intent
 			done.State, done.Response = idempotency.Completed, &idempotency.Response{Status: 200}
-			for _, m := range w.members {
+			for _, m := range sim.members {
 				_, _ = m.voter.Record(done)
 			}
 		}
 	}
-	s.work = left
+	s.jobs = remaining
 }
--- a/internal/shedding/counter.go
+++ b/internal/shedding/counter.go
@@ -4,176 +4,151 @@
 	"sync"
 )
 
-// Outcome is what a try showed of the service's load.
+// Outcome is what an attempt shows about the load of its service.
 type Outcome uint8
 
-// The outcomes of a try.
+// The outcomes of an attempt.
 const (
 	InTime Outcome = iota
-	// Late: the reply took far longer than usual, and than the lane's aim.
+	// Late means that the response took much longer than usual and longer than the
+	// target latency of the route.
 	Late
-	// Turned: the server was full.
-	Turned
+	// Rejected means that the server was full.
+	Rejected
 )
 
-type cell struct {
+type loadKey struct {
 	service string
 	tier    Tier
 }
 
-// strain is what one server showed lately.
-type strain struct{ sent, bad float64 }
+// serverLoad counts the recent attempts at one server, and those that were rejected
+// or late.
+type serverLoad struct{ sent, overloaded float64 }
 
-// Counter counts a node's loads between two tellings.
+// Counter counts the loads of a node between two reports.
 type Counter struct {
 	lock    sync.Mutex
-	rows    map[cell]*Load
-	servers map[string]map[string]*strain
+	loads   map[loadKey]*Load
+	servers map[string]map[string]*serverLoad
 }
 
 const (
-	// serverFade is what is left of a server's counts at each telling.
-	serverFade = 0.8
-	// serverLeast is the count under which a server is forgotten.
-	serverLeast = 0.05
-	// strainedPart is the part of its tries above which a server is strained.
-	strainedPart = 0.1
+	// serverDecay is the factor applied to a server's counts at each report.
+	serverDecay = 0.8
+	// minServerCount is the count below which a server is removed.
+	minServerCount = 0.05
+	// overloadedThreshold is the share of rejected or late attempts above which a
+	// server counts as overloaded.
+	overloadedThreshold = 0.1
 )
 
-// NewCounter makes an empty counter.
-//
-// Example:
-//
-//	counter := shedding.NewCounter()
+// NewCounter returns an empty counter.
 func NewCounter() *Counter {
-	return &Counter{rows: map[cell]*Load{}, servers: map[string]map[string]*strain{}}
+	return &Counter{loads: map[loadKey]*Load{}, servers: map[string]map[string]*serverLoad{}}
 }
 
-func (c *Counter) row(service string, tier Tier) *Load {
-	row := c.rows[cell{service, tier}]
-	if row == nil {
-		row = &Load{Service: service, Tier: tier}
-		c.rows[cell{service, tier}] = row
+func (c *Counter) load(service string, tier Tier) *Load {
+	load := c.loads[loadKey{service, tier}]
+	if load == nil {
+		load = &Load{Service: service, Tier: tier}
+		c.loads[loadKey{service, tier}] = load
 	}
-	return row
+	return load
 }
 
-// Offer counts an inquiry that came in, and whether a cutoff turned it away.
-//
-// Example:
-//
-//	counter.Offer("fees", tier, isKeyed, isShed)
-func (c *Counter) Offer(service string, tier Tier, isKeyed, isShed bool) {
+// CountRequest counts a request that arrived, and whether a cutoff rejected it.
+func (c *Counter) CountRequest(service string, tier Tier, keyed, shed bool) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	row := c.row(service, tier)
-	row.Offered, row.IsKeyed = row.Offered+1, isKeyed
-	if isShed {
-		row.Shed++
+	load := c.load(service, tier)
+	load.Offered, load.Keyed = load.Offered+1, keyed
+	if shed {
+		load.Shed++
 	}
 }
 
-// Shed counts an inquiry that had been offered and was turned away after all.
-//
-// Example:
-//
-//	counter.Shed("fees", tier)
-func (c *Counter) Shed(service string, tier Tier) {
+// CountShed counts a request as rejected that CountRequest counted as admitted.
+func (c *Counter) CountShed(service string, tier Tier) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	c.row(service, tier).Shed++
+	c.load(service, tier).Shed++
 }
 
-// Try counts the end of a try at a server.
-//
-// Example:
-//
-//	counter.Try("fees", tier, "i-7f3a91c2", shedding.Turned)
-func (c *Counter) Try(service string, tier Tier, server string, outcome Outcome) {
+// CountAttempt counts a finished attempt at a server.
+func (c *Counter) CountAttempt(service string, tier Tier, server string, outcome Outcome) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	row := c.row(service, tier)
-	row.Sent++
+	load := c.load(service, tier)
+	load.Sent++
 	switch outcome {
 	case Late:
-		row.Late++
-	case Turned:
-		row.Turned++
+		load.Late++
+	case Rejected:
+		load.Rejected++
 	}
 	if c.servers[service] == nil {
-		c.servers[service] = map[string]*strain{}
+		c.servers[service] = map[string]*serverLoad{}
 	}
-	one := c.servers[service][server]
-	if one == nil {
-		one = &strain{}
-		c.servers[service][server] = one
+	counts := c.servers[service][server]
+	if counts == nil {
+		counts = &serverLoad{}
+		c.servers[service][server] = counts
 	}
-	if one.sent++; outcome != InTime {
-		one.bad++
+	if counts.sent++; outcome != InTime {
+		counts.overloaded++
 	}
 }
 
-// Take is what was counted since the last taking, and whether any of it shows a
-// strain.
-//
-// Example:
-//
-//	loads, isStrained := counter.Take()
-func (c *Counter) Take() (loads []Load, isStrained bool) {
+// Take returns the counts since the last call and resets them. overloaded reports
+// whether any request was rejected or any attempt was rejected or late.
+func (c *Counter) Take() (loads []Load, overloaded bool) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	for _, row := range c.rows {
-		loads = append(loads, *row)
-		isStrained = isStrained || row.Turned+row.Late+row.Shed > 0
+	for _, load := range c.loads {
+		loads = append(loads, *load)
+		overloaded = overloaded || load.Rejected+load.Late+load.Shed > 0
 	}
-	clear(c.rows)
+	clear(c.loads)
 	for _, servers := range c.servers {
-		for id, one := range servers {
-			one.sent, one.bad = one.sent*serverFade, one.bad*serverFade
-			if one.sent < serverLeast {
+		for id, counts := range servers {
+			counts.sent, counts.overloaded = counts.sent*serverDecay, counts.overloaded*serverDecay
+			if counts.sent < minServerCount {
 				delete(servers, id)
 			}
 		}
 	}
-	return loads, isStrained
+	return loads, overloaded
 }
 
-// Strained is the part of a service's servers, of those that this node met lately,
-// that turned inquiries away or were late.
-//
-// Example:
-//
-//	isChanged := floor.Decide(counter.Strained)
-func (c *Counter) Strained(service string) float64 {
+// OverloadedShare returns the share of overloaded servers among those of the service
+// that this node used recently.
+func (c *Counter) OverloadedShare(service string) float64 {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	bad := 0
-	for _, one := range c.servers[service] {
-		if one.bad > strainedPart*one.sent {
-			bad++
+	overloaded := 0
+	for _, counts := range c.servers[service] {
+		if counts.overloaded > overloadedThreshold*counts.sent {
+			overloaded++
 		}
 	}
-	return float64(bad) / float64(max(1, len(c.servers[service])))
+	return float64(overloaded) / float64(max(1, len(c.servers[service])))
 }
 
-// Sum adds loads of the same service and tier together.
-//
-// Example:
-//
-//	pending = shedding.Sum(pending, loads)
-func Sum(a, z []Load) []Load {
-	for _, more := range z {
-		isThere := false
+// Sum adds the loads of b to those of the same service and tier in a.
+func Sum(a, b []Load) []Load {
+	for _, load := range b {
+		found := false
 		for i := range a {
-			if isThere = a[i].Service == more.Service && a[i].Tier == more.Tier; isThere {
-				a[i].Offered, a[i].Shed, a[i].Sent = a[i].Offered+more.Offered, a[i].Shed+more.Shed, a[i].Sent+more.Sent
-				a[i].Turned, a[i].Late = a[i].Turned+more.Turned, a[i].Late+more.Late
-				a[i].IsKeyed = a[i].IsKeyed || more.IsKeyed
+			if found = a[i].Service == load.Service && a[i].Tier == load.Tier; found {
+				a[i].Offered, a[i].Shed, a[i].Sent = a[i].Offered+load.Offered, a[i].Shed+load.Shed, a[i].Sent+load.Sent
+				a[i].Rejected, a[i].Late = a[i].Rejected+load.Rejected, a[i].Late+load.Late
+				a[i].Keyed = a[i].Keyed || load.Keyed
 				break
 			}
 		}
-		if !isThere {
-			a = append(a, more)
+		if !found {
+			a = append(a, load)
 		}
 	}
 	return a
--- a/internal/shedding/gauge.go
+++ b/internal/shedding/gauge.go
@@ -8,243 +8,230 @@
 	"ploverhitch/internal/clock"
 )
 
-// Load is what one node counted of a service and a tier since it last told.
+// Load contains what one node counted for a service and tier since its last report.
 type Load struct {
 	Service string `cbor:"1,keyasint"`
 	Tier    Tier   `cbor:"2,keyasint"`
-	// Offered came in, Shed of them were turned away by a cutoff.
+	// Offered counts the requests that arrived, Shed those that a cutoff rejected.
 	Offered uint32 `cbor:"3,keyasint,omitempty"`
 	Shed    uint32 `cbor:"4,keyasint,omitempty"`
-	// Sent went to servers and were answered; Turned of them were turned away as
-	// the server was full; Late of them took far longer than usual and than the
-	// lane's aim.
-	Sent   uint32 `cbor:"5,keyasint,omitempty"`
-	Turned uint32 `cbor:"6,keyasint,omitempty"`
-	Late   uint32 `cbor:"7,keyasint,omitempty"`
-	// IsKeyed: its inquiries are keyed operations.
-	IsKeyed bool `cbor:"8,keyasint,omitempty"`
+	// Sent counts the attempts that a server answered, Rejected those that it
+	// rejected because it was full, and Late those that took much longer than usual
+	// and longer than the target latency of the route.
+	Sent     uint32 `cbor:"5,keyasint,omitempty"`
+	Rejected uint32 `cbor:"6,keyasint,omitempty"`
+	Late     uint32 `cbor:"7,keyasint,omitempty"`
+	// Keyed reports whether the requests have idempotency keys.
+	Keyed bool `cbor:"8,keyasint,omitempty"`
 }
 
 const (
-	// window is the span that is judged, in so many steps.
+	// window is the time over which loads are evaluated, divided into steps.
 	window = 1500 * time.Millisecond
 	steps  = 6
-	// raiseRest is the least time between two raisings: so long it takes until a
-	// cutoff is everywhere and its effect is seen.
-	raiseRest = 2 * time.Second
-	// calmFirst is how long the service must be calm before the cutoff is lowered,
-	// a third of it lies between two steps; it doubles after each relapse, up to
-	// calmLongest.
-	calmFirst   = 1500 * time.Millisecond
-	calmLongest = 16 * time.Second
-	// turnedMost and lateMost are the shares of what was sent above which a
-	// service is overloaded, calmMost the share under which it is calm.
-	turnedMost = 0.03
-	lateMost   = 0.25
-	calmMost   = 0.02
-	// keyedMost is the share turned away above which keyed tiers are cut too: there,
-	// most of what a server does is to refuse.
-	keyedMost = 0.5
-	// leastSent is how much must have been sent in the window to judge by it.
-	leastSent = 20
-	// firstMost bounds the first raising, as a share of what was carried, and
-	// againMost a further one: while servers turn inquiries of all tiers away, these
-	// come back and make the load seem larger than it is.
-	firstMost = 0.6
-	againMost = 0.2
-	// raiseLeast is the least that one raising turns away of what was carried.
-	raiseLeast = 0.05
-	// carryMore is how much more is carried after one lowering.
-	carryMore = 0.15
-	// fullPart is the part of what the servers carried while they were full up to
-	// which more is let in, until nothing was raised for probeRest.
-	fullPart  = 0.92
-	probeRest = 20 * time.Second
-	// capacityFade is what is left of that measure at the next raising, as servers
-	// may have gone.
-	capacityFade = 0.9
-	// spreadSteps are the steps after a change that are not judged: not every node
-	// had heard of it.
-	spreadSteps = 2
-	// judgedSteps are how many steps after those must have passed.
-	judgedSteps = 3
-	// widePart is the part of the nodes, and of the servers, that must be strained
-	// for an overload of the whole service.
-	widePart = 0.5
+	// raiseInterval is the minimum time between two raises. A cutoff takes this long
+	// to reach all nodes and show an effect.
+	raiseInterval = 2 * time.Second
+	// initialCalm is how long a service must be calm before its cutoff is lowered;
+	// a third of it must pass between two lowerings. It doubles after each relapse,
+	// up to maxCalm.
+	initialCalm = 1500 * time.Millisecond
+	maxCalm     = 16 * time.Second
+	// rejectedThreshold and lateThreshold are the shares of the sent attempts above
+	// which a service is overloaded. Up to calmThreshold, rejected and late together,
+	// it is calm.
+	rejectedThreshold = 0.03
+	lateThreshold     = 0.25
+	calmThreshold     = 0.02
+	// keyedThreshold is the share of rejected attempts above which keyed tiers are
+	// shed too: servers then reject most of the attempts that they receive.
+	keyedThreshold = 0.5
+	// minSent is the number of attempts in the window that an evaluation needs.
+	minSent = 20
+	// maxFirstRaise limits the first raise, as a share of the admitted requests, and
+	// maxNextRaise each further one. While servers reject requests of all tiers,
+	// retries make the load look larger than it is.
+	maxFirstRaise = 0.6
+	maxNextRaise  = 0.2
+	// minRaise is the minimum share of the admitted requests that a raise rejects.
+	minRaise = 0.05
+	// loweringStep is how many more requests one lowering admits, as a share of the
+	// admitted ones.
+	loweringStep = 0.15
+	// capacityLimit is the share of the measured capacity that lowering may use until
+	// probeDelay has passed since the last raise.
+	capacityLimit = 0.92
+	probeDelay    = 20 * time.Second
+	// capacityDecay is the factor applied to the measured capacity at the next raise,
+	// because servers may have left.
+	capacityDecay = 0.9
+	// propagationSteps is the number of steps after a change that are not evaluated,
+	// because not all nodes have received the cutoff yet.
+	propagationSteps = 2
+	// minEvaluatedSteps is how many further steps must pass before the next decision.
+	minEvaluatedSteps = 3
+	// wideShare is the share of the nodes, and of the servers, that must be overloaded
+	// for the whole service to count as overloaded.
+	wideShare = 0.5
 )
 
-// Gauge sums the loads of one node or of all, and decides on the cutoffs. It has
-// one owner.
+// Gauge collects the loads of one node or of all nodes and decides on the cutoffs.
+// It is not safe for concurrent use.
 type Gauge struct {
-	clock   clock.Clock
-	columns map[string]*column
-	step    int64
-	number  uint64
-	seed    func() uint64
+	clock      clock.Clock
+	services   map[string]*serviceState
+	step       int64
+	lastNumber uint64
+	newSeed    func() uint64
 }
 
-// NewGauge makes a gauge with no cutoff; seed gives the seed of each overload.
-//
-// Example:
-//
-//	gauge := shedding.NewGauge(clock, rand.Uint64)
-func NewGauge(clock clock.Clock, seed func() uint64) *Gauge {
-	return &Gauge{clock: clock, columns: map[string]*column{}, seed: seed}
+// NewGauge returns a gauge without cutoffs. newSeed returns the seed for a new
+// overload.
+func NewGauge(clock clock.Clock, newSeed func() uint64) *Gauge {
+	return &Gauge{clock: clock, services: map[string]*serviceState{}, newSeed: newSeed}
 }
 
-// Hold goes on from the cutoffs of an earlier holder.
-//
-// Example:
-//
-//	gauge.Hold(fleet.Cutoffs)
-func (g *Gauge) Hold(cutoffs []Cutoff) {
+// Restore continues from the cutoffs of an earlier leader.
+func (g *Gauge) Restore(cutoffs []Cutoff) {
 	now := g.clock.Monotonic()
 	for _, cutoff := range cutoffs {
-		c := g.column(cutoff.Service)
-		c.cutoff, c.isOn, c.since, c.calmAt = cutoff, true, now, now
-		g.number = max(g.number, cutoff.Number)
+		state := g.stateOf(cutoff.Service)
+		state.cutoff, state.active, state.changedAt, state.calmSince = cutoff, true, now, now
+		g.lastNumber = max(g.lastNumber, cutoff.Number)
 	}
 }
 
-func (g *Gauge) column(service string) *column {
-	c := g.columns[service]
-	if c == nil {
-		c = &column{calm: calmFirst, calmAt: g.clock.Monotonic()}
-		g.columns[service] = c
+func (g *Gauge) stateOf(service string) *serviceState {
+	state := g.services[service]
+	if state == nil {
+		state = &serviceState{requiredCalm: initialCalm, calmSince: g.clock.Monotonic()}
+		g.services[service] = state
 	}
-	return c
+	return state
 }
 
-// Hear takes what a node counted.
-//
-// Example:
-//
-//	gauge.Hear(report.Node, report.Loads)
-func (g *Gauge) Hear(node string, loads []Load) {
-	g.turn()
+// Add adds the loads that a node counted.
+func (g *Gauge) Add(node string, loads []Load) {
+	g.advance()
 	for _, load := range loads {
-		c := g.column(load.Service)
-		at := &c.rows[g.step%steps]
-		if *at == nil {
-			*at = map[string][]Load{}
+		state := g.stateOf(load.Service)
+		loadsByNode := &state.loads[g.step%steps]
+		if *loadsByNode == nil {
+			*loadsByNode = map[string][]Load{}
 		}
-		(*at)[node] = append((*at)[node], load)
+		(*loadsByNode)[node] = append((*loadsByNode)[node], load)
 	}
 }
 
-// turn moves to the present step of the window, and empties those passed.
-func (g *Gauge) turn() {
+// advance moves to the current step of the window and clears the steps since the
+// last call.
+func (g *Gauge) advance() {
 	now := int64(g.clock.Monotonic() / clock.Instant(window/steps))
-	for passed := 0; g.step < now && passed < steps; passed++ {
+	for advanced := 0; g.step < now && advanced < steps; advanced++ {
 		g.step++
-		for _, c := range g.columns {
-			c.rows[g.step%steps] = nil
+		for _, state := range g.services {
+			state.loads[g.step%steps] = nil
 		}
 	}
 	g.step = now
 }
 
-// Cutoffs are those in force, in the order of their services.
-//
-// Example:
-//
-//	fleet.Cutoffs = gauge.Cutoffs()
+// Cutoffs returns the cutoffs in force, sorted by service.
 func (g *Gauge) Cutoffs() (out []Cutoff) {
-	for _, service := range slices.Sorted(maps.Keys(g.columns)) {
-		if c := g.columns[service]; c.isOn {
-			out = append(out, c.cutoff)
+	for _, service := range slices.Sorted(maps.Keys(g.services)) {
+		if state := g.services[service]; state.active {
+			out = append(out, state.cutoff)
 		}
 	}
 	return out
 }
 
-// Decide looks at every service, and raises or lowers its cutoff; strained tells
-// which part of a service's servers turn inquiries away or are late with them.
-//
-// Example:
-//
-//	isChanged := gauge.Decide(court.Strained)
-func (g *Gauge) Decide(strained func(service string) float64) (isChanged bool) {
-	g.turn()
+// Decide raises or lowers the cutoff of each service where its load requires it, and
+// reports whether any cutoff changed. overloadedShare returns the share of a
+// service's servers that reject requests or answer them late.
+func (g *Gauge) Decide(overloadedShare func(service string) float64) (changed bool) {
+	g.advance()
 	now := g.clock.Monotonic()
-	for _, service := range slices.Sorted(maps.Keys(g.columns)) {
-		c := g.columns[service]
-		if g.step-c.changed < spreadSteps+judgedSteps {
+	for _, service := range slices.Sorted(maps.Keys(g.services)) {
+		state := g.services[service]
+		if g.step-state.changedStep < propagationSteps+minEvaluatedSteps {
 			continue
 		}
-		t := c.sum(g.judged(c), g.step)
-		isJudged := t.sent >= leastSent
-		isOver := isJudged && (t.turned > turnedMost*t.sent || t.late > lateMost*t.sent)
-		isWide := float64(t.strained) >= widePart*float64(max(1, t.nodes))
+		t := state.totals(g.firstEvaluatedStep(state), g.step)
+		conclusive := t.sent >= minSent
+		overloaded := conclusive && (t.rejected > rejectedThreshold*t.sent || t.late > lateThreshold*t.sent)
+		widespread := float64(t.overloadedNodes) >= wideShare*float64(max(1, t.nodes))
 		switch {
-		case isOver && isWide && strained(service) >= widePart:
-			c.calmAt = now
-			if !c.isOn || time.Duration(now-c.since) >= raiseRest {
-				isChanged = g.raise(service, c, t) || isChanged
+		case overloaded && widespread && overloadedShare(service) >= wideShare:
+			state.calmSince = now
+			if !state.active || time.Duration(now-state.changedAt) >= raiseInterval {
+				changed = g.raise(service, state, t) || changed
 			}
-		case !c.isOn:
-		case isJudged && t.turned+t.late > calmMost*t.sent:
-			c.calmAt = now
-		case time.Duration(now-c.calmAt) >= c.calm && time.Duration(now-c.since) >= c.calm/3:
-			isChanged = g.lower(c, t) || isChanged
+		case !state.active:
+		case conclusive && t.rejected+t.late > calmThreshold*t.sent:
+			state.calmSince = now
+		case time.Duration(now-state.calmSince) >= state.requiredCalm && time.Duration(now-state.changedAt) >= state.requiredCalm/3:
+			changed = g.lower(state, t) || changed
 		}
 	}
-	return isChanged
+	return changed
 }
 
-// raise turns away as much of what is carried as the servers turned away, or half
-// as much as they were late with.
-func (g *Gauge) raise(service string, c *column, t tally) bool {
+// raise increases the rejected share of the admitted requests by the larger of the
+// rejected share and half of the late share of the attempts.
+func (g *Gauge) raise(service string, state *serviceState, t windowTotals) bool {
 	now := g.clock.Monotonic()
-	if c.isLowered && time.Duration(now-c.since) < 2*c.calm {
-		c.calm = min(2*c.calm, calmLongest)
+	if state.lastLowered && time.Duration(now-state.changedAt) < 2*state.requiredCalm {
+		state.requiredCalm = min(2*state.requiredCalm, maxCalm)
 	}
-	flows, most := c.flows(g.judged(c)), againMost
-	if !c.isOn {
-		c.cutoff, most = Cutoff{Service: service, Seed: g.seed(), Tier: Tier(len(flows))}, firstMost
+	flows, maxShare := state.tierFlows(g.firstEvaluatedStep(state)), maxNextRaise
+	if !state.active {
+		state.cutoff, maxShare = Cutoff{Service: service, Seed: g.newSeed(), Tier: Tier(len(flows))}, maxFirstRaise
 	}
-	// Keyed operations that come late, or that a server turns away now and then, are
-	// still better than ones that every node refuses until the cutoff falls.
-	mayCutKeyed := t.turned > keyedMost*t.sent
-	next := c.above(min(most, max(raiseLeast, t.turned/t.sent, t.late/t.sent/2)), flows, mayCutKeyed)
-	if next.Height(len(flows)) <= max(0, c.cutoff.Height(len(flows))) {
+	// Keyed operations that complete late or that a server sometimes rejects are
+	// better than ones that every node rejects until the cutoff is lowered.
+	shedKeyed := t.rejected > keyedThreshold*t.sent
+	next := state.raisedCutoff(min(maxShare, max(minRaise, t.rejected/t.sent, t.late/t.sent/2)), flows, shedKeyed)
+	if next.Level(len(flows)) <= max(0, state.cutoff.Level(len(flows))) {
 		return false
 	}
-	c.isOn, c.isLowered, c.since, c.raisedAt = true, false, now, now
-	// A raising that followed on another saw less than the servers carry.
-	c.capacity = max(capacityFade*c.capacity, (t.sent-t.turned)/g.span(c))
-	g.put(c, next)
+	state.active, state.lastLowered, state.changedAt, state.raisedAt = true, false, now, now
+	// A raise soon after another one measures less than the capacity of the servers.
+	state.capacity = max(capacityDecay*state.capacity, (t.sent-t.rejected)/g.evaluatedSeconds(state))
+	g.setCutoff(state, next)
 	return true
 }
 
-// lower lets some of those in that are turned away.
-func (g *Gauge) lower(c *column, t tally) bool {
-	now, carried := g.clock.Monotonic(), (t.offered-t.shed)/g.span(c)
-	if time.Duration(now-c.raisedAt) < probeRest && carried*(1+carryMore) > fullPart*c.capacity {
+// lower admits some of the rejected requests.
+func (g *Gauge) lower(state *serviceState, t windowTotals) bool {
+	now, admittedRate := g.clock.Monotonic(), (t.offered-t.shed)/g.evaluatedSeconds(state)
+	if time.Duration(now-state.raisedAt) < probeDelay && admittedRate*(1+loweringStep) > capacityLimit*state.capacity {
 		return false
 	}
-	c.since, c.isLowered = now, true
-	next, isNone := c.below(carryMore, c.flows(g.judged(c)))
-	if isNone {
-		c.isOn = false
-		g.number++
+	state.changedAt, state.lastLowered = now, true
+	next, none := state.loweredCutoff(loweringStep, state.tierFlows(g.firstEvaluatedStep(state)))
+	if none {
+		state.active = false
+		g.lastNumber++
 		return true
 	}
-	g.put(c, next)
+	g.setCutoff(state, next)
 	return true
 }
 
-// judged is the first step by which a service is judged: of those before, some
-// nodes had not heard of the cutoff.
-func (g *Gauge) judged(c *column) int64 { return max(g.step-steps, c.changed+spreadSteps) + 1 }
+// firstEvaluatedStep returns the first step to evaluate. In earlier ones, some nodes
+// had not received the cutoff yet.
+func (g *Gauge) firstEvaluatedStep(state *serviceState) int64 {
+	return max(g.step-steps, state.changedStep+propagationSteps) + 1
+}
 
-// span is how many seconds are judged.
-func (g *Gauge) span(c *column) float64 {
-	return float64(g.step-g.judged(c)+1) * (window / steps).Seconds()
+// evaluatedSeconds returns the length of the evaluated steps.
+func (g *Gauge) evaluatedSeconds(state *serviceState) float64 {
+	return float64(g.step-g.firstEvaluatedStep(state)+1) * (window / steps).Seconds()
 }
 
-func (g *Gauge) put(c *column, next Cutoff) {
-	g.number++
-	next.Number = g.number
-	c.cutoff, c.changed = next, g.step
+func (g *Gauge) setCutoff(state *serviceState, next Cutoff) {
+	g.lastNumber++
+	next.Number = g.lastNumber
+	state.cutoff, state.changedStep = next, g.step
 }
--- a/internal/shedding/shedding_test.go
+++ b/internal/shedding/shedding_test.go
@@ -18,57 +18,57 @@
 }
 
 var _ = Describe("the order of tiers", func() {
-	It("goes by priority, and among equals keeps keyed lanes, then reads, then bulk", func() {
-		order := shedding.Arrange(shedding.Plan{}, lanes)
+	It("follows priority, and within a priority rejects bulk routes first, then reads, then keyed routes", func() {
+		order := shedding.NewOrder(shedding.Plan{}, routes)
 		var names []string
-		for _, rung := range order.Rungs() {
-			names = append(names, rung.Lanes...)
+		for _, tier := range order.Tiers() {
+			names = append(names, tier.Routes...)
 		}
 		Expect(names).To(Equal([]string{"release", "urgent", "page", "pack"}))
 	})
 
-	It("is the same however the lanes are listed", func() {
+	It("does not depend on the order in which the routes are listed", func() {
 		random := rand.New(rand.NewPCG(1, 2))
 		plan := shedding.Plan{Name: "p", Tiers: []shedding.PlanTier{{Name: "gold", Order: 1, Hosts: []string{"B"}}, {Name: "rest", Order: 2, Hosts: []string{"a"}}}}
-		var all []shedding.Lane
+		var all []shedding.Route
 		for number := range 30 {
-			all = append(all, shedding.Lane{Name: fmt.Sprint("l", number), Host: []string{"a", "b", "c"}[number%3], Priority: number % 4, Kind: shedding.Kind(number % 4)})
+			all = append(all, shedding.Route{Name: fmt.Sprint("l", number), Host: []string{"a", "b", "c"}[number%3], Priority: number % 4, Kind: shedding.Kind(number % 4)})
 		}
-		want := shedding.Arrange(plan, all).Rungs()
+		want := shedding.NewOrder(plan, all).Tiers()
 		for range 20 {
 			random.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-			Expect(shedding.Arrange(plan, all).Rungs()).To(Equal(want))
+			Expect(shedding.NewOrder(plan, all).Tiers()).To(Equal(want))
 		}
 		Expect(want[0].Plan).To(Equal("gold"))
 	})
 
-	It("puts no keyed lane after a bulk one, whatever has become of the lanes", func() {
+	It("puts no keyed route after a bulk one, even if the routes changed after the plan was checked", func() {
 		plan := shedding.Plan{Name: "p", Tiers: []shedding.PlanTier{{Name: "gold", Order: 1, Hosts: []string{"a"}}}}
-		order := shedding.Arrange(plan, []shedding.Lane{{Name: "pack", Host: "a", Kind: shedding.Bulk}, {Name: "fee", Host: "z", Kind: shedding.Keyed}})
+		order := shedding.NewOrder(plan, []shedding.Route{{Name: "pack", Host: "a", Kind: shedding.Bulk}, {Name: "fee", Host: "z", Kind: shedding.Keyed}})
 		Expect(order.TierOf("fee")).To(BeNumerically("<", order.TierOf("pack")))
 	})
 
-	DescribeTable("a plan that is wrong is refused by name",
+	DescribeTable("rejects an invalid plan and names the fault",
 		func(plan shedding.Plan, reason string) {
 			plan.Name = "p"
-			Expect(plan.Check(append(lanes, shedding.Lane{Name: "far", Host: "z", Kind: shedding.Bulk}))).To(MatchError(ContainSubstring(reason)))
+			Expect(plan.Check(append(routes, shedding.Route{Name: "far", Host: "z", Kind: shedding.Bulk}))).To(MatchError(ContainSubstring(reason)))
 		},
 		Entry("no tiers", shedding.Plan{}, "Tiers"),
 		Entry("an unknown host", shedding.Plan{Tiers: []shedding.PlanTier{{Name: "a", Order: 1, Hosts: []string{"q"}}}}, "host q"),
-		Entry("an unknown lane", shedding.Plan{Tiers: []shedding.PlanTier{{Name: "a", Order: 1, Lanes: []string{"q"}}}}, "lane q"),
-		Entry("a lane in two tiers", shedding.Plan{Tiers: []shedding.PlanTier{{Name: "a", Order: 1, Lanes: []string{"page"}}, {Name: "b", Order: 2, Lanes: []string{"page"}}}}, "lane page"),
-		Entry("one order twice", shedding.Plan{Tiers: []shedding.PlanTier{{Name: "a", Order: 1}, {Name: "b", Order: 1}}}, "tiers a and b"),
-		Entry("a gap", shedding.Plan{Tiers: []shedding.PlanTier{{Name: "a", Order: 1}, {Name: "b", Order: 3}}}, "tier of order 2"),
-		Entry("a keyed lane after a bulk one", shedding.Plan{Tiers: []shedding.PlanTier{{Name: "a", Order: 1, Hosts: []string{"z"}}}}, "keyed lane release"),
+		Entry("an unknown route", shedding.Plan{Tiers: []shedding.PlanTier{{Name: "a", Order: 1, Routes: []string{"q"}}}}, "route q"),
+		Entry("a route in two tiers", shedding.Plan{Tiers: []shedding.PlanTier{{Name: "a", Order: 1, Routes: []string{"page"}}, {Name: "b", Order: 2, Routes: []string{"page"}}}}, "route page"),
+		Entry("two tiers of the same order", shedding.Plan{Tiers: []shedding.PlanTier{{Name: "a", Order: 1}, {Name: "b", Order: 1}}}, "tiers a and b"),
+		Entry("a gap in the orders", shedding.Plan{Tiers: []shedding.PlanTier{{Name: "a", Order: 1}, {Name: "b", Order: 3}}}, "tier of order 2"),
+		Entry("a keyed route after a bulk one", shedding.Plan{Tiers: []shedding.PlanTier{{Name: "a", Order: 1, Hosts: []string{"z"}}}}, "keyed route release"),
 	)
 })
 
 var _ = Describe("a cutoff", func() {
-	It("only adds when it is raised and only lets in when it is lowered", func() {
+	It("rejects all requests of the lower cutoff when it is raised, and no new ones when it is lowered", func() {
 		const tiers = 4
-		low := shedding.Cutoff{Seed: 7, Tier: 3, Part: 0.4}
-		for _, high := range []shedding.Cutoff{{Seed: 7, Tier: 3, Part: 0.9}, {Seed: 7, Tier: 2, Part: 0.1}} {
-			Expect(high.Height(tiers)).To(BeNumerically(">", low.Height(tiers)))
+		low := shedding.Cutoff{Seed: 7, Tier: 3, Fraction: 0.4}
+		for _, high := range []shedding.Cutoff{{Seed: 7, Tier: 3, Fraction: 0.9}, {Seed: 7, Tier: 2, Fraction: 0.1}} {
+			Expect(high.Level(tiers)).To(BeNumerically(">", low.Level(tiers)))
 			shed := 0
 			for number := range 4000 {
 				tier, name := shedding.Tier(number%tiers), fmt.Sprint("k", number)
@@ -82,119 +82,121 @@
 	})
 })
 
-// overload runs a world at the load for some seconds.
-func (w *world) run(load float64, span time.Duration) {
-	for end := w.hand.Now + span; w.hand.Now < end; {
-		w.step(load)
+// run simulates the load for the duration.
+func (sim *simulation) run(load float64, span time.Duration) {
+	for end := sim.clock.Now + span; sim.clock.Now < end; {
+		sim.step(load)
 	}
 }
 
-// disagreements counts, over many names, those on which nodes that work by one
-// cutoff differ.
-func (w *world) disagreements() (count int) {
+// disagreements counts the sampled names for which nodes with the same cutoff decide
+// differently.
+func (sim *simulation) disagreements() (count int) {
 	for number := range 600 {
-		said, lane := map[uint64]bool{}, lanes[1+number%3].Name
-		for _, n := range w.nodes {
-			of := uint64(0)
+		decisions, route := map[uint64]bool{}, routes[1+number%3].Name
+		for _, n := range sim.nodes {
+			version := uint64(0)
 			for _, cutoff := range n.cutoffs {
-				of = cutoff.Number
+				version = cutoff.Number
 			}
-			isShed := w.verdict(n, lane, fmt.Sprint("name", number))
-			if before, isKnown := said[of]; isKnown && before != isShed {
+			rejected := sim.rejects(n, route, fmt.Sprint("name", number))
+			if before, known := decisions[version]; known && before != rejected {
 				count++
 				break
 			}
-			said[of] = isShed
+			decisions[version] = rejected
 		}
 	}
 	return count
 }
 
 var _ = Describe("an overload of the whole cluster", func() {
-	// rush is 2.5 times the capacity, with something that goes wrong in the middle.
-	rush := func(seed uint64, middle func(*world)) *world {
-		w := newWorld(seed, 12)
-		w.run(0.7, 4*time.Second)
-		w.run(2.5, 4*time.Second)
-		middle(w)
+	// overload simulates 2.5 times the capacity, with a fault in the middle.
+	overload := func(seed uint64, fault func(*simulation)) *simulation {
+		sim := newSimulation(seed, 12)
+		sim.run(0.7, 4*time.Second)
+		sim.run(2.5, 4*time.Second)
+		fault(sim)
 		for range 12 {
-			w.run(2.5, time.Second)
-			if !w.isCut {
-				Expect(w.disagreements()).To(BeZero(), "seed %d", seed)
+			sim.run(2.5, time.Second)
+			if !sim.partitioned {
+				Expect(sim.disagreements()).To(BeZero(), "seed %d", seed)
 			}
 		}
-		for key, runs := range w.ran {
+		for key, runs := range sim.executions {
 			Expect(runs).To(Equal(1), "seed %d: %s", seed, key)
 		}
-		return w
+		return sim
 	}
-	middles := map[string]func(*world){
-		"nothing more": func(*world) {},
-		"the holder is lost": func(w *world) {
-			w.holder = shedding.NewGauge(w.hand, w.random.Uint64)
-			w.holder.Hold(w.heard(0))
+	faults := map[string]func(*simulation){
+		"nothing else fails": func(*simulation) {},
+		"the leader is replaced": func(sim *simulation) {
+			sim.leader = shedding.NewGauge(sim.clock, sim.random.Uint64)
+			sim.leader.Restore(sim.cutoffsAfter(0))
 		},
-		"the holder is lost with all that it told": func(w *world) { w.holder = shedding.NewGauge(w.hand, w.random.Uint64) },
-		"the core is cut off for a while": func(w *world) {
-			w.isCut = true
-			w.run(2.5, 5*time.Second)
-			w.isCut = false
+		"the leader and its published cutoffs are lost": func(sim *simulation) { sim.leader = shedding.NewGauge(sim.clock, sim.random.Uint64) },
+		"the control plane is unreachable for 5 seconds": func(sim *simulation) {
+			sim.partitioned = true
+			sim.run(2.5, 5*time.Second)
+			sim.partitioned = false
 		},
-		"half of the nodes start anew": func(w *world) {
-			for number := range len(w.nodes) / 2 {
-				w.nodes[number] = w.newNode()
+		"half of the nodes restart": func(sim *simulation) {
+			for number := range len(sim.nodes) / 2 {
+				sim.nodes[number] = sim.newNode()
 			}
 		},
-		"news come late": func(w *world) {
-			for _, n := range w.nodes {
+		"updates arrive late": func(sim *simulation) {
+			for _, n := range sim.nodes {
 				n.delay += 10 * tick
 			}
 		},
 	}
-	for name, middle := range middles {
-		It("refuses the last tiers, runs each key once, and keeps the first ones in time, though "+name, func() {
+	for name, fault := range faults {
+		It("rejects the last tiers, executes each key once, and serves the first tiers in time when "+name, func() {
 			for seed := range uint64(4) {
-				w := rush(seed, middle)
-				for _, c := range w.counts {
+				sim := overload(seed, fault)
+				for _, c := range sim.counts {
 					*c = count{}
 				}
-				w.run(2.5, 10*time.Second)
-				share := func(lane string) float64 { return float64(w.counts[lane].served) / float64(w.counts[lane].asked) }
+				sim.run(2.5, 10*time.Second)
+				share := func(route string) float64 {
+					return float64(sim.counts[route].served) / float64(sim.counts[route].requested)
+				}
 				Expect(share("release")).To(BeNumerically(">", 0.97), "seed %d", seed)
 				Expect(share("urgent")).To(BeNumerically(">", 0.9), "seed %d", seed)
 				Expect(share("pack")).To(BeNumerically("<", 0.3), "seed %d", seed)
-				urgent := w.counts["urgent"]
+				urgent := sim.counts["urgent"]
 				Expect(float64(urgent.late)/float64(urgent.served)).To(BeNumerically("<", 0.15), "seed %d", seed)
 			}
 		})
 	}
 
-	It("is over without a to and fro", func() {
+	It("ends without the cutoff oscillating", func() {
 		for seed := range uint64(6) {
-			w := rush(seed, func(*world) {})
-			w.run(0.7, 3*time.Second)
+			sim := overload(seed, func(*simulation) {})
+			sim.run(0.7, 3*time.Second)
 			raises, last := 0, 4.0
 			for range 400 {
-				w.run(0.7, tick)
-				height := 0.0
-				for _, cutoff := range w.holder.Cutoffs() {
-					height = cutoff.Height(4)
+				sim.run(0.7, tick)
+				level := 0.0
+				for _, cutoff := range sim.leader.Cutoffs() {
+					level = cutoff.Level(4)
 				}
-				if height > last+1e-9 {
+				if level > last+1e-9 {
 					raises++
 				}
-				last = height
+				last = level
 			}
 			Expect(raises).To(BeNumerically("<=", 1), "seed %d", seed)
-			Expect(w.holder.Cutoffs()).To(BeEmpty(), "seed %d", seed)
+			Expect(sim.leader.Cutoffs()).To(BeEmpty(), "seed %d", seed)
 		}
 	})
 
-	It("leaves nodes that each measure alone at odds: the check can fail", func() {
-		w := newWorld(1, 12)
-		w.isAlone = true
-		w.run(0.7, 4*time.Second)
-		w.run(2.5, 6*time.Second)
-		Expect(w.disagreements()).To(BeNumerically(">", 10))
+	It("makes nodes disagree that each apply their own gauge, which shows that the check can fail", func() {
+		sim := newSimulation(1, 12)
+		sim.localOnly = true
+		sim.run(0.7, 4*time.Second)
+		sim.run(2.5, 6*time.Second)
+		Expect(sim.disagreements()).To(BeNumerically(">", 10))
 	})
 })
--- a/internal/storage/disk.go
+++ b/internal/storage/disk.go
@@ -1,5 +1,5 @@
-// Package storage keeps a process's records on disk: a log in segments, with
-// checkpoints beside it. A record is kept once Append has returned.
+// Package storage stores a process's records on disk in a segmented log with
+// checkpoints. A record is durable once Append has returned without an error.
 package storage
 
 import (
@@ -10,47 +10,44 @@
 	"github.com/juju/errors"
 )
 
-// File is one open file that grows at its end.
+// File is an open file to which data is appended.
 type File interface {
 	io.Writer
 	Sync() error
 	Close() error
 }
 
-// Disk is the folder that a log lives in; tests have one that loses power.
+// Disk is the directory that contains a log. Tests use an implementation that simulates
+// loss of power.
 type Disk interface {
 	List() ([]string, error)
 	// Open opens a file for reading.
 	Open(name string) (io.ReadCloser, error)
-	// Create makes an empty file in place of any of that name. That it is there,
-	// like a renaming or a removal, lasts only once the folder is synced.
+	// Create creates an empty file and replaces any file of that name. Like a rename or
+	// a removal, this is durable only once the directory is synced.
 	Create(name string) (File, error)
-	// Truncate cuts a file and syncs it, at the size that it has, too.
+	// Truncate truncates and syncs a file, even if it already has the given size.
 	Truncate(name string, size int64) error
 	Rename(from, to string) error
 	Remove(name string) error
-	// SyncFolder makes last what was made, renamed and removed before.
-	SyncFolder() error
+	// SyncDir makes all earlier creations, renames and removals durable.
+	SyncDir() error
 }
 
-type folder string
+type directory string
 
-// Folder is a disk's folder, made if it is not there.
-//
-// Example:
-//
-//	disk, err := storage.Folder("/var/lib/ploverhitch")
-func Folder(path string) (Disk, error) {
+// OpenDir returns the directory at the path as a Disk and creates it if necessary.
+func OpenDir(path string) (Disk, error) {
 	if err := os.MkdirAll(path, 0o755); err != nil {
-		return nil, errors.Annotate(err, "data folder")
+		return nil, errors.Annotate(err, "create data directory")
 	}
-	return folder(path), nil
+	return directory(path), nil
 }
 
-func (f folder) at(name string) string { return filepath.Join(string(f), name) }
+func (d directory) path(name string) string { return filepath.Join(string(d), name) }
 
-func (f folder) SyncFolder() error {
-	dir, err := os.Open(string(f))
+func (d directory) SyncDir() error {
+	dir, err := os.Open(string(d))
 	if err != nil {
 		return errors.Trace(err)
 	}
@@ -58,8 +55,8 @@
 	return errors.Trace(dir.Sync())
 }
 
-func (f folder) List() (names []string, err error) {
-	entries, err := os.ReadDir(string(f))
+func (d directory) List() (names []string, err error) {
+	entries, err := os.ReadDir(string(d))
 	for _, entry := range entries {
 		if !entry.IsDir() {
 			names = append(names, entry.Name())
@@ -68,18 +65,18 @@
 	return names, errors.Trace(err)
 }
 
-func (f folder) Open(name string) (io.ReadCloser, error) {
-	file, err := os.Open(f.at(name))
+func (d directory) Open(name string) (io.ReadCloser, error) {
+	file, err := os.Open(d.path(name))
 	return file, errors.Trace(err)
 }
 
-func (f folder) Create(name string) (File, error) {
-	file, err := os.OpenFile(f.at(name), os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o644)
+func (d directory) Create(name string) (File, error) {
+	file, err := os.OpenFile(d.path(name), os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o644)
 	return file, errors.Trace(err)
 }
 
-func (f folder) Truncate(name string, size int64) error {
-	file, err := os.OpenFile(f.at(name), os.O_WRONLY, 0)
+func (d directory) Truncate(name string, size int64) error {
+	file, err := os.OpenFile(d.path(name), os.O_WRONLY, 0)
 	if err != nil {
 		return errors.Trace(err)
 	}
@@ -90,8 +87,8 @@
 	return errors.Trace(file.Sync())
 }
 
-func (f folder) Rename(from, to string) error {
-	return errors.Trace(os.Rename(f.at(from), f.at(to)))
+func (d directory) Rename(from, to string) error {
+	return errors.Trace(os.Rename(d.path(from), d.path(to)))
 }
 
-func (f folder) Remove(name string) error { return errors.Trace(os.Remove(f.at(name))) }
+func (d directory) Remove(name string) error { return errors.Trace(os.Remove(d.path(name))) }
--- a/internal/storage/ballast_test.go
+++ b/internal/storage/storage_test.go
@@ -13,9 +13,9 @@
 	"ploverhitch/internal/storage"
 )
 
-func TestBallast(t *testing.T) {
+func TestStorage(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "ballast")
+	RunSpecs(t, "storage")
 }
 
 func open(disk storage.Disk) (*storage.Log, []string, error) {
@@ -28,55 +28,55 @@
 }
 
 var _ = Describe("the log", func() {
-	It("keeps what Append returned for, through losses of power and refusing disks", func() {
+	It("keeps all records that Append acknowledged, despite losses of power and failing writes", func() {
 		for seed := range uint64(150) {
 			random := rand.New(rand.NewPCG(seed, 7))
 			disk := standin.NewDisk(random)
 			log, _, err := open(disk)
 			Expect(err).NotTo(HaveOccurred())
-			// The plain model: all that was offered, and how much of it is kept.
+			// The model: all appended records, and how many of them are acknowledged.
 			var offered []string
-			kept := 0
+			acknowledged := 0
 			for step := range 120 {
-				switch draw := random.IntN(20); {
-				case draw < 14:
+				switch choice := random.IntN(20); {
+				case choice < 14:
 					offered = append(offered, strconv.Itoa(step))
 					disk.IsRefusing = random.IntN(6) == 0
 					var batch [][]byte
-					for _, record := range offered[kept:] {
+					for _, record := range offered[acknowledged:] {
 						batch = append(batch, []byte(record))
 					}
 					if log.Append(batch) == nil {
-						kept = len(offered)
+						acknowledged = len(offered)
 					}
 					disk.IsRefusing = false
-				case draw < 16 && kept == len(offered):
-					if write, err := log.Roll(); err == nil {
+				case choice < 16 && acknowledged == len(offered):
+					if write, err := log.StartCheckpoint(); err == nil {
 						var all [][]byte
 						for _, record := range offered {
 							all = append(all, []byte(record))
 						}
 						Expect(write(slices.Values(all))).To(Succeed())
 					}
-				case draw >= 17:
-					// A loss of power, or only a kill: then all that was
-					// written is there, and no more certain than before.
-					if draw >= 18 {
+				case choice >= 17:
+					// A loss of power, or only a kill, after which all written
+					// data is present but unsynced data is still not durable.
+					if choice >= 18 {
 						disk.LosePower()
 					}
 					var read []string
 					log, read, err = open(disk)
 					Expect(err).NotTo(HaveOccurred())
 					Expect(log.Damages()).To(BeEmpty())
-					Expect(len(read)).To(BeNumerically(">=", kept))
+					Expect(len(read)).To(BeNumerically(">=", acknowledged))
 					Expect(read).To(HaveExactElements(offered[:len(read)]))
-					offered, kept = offered[:len(read)], len(read)
+					offered, acknowledged = offered[:len(read)], len(read)
 				}
 			}
 		}
 	})
 
-	It("reports records that were kept and cannot be read", func() {
+	It("reports durable records that cannot be read", func() {
 		disk := standin.NewDisk(rand.New(rand.NewPCG(1, 1)))
 		log, _, err := open(disk)
 		Expect(err).NotTo(HaveOccurred())
@@ -90,7 +90,7 @@
 		Expect(log.Damages()[0].File).To(Equal("segment-0000000000000001"))
 		Expect(read).To(BeEmpty())
 		Expect(log.Append([][]byte{[]byte("three")})).To(Succeed())
-		write, err := log.Roll()
+		write, err := log.StartCheckpoint()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(write(slices.Values([][]byte{[]byte("three")}))).To(Succeed())
 		log, read, err = open(disk)
@@ -99,13 +99,13 @@
 		Expect(read).To(Equal([]string{"three"}))
 	})
 
-	It("works on a real folder", func() {
-		disk, err := storage.Folder(GinkgoT().TempDir())
+	It("works in a real directory", func() {
+		disk, err := storage.OpenDir(GinkgoT().TempDir())
 		Expect(err).NotTo(HaveOccurred())
 		log, _, err := open(disk)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(log.Append([][]byte{[]byte("kept")})).To(Succeed())
-		write, err := log.Roll()
+		write, err := log.StartCheckpoint()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(log.Append([][]byte{[]byte("later")})).To(Succeed())
 		Expect(write(slices.Values([][]byte{[]byte("checkpoint")}))).To(Succeed())
