--- a/cmd/measure/measures.go
+++ b/cmd/measure/measures.go
@@ -181,7 +181,7 @@
 }
 
 func cutoff(size int) result {
-	gauge := shedding.NewGauge(clock.Real(), func() uint64 { return 1 })
+	gauge := shedding.NewController(clock.Real(), func() uint64 { return 1 })
 	loads := []shedding.Load{{Service: "a", Offered: 9, Sent: 9, Rejected: 3}, {Service: "b", Tier: 1, Offered: 9, Sent: 9}}
 	return result{size * written(loads), repeated(func() {
 		for proxy := range size {
--- a/internal/balancer/server_set.go
+++ b/internal/balancer/server_set.go
@@ -40,7 +40,7 @@
 		next.byID[server.ID] = endpoint
 		switch {
 		case !server.IsReady || server.Admission == feed.Blocked:
-		case server.Admission == feed.OnTrial:
+		case server.Admission == feed.Canary:
 			byService[canaryName(server.Service)] = append(byService[canaryName(server.Service)], endpoint)
 		default:
 			byService[server.Service] = append(byService[server.Service], endpoint)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -110,14 +110,14 @@
 				second.Merge(sent[at : at+1])
 			}
 			Expect(second.Digest()).To(Equal(first.Digest()))
-			for id, held := range first {
+			for id, expected := range first {
 				highest := config.Version(0)
 				for _, item := range sent {
 					if item.ID == id {
 						highest = max(highest, item.Version)
 					}
 				}
-				Expect(held.Version).To(Equal(highest))
+				Expect(expected.Version).To(Equal(highest))
 			}
 		}
 	})
--- a/internal/config/routing_table.go
+++ b/internal/config/routing_table.go
@@ -30,11 +30,11 @@
 func (r *Route) Repeatable() bool { return r.RouteType == Safe || r.RouteType == Download }
 
 // Pick chooses the route's service by weight for a random number between 0 and 1.
-func (r *Route) Pick(draw float64) string {
+func (r *Route) Pick(point float64) string {
 	if len(r.TrafficSplit) == 0 {
 		return r.Service
 	}
-	remaining := draw * r.totalWeight
+	remaining := point * r.totalWeight
 	for _, share := range r.TrafficSplit {
 		if remaining -= share.Weight; remaining < 0 && share.Weight > 0 {
 			return share.Service
--- a/internal/control/coordinator.go
+++ b/internal/control/coordinator.go
@@ -51,7 +51,7 @@
 	allocatedAt      clock.Instant
 	// loadGauge measures the load and decides on the cutoffs. activeMirrors holds the
 	// mirrors in force; eraCount is the number of eras started for them.
-	loadGauge     *shedding.Gauge
+	loadGauge     *shedding.Controller
 	activeMirrors map[string]*activeMirror
 	eraCount      uint64
 	// repeatedCommands holds the last repetition of a command, by its subject.
@@ -91,7 +91,7 @@
 	return &coordinator{
 		node: n, loop: clock.NewLoop[func()](1024), detector: outlier.NewAggregator(n.clock),
 		states: map[string]rollout.State{}, progress: map[string]*rolloutProgress{}, proxyZones: map[string]string{},
-		activeMirrors: map[string]*activeMirror{}, loadGauge: shedding.NewGauge(n.clock, rand.Uint64), repeatedCommands: map[string]repeatedCommand{},
+		activeMirrors: map[string]*activeMirror{}, loadGauge: shedding.NewController(n.clock, rand.Uint64), repeatedCommands: map[string]repeatedCommand{},
 	}
 }
 
--- a/internal/control/grades.go
+++ b/internal/control/grades.go
@@ -63,7 +63,7 @@
 		count = len(target)
 	}
 	for _, i := range alternateZones(fleet.Servers, target)[:min(count, len(target))] {
-		fleet.Servers[i].Admission = feed.OnTrial
+		fleet.Servers[i].Admission = feed.Canary
 	}
 }
 
--- a/internal/control/load.go
+++ b/internal/control/load.go
@@ -21,7 +21,7 @@
 // resetLoadGauge starts the load measurement of a new term with the cutoffs that the last
 // leader published, if they are recent.
 func (c *coordinator) resetLoadGauge() {
-	c.loadGauge = shedding.NewGauge(c.clock, rand.Uint64)
+	c.loadGauge = shedding.NewController(c.clock, rand.Uint64)
 	c.store.read(func(t *tables) {
 		if t.fleetFresh(c.clock.Monotonic(), cutoffsMaxAge) {
 			c.loadGauge.Restore(t.fleet.Cutoffs)
--- a/internal/feed/fleet.go
+++ b/internal/feed/fleet.go
@@ -18,7 +18,7 @@
 	// Open servers run the version in use.
 	Open Admission = iota
 	// OnTrial servers receive the share of requests that a grant allows.
-	OnTrial
+	Canary
 	// Blocked servers receive no requests: their version was not rolled out, or its
 	// rollout is over.
 	Blocked
--- a/internal/feed/fleet_diff_test.go
+++ b/internal/feed/fleet_diff_test.go
@@ -15,7 +15,7 @@
 	It("leads to the same fleet if servers are added, removed or changed, or only their relative latency is", func() {
 		for seed := range uint64(100) {
 			random := rand.New(rand.NewPCG(seed, 6))
-			held := feed.Fleet{Term: 1, Count: 1}
+			current := feed.Fleet{Term: 1, Count: 1}
 			for step := range uint64(40) {
 				next := feed.Fleet{Term: 1, Count: step + 2}
 				for id := range 30 {
@@ -23,13 +23,13 @@
 						next.Servers = append(next.Servers, feed.Server{ID: fmt.Sprintf("i-%02d", id), Capacity: 1 + random.IntN(20)/19, RelativeLatency: random.IntN(12), Ejected: random.IntN(9) == 0})
 					}
 				}
-				change := next.DiffFrom(held)
+				change := next.DiffFrom(current)
 				text, err := cbor.Marshal(change)
 				Expect(err).NotTo(HaveOccurred())
 				var received feed.Fleet
 				Expect(cbor.Unmarshal(text, &received)).To(Succeed())
-				Expect(held.Apply(received).Servers).To(Equal(next.Servers), "seed %d", seed)
-				held = next
+				Expect(current.Apply(received).Servers).To(Equal(next.Servers), "seed %d", seed)
+				current = next
 			}
 		}
 	})
--- a/internal/feed/replica_fuzz_test.go
+++ b/internal/feed/replica_fuzz_test.go
@@ -11,12 +11,12 @@
 // FuzzMerge checks that no decodable update, whatever its content, makes a replica panic
 // or replaces its fleet by an older one.
 func FuzzMerge(f *testing.F) {
-	held := feed.Fleet{Term: 1, Count: 1, Servers: []feed.Server{{ID: "a"}, {ID: "b", RelativeLatency: 3}}}
+	base := feed.Fleet{Term: 1, Count: 1, Servers: []feed.Server{{ID: "a"}, {ID: "b", RelativeLatency: 3}}}
 	next := feed.Fleet{Term: 1, Count: 2, Servers: []feed.Server{{ID: "b", RelativeLatency: 4}, {ID: "c"}}}
-	change := next.DiffFrom(held)
+	change := next.DiffFrom(base)
 	outOfRange := change
 	outOfRange.RelativeLatencies = []uint32{1 << 31, 5, 1}
-	for _, update := range []feed.Update{{Fleet: &held, Snapshot: true}, {Fleet: &change}, {Fleet: &outOfRange}, {Fleet: &next, Complete: true}} {
+	for _, update := range []feed.Update{{Fleet: &base, Snapshot: true}, {Fleet: &change}, {Fleet: &outOfRange}, {Fleet: &next, Complete: true}} {
 		text, err := cbor.Marshal(update)
 		if err != nil {
 			f.Fatal(err)
@@ -30,7 +30,7 @@
 			return
 		}
 		replica := feed.NewReplica()
-		replica.Merge(feed.Update{Fleet: &held})
+		replica.Merge(feed.Update{Fleet: &base})
 		before := replica.Fleet.Version()
 		replica.Merge(update)
 		if before.NewerThan(replica.Fleet.Version()) {
--- a/internal/inspector/mirror.go
+++ b/internal/inspector/mirror.go
@@ -74,7 +74,7 @@
 	}
 	for _, talk := range talks {
 		out.Seen++
-		if grant != nil && talk.IsWhole() && talk.SamplePoint < grant.Share {
+		if grant != nil && talk.Complete() && talk.SamplePoint < grant.Share {
 			out.Whole++
 			if talk.Differing > 0 {
 				out.Differing++
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -149,7 +149,7 @@
 			results := recorder.Results()
 			Expect(results.Conversations).To(HaveLen(len(seen)))
 			for _, conversation := range results.Conversations {
-				Expect(conversation.IsWhole()).To(Equal(!incomplete[conversation.Hash] && !pending[conversation.Hash]), "seed %d", seed)
+				Expect(conversation.Complete()).To(Equal(!incomplete[conversation.Hash] && !pending[conversation.Hash]), "seed %d", seed)
 			}
 		}
 	})
--- a/internal/mirror/recorder.go
+++ b/internal/mirror/recorder.go
@@ -19,8 +19,8 @@
 	// Slow: the same reply, but in more than twice the original's time.
 	Slow Outcome = "slow"
 	// NoReply: no complete reply arrived. Refused: the shadow rejected the copy.
-	NoReply Outcome = "silent"
-	Refused Outcome = "turned"
+	NoResponse Outcome = "silent"
+	Refused    Outcome = "turned"
 )
 
 // Differs reports whether the shadow's reply differs from the live one; a slow reply
@@ -48,7 +48,7 @@
 
 // IsWhole reports whether all of the conversation's copies reached the shadow and
 // were compared, as far as this node knows.
-func (c Conversation) IsWhole() bool { return !c.Partial && c.Gaps == 0 && c.Compared == c.Copies }
+func (c Conversation) Complete() bool { return !c.Partial && c.Gaps == 0 && c.Compared == c.Copies }
 
 // Example is one difference for operators to inspect, without the bodies.
 type Example struct {
@@ -100,7 +100,7 @@
 func (r *Recorder) SetGrant(grant Grant) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	if held := r.results.Grant; held.Version != grant.Version || held.Era != grant.Era {
+	if current := r.results.Grant; current.Version != grant.Version || current.Era != grant.Era {
 		r.results, r.conversations = Results{Counts: map[string]map[Outcome]uint64{}, Gaps: map[string]uint64{}}, map[uint64]*Conversation{}
 	}
 	r.results.Grant = grant
--- a/internal/proxy/canary.go
+++ b/internal/proxy/canary.go
@@ -109,7 +109,7 @@
 // outcome of the attempt counts for it.
 func (d *forwarder) canaryMark(server *balancer.Endpoint) (mark outlier.Label) {
 	if share, granted := d.snapshot.Load().canaryShare(d.request.service, d.clock.Monotonic()); granted {
-		mark = outlier.Label{Subject: d.request.service, Number: share.Number, Route: d.request.route.Name, OnTrial: server.Admission == feed.OnTrial}
+		mark = outlier.Label{Subject: d.request.service, Number: share.Number, Route: d.request.route.Name, OnTrial: server.Admission == feed.Canary}
 	}
 	return mark
 }
--- a/internal/proxy/mirror_send.go
+++ b/internal/proxy/mirror_send.go
@@ -79,7 +79,7 @@
 func (j *mirrorJob) compare(response *upstream.Response, err error, latency time.Duration) mirror.Outcome {
 	switch {
 	case err != nil:
-		return mirror.NoReply
+		return mirror.NoResponse
 	case response.IsNotExecuted():
 		return mirror.Refused
 	case response.Status/100 != j.status/100:
--- a/internal/proxy/shed.go
+++ b/internal/proxy/shed.go
@@ -25,7 +25,7 @@
 	counter *shedding.Counter
 	// lock guards localGauge, pending and lastReportAnswer.
 	lock       sync.Mutex
-	localGauge *shedding.Gauge
+	localGauge *shedding.Controller
 	pending    []shedding.Load
 	// lastReportAnswer is when the term holder last answered a report.
 	lastReportAnswer clock.Instant
@@ -34,7 +34,7 @@
 func newLoadShedder(clock clock.Clock) *loadShedder {
 	// All nodes use the same seed, so nodes that apply their local gauges differ
 	// in how much they reject, but hardly in which clients.
-	return &loadShedder{counter: shedding.NewCounter(), localGauge: shedding.NewGauge(clock, func() uint64 { return 0 })}
+	return &loadShedder{counter: shedding.NewCounter(), localGauge: shedding.NewController(clock, func() uint64 { return 0 })}
 }
 
 func (p *proxy) sheddingEnabled() bool { return p.settings.Load().Tuning.Loadgauge == settings.GaugeOn }
--- a/internal/rollout/decide.go
+++ b/internal/rollout/decide.go
@@ -77,8 +77,8 @@
 func (s State) Share(bounds Bounds, observed Observation) float64 {
 	switch s.Phase {
 	case Canary:
-		trialTime := (s.duration() - s.shiftReserve()).Seconds()
-		share := targetSamples / max(1, observed.Finding.Rate*trialTime)
+		canaryTime := (s.duration() - s.shiftReserve()).Seconds()
+		share := targetSamples / max(1, observed.Finding.Rate*canaryTime)
 		return bounds.CanaryShare * math.Min(maxCanaryFraction, math.Max(minCanaryFraction, share/bounds.CanaryShare))
 	case Shifting:
 		if step := int(observed.InPhase / shiftStepTime); step < len(shiftShares) {
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -93,8 +93,8 @@
 }
 
 func (m *serviceModel) observe(behind int) rollout.Observation {
-	touch := outlier.Usage{Proxies: proxies, Outdated: behind}
-	return rollout.Observation{Elapsed: m.clock.Now, InPhase: m.clock.Now - m.phaseStartedAt, Finding: m.detector.Evaluate("s", m.state.Number, 0), ReadyCapacity: 100, OldCapacity: 100, ProxyProgress: touch}
+	usage := outlier.Usage{Proxies: proxies, Outdated: behind}
+	return rollout.Observation{Elapsed: m.clock.Now, InPhase: m.clock.Now - m.phaseStartedAt, Finding: m.detector.Evaluate("s", m.state.Number, 0), ReadyCapacity: 100, OldCapacity: 100, ProxyProgress: usage}
 }
 
 // run simulates the whole duration of the rollout.
--- a/internal/rollout/staged_test.go
+++ b/internal/rollout/staged_test.go
@@ -60,9 +60,9 @@
 				}
 				for range 3 {
 					outcome := outlier.Success
-					mark := outlier.Label{Subject: m.state.Subject, Number: m.state.Number, Route: "l", OnTrial: reached[node]}
+					label := outlier.Label{Subject: m.state.Subject, Number: m.state.Number, Route: "l", OnTrial: reached[node]}
 					if reached[node] {
-						mark.Wave = m.state.Wave
+						label.Wave = m.state.Wave
 					}
 					switch {
 					case reached[node] && m.random.Float64() < m.faultRate:
@@ -71,7 +71,7 @@
 					case m.random.Float64() < m.commonFaultRate:
 						outcome = outlier.Failed
 					}
-					counters[node].Record(mark, outcome)
+					counters[node].Record(label, outcome)
 				}
 				if rounds[node]++; rounds[node]%2 == 0 && node != m.silentNode && m.random.IntN(5) > 0 {
 					m.detector.AddReport(counters[node].Report(node, "1"))
--- a/internal/shedding/account.go
+++ b/internal/shedding/account.go
@@ -20,11 +20,11 @@
 
 // Accounts returns the load counts of all services over the window, sorted by
 // service and tier.
-func (g *Gauge) Accounts() (out []Account) {
-	g.advance()
-	for _, service := range slices.Sorted(maps.Keys(g.services)) {
+func (c *Controller) Accounts() (out []Account) {
+	c.advance()
+	for _, service := range slices.Sorted(maps.Keys(c.services)) {
 		var sum []Load
-		for _, loadsByNode := range g.services[service].loads {
+		for _, loadsByNode := range c.services[service].loads {
 			for _, loads := range loadsByNode {
 				sum = Sum(sum, loads)
 			}
--- a/internal/shedding/clients_test.go
+++ b/internal/shedding/clients_test.go
@@ -13,7 +13,7 @@
 func (sim *simulation) rejects(n *node, route, name string) bool {
 	cutoffs := n.cutoffs
 	if sim.localOnly || sim.clock.Now-n.updatedAt > 3*time.Second {
-		cutoffs = n.localGauge.Cutoffs()
+		cutoffs = n.localController.Cutoffs()
 	}
 	for _, cutoff := range cutoffs {
 		if cutoff.Sheds(sim.order.TierOf(route), "h", name) {
--- a/internal/shedding/gauge.go
+++ b/internal/shedding/gauge.go
@@ -77,7 +77,7 @@
 
 // Gauge collects the loads of one node or of all nodes and decides on the cutoffs.
 // It is not safe for concurrent use.
-type Gauge struct {
+type Controller struct {
 	clock      clock.Clock
 	services   map[string]*serviceState
 	step       int64
@@ -87,35 +87,35 @@
 
 // NewGauge returns a gauge without cutoffs. newSeed returns the seed for a new
 // overload.
-func NewGauge(clock clock.Clock, newSeed func() uint64) *Gauge {
-	return &Gauge{clock: clock, services: map[string]*serviceState{}, newSeed: newSeed}
+func NewController(clock clock.Clock, newSeed func() uint64) *Controller {
+	return &Controller{clock: clock, services: map[string]*serviceState{}, newSeed: newSeed}
 }
 
 // Restore continues from the cutoffs of an earlier leader.
-func (g *Gauge) Restore(cutoffs []Cutoff) {
-	now := g.clock.Monotonic()
+func (c *Controller) Restore(cutoffs []Cutoff) {
+	now := c.clock.Monotonic()
 	for _, cutoff := range cutoffs {
-		state := g.stateOf(cutoff.Service)
+		state := c.stateOf(cutoff.Service)
 		state.cutoff, state.active, state.changedAt, state.calmSince = cutoff, true, now, now
-		g.lastNumber = max(g.lastNumber, cutoff.Number)
+		c.lastNumber = max(c.lastNumber, cutoff.Number)
 	}
 }
 
-func (g *Gauge) stateOf(service string) *serviceState {
-	state := g.services[service]
+func (c *Controller) stateOf(service string) *serviceState {
+	state := c.services[service]
 	if state == nil {
-		state = &serviceState{requiredCalm: initialCalm, calmSince: g.clock.Monotonic()}
-		g.services[service] = state
+		state = &serviceState{requiredCalm: initialCalm, calmSince: c.clock.Monotonic()}
+		c.services[service] = state
 	}
 	return state
 }
 
 // Add adds the loads that a node counted.
-func (g *Gauge) Add(node string, loads []Load) {
-	g.advance()
+func (c *Controller) Add(node string, loads []Load) {
+	c.advance()
 	for _, load := range loads {
-		state := g.stateOf(load.Service)
-		loadsByNode := &state.loads[g.step%steps]
+		state := c.stateOf(load.Service)
+		loadsByNode := &state.loads[c.step%steps]
 		if *loadsByNode == nil {
 			*loadsByNode = map[string][]Load{}
 		}
@@ -125,21 +125,21 @@
 
 // advance moves to the current step of the window and clears the steps since the
 // last call.
-func (g *Gauge) advance() {
-	now := int64(g.clock.Monotonic() / clock.Instant(window/steps))
-	for advanced := 0; g.step < now && advanced < steps; advanced++ {
-		g.step++
-		for _, state := range g.services {
-			state.loads[g.step%steps] = nil
+func (c *Controller) advance() {
+	now := int64(c.clock.Monotonic() / clock.Instant(window/steps))
+	for advanced := 0; c.step < now && advanced < steps; advanced++ {
+		c.step++
+		for _, state := range c.services {
+			state.loads[c.step%steps] = nil
 		}
 	}
-	g.step = now
+	c.step = now
 }
 
 // Cutoffs returns the cutoffs in force, sorted by service.
-func (g *Gauge) Cutoffs() (out []Cutoff) {
-	for _, service := range slices.Sorted(maps.Keys(g.services)) {
-		if state := g.services[service]; state.active {
+func (c *Controller) Cutoffs() (out []Cutoff) {
+	for _, service := range slices.Sorted(maps.Keys(c.services)) {
+		if state := c.services[service]; state.active {
 			out = append(out, state.cutoff)
 		}
 	}
@@ -149,15 +149,15 @@
 // Decide raises or lowers the cutoff of each service where its load requires it, and
 // reports whether any cutoff changed. overloadedShare returns the share of a
 // service's servers that reject requests or answer them late.
-func (g *Gauge) Decide(overloadedShare func(service string) float64) (changed bool) {
-	g.advance()
-	now := g.clock.Monotonic()
-	for _, service := range slices.Sorted(maps.Keys(g.services)) {
-		state := g.services[service]
-		if g.step-state.changedStep < propagationSteps+minEvaluatedSteps {
+func (c *Controller) Decide(overloadedShare func(service string) float64) (changed bool) {
+	c.advance()
+	now := c.clock.Monotonic()
+	for _, service := range slices.Sorted(maps.Keys(c.services)) {
+		state := c.services[service]
+		if c.step-state.changedStep < propagationSteps+minEvaluatedSteps {
 			continue
 		}
-		t := state.totals(g.firstEvaluatedStep(state), g.step)
+		t := state.totals(c.firstEvaluatedStep(state), c.step)
 		conclusive := t.sent >= minSent
 		overloaded := conclusive && (t.rejected > rejectedThreshold*t.sent || t.late > lateThreshold*t.sent)
 		widespread := float64(t.overloadedNodes) >= wideShare*float64(max(1, t.nodes))
@@ -165,13 +165,13 @@
 		case overloaded && widespread && overloadedShare(service) >= wideShare:
 			state.calmSince = now
 			if !state.active || time.Duration(now-state.changedAt) >= raiseInterval {
-				changed = g.raise(service, state, t) || changed
+				changed = c.raise(service, state, t) || changed
 			}
 		case !state.active:
 		case conclusive && t.rejected+t.late > calmThreshold*t.sent:
 			state.calmSince = now
 		case time.Duration(now-state.calmSince) >= state.requiredCalm && time.Duration(now-state.changedAt) >= state.requiredCalm/3:
-			changed = g.lower(state, t) || changed
+			changed = c.lower(state, t) || changed
 		}
 	}
 	return changed
@@ -179,14 +179,14 @@
 
 // raise increases the rejected share of the admitted requests by the larger of the
 // rejected share and half of the late share of the attempts.
-func (g *Gauge) raise(service string, state *serviceState, t windowTotals) bool {
-	now := g.clock.Monotonic()
+func (c *Controller) raise(service string, state *serviceState, t windowTotals) bool {
+	now := c.clock.Monotonic()
 	if state.lastLowered && time.Duration(now-state.changedAt) < 2*state.requiredCalm {
 		state.requiredCalm = min(2*state.requiredCalm, maxCalm)
 	}
-	flows, maxShare := state.tierFlows(g.firstEvaluatedStep(state)), maxNextRaise
+	flows, maxShare := state.tierFlows(c.firstEvaluatedStep(state)), maxNextRaise
 	if !state.active {
-		state.cutoff, maxShare = Cutoff{Service: service, Seed: g.newSeed(), Tier: Tier(len(flows))}, maxFirstRaise
+		state.cutoff, maxShare = Cutoff{Service: service, Seed: c.newSeed(), Tier: Tier(len(flows))}, maxFirstRaise
 	}
 	// Keyed operations that complete late or that a server sometimes rejects are
 	// better than ones that every node rejects until the cutoff is lowered.
@@ -197,41 +197,41 @@
 	}
 	state.active, state.lastLowered, state.changedAt, state.raisedAt = true, false, now, now
 	// A raise soon after another one measures less than the capacity of the servers.
-	state.capacity = max(capacityDecay*state.capacity, (t.sent-t.rejected)/g.evaluatedSeconds(state))
-	g.setCutoff(state, next)
+	state.capacity = max(capacityDecay*state.capacity, (t.sent-t.rejected)/c.evaluatedSeconds(state))
+	c.setCutoff(state, next)
 	return true
 }
 
 // lower admits some of the rejected requests.
-func (g *Gauge) lower(state *serviceState, t windowTotals) bool {
-	now, admittedRate := g.clock.Monotonic(), (t.offered-t.shed)/g.evaluatedSeconds(state)
+func (c *Controller) lower(state *serviceState, t windowTotals) bool {
+	now, admittedRate := c.clock.Monotonic(), (t.offered-t.shed)/c.evaluatedSeconds(state)
 	if time.Duration(now-state.raisedAt) < probeDelay && admittedRate*(1+loweringStep) > capacityLimit*state.capacity {
 		return false
 	}
 	state.changedAt, state.lastLowered = now, true
-	next, none := state.loweredCutoff(loweringStep, state.tierFlows(g.firstEvaluatedStep(state)))
+	next, none := state.loweredCutoff(loweringStep, state.tierFlows(c.firstEvaluatedStep(state)))
 	if none {
 		state.active = false
-		g.lastNumber++
+		c.lastNumber++
 		return true
 	}
-	g.setCutoff(state, next)
+	c.setCutoff(state, next)
 	return true
 }
 
 // firstEvaluatedStep returns the first step to evaluate. In earlier ones, some nodes
 // had not received the cutoff yet.
-func (g *Gauge) firstEvaluatedStep(state *serviceState) int64 {
-	return max(g.step-steps, state.changedStep+propagationSteps) + 1
+func (c *Controller) firstEvaluatedStep(state *serviceState) int64 {
+	return max(c.step-steps, state.changedStep+propagationSteps) + 1
 }
 
 // evaluatedSeconds returns the length of the evaluated steps.
-func (g *Gauge) evaluatedSeconds(state *serviceState) float64 {
-	return float64(g.step-g.firstEvaluatedStep(state)+1) * (window / steps).Seconds()
+func (c *Controller) evaluatedSeconds(state *serviceState) float64 {
+	return float64(c.step-c.firstEvaluatedStep(state)+1) * (window / steps).Seconds()
 }
 
-func (g *Gauge) setCutoff(state *serviceState, next Cutoff) {
-	g.lastNumber++
-	next.Number = g.lastNumber
-	state.cutoff, state.changedStep = next, g.step
+func (c *Controller) setCutoff(state *serviceState, next Cutoff) {
+	c.lastNumber++
+	next.Number = c.lastNumber
+	state.cutoff, state.changedStep = next, c.step
 }
--- a/internal/shedding/shedding_test.go
+++ b/internal/shedding/shedding_test.go
@@ -131,10 +131,10 @@
 	faults := map[string]func(*simulation){
 		"nothing else fails": func(*simulation) {},
 		"the leader is replaced": func(sim *simulation) {
-			sim.leader = shedding.NewGauge(sim.clock, sim.random.Uint64)
+			sim.leader = shedding.NewController(sim.clock, sim.random.Uint64)
 			sim.leader.Restore(sim.cutoffsAfter(0))
 		},
-		"the leader and its published cutoffs are lost": func(sim *simulation) { sim.leader = shedding.NewGauge(sim.clock, sim.random.Uint64) },
+		"the leader and its published cutoffs are lost": func(sim *simulation) { sim.leader = shedding.NewController(sim.clock, sim.random.Uint64) },
 		"the control plane is unreachable for 5 seconds": func(sim *simulation) {
 			sim.partitioned = true
 			sim.run(2.5, 5*time.Second)
--- a/internal/shedding/simulation_test.go
+++ b/internal/shedding/simulation_test.go
@@ -27,7 +27,7 @@
 	nodes   []*node
 	members []*member
 	servers []*server
-	leader  *shedding.Gauge
+	leader  *shedding.Controller
 	// updates are the cutoffs that the leader published, with their times.
 	updates []update
 	// partitioned disconnects the control plane from all nodes. localOnly makes each
@@ -49,11 +49,11 @@
 type count struct{ requested, served, late, rejected int }
 
 type node struct {
-	counter    *shedding.Counter
-	localGauge *shedding.Gauge
-	cutoffs    []shedding.Cutoff
-	updatedAt  time.Duration
-	delay      time.Duration
+	counter         *shedding.Counter
+	localController *shedding.Controller
+	cutoffs         []shedding.Cutoff
+	updatedAt       time.Duration
+	delay           time.Duration
 }
 
 type member struct {
@@ -107,13 +107,13 @@
 	for _, route := range routes {
 		sim.counts[route.Name] = &count{}
 	}
-	sim.leader = shedding.NewGauge(sim.clock, sim.random.Uint64)
+	sim.leader = shedding.NewController(sim.clock, sim.random.Uint64)
 	return sim
 }
 
 func (sim *simulation) newNode() *node {
 	return &node{
-		counter: shedding.NewCounter(), localGauge: shedding.NewGauge(sim.clock, sim.random.Uint64), delay: sim.randomDelay(), updatedAt: sim.clock.Now,
+		counter: shedding.NewCounter(), localController: shedding.NewController(sim.clock, sim.random.Uint64), delay: sim.randomDelay(), updatedAt: sim.clock.Now,
 	}
 }
 
@@ -154,8 +154,8 @@
 func (sim *simulation) report() {
 	for number, n := range sim.nodes {
 		loads, _ := n.counter.Take()
-		n.localGauge.Add("", loads)
-		n.localGauge.Decide(n.counter.OverloadedShare)
+		n.localController.Add("", loads)
+		n.localController.Decide(n.counter.OverloadedShare)
 		if !sim.partitioned {
 			sim.leader.Add(fmt.Sprint(number), loads)
 			n.updatedAt = sim.clock.Now
