--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -13,7 +13,7 @@
 // Instant is a reading of a monotonic clock, counted from an arbitrary start.
 type Instant time.Duration
 
-// Clock tells the time. System code uses Real; tests use Manual.
+// Clock provides the time. System code uses Real; tests use Manual.
 type Clock interface {
 	Monotonic() Instant
 	Wall() time.Time
@@ -29,7 +29,7 @@
 func (c realClock) Wall() time.Time       { return time.Now() }
 func (c realClock) Sleep(d time.Duration) { time.Sleep(d) }
 
-// Manual is a clock for tests that only Sleep and writes to Now move.
+// Manual is a clock for tests. Only Sleep and assignments to Now advance it.
 type Manual struct{ Now time.Duration }
 
 // Monotonic returns the time since the start of the clock.
--- a/internal/feed/fleet.go
+++ b/internal/feed/fleet.go
@@ -17,7 +17,7 @@
 const (
 	// Open servers run the version in use.
 	Open Admission = iota
-	// OnTrial servers receive the share of requests that a grant allows.
+	// Canary servers receive the share of requests that a grant allows.
 	Canary
 	// Blocked servers receive no requests: their version was not rolled out, or its
 	// rollout is over.
@@ -50,7 +50,7 @@
 	return max(0, time.UnixMilli(s.WarmupEndMs).Sub(now))
 }
 
-// CanaryShare is the fraction of a service's requests that its version on trial receives.
+// CanaryShare is the fraction of a service's requests that its canary version receives.
 // It is a grant: a proxy that receives no newer fleet within GrantDuration stops sending
 // requests to that version.
 type CanaryShare struct {
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -1,4 +1,4 @@
-// Package mirror copies whole conversations to a shadow service: every node selects
+// Package mirror copies complete conversations to a shadow service: every node selects
 // the same ones without coordination, no copy ever reaches a server that serves
 // clients, and the outcomes of the copies are counted, gaps included.
 package mirror
@@ -127,7 +127,7 @@
 // SamplePoint maps the conversation to a number between 0 and 1; it is copied while
 // that is below the share in force. It depends only on the mirror's name and shadow
 // service, the tenant and the conversation, so a change of the share adds or removes
-// whole conversations.
+// entire conversations.
 func (m Mirror) SamplePoint(tenant, conversation string) float64 {
 	return shedding.HashFraction(0, m.Name, m.Shadow, tenant, conversation)
 }
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -76,7 +76,7 @@
 		Expect(m.Conversation(http.Header{"X-Who": {"me"}}, "k", "")).To(Equal("header me"))
 	})
 
-	It("adds and removes whole conversations when the share changes, the same ones at every node", func() {
+	It("adds and removes entire conversations when the share changes, the same ones at every node", func() {
 		m := newMirror("m", nil)
 		atLowShare, atHighShare := 0, 0
 		for number := range 2000 {
@@ -95,7 +95,7 @@
 })
 
 var _ = Describe("a node's recorder", func() {
-	It("reports a conversation as whole only if no copy is missing, compared with a model of all events", func() {
+	It("reports a conversation as complete only if no copy is missing, compared with a model of all events", func() {
 		for seed := range uint64(60) {
 			random := rand.New(rand.NewPCG(seed, 3))
 			recorder, era := mirror.NewRecorder(), uint64(1)
--- a/internal/mirror/recorder.go
+++ b/internal/mirror/recorder.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Outcome is the result of comparing a copy's reply with its original's.
+// Outcome is the result of comparing a copy's response with its original's.
 type Outcome string
 
 // The outcomes of a copy.
@@ -16,14 +16,14 @@
 	// StatusDiffers: the status class differs. BodyDiffers: the body differs.
 	StatusDiffers Outcome = "status"
 	BodyDiffers   Outcome = "body"
-	// Slow: the same reply, but in more than twice the original's time.
+	// Slow: the same response, but in more than twice the original's time.
 	Slow Outcome = "slow"
-	// NoReply: no complete reply arrived. Refused: the shadow rejected the copy.
+	// NoResponse: no complete response arrived. Refused: the shadow rejected the copy.
 	NoResponse Outcome = "silent"
 	Refused    Outcome = "turned"
 )
 
-// Differs reports whether the shadow's reply differs from the live one; a slow reply
+// Differs reports whether the shadow's response differs from the live one; a slow one
 // does not count.
 func (o Outcome) Differs() bool { return o != Same && o != Slow }
 
@@ -46,7 +46,7 @@
 	Partial bool `cbor:"7,keyasint,omitempty" json:"IsPartial"`
 }
 
-// IsWhole reports whether all of the conversation's copies reached the shadow and
+// Complete reports whether all of the conversation's copies reached the shadow and
 // were compared, as far as this node knows.
 func (c Conversation) Complete() bool { return !c.Partial && c.Gaps == 0 && c.Compared == c.Copies }
 
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -30,7 +30,7 @@
 	detector       *outlier.Aggregator
 	state          rollout.State
 	phaseStartedAt time.Duration
-	// faultRate is the probability of a failed reply of the new version, by elapsed
+	// faultRate is the probability of a failed response of the new version, by elapsed
 	// time, route and share.
 	faultRate func(elapsed time.Duration, route string, share float64) float64
 	// unreachable is the fraction of the proxies that receive nothing after 3 s.
--- a/internal/rollout/staged.go
+++ b/internal/rollout/staged.go
@@ -69,7 +69,7 @@
 	Committed bool
 }
 
-// minWaveTime is the minimum time of a wave: late replies show only after a while.
+// minWaveTime is the minimum time of a wave: late responses show only after a while.
 const minWaveTime = 1500 * time.Millisecond
 
 // NextStaged returns the event that follows from an observation of a staged
--- a/internal/shedding/calm_test.go
+++ b/internal/shedding/calm_test.go
@@ -11,7 +11,7 @@
 	"ploverhitch/internal/shedding"
 )
 
-var _ = Describe("trouble that is no overload of the whole service", func() {
+var _ = Describe("a fault that does not overload the whole service", func() {
 	It("includes one failing server, and one node whose attempts are rejected", func() {
 		sim := newSimulation(3, 12)
 		sim.servers[0].failing = true
--- a/internal/shedding/controller.go
+++ b/internal/shedding/controller.go
@@ -75,7 +75,7 @@
 	wideShare = 0.5
 )
 
-// Gauge collects the loads of one node or of all nodes and decides on the cutoffs.
+// Controller collects the loads of one node or of all nodes and decides on the cutoffs.
 // It is not safe for concurrent use.
 type Controller struct {
 	clock      clock.Clock
@@ -85,7 +85,7 @@
 	newSeed    func() uint64
 }
 
-// NewGauge returns a gauge without cutoffs. newSeed returns the seed for a new
+// NewController returns a controller without cutoffs. newSeed returns the seed for a new
 // overload.
 func NewController(clock clock.Clock, newSeed func() uint64) *Controller {
 	return &Controller{clock: clock, services: map[string]*serviceState{}, newSeed: newSeed}
--- a/internal/shedding/order.go
+++ b/internal/shedding/order.go
@@ -1,6 +1,6 @@
 // Package shedding decides which requests are rejected first when a whole service is
 // overloaded, with the same result at every node: the order of the tiers follows from
-// the manifest alone, the leader publishes a cutoff in that order, and within a tier
+// the configuration alone, the leader publishes a cutoff in that order, and within a tier
 // a hash decides.
 package shedding
 
--- a/internal/shedding/shedding_test.go
+++ b/internal/shedding/shedding_test.go
@@ -192,7 +192,7 @@
 		}
 	})
 
-	It("makes nodes disagree that each apply their own gauge, which shows that the check can fail", func() {
+	It("makes nodes disagree that each use their own controller, which shows that the check can fail", func() {
 		sim := newSimulation(1, 12)
 		sim.localOnly = true
 		sim.run(0.7, 4*time.Second)
--- a/internal/shedding/simulation_test.go
+++ b/internal/shedding/simulation_test.go
@@ -31,7 +31,7 @@
 	// updates are the cutoffs that the leader published, with their times.
 	updates []update
 	// partitioned disconnects the control plane from all nodes. localOnly makes each
-	// node apply its local gauge from the start, as a control experiment.
+	// node apply the cutoffs of its local controller from the start, as a control experiment.
 	partitioned, localOnly bool
 	waiting                []*client
 	requests               int
