--- a/internal/mirror/recorder.go
+++ b/internal/mirror/recorder.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Outcome is the result of comparing a copy's reply with its original's.
+// Outcome is the result of comparing a copy's response with its original's.
 type Outcome string
 
 // The outcomes of a copy.
@@ -16,14 +16,14 @@
 	// StatusDiffers: the status class differs. BodyDiffers: the body differs.
 	StatusDiffers Outcome = "status"
 	BodyDiffers   Outcome = "body"
-	// Slow: the same reply, but in more than twice the original's time.
+	// Slow: the same response, but in more than twice the original's time.
 	Slow Outcome = "slow"
-	// NoReply: no complete reply arrived. Refused: the shadow rejected the copy.
-	NoReply Outcome = "silent"
-	Refused Outcome = "turned"
+	// NoResponse: no complete response arrived. Refused: the shadow rejected the copy.
+	NoResponse Outcome = "silent"
+	Refused    Outcome = "turned"
 )
 
-// Differs reports whether the shadow's reply differs from the live one; a slow reply
+// Differs reports whether the shadow's response differs from the live one; a slow one
 // does not count.
 func (o Outcome) Differs() bool { return o != Same && o != Slow }
 
@@ -46,9 +46,9 @@
 	Partial bool `cbor:"7,keyasint,omitempty" json:"IsPartial"`
 }
 
-// IsWhole reports whether all of the conversation's copies reached the shadow and
+// Complete reports whether all of the conversation's copies reached the shadow and
 // were compared, as far as this node knows.
-func (c Conversation) IsWhole() bool { return !c.Partial && c.Gaps == 0 && c.Compared == c.Copies }
+func (c Conversation) Complete() bool { return !c.Partial && c.Gaps == 0 && c.Compared == c.Copies }
 
 // Example is one difference for operators to inspect, without the bodies.
 type Example struct {
@@ -100,7 +100,7 @@
 func (r *Recorder) SetGrant(grant Grant) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	if held := r.results.Grant; held.Version != grant.Version || held.Era != grant.Era {
+	if current := r.results.Grant; current.Version != grant.Version || current.Era != grant.Era {
 		r.results, r.conversations = Results{Counts: map[string]map[Outcome]uint64{}, Gaps: map[string]uint64{}}, map[uint64]*Conversation{}
 	}
 	r.results.Grant = grant
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -30,7 +30,7 @@
 	detector       *outlier.Aggregator
 	state          rollout.State
 	phaseStartedAt time.Duration
-	// faultRate is the probability of a failed reply of the new version, by elapsed
+	// faultRate is the probability of a failed response of the new version, by elapsed
 	// time, route and share.
 	faultRate func(elapsed time.Duration, route string, share float64) float64
 	// unreachable is the fraction of the proxies that receive nothing after 3 s.
@@ -93,8 +93,8 @@
 }
 
 func (m *serviceModel) observe(behind int) rollout.Observation {
-	touch := outlier.Usage{Proxies: proxies, Outdated: behind}
-	return rollout.Observation{Elapsed: m.clock.Now, InPhase: m.clock.Now - m.phaseStartedAt, Finding: m.detector.Evaluate("s", m.state.Number, 0), ReadyCapacity: 100, OldCapacity: 100, ProxyProgress: touch}
+	usage := outlier.Usage{Proxies: proxies, Outdated: behind}
+	return rollout.Observation{Elapsed: m.clock.Now, InPhase: m.clock.Now - m.phaseStartedAt, Finding: m.detector.Evaluate("s", m.state.Number, 0), ReadyCapacity: 100, OldCapacity: 100, ProxyProgress: usage}
 }
 
 // run simulates the whole duration of the rollout.
