--- a/internal/idempotency/voter_test.go
+++ b/internal/idempotency/voter_test.go
@@ -29,15 +29,15 @@
 				sim.nodes = append(sim.nodes, n)
 			}
 			for range 200 {
-				switch draw := sim.random.IntN(24); {
-				case draw >= 20 && len(sim.attempts) > 0:
+				switch operation := sim.random.IntN(24); {
+				case operation >= 20 && len(sim.attempts) > 0:
 					sim.repeatRecord()
-				case draw < 5:
+				case operation < 5:
 					sim.attempts = append(sim.attempts, sim.start())
-				case draw == 18:
+				case operation == 18:
 					target := sim.nodes[0]
 					target.down = !target.down
-				case draw == 19:
+				case operation == 19:
 					sim.injectFault()
 				case len(sim.attempts) > 0:
 					t := sim.attempts[sim.random.IntN(len(sim.attempts))]
--- a/internal/proxy/canary.go
+++ b/internal/proxy/canary.go
@@ -40,7 +40,7 @@
 	if !s.grantsValid(now) {
 		return share, false
 	}
-	for _, share = range s.trialShares {
+	for _, share = range s.canaryShares {
 		if share.Service == service {
 			return share, true
 		}
@@ -50,16 +50,16 @@
 
 // admitToCanary decides whether a request may go to the canary version.
 func (p *proxy) admitToCanary(req *clientRequest) {
-	if len(req.snapshot.trialShares) == 0 {
+	if len(req.snapshot.canaryShares) == 0 {
 		return
 	}
 	if share, granted := req.snapshot.canaryShare(req.service, p.clock.Monotonic()); granted {
-		req.trialEligible = p.canaryAllowance(req.service).Take(share.Number, share.Fraction, req.route.Name)
+		req.canaryEligible = p.canaryAllowance(req.service).Take(share.Number, share.Fraction, req.route.Name)
 	}
 }
 
 func (p *proxy) canaryAllowance(service string) *balancer.CanaryAllowance {
-	allowance, _ := p.trialAllowances.LoadOrStore(service, &balancer.CanaryAllowance{})
+	allowance, _ := p.canaryAllowances.LoadOrStore(service, &balancer.CanaryAllowance{})
 	return allowance.(*balancer.CanaryAllowance)
 }
 
@@ -67,7 +67,7 @@
 // request must have been admitted and the grant must still be valid. Only the first
 // attempt may go there until the canary has all traffic.
 func (d *forwarder) mayUseCanary(s *snapshot) bool {
-	if !d.request.trialEligible {
+	if !d.request.canaryEligible {
 		return false
 	}
 	share, granted := s.canaryShare(d.request.service, d.clock.Monotonic())
@@ -123,13 +123,13 @@
 		periods++
 		s := p.snapshot.Load()
 		overloaded := p.updateGauge()
-		if s.holder == "" || len(s.trialShares)+len(s.stagedChanges) == 0 && !p.needsSlots() && !overloaded && periods%idleReportPeriods > 0 {
+		if s.leader == "" || len(s.canaryShares)+len(s.stagedChanges) == 0 && !p.needsSlots() && !overloaded && periods%idleReportPeriods > 0 {
 			return
 		}
 		conf, sentAt := p.settings.Load(), p.clock.Monotonic()
 		evidence := p.outcomes.Report(conf.Platform.NodeName, p.incarnation)
 		evidence.Term, evidence.Count = s.fleetVersion.Term, s.fleetVersion.Count
-		for _, share := range s.trialShares {
+		for _, share := range s.canaryShares {
 			evidence.InFlight = append(evidence.InFlight, outlier.InFlight{Subject: share.Service, Requests: s.balancer.InFlight(share.Service)})
 		}
 		report := messages.ProxyReport{Evidence: evidence, Zone: conf.Platform.Cell}
@@ -137,10 +137,10 @@
 			report.Uses = p.siteCapacity.Usages()
 		}
 		report.Loads, report.Mirrors = p.takeLoads(), p.trafficMirror.tallies()
-		line := p.connection(s.holder)
+		client := p.connection(s.leader)
 		go func() {
 			var answer messages.ProxyReportResponse
-			if line.Call(messages.KindProxyReport, report, &answer, reportTimeout) == nil {
+			if client.Call(messages.KindProxyReport, report, &answer, reportTimeout) == nil {
 				p.noteReportAnswer()
 				p.siteCapacity.Apply(answer.CapacityLeases, sentAt)
 			}
--- a/internal/proxy/cancellation_test.go
+++ b/internal/proxy/cancellation_test.go
@@ -36,7 +36,7 @@
 	for _, server := range servers {
 		fleet.Servers = append(fleet.Servers, feed.Server{ID: server.ID, Service: "s", Address: server.Address(), Capacity: 4, IsReady: true, Revision: "v1"})
 	}
-	p.snapshot.Store(&snapshot{manifest: p.snapshot.Load().manifest, balancer: serverSet.WithFleet(fleet), proxyCount: 1})
+	p.snapshot.Store(&snapshot{routingTable: p.snapshot.Load().routingTable, balancer: serverSet.WithFleet(fleet), proxyCount: 1})
 	return p, &clientRequest{
 		Request: &upstream.Request{Method: "POST", Target: "/a", Host: "h", Header: http.Header{upstream.HeaderAttempt: {"t"}}, Attempt: "t"},
 		route:   &config.Route{RouteSpec: config.RouteSpec{Name: "r", RouteType: routeType, MaxAttempts: 3}}, snapshot: p.snapshot.Load(), service: "s",
--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -175,7 +175,7 @@
 // serverDeduplicates reports whether the service deduplicates by operation key, so that
 // a keyed request may be sent again.
 func (d *forwarder) serverDeduplicates() bool {
-	return d.request.snapshot.manifest.Services[d.request.service].IdempotentDedup && d.request.key.Key != ""
+	return d.request.snapshot.routingTable.Services[d.request.service].IdempotentDedup && d.request.key.Key != ""
 }
 
 // retry starts another attempt if the route, the remaining time and the retry budget
@@ -218,7 +218,7 @@
 func (d *forwarder) runAttempt(server *balancer.Endpoint, mark outlier.Label) {
 	lateWait, bufferLimit := repeatableLateWait, int64(d.settings.Load().Tuning.BufferBytes)
 	if !d.request.route.Repeatable() {
-		lateWait, bufferLimit = unrepeatableLateWait, max(bufferLimit, d.request.snapshot.manifest.Limits.MaxBodyBytes)
+		lateWait, bufferLimit = unrepeatableLateWait, max(bufferLimit, d.request.snapshot.routingTable.Limits.MaxBodyBytes)
 	}
 	if d.request.route.RouteType == config.Idempotent {
 		bufferLimit = max(bufferLimit, maxRecordedBytes)
--- a/internal/proxy/idempotency.go
+++ b/internal/proxy/idempotency.go
@@ -29,7 +29,7 @@
 
 // standingHandlers is the replay decision table: it maps the result of the vote round
 // to the handling of the request.
-var standingHandlers = map[idempotency.Result]func(*keyedAttempt, context.Context, endpoint.Endpoint) (any, error){
+var resultHandlers = map[idempotency.Result]func(*keyedAttempt, context.Context, endpoint.Endpoint) (any, error){
 	idempotency.Won:             (*keyedAttempt).execute,
 	idempotency.Replayable:      (*keyedAttempt).replay,
 	idempotency.InProgress:      (*keyedAttempt).awaitOutcome,
@@ -66,11 +66,11 @@
 			Route: req.route.Name, Service: req.service, RouteRevision: uint64(req.route.Revision), Reservation: attemptID,
 			State: idempotency.Reserved, CreatedMs: p.clock.Wall().UnixMilli(),
 		}
-		standing := a.reserve()
-		if standing != idempotency.Won {
+		result := a.reserve()
+		if result != idempotency.Won {
 			a.releaseVotes()
 		}
-		return standingHandlers[standing](a, ctx, next)
+		return resultHandlers[result](a, ctx, next)
 	}
 }
 
--- a/internal/proxy/listener.go
+++ b/internal/proxy/listener.go
@@ -62,7 +62,7 @@
 
 // clientTimeouts returns the header and idle timeouts for client connections.
 func (p *proxy) clientTimeouts() (header, idle time.Duration) {
-	limits := p.snapshot.Load().manifest.Limits
+	limits := p.snapshot.Load().routingTable.Limits
 	if header = limits.HeaderTimeout.Std(); header == 0 {
 		header = defaultHeaderTimeout
 	}
--- a/internal/proxy/members.go
+++ b/internal/proxy/members.go
@@ -14,7 +14,7 @@
 }
 
 // callFunc makes one call over a connection: (*rpc.Client).Send or SendRevocable.
-type callFunc = func(line *rpc.Client, kind rpc.Kind, body any, take func([]byte, error)) (cancel func())
+type callFunc = func(client *rpc.Client, kind rpc.Kind, body any, take func([]byte, error)) (cancel func())
 
 // callMembers calls all members of the view concurrently and delivers one reply for
 // each. The caller must call cancel once it needs no more replies; a call that has
--- a/internal/proxy/members_test.go
+++ b/internal/proxy/members_test.go
@@ -36,7 +36,7 @@
 		for _, listener := range members {
 			view.Members = append(view.Members, listener.Addr().String())
 		}
-		p.snapshot.Store(&snapshot{manifest: p.snapshot.Load().manifest, balancer: p.snapshot.Load().balancer, view: view})
+		p.snapshot.Store(&snapshot{routingTable: p.snapshot.Load().routingTable, balancer: p.snapshot.Load().balancer, view: view})
 		req := &clientRequest{
 			Request: &upstream.Request{Header: http.Header{}, Attempt: "t"}, route: &config.Route{}, snapshot: p.snapshot.Load(),
 			deadline: time.Now().Add(time.Second), arrivedAt: time.Now(),
--- a/internal/proxy/mirror.go
+++ b/internal/proxy/mirror.go
@@ -118,15 +118,15 @@
 	}
 	record := p.trafficMirror.recordOf(m.Name)
 	conversation := m.Conversation(req.Header, req.key.Key, req.clientAddress)
-	draw := m.SamplePoint(req.route.Host, conversation)
-	if draw >= grant.Share {
+	samplePoint := m.SamplePoint(req.route.Host, conversation)
+	if samplePoint >= grant.Share {
 		return
 	}
 	hasher := fnv.New64a()
 	_, _ = hasher.Write([]byte(req.route.Host + "\x00" + conversation))
 	hash := hasher.Sum64()
 	record.SetGrant(grant)
-	number, era := record.AddOriginal(hash, draw)
+	number, era := record.AddOriginal(hash, samplePoint)
 	switch {
 	case response == nil:
 		record.AddGap(hash, era, "the original's outcome is not known")
--- a/internal/proxy/mirror_send.go
+++ b/internal/proxy/mirror_send.go
@@ -72,7 +72,7 @@
 		return false
 	}
 	_, granted := s.mirrorGrant(m)
-	return granted && s.grantsValid(p.clock.Monotonic()) && !s.manifest.HasRouteTo(m.Shadow)
+	return granted && s.grantsValid(p.clock.Monotonic()) && !s.routingTable.HasRouteTo(m.Shadow)
 }
 
 // compare classifies the result of a mirrored request against the original.
--- a/internal/proxy/mirror_test.go
+++ b/internal/proxy/mirror_test.go
@@ -50,7 +50,7 @@
 		items.Merge([]config.Item{{ID: config.ID{Class: config.RouteItem, Name: "fee"}, Version: 1, Host: "h", Body: body}})
 		fleet := feed.Fleet{Term: 1, Count: 1, Servers: []feed.Server{{ID: "x-1", Service: service, Address: address, Capacity: 2, IsReady: isReady}}}
 		return &snapshot{
-			manifest: items.Compile(), balancer: balancer.NewServerSet(balancer.Locality{Node: "n"}).WithFleet(fleet), fleetReceivedAt: clock.Instant(time.Hour),
+			routingTable: items.Compile(), balancer: balancer.NewServerSet(balancer.Locality{Node: "n"}).WithFleet(fleet), fleetReceivedAt: clock.Instant(time.Hour),
 			mirrorGrants: []mirror.Grant{{Name: "build", Version: version, Share: 1}},
 		}
 	}
--- a/internal/proxy/operator.go
+++ b/internal/proxy/operator.go
@@ -88,7 +88,7 @@
 func (p *proxy) nodeStatus(struct{}) messages.ProxyStatus {
 	s := p.snapshot.Load()
 	status := messages.ProxyStatus{
-		Node: p.settings.Load().Platform.NodeName, Digest: s.manifestDigest, Epoch: uint64(s.view.Epoch), Ready: p.isReady(), Servers: s.balancer.Size(),
+		Node: p.settings.Load().Platform.NodeName, Digest: s.configDigest, Epoch: uint64(s.view.Epoch), Ready: p.isReady(), Servers: s.balancer.Size(),
 	}
 	cutoffs, isLocal := p.activeCutoffs(s)
 	for _, cutoff := range cutoffs {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -35,19 +35,19 @@
 // snapshot is the configuration and fleet state that a request is handled with. It is
 // replaced as a whole.
 type snapshot struct {
-	manifest *config.RoutingTable
-	balancer *balancer.ServerSet
+	routingTable *config.RoutingTable
+	balancer     *balancer.ServerSet
 	// localSite is this node's site.
-	sites          *sites.Tree
-	localSite      string
-	servers        []feed.Server
-	view           membership.View
-	manifestDigest string
-	proxyCount     int
+	sites        *sites.Tree
+	localSite    string
+	servers      []feed.Server
+	view         membership.View
+	configDigest string
+	proxyCount   int
 	// trialShares, holder and fleetVersion come from the fleet state received at
 	// fleetReceivedAt; holder is the address that reports are sent to.
-	trialShares     []feed.CanaryShare
-	holder          string
+	canaryShares    []feed.CanaryShare
+	leader          string
 	fleetVersion    feed.FleetVersion
 	fleetReceivedAt clock.Instant
 	// stagedChanges are the staged changes in progress.
@@ -89,7 +89,7 @@
 	// outcomes counts attempt outcomes for the reports to the control plane.
 	outcomes *outlier.Recorder
 	// trialAllowances holds by service how many requests a version on trial may get.
-	trialAllowances sync.Map
+	canaryAllowances sync.Map
 	// siteCapacity holds what this node may use of other sites' capacity.
 	siteCapacity *sites.NodeLeases
 	// shedder decides which requests are shed under overload, trafficMirror sends copies
@@ -162,7 +162,7 @@
 	p.inbound = bandwidth.NewPacer(cfg.Platform.Limits.LinkMbps, timeSource)
 	p.outbound = bandwidth.NewPacer(cfg.Platform.Limits.LinkMbps, timeSource)
 	p.downloads = bandwidth.NewBulkLimiter(p.outbound)
-	p.snapshot.Store(&snapshot{manifest: config.ItemSet{}.Compile(), balancer: balancer.NewServerSet(locality)})
+	p.snapshot.Store(&snapshot{routingTable: config.ItemSet{}.Compile(), balancer: balancer.NewServerSet(locality)})
 	p.serve = endpoint.Chain(p.admissionMiddleware, p.limitingDownloads, p.idempotencyMiddleware)(p.forward)
 	return p
 }
@@ -181,7 +181,7 @@
 		merged, updated := p.replica.Merge(update)
 		changed = changed || updated
 		if len(merged.Items) > 0 {
-			next.manifest = nil
+			next.routingTable = nil
 		}
 		if merged.Fleet != nil {
 			next.applyFleet(p.replica.ServingFleet(), p.clock.Monotonic())
@@ -193,16 +193,16 @@
 	if !changed {
 		return
 	}
-	manifestChanged := next.manifest == nil
-	if manifestChanged {
-		next.manifest, next.manifestDigest = p.replica.Items.Compile(), p.replica.Items.Digest()
+	configChanged := next.routingTable == nil
+	if configChanged {
+		next.routingTable, next.configDigest = p.replica.Items.Compile(), p.replica.Items.Digest()
 		platform := p.settings.Load().Platform
 		if sites, err := p.replica.Items.Tree(platform.Cells); err == nil {
 			next.sites, next.localSite = sites, sites.SiteOf("", platform.Cell)
 		}
 	}
 	if len(next.stagedChanges)+len(p.replica.Fleet.Stages) > 0 {
-		next.updateStaged(p.replica.Fleet.Stages, p.replica.Items, manifestChanged, p.settings.Load().Platform.NodeName)
+		next.updateStaged(p.replica.Fleet.Stages, p.replica.Items, configChanged, p.settings.Load().Platform.NodeName)
 	}
 	next.complete = p.replica.Complete
 	if p.replica.View.Epoch > next.view.Epoch {
@@ -211,7 +211,7 @@
 	wasReady := p.isReady()
 	p.snapshot.Store(&next)
 	if !wasReady && p.isReady() {
-		p.log("info", "proxy is ready", "routes", next.manifest.RouteCount, "servers", next.balancer.Size())
+		p.log("info", "proxy is ready", "routes", next.routingTable.RouteCount, "servers", next.balancer.Size())
 	}
 }
 
@@ -219,7 +219,7 @@
 // server, and is not draining.
 func (p *proxy) isReady() bool {
 	s := p.snapshot.Load()
-	return s.complete && s.manifest.RouteCount > 0 && s.balancer.Size() > 0 && !p.draining.Load()
+	return s.complete && s.routingTable.RouteCount > 0 && s.balancer.Size() > 0 && !p.draining.Load()
 }
 
 // connection returns the connection to a control node, created on first use.
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -35,7 +35,7 @@
 	ringPosition    balancer.RingPosition
 	hasRingPosition bool
 	// trialEligible is set if the request may go to the version on trial.
-	trialEligible bool
+	canaryEligible bool
 	// releaseLink returns the link capacity that a download reserved.
 	releaseLink func()
 	// replayed is set if the response comes from a stored record.
@@ -106,7 +106,7 @@
 // readRequest validates the request, finds its route and reads the whole body.
 func (p *proxy) readRequest(w http.ResponseWriter, r *http.Request) (*clientRequest, error) {
 	req := &clientRequest{arrivedAt: time.Now(), snapshot: p.snapshot.Load(), clientAddress: clientAddress(r)}
-	limits := req.snapshot.manifest.Limits
+	limits := req.snapshot.routingTable.Limits
 	path, _, _ := strings.Cut(r.RequestURI, "?")
 	attemptIDs := r.Header.Values(upstream.HeaderAttempt)
 	switch {
--- a/internal/proxy/shed.go
+++ b/internal/proxy/shed.go
@@ -17,7 +17,7 @@
 
 // holderSilenceLimit is how long the term holder may leave reports unanswered
 // before a node applies the cutoffs of its local gauge.
-const holderSilenceLimit = 3 * time.Second
+const leaderSilenceLimit = 3 * time.Second
 
 // loadShedder decides which requests are rejected because their service is
 // overloaded.
@@ -49,7 +49,7 @@
 	}
 	p.shedder.lock.Lock()
 	defer p.shedder.lock.Unlock()
-	if time.Duration(now-p.shedder.lastReportAnswer) < holderSilenceLimit {
+	if time.Duration(now-p.shedder.lastReportAnswer) < leaderSilenceLimit {
 		return nil, false
 	}
 	return p.shedder.localGauge.Cutoffs(), true
@@ -80,7 +80,7 @@
 // shedNames returns the tenant and the client that a cutoff hashes for a request
 // without an idempotency key.
 func (i *clientRequest) shedNames() []string {
-	if header := i.snapshot.manifest.Plan.Conversation; header != "" {
+	if header := i.snapshot.routingTable.Plan.Conversation; header != "" {
 		if value := i.Header.Get(header); value != "" {
 			return []string{i.route.Host, value}
 		}
--- a/internal/proxy/snapshot.go
+++ b/internal/proxy/snapshot.go
@@ -17,7 +17,7 @@
 		s.balancer = s.balancer.WithFleet(fleet)
 	}
 	s.servers = fleet.Servers
-	s.proxyCount, s.trialShares, s.holder = fleet.Proxies, fleet.Shares, fleet.Leader
+	s.proxyCount, s.canaryShares, s.leader = fleet.Proxies, fleet.Shares, fleet.Leader
 	s.fleetVersion, s.fleetReceivedAt = fleet.Version(), now
 	s.cutoffs, s.mirrorGrants = fleet.Cutoffs, fleet.Mirrors
 }
--- a/internal/proxy/staged.go
+++ b/internal/proxy/staged.go
@@ -55,7 +55,7 @@
 // findRoute finds the route of a request: that of the configuration, or that of a
 // staged change which applies to this node and whose grant is valid.
 func (s *snapshot) findRoute(req *clientRequest, host, path string, hasKey bool, now clock.Instant) {
-	req.route = s.manifest.Find(host, path)
+	req.route = s.routingTable.Find(host, path)
 	if len(s.stagedChanges) == 0 || !s.grantsValid(now) {
 		return
 	}
--- a/internal/proxy/vote.go
+++ b/internal/proxy/vote.go
@@ -26,8 +26,8 @@
 		case <-timer.C:
 			return a.round.Result(start + clock.Instant(voteSpan) + 1)
 		}
-		if standing := a.round.Result(a.clock.Monotonic()); standing != idempotency.Undecided {
-			return standing
+		if result := a.round.Result(a.clock.Monotonic()); result != idempotency.Undecided {
+			return result
 		}
 	}
 	return a.round.Result(start + clock.Instant(voteSpan) + 1)
