--- a/internal/balancer/canary_allowance.go
+++ b/internal/balancer/canary_allowance.go
@@ -2,8 +2,8 @@
 
 import "sync"
 
-// CanaryAllowance limits the requests that one node sends to a version on trial to a
-// share of its own requests for the service, counted from when the trial began on this
+// CanaryAllowance limits the requests that one node sends to a canary version to a
+// share of its own requests for the service, counted from when the canary started on this
 // node. As every node keeps to its share, so does the sum over all nodes.
 type CanaryAllowance struct {
 	mu          sync.Mutex
@@ -14,15 +14,15 @@
 
 const (
 	// overrepresentedCredit is the credit that a request of an overrepresented route
-	// requires, so that rare routes reach the version on trial as well.
+	// requires, so that rare routes reach the canary version as well.
 	overrepresentedCredit = 2.5
 	// maxRouteLead is the number of requests by which a route may lead the least sent
 	// route before it counts as overrepresented.
 	maxRouteLead = 2
 )
 
-// Take records a request for the service and reports whether it goes to the version on
-// trial. A share of 1 or more sends every request there.
+// Take records a request for the service and reports whether it goes to the canary
+// version. A share of 1 or more sends every request there.
 func (a *CanaryAllowance) Take(number uint64, share float64, route string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/balancer/choose.go
+++ b/internal/balancer/choose.go
@@ -25,7 +25,7 @@
 	HasPosition bool
 	// Allowed, if set, reports whether a server may be chosen at all.
 	Allowed func(*Endpoint) bool
-	// Canary requests a server of the version on trial.
+	// Canary requests a server of the canary version.
 	Canary bool
 }
 
--- a/internal/balancer/retry_budget.go
+++ b/internal/balancer/retry_budget.go
@@ -1,5 +1,5 @@
 // Package balancer chooses the server of each request and limits retries and the
-// requests that a version on trial receives.
+// requests that a canary version receives.
 package balancer
 
 import (
--- a/internal/balancer/server_set.go
+++ b/internal/balancer/server_set.go
@@ -83,7 +83,7 @@
 	return endpoint, found
 }
 
-// canaryName returns the name under which a service's version on trial is kept.
+// canaryName returns the name under which a service's canary version is kept.
 func canaryName(service string) string { return service + "\x00trial" }
 
 // InFlight returns the number of requests in flight to the service's version in force.
--- a/internal/idempotency/voter.go
+++ b/internal/idempotency/voter.go
@@ -112,7 +112,7 @@
 }
 
 // Record stores the state that the owner of the key's only delivered attempt reports. It
-// replaces a vote for another attempt, which cannot have won. A report without news
+// replaces a vote for another attempt, which cannot have won. A report that changes nothing
 // returns no entry.
 func (v *Voter) Record(reported Intent) (*Entry, error) {
 	existing := v.table.find(reported.Key)
--- a/internal/outlier/aggregator.go
+++ b/internal/outlier/aggregator.go
@@ -32,7 +32,7 @@
 }
 
 const (
-	// window is the recent period that is evaluated in addition to the whole trial.
+	// window is the recent period that is evaluated in addition to the whole rollout.
 	window         = 2500 * time.Millisecond
 	sampleInterval = 250 * time.Millisecond
 	// contactTimeout is the age up to which a report counts its proxy as in contact.
@@ -97,7 +97,7 @@
 	return sums
 }
 
-// ForgetBefore discards the rows of the subject's trials before the number.
+// ForgetBefore discards the rows of the subject's rollouts before the number.
 func (a *Aggregator) ForgetBefore(subject string, number uint64) {
 	maps.DeleteFunc(a.ended, func(label Label, _ Counts) bool { return label.Subject == subject && label.Number < number })
 }
--- a/internal/outlier/compare.go
+++ b/internal/outlier/compare.go
@@ -38,7 +38,7 @@
 
 const (
 	// failProbability is the probability of the counts, assuming that both sides are
-	// alike, below which a single test fails. A trial runs at most some thousand tests.
+	// alike, below which a single test fails. A rollout runs at most some thousand tests.
 	failProbability = 1e-5
 	// suspectFactor and suspectMargin determine how much higher a rate must be to be
 	// suspect.
--- a/internal/outlier/evaluation.go
+++ b/internal/outlier/evaluation.go
@@ -15,7 +15,7 @@
 	Verdict string `json:"Verdict"`
 }
 
-// Evaluation is the result for one trial.
+// Evaluation is the result for one rollout.
 type Evaluation struct {
 	Verdict Verdict
 	Reason  string
@@ -37,8 +37,8 @@
 	rareRouteShare = 0.02
 )
 
-// Evaluate evaluates one trial of a subject (in the wave that it has reached): in total
-// and by route, over the whole trial and over the recent window.
+// Evaluate evaluates one rollout of a subject (in the wave that it has reached): in total
+// and by route, over the whole rollout and over the recent window.
 func (a *Aggregator) Evaluate(subject string, number uint64, wave int) (out Evaluation) {
 	all := countsByRoute(a.sum(), subject, number, wave)
 	recent := map[string][2]Counts{}
@@ -93,7 +93,7 @@
 	return out
 }
 
-// countsByRoute returns a trial's counts by route: the side in force, then the side on
+// countsByRoute returns a rollout's counts by route: the side in force, then the side on
 // trial.
 func countsByRoute(rows map[Label]Counts, subject string, number uint64, wave int) map[string][2]Counts {
 	out := map[string][2]Counts{}
--- a/internal/outlier/recorder.go
+++ b/internal/outlier/recorder.go
@@ -1,5 +1,5 @@
 // Package outlier evaluates servers and versions by the outcomes of real requests.
-// Proxies count outcomes and report them; the term holder sums the reports and compares
+// Proxies count outcomes and report them; the leader sums the reports and compares
 // like with like: the same route in the same period.
 package outlier
 
@@ -55,10 +55,10 @@
 	return c
 }
 
-// Label identifies what an outcome is counted for: the trial, by its subject and
-// number, the route and the side of the trial.
+// Label identifies what an outcome is counted for: the rollout, by its subject and
+// number, the route and the side of the rollout.
 type Label struct {
-	// Subject is a service whose version is on trial, or a staged change.
+	// Subject is a service with a canary version, or a staged change.
 	Subject string `cbor:"1,keyasint"`
 	Number  uint64 `cbor:"2,keyasint"`
 	Route   string `cbor:"3,keyasint"`
@@ -94,7 +94,7 @@
 	Overloaded uint32 `cbor:"6,keyasint,omitempty"`
 }
 
-// Report holds one proxy's counts. Rows are totals since the trial began, so that a
+// Report holds one proxy's counts. Rows are totals since the rollout began, so that a
 // later report replaces an earlier one, and lost or repeated reports do no harm.
 // Servers are increments that count once per sequence number.
 type Report struct {
@@ -128,8 +128,8 @@
 	return &Recorder{rows: map[Label]Counts{}, servers: map[string]ServerCounts{}}
 }
 
-// Record counts an outcome for a trial. The first outcome of a trial discards the
-// counts of earlier trials of the subject.
+// Record counts an outcome for a rollout. The first outcome of a rollout discards the
+// counts of earlier rollouts of the subject.
 func (r *Recorder) Record(label Label, outcome Outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -173,7 +173,7 @@
 	r.servers[server] = row
 }
 
-// Report returns the report to send to the term holder, and resets the counts of the
+// Report returns the report to send to the leader, and resets the counts of the
 // servers.
 func (r *Recorder) Report(node, incarnation string) Report {
 	r.mu.Lock()
--- a/internal/proxy/canary.go
+++ b/internal/proxy/canary.go
@@ -114,7 +114,7 @@
 	return mark
 }
 
-// reportPeriodically sends the counts to the term holder: in every period while
+// reportPeriodically sends the counts to the leader: in every period while
 // there is a canary, a staged change, overload or a lack of slots, and less often
 // otherwise.
 func (p *proxy) reportPeriodically(ctx context.Context) {
--- a/internal/proxy/eligibility.go
+++ b/internal/proxy/eligibility.go
@@ -12,7 +12,7 @@
 
 // acceptsRequests reports whether the server may still get requests by the newest
 // snapshot: it is listed under the same address, is ready, runs a version that is not
-// shut, and is not known to be leaving.
+// blocked, and is not known to be leaving.
 func (p *proxy) acceptsRequests(server *balancer.Endpoint) bool {
 	current, listed := p.snapshot.Load().balancer.Find(server.ID)
 	if !listed || current.Address != server.Address {
--- a/internal/proxy/eligibility_test.go
+++ b/internal/proxy/eligibility_test.go
@@ -75,10 +75,10 @@
 			updateServers(draining, listedServer("x-2"))
 		},
 		"is no longer listed": func() { updateServers(listedServer("x-2")) },
-		"runs a version that was shut": func() {
-			shut := listedServer("x-1")
-			shut.Admission = feed.Blocked
-			updateServers(shut, listedServer("x-2"))
+		"runs a version that was blocked": func() {
+			blocked := listedServer("x-1")
+			blocked.Admission = feed.Blocked
+			updateServers(blocked, listedServer("x-2"))
 		},
 		"has lost its address to another server": func() {
 			moved := listedServer("x-1")
--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -82,7 +82,7 @@
 	untrack func()
 	// siteReservations holds the release functions of capacity reserved at servers' sites.
 	siteReservations *sync.Map
-	// clientCtx ends when nobody waits for the response any more.
+	// clientCtx ends when no client waits for the response any more.
 	clientCtx context.Context
 }
 
--- a/internal/proxy/leaving_server_test.go
+++ b/internal/proxy/leaving_server_test.go
@@ -40,7 +40,7 @@
 		Expect(chosenServers()).To(HaveKey("i-1"))
 	})
 
-	It("sends it no requests, even if the holder of a new term lists it as ready", func() {
+	It("sends it no requests, even if the leader of a new term lists it as ready", func() {
 		applyUpdates(feed.Update{Fleet: fleet(1, 2, false)})
 		Expect(chosenServers()).To(Equal(map[string]bool{"i-2": true}))
 		applyUpdates(feed.Update{Fleet: fleet(2, 1, true)})
--- a/internal/proxy/listener.go
+++ b/internal/proxy/listener.go
@@ -24,7 +24,7 @@
 }
 
 // clientConn is one client connection. The HTTP server sets a read deadline while it
-// waits for a header or for the next request; the connection tells the two apart and
+// waits for a header or for the next request; the connection distinguishes the two and
 // applies the configured timeout instead.
 type clientConn struct {
 	*net.TCPConn
--- a/internal/proxy/members_test.go
+++ b/internal/proxy/members_test.go
@@ -66,7 +66,7 @@
 		Expect(a.reserve()).To(Equal(idempotency.NoMajority))
 	})
 
-	It("ignore ballots and records of another key", func() {
+	It("ignore votes and records of another key", func() {
 		completed := &idempotency.Intent{Key: idempotency.Key{Tenant: "h", Key: "another"}, State: idempotency.Completed, Response: &idempotency.Response{Status: 200}}
 		held := messages.Vote{Vote: idempotency.Vote{Verdict: idempotency.KeyInUse, Existing: completed}}
 		a := newAttempt(startMember("127.0.0.1:0", votes(1, held)), startMember("127.0.0.1:0", votes(1, held)), startMember("127.0.0.1:0", votes(1, held)))
--- a/internal/proxy/mirror.go
+++ b/internal/proxy/mirror.go
@@ -105,7 +105,7 @@
 }
 
 // offerMirror queues the mirrored copy of a request after its client has the
-// response. response is nil if there was none; mayHaveExecuted tells that the request
+// response. response is nil if there was none; mayHaveExecuted reports that the request
 // may have been executed without one.
 func (p *proxy) offerMirror(req *clientRequest, response *upstream.Response, mayHaveExecuted bool) {
 	if req == nil || req.route == nil || req.route.Mirror == nil || req.replayed || response == nil && !mayHaveExecuted {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -44,8 +44,8 @@
 	view         membership.View
 	configDigest string
 	proxyCount   int
-	// trialShares, holder and fleetVersion come from the fleet state received at
-	// fleetReceivedAt; holder is the address that reports are sent to.
+	// canaryShares, leader and fleetVersion come from the fleet state received at
+	// fleetReceivedAt; leader is the address that reports are sent to.
 	canaryShares    []feed.CanaryShare
 	leader          string
 	fleetVersion    feed.FleetVersion
@@ -88,7 +88,7 @@
 	downloads         *bandwidth.BulkLimiter
 	// outcomes counts attempt outcomes for the reports to the control plane.
 	outcomes *outlier.Recorder
-	// trialAllowances holds by service how many requests a version on trial may get.
+	// canaryAllowances limits, by service, the requests sent to a canary version.
 	canaryAllowances sync.Map
 	// siteCapacity holds what this node may use of other sites' capacity.
 	siteCapacity *sites.NodeLeases
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -34,7 +34,7 @@
 	// ringPosition places a keyed operation or a download on the service's hash ring.
 	ringPosition    balancer.RingPosition
 	hasRingPosition bool
-	// trialEligible is set if the request may go to the version on trial.
+	// canaryEligible is set if the request may go to the canary version.
 	canaryEligible bool
 	// releaseLink returns the link capacity that a download reserved.
 	releaseLink func()
--- a/internal/proxy/shed.go
+++ b/internal/proxy/shed.go
@@ -15,7 +15,7 @@
 	"ploverhitch/internal/upstream"
 )
 
-// holderSilenceLimit is how long the term holder may leave reports unanswered
+// leaderSilenceLimit is how long the leader may leave reports unanswered
 // before a node applies the cutoffs of its local gauge.
 const leaderSilenceLimit = 3 * time.Second
 
@@ -27,7 +27,7 @@
 	lock       sync.Mutex
 	localGauge *shedding.Gauge
 	pending    []shedding.Load
-	// lastReportAnswer is when the term holder last answered a report.
+	// lastReportAnswer is when the leader last answered a report.
 	lastReportAnswer clock.Instant
 }
 
@@ -39,9 +39,9 @@
 
 func (p *proxy) sheddingEnabled() bool { return p.settings.Load().Tuning.Loadgauge == settings.GaugeOn }
 
-// activeCutoffs returns the cutoffs in force: those of the term holder while its
-// grant is valid, or those of the local gauge once the term holder has been silent
-// for holderSilenceLimit.
+// activeCutoffs returns the cutoffs in force: those of the leader while its
+// grant is valid, or those of the local gauge once the leader has been silent
+// for leaderSilenceLimit.
 func (p *proxy) activeCutoffs(s *snapshot) (cutoffs []shedding.Cutoff, isLocal bool) {
 	now := p.clock.Monotonic()
 	if len(s.cutoffs) > 0 && s.grantsValid(now) {
--- a/internal/proxy/staged.go
+++ b/internal/proxy/staged.go
@@ -16,7 +16,7 @@
 )
 
 // stagedChange is a staged change with the configuration that results from it.
-// applies tells whether this node serves by it.
+// applies reports whether this node serves by it.
 type stagedChange struct {
 	feed.StagedChange
 	compiled *config.RoutingTable
--- a/internal/proxy/vote.go
+++ b/internal/proxy/vote.go
@@ -54,7 +54,7 @@
 // with it.
 func (a *keyedAttempt) addVote(vote memberReply[messages.Vote]) {
 	if vote.reply == nil || vote.reply.Vote.Existing != nil && vote.reply.Vote.Existing.Key != a.intent.Key {
-		// A ballot on another key counts as no vote.
+		// A vote on another key counts as no vote.
 		a.round.AddVote(nil)
 		return
 	}
--- a/internal/sites/allocator.go
+++ b/internal/sites/allocator.go
@@ -59,7 +59,7 @@
 }
 
 // Allocator leases spare capacity of the sites to nodes at other sites. It runs at the
-// term holder and is not safe for concurrent use. The sum of all unexpired leases and
+// leader and is not safe for concurrent use. The sum of all unexpired leases and
 // of the site's own requests in flight never exceeds the usable capacity of a site.
 type Allocator struct {
 	clock clock.Clock
--- a/internal/sites/sites_test.go
+++ b/internal/sites/sites_test.go
@@ -87,7 +87,7 @@
 		Expect(failed).To(BeNumerically(">", 20))
 	})
 
-	It("exceeds no capacity if two sites fail at once, all capacity is too small and the term holder is lost meanwhile", func() {
+	It("exceeds no capacity if two sites fail at once, all capacity is too small and the leader is lost meanwhile", func() {
 		for seed := range uint64(25) {
 			s := newSimulation(seed, true)
 			s.run(4 * time.Second)
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -40,7 +40,7 @@
 	StreamThreshold int64
 	// Inbound and Outbound are the two directions of the machine's network link.
 	Inbound, Outbound *bandwidth.Pacer
-	// ClientContext, if set, is canceled when nobody waits for the response any more.
+	// ClientContext, if set, is canceled when no client waits for the response any more.
 	// The connection is then closed, so that the server can stop its work.
 	ClientContext context.Context
 	// Serving, if set, is called immediately before the first byte is sent: a server
