--- a/internal/proxy/mirror.go
+++ b/internal/proxy/mirror.go
@@ -28,7 +28,7 @@
 // original.
 type mirrorJob struct {
 	mirror   *config.Mirror
-	record   *mirror.Recorder
+	recorder *mirror.Recorder
 	request  *upstream.Request
 	route    *config.Route
 	hash     uint64
@@ -47,14 +47,14 @@
 // mirrorSender sends mirrored requests outside the request path. Jobs that do not fit
 // into its queue are dropped.
 type mirrorSender struct {
-	queue   chan mirrorJob
-	lock    sync.Mutex
-	records map[string]*mirror.Recorder
-	pools   map[string]*upstream.Pool
+	queue     chan mirrorJob
+	lock      sync.Mutex
+	recorders map[string]*mirror.Recorder
+	pools     map[string]*upstream.Pool
 }
 
 func newMirrorSender() *mirrorSender {
-	return &mirrorSender{queue: make(chan mirrorJob, mirrorQueueSize), records: map[string]*mirror.Recorder{}, pools: map[string]*upstream.Pool{}}
+	return &mirrorSender{queue: make(chan mirrorJob, mirrorQueueSize), recorders: map[string]*mirror.Recorder{}, pools: map[string]*upstream.Pool{}}
 }
 
 // closeUnlisted closes the connections to servers that are no longer listed under their address.
@@ -78,16 +78,16 @@
 
 func poolName(server feed.Server) string { return server.ID + " " + server.Address }
 
-// recordOf returns the comparison record of a mirror.
-func (m *mirrorSender) recordOf(name string) *mirror.Recorder {
+// recorderOf returns the recorder of a mirror.
+func (m *mirrorSender) recorderOf(name string) *mirror.Recorder {
 	m.lock.Lock()
 	defer m.lock.Unlock()
-	record := m.records[name]
-	if record == nil {
-		record = mirror.NewRecorder()
-		m.records[name] = record
+	recorder := m.recorders[name]
+	if recorder == nil {
+		recorder = mirror.NewRecorder()
+		m.recorders[name] = recorder
 	}
-	return record
+	return recorder
 }
 
 // poolOf returns the connection pool of a shadow server. It is separate from the
@@ -116,7 +116,7 @@
 	if !granted {
 		return
 	}
-	record := p.trafficMirror.recordOf(m.Name)
+	recorder := p.trafficMirror.recorderOf(m.Name)
 	conversation := m.Conversation(req.Header, req.key.Key, req.clientAddress)
 	samplePoint := m.SamplePoint(req.route.Host, conversation)
 	if samplePoint >= grant.Share {
@@ -125,18 +125,18 @@
 	hasher := fnv.New64a()
 	_, _ = hasher.Write([]byte(req.route.Host + "\x00" + conversation))
 	hash := hasher.Sum64()
-	record.SetGrant(grant)
-	number, era := record.AddOriginal(hash, samplePoint)
+	recorder.SetGrant(grant)
+	number, era := recorder.AddOriginal(hash, samplePoint)
 	switch {
 	case response == nil:
-		record.AddGap(hash, era, "the original's outcome is not known")
+		recorder.AddGap(hash, era, "the original's outcome is not known")
 		return
 	case !req.snapshot.grantsValid(p.clock.Monotonic()):
-		record.AddGap(hash, era, "the order had lapsed here")
+		recorder.AddGap(hash, era, "the order had lapsed here")
 		return
 	}
 	job := mirrorJob{
-		mirror: m, record: record, route: req.route, hash: hash, era: era, position: balancer.RingPosition(hash), timeout: time.Until(req.deadline) + time.Since(req.arrivedAt),
+		mirror: m, recorder: recorder, route: req.route, hash: hash, era: era, position: balancer.RingPosition(hash), timeout: time.Until(req.deadline) + time.Since(req.arrivedAt),
 		status: response.Status, length: response.Length, liveLatency: req.duration,
 	}
 	if job.bodyComplete = response.Remainder == nil; job.bodyComplete {
@@ -150,7 +150,7 @@
 	select {
 	case p.trafficMirror.queue <- job:
 	default:
-		record.AddGap(hash, era, "the inbox was full")
+		recorder.AddGap(hash, era, "the inbox was full")
 	}
 }
 
@@ -165,29 +165,29 @@
 	return mirror.Grant{}, false
 }
 
-// mirrorPages returns the comparison records of this node.
-func (p *proxy) mirrorPages(struct{}) messages.MirrorStatus {
+// mirrorStatus returns the results of all mirrors on this node.
+func (p *proxy) mirrorStatus(struct{}) messages.MirrorStatus {
 	result := messages.MirrorStatus{Node: p.settings.Load().Platform.NodeName, Incarnation: p.incarnation, Pages: map[string]mirror.Results{}}
-	for name, record := range p.trafficMirror.allRecords() {
-		result.Pages[name] = record.Results()
+	for name, recorder := range p.trafficMirror.allRecorders() {
+		result.Pages[name] = recorder.Results()
 	}
 	return result
 }
 
-func (m *mirrorSender) allRecords() map[string]*mirror.Recorder {
+func (m *mirrorSender) allRecorders() map[string]*mirror.Recorder {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	result := map[string]*mirror.Recorder{}
-	for name, record := range m.records {
-		result[name] = record
+	for name, recorder := range m.recorders {
+		result[name] = recorder
 	}
 	return result
 }
 
 // tallies returns the counts of mirrored requests for the report.
 func (m *mirrorSender) tallies() (result []mirror.CountDelta) {
-	for name, record := range m.allRecords() {
-		result = append(result, record.TakeDelta(name))
+	for name, recorder := range m.allRecorders() {
+		result = append(result, recorder.TakeDelta(name))
 	}
 	return result
 }
--- a/internal/proxy/mirror_send.go
+++ b/internal/proxy/mirror_send.go
@@ -28,12 +28,12 @@
 func (p *proxy) sendMirrored(job mirrorJob) {
 	server := p.snapshot.Load().balancer.HomeServer(job.mirror.Shadow, job.position)
 	if server == nil {
-		job.record.AddGap(job.hash, job.era, "the shadow has no server")
+		job.recorder.AddGap(job.hash, job.era, "the shadow has no server")
 		return
 	}
 	if !p.outbound.Idle() || !p.inbound.Idle() {
 		// Original requests have precedence on the link.
-		job.record.AddGap(job.hash, job.era, "the link was busy")
+		job.recorder.AddGap(job.hash, job.era, "the link was busy")
 		return
 	}
 	bufferBytes := int64(mirrorBufferBytes)
@@ -48,7 +48,7 @@
 	})
 	latency := time.Since(start)
 	if err != nil && errors.Is(err, upstream.ErrNotSent) {
-		job.record.AddGap(job.hash, job.era, "the copy could not be sent")
+		job.recorder.AddGap(job.hash, job.era, "the copy could not be sent")
 		return
 	}
 	example := mirror.Example{
@@ -59,7 +59,7 @@
 		example.ShadowStatus = response.Status
 		response.Finish(false)
 	}
-	job.record.AddComparison(job.hash, job.era, example)
+	job.recorder.AddComparison(job.hash, job.era, example)
 }
 
 // maySendMirrored is the last check before the first byte is sent: the server must
--- a/internal/proxy/operator.go
+++ b/internal/proxy/operator.go
@@ -90,9 +90,9 @@
 	status := messages.ProxyStatus{
 		Node: p.settings.Load().Platform.NodeName, Digest: s.configDigest, Epoch: uint64(s.view.Epoch), Ready: p.isReady(), Servers: s.balancer.Size(),
 	}
-	cutoffs, isLocal := p.activeCutoffs(s)
+	cutoffs, local := p.activeCutoffs(s)
 	for _, cutoff := range cutoffs {
-		status.Cutoff, status.LocalCutoff = max(status.Cutoff, cutoff.Number), isLocal
+		status.Cutoff, status.LocalCutoff = max(status.Cutoff, cutoff.Number), local
 	}
 	return status
 }
@@ -114,7 +114,7 @@
 		messages.KindLookupHomes: replyWith(p.ringHomes),
 		messages.KindProxyStatus: replyWith(p.nodeStatus),
 
-		messages.KindMirrorStatus: replyWith(p.mirrorPages),
+		messages.KindMirrorStatus: replyWith(p.mirrorStatus),
 	}, controlSilenceTimeout)
 	return listener, nil
 }
