--- a/internal/proxy/shed.go
+++ b/internal/proxy/shed.go
@@ -42,7 +42,7 @@
 // activeCutoffs returns the cutoffs in force: those of the leader while its
 // grant is valid, or those of the local gauge once the leader has been silent
 // for leaderSilenceLimit.
-func (p *proxy) activeCutoffs(s *snapshot) (cutoffs []shedding.Cutoff, isLocal bool) {
+func (p *proxy) activeCutoffs(s *snapshot) (cutoffs []shedding.Cutoff, local bool) {
 	now := p.clock.Monotonic()
 	if len(s.cutoffs) > 0 && s.grantsValid(now) {
 		return s.cutoffs, false
