--- a/internal/proxy/listener.go
+++ b/internal/proxy/listener.go
@@ -24,7 +24,7 @@
 }
 
 // clientConn is one client connection. The HTTP server sets a read deadline while it
-// waits for a header or for the next request; the connection tells the two apart and
+// waits for a header or for the next request; the connection distinguishes the two and
 // applies the configured timeout instead.
 type clientConn struct {
 	*net.TCPConn
@@ -62,7 +62,7 @@
 
 // clientTimeouts returns the header and idle timeouts for client connections.
 func (p *proxy) clientTimeouts() (header, idle time.Duration) {
-	limits := p.snapshot.Load().manifest.Limits
+	limits := p.snapshot.Load().routingTable.Limits
 	if header = limits.HeaderTimeout.Std(); header == 0 {
 		header = defaultHeaderTimeout
 	}
--- a/internal/proxy/shed.go
+++ b/internal/proxy/shed.go
@@ -15,9 +15,9 @@
 	"ploverhitch/internal/upstream"
 )
 
-// holderSilenceLimit is how long the term holder may leave reports unanswered
+// leaderSilenceLimit is how long the leader may leave reports unanswered
 // before a node applies the cutoffs of its local gauge.
-const holderSilenceLimit = 3 * time.Second
+const leaderSilenceLimit = 3 * time.Second
 
 // loadShedder decides which requests are rejected because their service is
 // overloaded.
@@ -27,7 +27,7 @@
 	lock       sync.Mutex
 	localGauge *shedding.Controller
 	pending    []shedding.Load
-	// lastReportAnswer is when the term holder last answered a report.
+	// lastReportAnswer is when the leader last answered a report.
 	lastReportAnswer clock.Instant
 }
 
@@ -39,17 +39,17 @@
 
 func (p *proxy) sheddingEnabled() bool { return p.settings.Load().Tuning.Loadgauge == settings.GaugeOn }
 
-// activeCutoffs returns the cutoffs in force: those of the term holder while its
-// grant is valid, or those of the local gauge once the term holder has been silent
-// for holderSilenceLimit.
-func (p *proxy) activeCutoffs(s *snapshot) (cutoffs []shedding.Cutoff, isLocal bool) {
+// activeCutoffs returns the cutoffs in force: those of the leader while its
+// grant is valid, or those of the local gauge once the leader has been silent
+// for leaderSilenceLimit.
+func (p *proxy) activeCutoffs(s *snapshot) (cutoffs []shedding.Cutoff, local bool) {
 	now := p.clock.Monotonic()
 	if len(s.cutoffs) > 0 && s.grantsValid(now) {
 		return s.cutoffs, false
 	}
 	p.shedder.lock.Lock()
 	defer p.shedder.lock.Unlock()
-	if time.Duration(now-p.shedder.lastReportAnswer) < holderSilenceLimit {
+	if time.Duration(now-p.shedder.lastReportAnswer) < leaderSilenceLimit {
 		return nil, false
 	}
 	return p.shedder.localGauge.Cutoffs(), true
@@ -80,7 +80,7 @@
 // shedNames returns the tenant and the client that a cutoff hashes for a request
 // without an idempotency key.
 func (i *clientRequest) shedNames() []string {
-	if header := i.snapshot.manifest.Plan.Conversation; header != "" {
+	if header := i.snapshot.routingTable.Plan.Conversation; header != "" {
 		if value := i.Header.Get(header); value != "" {
 			return []string{i.route.Host, value}
 		}
--- a/internal/proxy/vote.go
+++ b/internal/proxy/vote.go
@@ -26,8 +26,8 @@
 		case <-timer.C:
 			return a.round.Result(start + clock.Instant(voteSpan) + 1)
 		}
-		if standing := a.round.Result(a.clock.Monotonic()); standing != idempotency.Undecided {
-			return standing
+		if result := a.round.Result(a.clock.Monotonic()); result != idempotency.Undecided {
+			return result
 		}
 	}
 	return a.round.Result(start + clock.Instant(voteSpan) + 1)
@@ -54,7 +54,7 @@
 // with it.
 func (a *keyedAttempt) addVote(vote memberReply[messages.Vote]) {
 	if vote.reply == nil || vote.reply.Vote.Existing != nil && vote.reply.Vote.Existing.Key != a.intent.Key {
-		// A ballot on another key counts as no vote.
+		// A vote on another key counts as no vote.
 		a.round.AddVote(nil)
 		return
 	}
