--- a/cmd/ploverhitch/main.go
+++ b/cmd/ploverhitch/main.go
@@ -14,11 +14,11 @@
 	"github.com/alecthomas/kingpin/v2"
 
 	"ploverhitch/internal/agent"
+	"ploverhitch/internal/apply"
 	"ploverhitch/internal/control"
 	"ploverhitch/internal/dispatcher"
 	"ploverhitch/internal/inspector"
 	"ploverhitch/internal/logring"
-	"ploverhitch/internal/objects"
 	"ploverhitch/internal/proxy"
 	"ploverhitch/internal/settings"
 )
@@ -60,7 +60,7 @@
 	app.Command("agent", "The agent beside a proxy. Example: ploverhitch agent --settings local.yaml")
 	app.Command("control", "A node of the core. Example: ploverhitch control --settings local.yaml")
 	inspect := inspector.Register(app, os.Stdout, os.Stderr)
-	apply := objects.Register(app, os.Stdout)
+	apply := apply.Register(app, os.Stdout)
 	trials := dispatcher.Register(app, os.Stdout)
 	name := kingpin.MustParse(app.Parse(os.Args[1:]))
 	switch {
--- a/internal/objects/objects_test.go
+++ b/internal/apply/apply_test.go
@@ -1,4 +1,4 @@
-package objects_test
+package apply_test
 
 import (
 	"strings"
@@ -7,13 +7,13 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
+	"ploverhitch/internal/apply"
 	"ploverhitch/internal/config"
-	"ploverhitch/internal/objects"
 )
 
 func TestObjects(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "objects")
+	RunSpecs(t, "apply")
 }
 
 const file = `apiVersion: ploverhitch/v1
@@ -41,7 +41,7 @@
 
 var _ = Describe("a file of objects", func() {
 	It("becomes the call that an operator would send", func() {
-		text, _, err := objects.Parse([]byte(file))
+		text, _, err := apply.Parse([]byte(file))
 		Expect(err).NotTo(HaveOccurred())
 		items, err := config.ParseModify(text)
 		Expect(err).NotTo(HaveOccurred())
@@ -58,7 +58,7 @@
 
 	DescribeTable("is refused where it says what is not supported, by its name",
 		func(from, to, reason string) {
-			_, _, err := objects.Parse([]byte(strings.Replace(file, from, to, 1)))
+			_, _, err := apply.Parse([]byte(strings.Replace(file, from, to, 1)))
 			Expect(err).To(MatchError(ContainSubstring(reason)))
 		},
 		Entry("a field", "  maxAttempts: 2", "  filters: []", `"filters"`),
@@ -72,12 +72,12 @@
 
 var _ = Describe("a Site object", func() {
 	It("becomes a call of its own, and is refused by name where it is wrong", func() {
-		_, own, err := objects.Parse([]byte("apiVersion: ploverhitch/v1\nkind: Site\nmetadata: {name: hall, generation: 3}\nspec: {parent: a, servers: [i-1], capacity: {exams: 4}}\n"))
+		_, own, err := apply.Parse([]byte("apiVersion: ploverhitch/v1\nkind: Site\nmetadata: {name: hall, generation: 3}\nspec: {parent: a, servers: [i-1], capacity: {exams: 4}}\n"))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(own).To(HaveLen(1))
 		Expect(own[0].Path).To(Equal("/v1/sites/modify"))
 		Expect(string(own[0].Text)).To(MatchJSON(`{"Upsert":[{"Name":"hall","Parent":"a","Servers":["i-1"],"Capacity":{"exams":4},"Revision":"r3"}]}`))
-		_, _, err = objects.Parse([]byte("apiVersion: ploverhitch/v1\nkind: Site\nmetadata: {name: hall, generation: 3}\nspec: {floor: 2}\n"))
+		_, _, err = apply.Parse([]byte("apiVersion: ploverhitch/v1\nkind: Site\nmetadata: {name: hall, generation: 3}\nspec: {floor: 2}\n"))
 		Expect(err).To(MatchError(ContainSubstring("floor")))
 	})
 })
--- a/internal/objects/command.go
+++ b/internal/apply/command.go
@@ -1,4 +1,4 @@
-package objects
+package apply
 
 import (
 	"bytes"
@@ -29,7 +29,7 @@
 //
 // Example:
 //
-//	apply := objects.Register(app, os.Stdout)
+//	apply := apply.Register(app, os.Stdout)
 func Register(app *kingpin.Application, out io.Writer) *Command {
 	apply := app.Command("apply", "Sends Kubernetes-style objects as the operator. Example: ploverhitch apply --control 10.1.0.42:8382 --file objects.yaml")
 	return &Command{
--- a/internal/objects/objects.go
+++ b/internal/apply/objects.go
@@ -1,7 +1,7 @@
-// Package objects reads Kubernetes-style objects as a manifest: the kinds Lane,
+// Package apply reads Kubernetes-style objects as a manifest: the kinds Lane,
 // Service, Limits, Site, Plan and Mirror of ploverhitch/v1. It is a small part; what it does not
 // know it refuses by name.
-package objects
+package apply
 
 import (
 	"bytes"
@@ -103,7 +103,7 @@
 //
 // Example:
 //
-//	text, own, err := objects.Parse(file)
+//	text, own, err := apply.Parse(file)
 func Parse(file []byte) (text []byte, own []Own, err error) {
 	out := call{own: map[string][]any{}}
 	for i, document := range strings.Split("\n"+string(file), "\n---") {
--- a/internal/objects/own.go
+++ b/internal/apply/own.go
@@ -1,4 +1,4 @@
-package objects
+package apply
 
 import (
 	"time"
--- a/internal/objects/own_test.go
+++ b/internal/apply/own_test.go
@@ -1,4 +1,4 @@
-package objects_test
+package apply_test
 
 import (
 	"strings"
@@ -6,7 +6,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ploverhitch/internal/objects"
+	"ploverhitch/internal/apply"
 )
 
 const ownFile = `apiVersion: ploverhitch/v1
@@ -22,7 +22,7 @@
 
 var _ = Describe("Plan and Mirror objects", func() {
 	It("become calls of their own, as the control interface takes them", func() {
-		_, own, err := objects.Parse([]byte(ownFile))
+		_, own, err := apply.Parse([]byte(ownFile))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(own).To(HaveLen(2))
 		Expect(own[0].Path).To(Equal("/v1/mirrors/modify"))
@@ -33,7 +33,7 @@
 
 	DescribeTable("are refused by name where they are wrong",
 		func(from, to, reason string) {
-			_, _, err := objects.Parse([]byte(strings.Replace(ownFile, from, to, 1)))
+			_, _, err := apply.Parse([]byte(strings.Replace(ownFile, from, to, 1)))
 			Expect(err).To(MatchError(ContainSubstring(reason)))
 		},
 		Entry("a share over one", "share: 0.1", "share: 2", "Share"),
