--- a/cmd/ploverhitch/main.go
+++ b/cmd/ploverhitch/main.go
@@ -16,10 +16,10 @@
 	"ploverhitch/internal/agent"
 	"ploverhitch/internal/apply"
 	"ploverhitch/internal/control"
-	"ploverhitch/internal/dispatcher"
 	"ploverhitch/internal/inspector"
 	"ploverhitch/internal/logring"
 	"ploverhitch/internal/proxy"
+	"ploverhitch/internal/rolloutcmd"
 	"ploverhitch/internal/settings"
 )
 
@@ -61,7 +61,7 @@
 	app.Command("control", "A node of the core. Example: ploverhitch control --settings local.yaml")
 	inspect := inspector.Register(app, os.Stdout, os.Stderr)
 	apply := apply.Register(app, os.Stdout)
-	trials := dispatcher.Register(app, os.Stdout)
+	trials := rolloutcmd.Register(app, os.Stdout)
 	name := kingpin.MustParse(app.Parse(os.Args[1:]))
 	switch {
 	case strings.HasPrefix(name, "inspector"):
--- a/internal/dispatcher/command.go
+++ b/internal/rolloutcmd/command.go
@@ -1,6 +1,6 @@
-// Package dispatcher is the operators' command line for what is brought in under
+// Package rolloutcmd is the operators' command line for what is brought in under
 // traffic: rollouts of versions and staged changes of lanes.
-package dispatcher
+package rolloutcmd
 
 import (
 	"bytes"
@@ -42,7 +42,7 @@
 //
 // Example:
 //
-//	trials := dispatcher.Register(app, os.Stdout)
+//	trials := rolloutcmd.Register(app, os.Stdout)
 func Register(app *kingpin.Application, out io.Writer) *Command {
 	c := &Command{clock: clock.Real(), client: &http.Client{Timeout: callSpan}, out: out}
 	rollout := app.Command("rollout", "Brings a new version of a service in under traffic.")
--- a/internal/dispatcher/dispatcher_test.go
+++ b/internal/rolloutcmd/rolloutcmd_test.go
@@ -1,4 +1,4 @@
-package dispatcher_test
+package rolloutcmd_test
 
 import (
 	"bytes"
@@ -12,12 +12,12 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ploverhitch/internal/dispatcher"
+	"ploverhitch/internal/rolloutcmd"
 )
 
 func TestDispatcher(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "dispatcher")
+	RunSpecs(t, "rolloutcmd")
 }
 
 var _ = Describe("the command line of trials", func() {
@@ -32,7 +32,7 @@
 		}))
 		defer server.Close()
 		app, out := kingpin.New("ploverhitch", ""), &bytes.Buffer{}
-		command := dispatcher.Register(app, out)
+		command := rolloutcmd.Register(app, out)
 		name, err := app.Parse(append([]string{"--core", strings.TrimPrefix(server.URL, "http://")}, strings.Fields(words)...))
 		Expect(err).NotTo(HaveOccurred())
 		code, err := command.Run(name)
@@ -47,7 +47,7 @@
 		Expect(asked[0]).To(Equal(`POST /v1/rollouts/start {"Duration":"12000ms","Service":"fees","TargetVersion":"v2"}`))
 		code, text, err := run("rollout watch --service fees")
 		Expect(err).NotTo(HaveOccurred())
-		Expect(code).To(Equal(dispatcher.Reverted))
+		Expect(code).To(Equal(rolloutcmd.Reverted))
 		Expect(text).To(ContainSubstring("lane a"))
 		_, _, err = run("staged halt --name east")
 		Expect(err).NotTo(HaveOccurred())
