--- a/internal/apply/apply_test.go
+++ b/internal/apply/apply_test.go
@@ -41,19 +41,19 @@
 
 var _ = Describe("a file of objects", func() {
 	It("becomes the call that an operator would send", func() {
-		text, _, err := apply.Parse([]byte(file))
+		body, _, err := apply.Parse([]byte(file))
 		Expect(err).NotTo(HaveOccurred())
-		items, err := config.ParseModify(text)
+		items, err := config.ParseModify(body)
 		Expect(err).NotTo(HaveOccurred())
-		book := config.ItemSet{}
-		book.Merge(items)
-		Expect(book).To(HaveLen(3))
-		sheet := book.Compile()
-		lane := sheet.Find("h.example", "/fee/x")
-		Expect(lane.Revision).To(Equal(config.Version(4)))
-		Expect(lane.Services()).To(Equal([]string{"fees", "fees-next"}))
-		Expect(sheet.Limits.MaxBodyBytes).To(Equal(int64(1000)))
-		Expect(sheet.Services["fees"].MaxConnections).To(Equal(100))
+		itemSet := config.ItemSet{}
+		itemSet.Merge(items)
+		Expect(itemSet).To(HaveLen(3))
+		configuration := itemSet.Compile()
+		route := configuration.Find("h.example", "/fee/x")
+		Expect(route.Revision).To(Equal(config.Version(4)))
+		Expect(route.Services()).To(Equal([]string{"fees", "fees-next"}))
+		Expect(configuration.Limits.MaxBodyBytes).To(Equal(int64(1000)))
+		Expect(configuration.Services["fees"].MaxConnections).To(Equal(100))
 	})
 
 	DescribeTable("is refused where it says what is not supported, by its name",
@@ -72,11 +72,11 @@
 
 var _ = Describe("a Site object", func() {
 	It("becomes a call of its own, and is refused by name where it is wrong", func() {
-		_, own, err := apply.Parse([]byte("apiVersion: ploverhitch/v1\nkind: Site\nmetadata: {name: hall, generation: 3}\nspec: {parent: a, servers: [i-1], capacity: {exams: 4}}\n"))
+		_, requests, err := apply.Parse([]byte("apiVersion: ploverhitch/v1\nkind: Site\nmetadata: {name: hall, generation: 3}\nspec: {parent: a, servers: [i-1], capacity: {exams: 4}}\n"))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(own).To(HaveLen(1))
-		Expect(own[0].Path).To(Equal("/v1/sites/modify"))
-		Expect(string(own[0].Text)).To(MatchJSON(`{"Upsert":[{"Name":"hall","Parent":"a","Servers":["i-1"],"Capacity":{"exams":4},"Revision":"r3"}]}`))
+		Expect(requests).To(HaveLen(1))
+		Expect(requests[0].Path).To(Equal("/v1/sites/modify"))
+		Expect(string(requests[0].Body)).To(MatchJSON(`{"Upsert":[{"Name":"hall","Parent":"a","Servers":["i-1"],"Capacity":{"exams":4},"Revision":"r3"}]}`))
 		_, _, err = apply.Parse([]byte("apiVersion: ploverhitch/v1\nkind: Site\nmetadata: {name: hall, generation: 3}\nspec: {floor: 2}\n"))
 		Expect(err).To(MatchError(ContainSubstring("floor")))
 	})
--- a/internal/apply/command.go
+++ b/internal/apply/command.go
@@ -19,7 +19,7 @@
 // Command is the subcommand that sends objects to a core node.
 type Command struct {
 	file, control *string
-	isDry         *bool
+	dryRun        *bool
 	staged, first *string
 	duration      *time.Duration
 	out           io.Writer
@@ -35,7 +35,7 @@
 	return &Command{
 		file:     apply.Flag("file", "The objects, in YAML.").Short('f').Required().String(),
 		control:  apply.Flag("control", "Control address of a core node.").PlaceHolder("HOST:PORT").String(),
-		isDry:    apply.Flag("dry-run", "Check the objects, print the call, and send nothing.").Bool(),
+		dryRun:   apply.Flag("dry-run", "Check the objects, print the call, and send nothing.").Bool(),
 		staged:   apply.Flag("staged", "Bring the change in node by node under this name: ploverhitch staged watch follows it.").PlaceHolder("NAME").String(),
 		first:    apply.Flag("first", "The node that a staged change reaches first.").PlaceHolder("NODE").String(),
 		duration: apply.Flag("duration", "The term of a staged change.").Default("5m").Duration(),
@@ -43,7 +43,7 @@
 	}
 }
 
-const applySpan = 10 * time.Second
+const requestTimeout = 10 * time.Second
 
 // Run reads, checks and sends the objects.
 //
@@ -51,28 +51,28 @@
 //
 //	err := apply.Run()
 func (c *Command) Run() error {
-	file, err := os.ReadFile(*c.file)
+	contents, err := os.ReadFile(*c.file)
 	if err != nil {
 		return errors.Trace(err)
 	}
-	text, own, err := Parse(file)
+	body, requests, err := Parse(contents)
 	if err != nil {
 		return errors.Annotate(err, *c.file)
 	}
 	path := "/v1/config/modify"
 	if *c.staged != "" {
-		order := map[string]any{"Name": *c.staged, "First": *c.first, "Duration": clock.Duration(*c.duration), "Change": json.RawMessage(text)}
-		if path = "/v1/staged/start"; len(own) > 0 {
-			return errors.NotSupportedf("an object for %s in a staged change", own[0].Path)
+		rollout := map[string]any{"Name": *c.staged, "First": *c.first, "Duration": clock.Duration(*c.duration), "Change": json.RawMessage(body)}
+		if path = "/v1/staged/start"; len(requests) > 0 {
+			return errors.NotSupportedf("an object for %s in a staged change", requests[0].Path)
 		}
-		if text, err = json.Marshal(order); err != nil {
+		if body, err = json.Marshal(rollout); err != nil {
 			return errors.Trace(err)
 		}
 	}
-	if *c.isDry {
-		fmt.Fprintln(c.out, string(text))
-		for _, one := range own {
-			fmt.Fprintln(c.out, string(one.Text))
+	if *c.dryRun {
+		fmt.Fprintln(c.out, string(body))
+		for _, request := range requests {
+			fmt.Fprintln(c.out, string(request.Body))
 		}
 		return nil
 	}
@@ -80,8 +80,8 @@
 		return errors.NotValidf("call without --control")
 	}
 	// Plans and mirrors name lanes, so these come first.
-	for _, one := range append([]Own{{path, text}}, own...) {
-		if err := c.send(one.Path, one.Text); err != nil {
+	for _, request := range append([]Request{{path, body}}, requests...) {
+		if err := c.send(request.Path, request.Body); err != nil {
 			return err
 		}
 	}
@@ -89,16 +89,16 @@
 	return nil
 }
 
-func (c *Command) send(path string, text []byte) error {
-	client := &http.Client{Timeout: applySpan}
-	response, err := client.Post("http://"+*c.control+path, "application/json", bytes.NewReader(text))
+func (c *Command) send(path string, body []byte) error {
+	client := &http.Client{Timeout: requestTimeout}
+	response, err := client.Post("http://"+*c.control+path, "application/json", bytes.NewReader(body))
 	if err != nil {
 		return errors.Trace(err)
 	}
 	defer response.Body.Close()
-	reason, _ := io.ReadAll(io.LimitReader(response.Body, 4096))
+	message, _ := io.ReadAll(io.LimitReader(response.Body, 4096))
 	if response.StatusCode != http.StatusOK {
-		return errors.Errorf("%s answered %d: %s", *c.control, response.StatusCode, strings.TrimSpace(string(reason)))
+		return errors.Errorf("%s answered %d: %s", *c.control, response.StatusCode, strings.TrimSpace(string(message)))
 	}
 	return nil
 }
--- a/internal/apply/objects.go
+++ b/internal/apply/objects.go
@@ -32,7 +32,7 @@
 	} `json:"metadata"`
 }
 
-type laneObject struct {
+type routeObject struct {
 	header `json:",inline"`
 	Spec   struct {
 		Host          string           `json:"host"`
@@ -70,31 +70,31 @@
 
 // call is an operator's call as the control interface takes it, and beside it the
 // calls for the project's own kinds, by their paths.
-type call struct {
-	own map[string][]any
+type modification struct {
+	resources map[string][]any
 
 	Upsert struct {
 		Services     []config.ServiceSpec `json:"Services,omitempty"`
 		Limits       *config.LimitsSpec   `json:"Limits,omitempty"`
-		VirtualHosts []host               `json:"VirtualHosts,omitempty"`
+		VirtualHosts []virtualHost        `json:"VirtualHosts,omitempty"`
 	} `json:"Upsert"`
 }
 
-type host struct {
+type virtualHost struct {
 	Hostname  string             `json:"Hostname"`
 	PathTable []config.RouteSpec `json:"PathTable"`
 }
 
 // readers is the table from a kind to how an object of it is taken.
-var readers = map[string]func(*call, []byte) error{
-	"Route": (*call).lane, "Service": (*call).service, "Limits": (*call).limits, "Site": (*call).site,
-	"Plan": (*call).plan, "Mirror": (*call).mirror,
+var decoders = map[string]func(*modification, []byte) error{
+	"Route": (*modification).route, "Service": (*modification).service, "Limits": (*modification).limits, "Site": (*modification).site,
+	"Plan": (*modification).plan, "Mirror": (*modification).mirror,
 }
 
 // Own is the call for objects of one of the project's own kinds.
-type Own struct {
+type Request struct {
 	Path string
-	Text []byte
+	Body []byte
 }
 
 // Parse turns a file of objects, parted by lines of ---, into the text of an
@@ -104,8 +104,8 @@
 // Example:
 //
 //	text, own, err := apply.Parse(file)
-func Parse(file []byte) (text []byte, own []Own, err error) {
-	out := call{own: map[string][]any{}}
+func Parse(file []byte) (body []byte, requests []Request, err error) {
+	out := modification{resources: map[string][]any{}}
 	for i, document := range strings.Split("\n"+string(file), "\n---") {
 		if len(bytes.TrimSpace([]byte(document))) == 0 {
 			continue
@@ -113,7 +113,7 @@
 		var head header
 		err := yaml.Unmarshal([]byte(document), &head)
 		if err == nil {
-			err = out.take(head, []byte(document))
+			err = out.decode(head, []byte(document))
 		}
 		if err != nil {
 			return nil, nil, errors.Annotatef(err, "object %d (%s %s)", i+1, head.Kind, head.Metadata.Name)
@@ -122,85 +122,85 @@
 	sort.SliceStable(out.Upsert.VirtualHosts, func(i, j int) bool {
 		return out.Upsert.VirtualHosts[i].Hostname < out.Upsert.VirtualHosts[j].Hostname
 	})
-	if text, err = json.Marshal(out); err != nil {
+	if body, err = json.Marshal(out); err != nil {
 		return nil, nil, errors.Trace(err)
 	}
-	_, err = config.ParseModify(text)
-	for _, path := range slices.Sorted(maps.Keys(out.own)) {
-		var body []byte
+	_, err = config.ParseModify(body)
+	for _, path := range slices.Sorted(maps.Keys(out.resources)) {
+		var requestBody []byte
 		if err == nil {
-			body, err = json.Marshal(map[string]any{"Upsert": out.own[path]})
+			requestBody, err = json.Marshal(map[string]any{"Upsert": out.resources[path]})
 		}
 		if err == nil {
-			_, err = config.ModifyParser(ownPaths[path])(body)
+			_, err = config.ModifyParser(pathClasses[path])(requestBody)
 		}
-		own = append(own, Own{path, body})
+		requests = append(requests, Request{path, requestBody})
 	}
-	return text, own, errors.Trace(err)
+	return body, requests, errors.Trace(err)
 }
 
-func (c *call) take(head header, document []byte) error {
-	read := readers[head.Kind]
+func (m *modification) decode(head header, document []byte) error {
+	decodeSpec := decoders[head.Kind]
 	switch {
 	case head.APIVersion != APIVersion:
 		return errors.NotSupportedf("apiVersion %s", strconv.Quote(head.APIVersion))
-	case read == nil:
+	case decodeSpec == nil:
 		return errors.NotSupportedf("kind %s", strconv.Quote(head.Kind))
 	case head.Metadata.Name == "":
 		return errors.NotValidf("metadata.name, which is empty,")
 	case head.Metadata.Generation == 0:
 		return errors.NotValidf("metadata.generation, the item's version, which is not set,")
 	}
-	return read(c, document)
+	return decodeSpec(m, document)
 }
 
-func (c *call) lane(document []byte) error {
-	var o laneObject
+func (m *modification) route(document []byte) error {
+	var o routeObject
 	if err := yaml.UnmarshalStrict(document, &o); err != nil {
 		return errors.Trace(err)
 	}
-	lane := config.RouteSpec{
+	route := config.RouteSpec{
 		Name: o.Metadata.Name, PathPrefix: o.Spec.PathPrefix, RouteType: o.Spec.Type, Timeout: o.Spec.Timeout, TargetLatency: o.Spec.TargetLatency,
 		Priority: o.Spec.Priority, MaxAttempts: o.Spec.MaxAttempts, Revision: config.Version(o.Metadata.Generation),
 	}
 	if len(o.Spec.BackendRefs) == 1 {
-		lane.Service = o.Spec.BackendRefs[0].Name
+		route.Service = o.Spec.BackendRefs[0].Name
 	} else {
 		for _, backend := range o.Spec.BackendRefs {
-			lane.TrafficSplit = append(lane.TrafficSplit, config.WeightedService{Service: backend.Name, Weight: backend.Weight})
+			route.TrafficSplit = append(route.TrafficSplit, config.WeightedService{Service: backend.Name, Weight: backend.Weight})
 		}
 	}
-	for i := range c.Upsert.VirtualHosts {
-		if c.Upsert.VirtualHosts[i].Hostname == o.Spec.Host {
-			c.Upsert.VirtualHosts[i].PathTable = append(c.Upsert.VirtualHosts[i].PathTable, lane)
+	for i := range m.Upsert.VirtualHosts {
+		if m.Upsert.VirtualHosts[i].Hostname == o.Spec.Host {
+			m.Upsert.VirtualHosts[i].PathTable = append(m.Upsert.VirtualHosts[i].PathTable, route)
 			return nil
 		}
 	}
-	c.Upsert.VirtualHosts = append(c.Upsert.VirtualHosts, host{o.Spec.Host, []config.RouteSpec{lane}})
+	m.Upsert.VirtualHosts = append(m.Upsert.VirtualHosts, virtualHost{o.Spec.Host, []config.RouteSpec{route}})
 	return nil
 }
 
-func (c *call) service(document []byte) error {
+func (m *modification) service(document []byte) error {
 	var o serviceObject
 	if err := yaml.UnmarshalStrict(document, &o); err != nil {
 		return errors.Trace(err)
 	}
-	c.Upsert.Services = append(c.Upsert.Services, config.ServiceSpec{
+	m.Upsert.Services = append(m.Upsert.Services, config.ServiceSpec{
 		Name: o.Metadata.Name, HealthPath: o.Spec.HealthPath, MaxConnections: o.Spec.MaxConnections,
 		IdempotentDedup: o.Spec.IdempotentDedup, Revision: config.Version(o.Metadata.Generation),
 	})
 	return nil
 }
 
-func (c *call) limits(document []byte) error {
+func (m *modification) limits(document []byte) error {
 	var o limitsObject
 	if err := yaml.UnmarshalStrict(document, &o); err != nil {
 		return errors.Trace(err)
 	}
-	if c.Upsert.Limits != nil {
+	if m.Upsert.Limits != nil {
 		return errors.AlreadyExistsf("another object of kind Limits")
 	}
-	c.Upsert.Limits = &config.LimitsSpec{
+	m.Upsert.Limits = &config.LimitsSpec{
 		MaxHeaderBytes: o.Spec.MaxHeaderBytes, MaxBodyBytes: o.Spec.MaxBodyBytes, HeaderTimeout: o.Spec.HeaderTimeout,
 		IdleTimeout: o.Spec.IdleTimeout, Revision: config.Version(o.Metadata.Generation),
 	}
--- a/internal/apply/own.go
+++ b/internal/apply/own.go
@@ -19,7 +19,7 @@
 )
 
 // ownPaths is the table from the path of a call to the class of its items.
-var ownPaths = map[string]config.Class{
+var pathClasses = map[string]config.Class{
 	sitesPath: config.SiteItem, plansPath: config.PlanItem, mirrorsPath: config.MirrorItem,
 }
 
@@ -27,7 +27,7 @@
 	header `json:",inline"`
 	Spec   struct {
 		Parent   string         `json:"parent"`
-		Cells    []string       `json:"cells"`
+		Zones    []string       `json:"cells"`
 		Servers  []string       `json:"servers"`
 		Capacity map[string]int `json:"capacity"`
 	} `json:"spec"`
@@ -49,7 +49,7 @@
 type mirrorObject struct {
 	header `json:",inline"`
 	Spec   struct {
-		Lanes        []string `json:"lanes"`
+		Routes       []string `json:"lanes"`
 		Hosts        []string `json:"hosts"`
 		Shadow       string   `json:"shadow"`
 		Share        float64  `json:"share"`
@@ -63,31 +63,31 @@
 
 // The project's own kinds as the control interface takes them.
 type (
-	siteCall struct {
+	siteSpec struct {
 		sites.Site
 		Revision config.Version `json:"Revision"`
 	}
-	planCall struct {
+	planSpec struct {
 		shedding.Plan
 		Revision config.Version `json:"Revision"`
 	}
-	mirrorCall struct {
+	mirrorSpec struct {
 		mirror.Mirror
 		Revision config.Version `json:"Revision"`
 	}
 )
 
-func (c *call) site(document []byte) error {
+func (m *modification) site(document []byte) error {
 	var o siteObject
 	if err := yaml.UnmarshalStrict(document, &o); err != nil {
 		return errors.Trace(err)
 	}
-	site := sites.Site{Name: o.Metadata.Name, Parent: o.Spec.Parent, Zones: o.Spec.Cells, Servers: o.Spec.Servers, Capacity: o.Spec.Capacity}
-	c.own[sitesPath] = append(c.own[sitesPath], siteCall{site, config.Version(o.Metadata.Generation)})
+	site := sites.Site{Name: o.Metadata.Name, Parent: o.Spec.Parent, Zones: o.Spec.Zones, Servers: o.Spec.Servers, Capacity: o.Spec.Capacity}
+	m.resources[sitesPath] = append(m.resources[sitesPath], siteSpec{site, config.Version(o.Metadata.Generation)})
 	return nil
 }
 
-func (c *call) plan(document []byte) error {
+func (m *modification) plan(document []byte) error {
 	var o planObject
 	if err := yaml.UnmarshalStrict(document, &o); err != nil {
 		return errors.Trace(err)
@@ -96,22 +96,22 @@
 	for _, tier := range o.Spec.Tiers {
 		plan.Tiers = append(plan.Tiers, shedding.PlanTier(tier))
 	}
-	c.own[plansPath] = append(c.own[plansPath], planCall{plan, config.Version(o.Metadata.Generation)})
+	m.resources[plansPath] = append(m.resources[plansPath], planSpec{plan, config.Version(o.Metadata.Generation)})
 	return nil
 }
 
-func (c *call) mirror(document []byte) error {
+func (m *modification) mirror(document []byte) error {
 	var o mirrorObject
 	if err := yaml.UnmarshalStrict(document, &o); err != nil {
 		return errors.Trace(err)
 	}
 	mirror := mirror.Mirror{
-		Name: o.Metadata.Name, Routes: o.Spec.Lanes, Hosts: o.Spec.Hosts, Shadow: o.Spec.Shadow, Share: o.Spec.Share,
+		Name: o.Metadata.Name, Routes: o.Spec.Routes, Hosts: o.Spec.Hosts, Shadow: o.Spec.Shadow, Share: o.Spec.Share,
 		Header: o.Spec.Conversation.Header, Cookie: o.Spec.Conversation.Cookie, Until: o.Spec.Until,
 	}
 	if err := mirror.Check(); err != nil {
 		return errors.Trace(err)
 	}
-	c.own[mirrorsPath] = append(c.own[mirrorsPath], mirrorCall{mirror, config.Version(o.Metadata.Generation)})
+	m.resources[mirrorsPath] = append(m.resources[mirrorsPath], mirrorSpec{mirror, config.Version(o.Metadata.Generation)})
 	return nil
 }
--- a/internal/apply/own_test.go
+++ b/internal/apply/own_test.go
@@ -9,7 +9,7 @@
 	"ploverhitch/internal/apply"
 )
 
-const ownFile = `apiVersion: ploverhitch/v1
+const resourceFile = `apiVersion: ploverhitch/v1
 kind: Plan
 metadata: {name: tenants, generation: 3}
 spec: {conversation: X-Learner, tiers: [{name: gold, order: 1, hosts: [h.example]}, {name: rest, order: 2, lanes: [packs]}]}
@@ -22,18 +22,18 @@
 
 var _ = Describe("Plan and Mirror objects", func() {
 	It("become calls of their own, as the control interface takes them", func() {
-		_, own, err := apply.Parse([]byte(ownFile))
+		_, requests, err := apply.Parse([]byte(resourceFile))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(own).To(HaveLen(2))
-		Expect(own[0].Path).To(Equal("/v1/mirrors/modify"))
-		Expect(string(own[0].Text)).To(MatchJSON(`{"Upsert":[{"Name":"build","Routes":["fee"],"Shadow":"next","Share":0.1,"Header":"X-Learner","Until":"2026-12-20T06:00:00Z","Revision":"r2"}]}`))
-		Expect(own[1].Path).To(Equal("/v1/plans/modify"))
-		Expect(string(own[1].Text)).To(MatchJSON(`{"Upsert":[{"Name":"tenants","Conversation":"X-Learner","Tiers":[{"Name":"gold","Order":1,"Hosts":["h.example"]},{"Name":"rest","Order":2,"Routes":["packs"]}],"Revision":"r3"}]}`))
+		Expect(requests).To(HaveLen(2))
+		Expect(requests[0].Path).To(Equal("/v1/mirrors/modify"))
+		Expect(string(requests[0].Body)).To(MatchJSON(`{"Upsert":[{"Name":"build","Routes":["fee"],"Shadow":"next","Share":0.1,"Header":"X-Learner","Until":"2026-12-20T06:00:00Z","Revision":"r2"}]}`))
+		Expect(requests[1].Path).To(Equal("/v1/plans/modify"))
+		Expect(string(requests[1].Body)).To(MatchJSON(`{"Upsert":[{"Name":"tenants","Conversation":"X-Learner","Tiers":[{"Name":"gold","Order":1,"Hosts":["h.example"]},{"Name":"rest","Order":2,"Routes":["packs"]}],"Revision":"r3"}]}`))
 	})
 
 	DescribeTable("are refused by name where they are wrong",
 		func(from, to, reason string) {
-			_, _, err := apply.Parse([]byte(strings.Replace(ownFile, from, to, 1)))
+			_, _, err := apply.Parse([]byte(strings.Replace(resourceFile, from, to, 1)))
 			Expect(err).To(MatchError(ContainSubstring(reason)))
 		},
 		Entry("a share over one", "share: 0.1", "share: 2", "Share"),
