--- a/cmd/ploverhitch/main.go
+++ b/cmd/ploverhitch/main.go
@@ -26,26 +26,26 @@
 // version is set by the linker for a release.
 var version = "development"
 
-type program func(ctx context.Context, set *settings.Settings, path string, note func(level, text string, pairs ...any)) error
+type runFunc func(ctx context.Context, cfg *settings.Settings, path string, note func(level, text string, pairs ...any)) error
 
-var programs = map[string]program{
+var programs = map[string]runFunc{
 	"proxy":   proxy.Run,
 	"control": control.Run,
-	"agent": func(ctx context.Context, set *settings.Settings, path string, note func(level, text string, pairs ...any)) error {
+	"agent": func(ctx context.Context, cfg *settings.Settings, path string, note func(level, text string, pairs ...any)) error {
 		// The proxy beside it goes on serving for a part of its grace.
 		linger, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		go func() {
 			<-ctx.Done()
-			time.Sleep(set.Platform.Bounds.Grace.Std() / 2)
+			time.Sleep(cfg.Platform.Bounds.Grace.Std() / 2)
 			cancel()
 		}()
-		return agent.Run(linger, set, path, note)
+		return agent.Run(linger, cfg, path, note)
 	},
 }
 
 // fail ends the program with one line.
-func fail(status int, err error) {
+func exit(status int, err error) {
 	fmt.Fprintln(os.Stderr, "ploverhitch:", strings.ReplaceAll(err.Error(), "\n", " "))
 	os.Exit(status)
 }
@@ -54,40 +54,40 @@
 	app := kingpin.New("ploverhitch", "An API gateway whose nodes keep keyed operations to one run.")
 	app.Version(version)
 	app.HelpFlag.Short('h')
-	path := app.Flag("settings", "Path of the settings file.").Envar(settings.PathVariable).String()
-	isCheck := app.Flag("check-settings", "Read and check the settings, and end.").Bool()
+	settingsPath := app.Flag("settings", "Path of the settings file.").Envar(settings.PathVariable).String()
+	checkOnly := app.Flag("check-settings", "Read and check the settings, and end.").Bool()
 	app.Command("proxy", "The proxy: takes clients' requests. Example: ploverhitch proxy --settings local.yaml")
 	app.Command("agent", "The agent beside a proxy. Example: ploverhitch agent --settings local.yaml")
 	app.Command("control", "A node of the core. Example: ploverhitch control --settings local.yaml")
-	inspect := inspector.Register(app, os.Stdout, os.Stderr)
-	apply := apply.Register(app, os.Stdout)
-	trials := rolloutcmd.Register(app, os.Stdout)
+	inspectorCommand := inspector.Register(app, os.Stdout, os.Stderr)
+	applyCommand := apply.Register(app, os.Stdout)
+	rolloutCommand := rolloutcmd.Register(app, os.Stdout)
 	name := kingpin.MustParse(app.Parse(os.Args[1:]))
 	switch {
 	case strings.HasPrefix(name, "inspector"):
-		os.Exit(inspect.Run(name))
+		os.Exit(inspectorCommand.Run(name))
 	case strings.HasPrefix(name, "rollout"), strings.HasPrefix(name, "staged"):
-		status, err := trials.Run(name)
+		status, err := rolloutCommand.Run(name)
 		if err != nil {
-			fail(status, err)
+			exit(status, err)
 		}
 		os.Exit(status)
 	case name == "apply":
-		if err := apply.Run(); err != nil {
-			fail(2, err)
+		if err := applyCommand.Run(); err != nil {
+			exit(2, err)
 		}
 		return
 	}
-	set, err := settings.Read(*path)
+	cfg, err := settings.Read(*settingsPath)
 	if err != nil {
-		fail(2, err)
+		exit(2, err)
 	}
-	if *isCheck {
+	if *checkOnly {
 		fmt.Println("the settings are in order")
 		return
 	}
-	set.Tune()
-	ring := logring.New(set.Tuning.LogLevel, os.Stderr)
+	cfg.Tune()
+	ring := logring.New(cfg.Tuning.LogLevel, os.Stderr)
 	dump := make(chan os.Signal, 1)
 	signal.Notify(dump, syscall.SIGUSR1)
 	go func() {
@@ -97,7 +97,7 @@
 	}()
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	if err := programs[name](ctx, set, *path, ring.Log); err != nil {
+	if err := programs[name](ctx, cfg, *settingsPath, ring.Log); err != nil {
 		ring.Log("error", "the program ended", "program", name, "error", err)
 		os.Exit(1)
 	}
--- a/internal/rolloutcmd/command.go
+++ b/internal/rolloutcmd/command.go
@@ -20,8 +20,8 @@
 
 // The exit statuses of a watched trial.
 const (
-	Complete = 0
-	Reverted = 1
+	ExitComplete = 0
+	ExitReverted = 1
 )
 
 // Command is the subcommands rollout and staged.
@@ -34,8 +34,8 @@
 }
 
 const (
-	callSpan  = 5 * time.Second
-	watchRest = time.Second
+	requestTimeout = 5 * time.Second
+	pollInterval   = time.Second
 )
 
 // Register adds the subcommands to the command line.
@@ -44,7 +44,7 @@
 //
 //	trials := rolloutcmd.Register(app, os.Stdout)
 func Register(app *kingpin.Application, out io.Writer) *Command {
-	c := &Command{clock: clock.Real(), client: &http.Client{Timeout: callSpan}, out: out}
+	c := &Command{clock: clock.Real(), client: &http.Client{Timeout: requestTimeout}, out: out}
 	rollout := app.Command("rollout", "Brings a new version of a service in under traffic.")
 	staged := app.Command("staged", "Follows or halts a staged change of lanes; ploverhitch apply --staged orders one.")
 	c.control = app.Flag("core", "Control address of a core node, for rollout and staged.").PlaceHolder("HOST:PORT").String()
@@ -54,14 +54,14 @@
 	start.Flag("target", "The version that is to be in force.").Required().StringVar(c.target)
 	c.duration = start.Flag("duration", "The term.").Required().Duration()
 	c.limit, c.name = new(time.Duration), new(string)
-	for verb, text := range map[string]string{"read": "Tells how it stands.", "watch": "Follows it to its end: status 0 if complete, 1 if reverted."} {
-		one := rollout.Command(verb, text)
-		one.Flag("service", "The service.").Required().StringVar(c.service)
-		other := staged.Command(verb, text)
-		other.Flag("name", "The change's name.").Required().StringVar(c.name)
+	for verb, help := range map[string]string{"read": "Tells how it stands.", "watch": "Follows it to its end: status 0 if complete, 1 if reverted."} {
+		rolloutCommand := rollout.Command(verb, help)
+		rolloutCommand.Flag("service", "The service.").Required().StringVar(c.service)
+		stagedCommand := staged.Command(verb, help)
+		stagedCommand.Flag("name", "The change's name.").Required().StringVar(c.name)
 		if verb == "watch" {
-			one.Flag("limit", "How long to follow it.").Default("10m").DurationVar(c.limit)
-			other.Flag("limit", "How long to follow it.").Default("10m").DurationVar(c.limit)
+			rolloutCommand.Flag("limit", "How long to follow it.").Default("10m").DurationVar(c.limit)
+			stagedCommand.Flag("limit", "How long to follow it.").Default("10m").DurationVar(c.limit)
 		}
 	}
 	halt := staged.Command("halt", "Halts it; every node goes back to the manifest.")
@@ -78,23 +78,23 @@
 	if *c.control == "" {
 		return 2, errors.NotValidf("call without --core")
 	}
-	subject := "/v1/rollouts/" + url.PathEscape(*c.service)
+	path := "/v1/rollouts/" + url.PathEscape(*c.service)
 	if strings.HasPrefix(name, "staged") {
-		subject = "/v1/staged/" + url.PathEscape(*c.name)
+		path = "/v1/staged/" + url.PathEscape(*c.name)
 	}
 	switch verb := name[strings.LastIndexByte(name, ' ')+1:]; verb {
 	case "start":
-		text, _ := json.Marshal(map[string]string{"Service": *c.service, "TargetVersion": *c.target, "Duration": spanText(*c.duration)})
-		_, err = c.call(http.MethodPost, "/v1/rollouts/start", text)
+		body, _ := json.Marshal(map[string]string{"Service": *c.service, "TargetVersion": *c.target, "Duration": formatDuration(*c.duration)})
+		_, err = c.do(http.MethodPost, "/v1/rollouts/start", body)
 	case "halt":
-		_, err = c.call(http.MethodPost, subject+"/halt", nil)
+		_, err = c.do(http.MethodPost, path+"/halt", nil)
 	case "read":
-		var text []byte
-		if text, err = c.call(http.MethodGet, subject+"/read", nil); err == nil {
-			c.print(text)
+		var body []byte
+		if body, err = c.do(http.MethodGet, path+"/read", nil); err == nil {
+			c.print(body)
 		}
 	case "watch":
-		return c.watch(subject + "/read")
+		return c.watch(path + "/read")
 	}
 	if err != nil {
 		return 2, err
@@ -102,42 +102,42 @@
 	return 0, nil
 }
 
-func spanText(span time.Duration) string {
-	text, _ := clock.Duration(span).MarshalText()
+func formatDuration(duration time.Duration) string {
+	text, _ := clock.Duration(duration).MarshalText()
 	return string(text)
 }
 
 // watch prints what has changed until the end.
 func (c *Command) watch(path string) (status int, err error) {
-	last := ""
-	for waited := time.Duration(0); waited <= *c.limit; waited += watchRest {
-		text, err := c.call(http.MethodGet, path, nil)
+	previous := ""
+	for waited := time.Duration(0); waited <= *c.limit; waited += pollInterval {
+		body, err := c.do(http.MethodGet, path, nil)
 		var state struct{ State, Phase, Reason string }
-		if err == nil && json.Unmarshal(text, &state) == nil {
-			if line := state.Phase + string(text); line != last {
-				last = line
-				c.print(text)
+		if err == nil && json.Unmarshal(body, &state) == nil {
+			if line := state.Phase + string(body); line != previous {
+				previous = line
+				c.print(body)
 			}
 			switch state.State {
 			case "complete":
-				return Complete, nil
+				return ExitComplete, nil
 			case "reverted":
-				return Reverted, nil
+				return ExitReverted, nil
 			}
 		}
-		c.clock.Sleep(watchRest)
+		c.clock.Sleep(pollInterval)
 	}
 	return 2, errors.Timeoutf("watching %s", path)
 }
 
-func (c *Command) print(text []byte) {
+func (c *Command) print(body []byte) {
 	var out bytes.Buffer
-	if json.Indent(&out, text, "", "  ") == nil {
+	if json.Indent(&out, body, "", "  ") == nil {
 		fmt.Fprintln(c.out, out.String())
 	}
 }
 
-func (c *Command) call(method, path string, body []byte) ([]byte, error) {
+func (c *Command) do(method, path string, body []byte) ([]byte, error) {
 	request, err := http.NewRequest(method, "http://"+*c.control+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, errors.Trace(err)
@@ -148,9 +148,9 @@
 		return nil, errors.Trace(err)
 	}
 	defer response.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(response.Body, 4<<20))
+	responseBody, err := io.ReadAll(io.LimitReader(response.Body, 4<<20))
 	if err == nil && response.StatusCode != http.StatusOK {
-		err = errors.Errorf("%s%s answered %d: %s", *c.control, path, response.StatusCode, strings.TrimSpace(string(text)))
+		err = errors.Errorf("%s%s answered %d: %s", *c.control, path, response.StatusCode, strings.TrimSpace(string(responseBody)))
 	}
-	return text, errors.Trace(err)
+	return responseBody, errors.Trace(err)
 }
--- a/internal/rolloutcmd/rolloutcmd_test.go
+++ b/internal/rolloutcmd/rolloutcmd_test.go
@@ -15,50 +15,50 @@
 	"ploverhitch/internal/rolloutcmd"
 )
 
-func TestDispatcher(t *testing.T) {
+func TestRolloutcmd(t *testing.T) {
 	RegisterFailHandler(Fail)
 	RunSpecs(t, "rolloutcmd")
 }
 
 var _ = Describe("the command line of trials", func() {
-	var asked []string
-	answer, status := `{"State":"reverted","Phase":"reverted","Reason":"lane a"}`, 200
-	run := func(words string) (int, string, error) {
+	var requests []string
+	responseBody, status := `{"State":"reverted","Phase":"reverted","Reason":"lane a"}`, 200
+	run := func(arguments string) (int, string, error) {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			body, _ := io.ReadAll(r.Body)
-			asked = append(asked, r.Method+" "+r.URL.Path+" "+string(body))
+			requests = append(requests, r.Method+" "+r.URL.Path+" "+string(body))
 			w.WriteHeader(status)
-			_, _ = io.WriteString(w, answer)
+			_, _ = io.WriteString(w, responseBody)
 		}))
 		defer server.Close()
 		app, out := kingpin.New("ploverhitch", ""), &bytes.Buffer{}
 		command := rolloutcmd.Register(app, out)
-		name, err := app.Parse(append([]string{"--core", strings.TrimPrefix(server.URL, "http://")}, strings.Fields(words)...))
+		name, err := app.Parse(append([]string{"--core", strings.TrimPrefix(server.URL, "http://")}, strings.Fields(arguments)...))
 		Expect(err).NotTo(HaveOccurred())
 		code, err := command.Run(name)
 		return code, out.String(), err
 	}
-	BeforeEach(func() { asked, status = nil, 200 })
+	BeforeEach(func() { requests, status = nil, 200 })
 
 	It("orders, reads, watches and halts, each by its own call", func() {
 		code, _, err := run("rollout start --service fees --target v2 --duration 12s")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(code).To(BeZero())
-		Expect(asked[0]).To(Equal(`POST /v1/rollouts/start {"Duration":"12000ms","Service":"fees","TargetVersion":"v2"}`))
+		Expect(requests[0]).To(Equal(`POST /v1/rollouts/start {"Duration":"12000ms","Service":"fees","TargetVersion":"v2"}`))
 		code, text, err := run("rollout watch --service fees")
 		Expect(err).NotTo(HaveOccurred())
-		Expect(code).To(Equal(rolloutcmd.Reverted))
+		Expect(code).To(Equal(rolloutcmd.ExitReverted))
 		Expect(text).To(ContainSubstring("lane a"))
 		_, _, err = run("staged halt --name east")
 		Expect(err).NotTo(HaveOccurred())
-		Expect(asked[2]).To(HavePrefix("POST /v1/staged/east/halt"))
+		Expect(requests[2]).To(HavePrefix("POST /v1/staged/east/halt"))
 		_, text, err = run("staged read --name east")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(text).To(ContainSubstring(`"Phase": "reverted"`))
 	})
 
 	It("tells in one line what was refused", func() {
-		status, answer = 409, `{"Error":"another order is under way"}`
+		status, responseBody = 409, `{"Error":"another order is under way"}`
 		code, _, err := run("rollout start --service fees --target v2 --duration 12s")
 		Expect(code).To(Equal(2))
 		Expect(err).To(MatchError(ContainSubstring("answered 409")))
