--- a/cmd/ploverhitch/main.go
+++ b/cmd/ploverhitch/main.go
@@ -1,5 +1,5 @@
-// Command ploverhitch is an API gateway: one binary whose subcommands are its
-// programs.
+// Command ploverhitch is an API gateway: one binary with the proxy, the agent, the control
+// node and the operator tools as subcommands.
 package main
 
 import (
@@ -26,21 +26,22 @@
 // version is set by the linker for a release.
 var version = "development"
 
-type runFunc func(ctx context.Context, cfg *settings.Settings, path string, note func(level, text string, pairs ...any)) error
+type runFunc func(ctx context.Context, cfg *settings.Settings, path string, log func(level, text string, pairs ...any)) error
 
 var programs = map[string]runFunc{
 	"proxy":   proxy.Run,
 	"control": control.Run,
-	"agent": func(ctx context.Context, cfg *settings.Settings, path string, note func(level, text string, pairs ...any)) error {
-		// The proxy beside it goes on serving for a part of its grace.
-		linger, cancel := context.WithCancel(context.Background())
+	"agent": func(ctx context.Context, cfg *settings.Settings, path string, log func(level, text string, pairs ...any)) error {
+		// The proxy on the same node keeps serving for part of its grace period, so the
+		// agent outlives the termination signal by half of that period.
+		agentCtx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		go func() {
 			<-ctx.Done()
 			time.Sleep(cfg.Platform.Bounds.Grace.Std() / 2)
 			cancel()
 		}()
-		return agent.Run(linger, cfg, path, note)
+		return agent.Run(agentCtx, cfg, path, log)
 	},
 }
 
@@ -51,14 +52,14 @@
 }
 
 func main() {
-	app := kingpin.New("ploverhitch", "An API gateway whose nodes keep keyed operations to one run.")
+	app := kingpin.New("ploverhitch", "An API gateway that runs each keyed operation at most once.")
 	app.Version(version)
 	app.HelpFlag.Short('h')
-	settingsPath := app.Flag("settings", "Path of the settings file.").Envar(settings.PathVariable).String()
-	checkOnly := app.Flag("check-settings", "Read and check the settings, and end.").Bool()
-	app.Command("proxy", "The proxy: takes clients' requests. Example: ploverhitch proxy --settings local.yaml")
-	app.Command("agent", "The agent beside a proxy. Example: ploverhitch agent --settings local.yaml")
-	app.Command("control", "A node of the core. Example: ploverhitch control --settings local.yaml")
+	settingsPath := app.Flag("settings", "Path to the settings file.").Envar(settings.PathVariable).String()
+	checkOnly := app.Flag("check-settings", "Validate the settings and exit.").Bool()
+	app.Command("proxy", "Runs the proxy, which serves client requests. Example: ploverhitch proxy --settings local.yaml")
+	app.Command("agent", "Runs the agent beside a proxy. Example: ploverhitch agent --settings local.yaml")
+	app.Command("control", "Runs a control node. Example: ploverhitch control --settings local.yaml")
 	inspectorCommand := inspector.Register(app, os.Stdout, os.Stderr)
 	applyCommand := apply.Register(app, os.Stdout)
 	rolloutCommand := rolloutcmd.Register(app, os.Stdout)
@@ -83,7 +84,7 @@
 		exit(2, err)
 	}
 	if *checkOnly {
-		fmt.Println("the settings are in order")
+		fmt.Println("the settings are valid")
 		return
 	}
 	cfg.Tune()
@@ -98,7 +99,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	if err := programs[name](ctx, cfg, *settingsPath, ring.Log); err != nil {
-		ring.Log("error", "the program ended", "program", name, "error", err)
+		ring.Log("error", "the program failed", "program", name, "error", err)
 		os.Exit(1)
 	}
 }
--- a/internal/apply/apply_test.go
+++ b/internal/apply/apply_test.go
@@ -40,7 +40,7 @@
 `
 
 var _ = Describe("a file of objects", func() {
-	It("becomes the call that an operator would send", func() {
+	It("is converted to a valid configuration change", func() {
 		body, _, err := apply.Parse([]byte(file))
 		Expect(err).NotTo(HaveOccurred())
 		items, err := config.ParseModify(body)
@@ -56,22 +56,22 @@
 		Expect(configuration.Services["fees"].MaxConnections).To(Equal(100))
 	})
 
-	DescribeTable("is refused where it says what is not supported, by its name",
+	DescribeTable("is rejected with an error that names the unsupported or invalid part",
 		func(from, to, reason string) {
 			_, _, err := apply.Parse([]byte(strings.Replace(file, from, to, 1)))
 			Expect(err).To(MatchError(ContainSubstring(reason)))
 		},
-		Entry("a field", "  maxAttempts: 2", "  filters: []", `"filters"`),
-		Entry("a kind", "kind: Route", "kind: HTTPRoute", `"HTTPRoute"`),
-		Entry("a version of the interface", "ploverhitch/v1", "gateway.networking.k8s.io/v1", "gateway.networking.k8s.io/v1"),
-		Entry("no generation", ", generation: 3", "", "metadata.generation"),
-		Entry("an invalid span", "1500ms", "soon", "soon"),
-		Entry("a lane without a timeout", "  timeout: 1500ms\n", "", "Timeout"),
+		Entry("an unsupported field", "  maxAttempts: 2", "  filters: []", `"filters"`),
+		Entry("an unsupported kind", "kind: Route", "kind: HTTPRoute", `"HTTPRoute"`),
+		Entry("an unsupported API version", "ploverhitch/v1", "gateway.networking.k8s.io/v1", "gateway.networking.k8s.io/v1"),
+		Entry("a missing generation", ", generation: 3", "", "metadata.generation"),
+		Entry("an invalid duration", "1500ms", "soon", "soon"),
+		Entry("a route without a timeout", "  timeout: 1500ms\n", "", "Timeout"),
 	)
 })
 
 var _ = Describe("a Site object", func() {
-	It("becomes a call of its own, and is refused by name where it is wrong", func() {
+	It("becomes a separate request, and an unsupported field is rejected by name", func() {
 		_, requests, err := apply.Parse([]byte("apiVersion: ploverhitch/v1\nkind: Site\nmetadata: {name: hall, generation: 3}\nspec: {parent: a, servers: [i-1], capacity: {exams: 4}}\n"))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(requests).To(HaveLen(1))
--- a/internal/apply/command.go
+++ b/internal/apply/command.go
@@ -16,7 +16,7 @@
 	"ploverhitch/internal/clock"
 )
 
-// Command is the subcommand that sends objects to a core node.
+// Command is the subcommand apply, which sends objects to a control node.
 type Command struct {
 	file, control *string
 	dryRun        *bool
@@ -25,31 +25,23 @@
 	out           io.Writer
 }
 
-// Register adds the subcommand to the command line.
-//
-// Example:
-//
-//	apply := apply.Register(app, os.Stdout)
+// Register adds the subcommand to app; its output goes to out.
 func Register(app *kingpin.Application, out io.Writer) *Command {
 	apply := app.Command("apply", "Sends Kubernetes-style objects as the operator. Example: ploverhitch apply --control 10.1.0.42:8382 --file objects.yaml")
 	return &Command{
-		file:     apply.Flag("file", "The objects, in YAML.").Short('f').Required().String(),
-		control:  apply.Flag("control", "Control address of a core node.").PlaceHolder("HOST:PORT").String(),
-		dryRun:   apply.Flag("dry-run", "Check the objects, print the call, and send nothing.").Bool(),
-		staged:   apply.Flag("staged", "Bring the change in node by node under this name: ploverhitch staged watch follows it.").PlaceHolder("NAME").String(),
-		first:    apply.Flag("first", "The node that a staged change reaches first.").PlaceHolder("NODE").String(),
-		duration: apply.Flag("duration", "The term of a staged change.").Default("5m").Duration(),
+		file:     apply.Flag("file", "File with the objects, in YAML.").Short('f').Required().String(),
+		control:  apply.Flag("control", "Control address of a control node.").PlaceHolder("HOST:PORT").String(),
+		dryRun:   apply.Flag("dry-run", "Validate the objects and print the request without sending it.").Bool(),
+		staged:   apply.Flag("staged", "Roll the change out node by node under this name; follow it with ploverhitch staged watch.").PlaceHolder("NAME").String(),
+		first:    apply.Flag("first", "Node that receives a staged change first.").PlaceHolder("NODE").String(),
+		duration: apply.Flag("duration", "Duration of a staged change.").Default("5m").Duration(),
 		out:      out,
 	}
 }
 
 const requestTimeout = 10 * time.Second
 
-// Run reads, checks and sends the objects.
-//
-// Example:
-//
-//	err := apply.Run()
+// Run reads and validates the objects and sends them to the control node.
 func (c *Command) Run() error {
 	contents, err := os.ReadFile(*c.file)
 	if err != nil {
@@ -63,7 +55,7 @@
 	if *c.staged != "" {
 		rollout := map[string]any{"Name": *c.staged, "First": *c.first, "Duration": clock.Duration(*c.duration), "Change": json.RawMessage(body)}
 		if path = "/v1/staged/start"; len(requests) > 0 {
-			return errors.NotSupportedf("an object for %s in a staged change", requests[0].Path)
+			return errors.NotSupportedf("object for %s in a staged change", requests[0].Path)
 		}
 		if body, err = json.Marshal(rollout); err != nil {
 			return errors.Trace(err)
@@ -77,9 +69,9 @@
 		return nil
 	}
 	if *c.control == "" {
-		return errors.NotValidf("call without --control")
+		return errors.NotValidf("request without --control")
 	}
-	// Plans and mirrors name lanes, so these come first.
+	// Plans and mirrors refer to routes, so the routes are sent first.
 	for _, request := range append([]Request{{path, body}}, requests...) {
 		if err := c.send(request.Path, request.Body); err != nil {
 			return err
--- a/internal/apply/objects.go
+++ b/internal/apply/objects.go
@@ -1,6 +1,7 @@
-// Package apply reads Kubernetes-style objects as a manifest: the kinds Lane,
-// Service, Limits, Site, Plan and Mirror of ploverhitch/v1. It is a small part; what it does not
-// know it refuses by name.
+// Package apply implements the command apply, which converts Kubernetes-style objects to
+// configuration changes: the kinds Route, Service, Limits, Site, Plan and Mirror of
+// ploverhitch/v1. It supports a small part of the format and rejects unknown kinds and
+// fields by name.
 package apply
 
 import (
@@ -19,7 +20,7 @@
 	"ploverhitch/internal/config"
 )
 
-// APIVersion is the one that the objects must name.
+// APIVersion is the only supported apiVersion of an object.
 const APIVersion = "ploverhitch/v1"
 
 type header struct {
@@ -68,8 +69,8 @@
 	} `json:"spec"`
 }
 
-// call is an operator's call as the control interface takes it, and beside it the
-// calls for the project's own kinds, by their paths.
+// modification is the body of a request to /v1/config/modify. Sites, plans and mirrors
+// have their own endpoints: resources holds their specs by path.
 type modification struct {
 	resources map[string][]any
 
@@ -85,25 +86,21 @@
 	PathTable []config.RouteSpec `json:"PathTable"`
 }
 
-// readers is the table from a kind to how an object of it is taken.
+// decoders maps each object kind to the method that decodes it.
 var decoders = map[string]func(*modification, []byte) error{
 	"Route": (*modification).route, "Service": (*modification).service, "Limits": (*modification).limits, "Site": (*modification).site,
 	"Plan": (*modification).plan, "Mirror": (*modification).mirror,
 }
 
-// Own is the call for objects of one of the project's own kinds.
+// Request is a request to the control node: the path and the JSON body.
 type Request struct {
 	Path string
 	Body []byte
 }
 
-// Parse turns a file of objects, parted by lines of ---, into the text of an
-// operator's call, checked as the core would check it by itself. Kinds of the
-// project's own come in calls of their own, if there are any.
-//
-// Example:
-//
-//	text, own, err := apply.Parse(file)
+// Parse converts a file of objects, separated by lines of ---, to the body of a
+// configuration change, validated as the control node validates it in isolation. Sites,
+// plans and mirrors are returned as one more request for each kind that the file contains.
 func Parse(file []byte) (body []byte, requests []Request, err error) {
 	out := modification{resources: map[string][]any{}}
 	for i, document := range strings.Split("\n"+string(file), "\n---") {
@@ -147,9 +144,9 @@
 	case decodeSpec == nil:
 		return errors.NotSupportedf("kind %s", strconv.Quote(head.Kind))
 	case head.Metadata.Name == "":
-		return errors.NotValidf("metadata.name, which is empty,")
+		return errors.NotValidf("empty metadata.name")
 	case head.Metadata.Generation == 0:
-		return errors.NotValidf("metadata.generation, the item's version, which is not set,")
+		return errors.NotValidf("missing metadata.generation, the version of the item,")
 	}
 	return decodeSpec(m, document)
 }
--- a/internal/apply/resources.go
+++ b/internal/apply/resources.go
@@ -61,7 +61,7 @@
 	} `json:"spec"`
 }
 
-// The project's own kinds as the control interface takes them.
+// JSON forms of sites, plans and mirrors in requests to the control node.
 type (
 	siteSpec struct {
 		sites.Site
--- a/internal/apply/resources_test.go
+++ b/internal/apply/resources_test.go
@@ -21,7 +21,7 @@
 `
 
 var _ = Describe("Plan and Mirror objects", func() {
-	It("become calls of their own, as the control interface takes them", func() {
+	It("become separate requests in the JSON form of the control API", func() {
 		_, requests, err := apply.Parse([]byte(resourceFile))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(requests).To(HaveLen(2))
@@ -31,14 +31,14 @@
 		Expect(string(requests[1].Body)).To(MatchJSON(`{"Upsert":[{"Name":"tenants","Conversation":"X-Learner","Tiers":[{"Name":"gold","Order":1,"Hosts":["h.example"]},{"Name":"rest","Order":2,"Routes":["packs"]}],"Revision":"r3"}]}`))
 	})
 
-	DescribeTable("are refused by name where they are wrong",
+	DescribeTable("are rejected with an error that names the invalid field",
 		func(from, to, reason string) {
 			_, _, err := apply.Parse([]byte(strings.Replace(resourceFile, from, to, 1)))
 			Expect(err).To(MatchError(ContainSubstring(reason)))
 		},
-		Entry("a share over one", "share: 0.1", "share: 2", "Share"),
-		Entry("no end", `, until: "2026-12-20T06:00:00Z"`, "", "Until"),
-		Entry("a field that is not supported", "share: 0.1", "rate: 0.1", "rate"),
-		Entry("a field of a tier", "order: 1", "weight: 1", "weight"),
+		Entry("a share above one", "share: 0.1", "share: 2", "Share"),
+		Entry("a mirror without an end time", `, until: "2026-12-20T06:00:00Z"`, "", "Until"),
+		Entry("an unsupported field", "share: 0.1", "rate: 0.1", "rate"),
+		Entry("an unsupported field of a tier", "order: 1", "weight: 1", "weight"),
 	)
 })
--- a/internal/rolloutcmd/command.go
+++ b/internal/rolloutcmd/command.go
@@ -1,5 +1,5 @@
-// Package rolloutcmd is the operators' command line for what is brought in under
-// traffic: rollouts of versions and staged changes of lanes.
+// Package rolloutcmd implements the commands rollout and staged, with which operators
+// control rollouts of service versions and staged changes of routes.
 package rolloutcmd
 
 import (
@@ -18,13 +18,13 @@
 	"ploverhitch/internal/clock"
 )
 
-// The exit statuses of a watched trial.
+// Exit statuses of the watch subcommands.
 const (
 	ExitComplete = 0
 	ExitReverted = 1
 )
 
-// Command is the subcommands rollout and staged.
+// Command holds the flags of the commands rollout and staged.
 type Command struct {
 	control, service, target, name *string
 	duration, limit                *time.Duration
@@ -38,45 +38,38 @@
 	pollInterval   = time.Second
 )
 
-// Register adds the subcommands to the command line.
-//
-// Example:
-//
-//	trials := rolloutcmd.Register(app, os.Stdout)
+// Register adds the commands to app; their output goes to out.
 func Register(app *kingpin.Application, out io.Writer) *Command {
 	c := &Command{clock: clock.Real(), client: &http.Client{Timeout: requestTimeout}, out: out}
-	rollout := app.Command("rollout", "Brings a new version of a service in under traffic.")
-	staged := app.Command("staged", "Follows or halts a staged change of lanes; ploverhitch apply --staged orders one.")
-	c.control = app.Flag("core", "Control address of a core node, for rollout and staged.").PlaceHolder("HOST:PORT").String()
-	start := rollout.Command("start", "Orders a version. Example: ploverhitch --core 10.1.0.42:8382 rollout start --service fees --target v2 --duration 12s")
+	rollout := app.Command("rollout", "Rolls out a new version of a service under traffic.")
+	staged := app.Command("staged", "Follows or halts a staged change of routes; ploverhitch apply --staged starts one.")
+	c.control = app.Flag("core", "Control address of a control node, for rollout and staged.").PlaceHolder("HOST:PORT").String()
+	start := rollout.Command("start", "Starts a rollout. Example: ploverhitch --core 10.1.0.42:8382 rollout start --service fees --target v2 --duration 12s")
 	c.service, c.target = new(string), new(string)
-	start.Flag("service", "The service.").Required().StringVar(c.service)
-	start.Flag("target", "The version that is to be in force.").Required().StringVar(c.target)
-	c.duration = start.Flag("duration", "The term.").Required().Duration()
+	start.Flag("service", "Name of the service.").Required().StringVar(c.service)
+	start.Flag("target", "Version to roll out.").Required().StringVar(c.target)
+	c.duration = start.Flag("duration", "Duration of the rollout.").Required().Duration()
 	c.limit, c.name = new(time.Duration), new(string)
-	for verb, help := range map[string]string{"read": "Tells how it stands.", "watch": "Follows it to its end: status 0 if complete, 1 if reverted."} {
+	for verb, help := range map[string]string{"read": "Prints the current state.", "watch": "Follows the state to the end: exit status 0 if complete, 1 if reverted."} {
 		rolloutCommand := rollout.Command(verb, help)
-		rolloutCommand.Flag("service", "The service.").Required().StringVar(c.service)
+		rolloutCommand.Flag("service", "Name of the service.").Required().StringVar(c.service)
 		stagedCommand := staged.Command(verb, help)
-		stagedCommand.Flag("name", "The change's name.").Required().StringVar(c.name)
+		stagedCommand.Flag("name", "Name of the staged change.").Required().StringVar(c.name)
 		if verb == "watch" {
-			rolloutCommand.Flag("limit", "How long to follow it.").Default("10m").DurationVar(c.limit)
-			stagedCommand.Flag("limit", "How long to follow it.").Default("10m").DurationVar(c.limit)
+			rolloutCommand.Flag("limit", "Maximum time to watch.").Default("10m").DurationVar(c.limit)
+			stagedCommand.Flag("limit", "Maximum time to watch.").Default("10m").DurationVar(c.limit)
 		}
 	}
-	halt := staged.Command("halt", "Halts it; every node goes back to the manifest.")
-	halt.Flag("name", "The change's name.").Required().StringVar(c.name)
+	halt := staged.Command("halt", "Halts the staged change; every node returns to the current configuration.")
+	halt.Flag("name", "Name of the staged change.").Required().StringVar(c.name)
 	return c
 }
 
-// Run runs the subcommand of that name and returns the exit status.
-//
-// Example:
-//
-//	status, err := trials.Run("rollout watch")
+// Run runs the subcommand with this full name, such as "rollout watch", and returns the
+// exit status.
 func (c *Command) Run(name string) (status int, err error) {
 	if *c.control == "" {
-		return 2, errors.NotValidf("call without --core")
+		return 2, errors.NotValidf("request without --core")
 	}
 	path := "/v1/rollouts/" + url.PathEscape(*c.service)
 	if strings.HasPrefix(name, "staged") {
@@ -107,7 +100,7 @@
 	return string(text)
 }
 
-// watch prints what has changed until the end.
+// watch polls the state and prints each change until the state is final or the limit expires.
 func (c *Command) watch(path string) (status int, err error) {
 	previous := ""
 	for waited := time.Duration(0); waited <= *c.limit; waited += pollInterval {
--- a/internal/rolloutcmd/rolloutcmd_test.go
+++ b/internal/rolloutcmd/rolloutcmd_test.go
@@ -20,9 +20,9 @@
 	RunSpecs(t, "rolloutcmd")
 }
 
-var _ = Describe("the command line of trials", func() {
+var _ = Describe("the commands rollout and staged", func() {
 	var requests []string
-	responseBody, status := `{"State":"reverted","Phase":"reverted","Reason":"lane a"}`, 200
+	responseBody, status := `{"State":"reverted","Phase":"reverted","Reason":"route a"}`, 200
 	run := func(arguments string) (int, string, error) {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			body, _ := io.ReadAll(r.Body)
@@ -40,7 +40,7 @@
 	}
 	BeforeEach(func() { requests, status = nil, 200 })
 
-	It("orders, reads, watches and halts, each by its own call", func() {
+	It("send the request of each subcommand: start, read, watch and halt", func() {
 		code, _, err := run("rollout start --service fees --target v2 --duration 12s")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(code).To(BeZero())
@@ -48,7 +48,7 @@
 		code, text, err := run("rollout watch --service fees")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(code).To(Equal(rolloutcmd.ExitReverted))
-		Expect(text).To(ContainSubstring("lane a"))
+		Expect(text).To(ContainSubstring("route a"))
 		_, _, err = run("staged halt --name east")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(requests[2]).To(HavePrefix("POST /v1/staged/east/halt"))
@@ -57,8 +57,8 @@
 		Expect(text).To(ContainSubstring(`"Phase": "reverted"`))
 	})
 
-	It("tells in one line what was refused", func() {
-		status, responseBody = 409, `{"Error":"another order is under way"}`
+	It("report the status of a rejected request as an error", func() {
+		status, responseBody = 409, `{"Error":"another rollout is active"}`
 		code, _, err := run("rollout start --service fees --target v2 --duration 12s")
 		Expect(code).To(Equal(2))
 		Expect(err).To(MatchError(ContainSubstring("answered 409")))
