--- a/cmd/localcluster/main.go
+++ b/cmd/localcluster/main.go
@@ -1,5 +1,5 @@
-// Command localcluster runs a whole small ploverhitch on loopback, with
-// stand-ins for the platform and the servers, for trying it out.
+// Command localcluster runs a small but complete ploverhitch cluster on loopback, with
+// emulated platform and servers, for trying it out.
 package main
 
 import (
@@ -25,9 +25,9 @@
 {"Name":"fee","PathPrefix":"/fee/","RouteType":"idempotent","Timeout":"1500ms","TargetLatency":"400ms","MaxAttempts":2,"Service":"fees","Revision":"r1"}]}]},"Remove":{"Routes":[]}}`
 
 func main() {
-	app := kingpin.New("localcluster", "A whole ploverhitch on loopback, against stand-ins. Example: localcluster --folder /tmp/town")
-	folder := app.Flag("folder", "Where settings and disks are put.").Required().String()
-	port := app.Flag("port", "The first of its ports.").Default("17200").Int()
+	app := kingpin.New("localcluster", "Runs a complete ploverhitch cluster on loopback with an emulated platform and servers. Example: localcluster --folder /tmp/cluster")
+	folder := app.Flag("folder", "Directory for the settings and the data of the nodes.").Required().String()
+	port := app.Flag("port", "First port of the range that the cluster uses.").Default("17200").Int()
 	kingpin.MustParse(app.Parse(os.Args[1:]))
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// launch runs one program until the context ends.
+// launch starts a ploverhitch process, which receives SIGTERM when the context ends.
 func launch(ctx context.Context, program string, machine standin.Machine) error {
 	self, err := os.Executable()
 	if err != nil {
--- a/cmd/ploverhitch/main.go
+++ b/cmd/ploverhitch/main.go
@@ -45,7 +45,7 @@
 	},
 }
 
-// fail ends the program with one line.
+// exit prints the error on one line and exits with the status.
 func exit(status int, err error) {
 	fmt.Fprintln(os.Stderr, "ploverhitch:", strings.ReplaceAll(err.Error(), "\n", " "))
 	os.Exit(status)
--- a/internal/apply/resources.go
+++ b/internal/apply/resources.go
@@ -18,7 +18,7 @@
 	mirrorsPath = "/v1/mirrors/modify"
 )
 
-// ownPaths is the table from the path of a call to the class of its items.
+// pathClasses maps the path of a request to the class of its items.
 var pathClasses = map[string]config.Class{
 	sitesPath: config.SiteItem, plansPath: config.PlanItem, mirrorsPath: config.MirrorItem,
 }
