--- a/cmd/localcluster/main.go
+++ b/cmd/localcluster/main.go
@@ -18,7 +18,7 @@
 	"ploverhitch/internal/standin"
 )
 
-const firstManifest = `{"Upsert":{"Services":[{"Name":"lessons","MaxConnections":20,"Revision":"r1"},{"Name":"fees","MaxConnections":20,"Revision":"r1"}],
+const initialConfiguration = `{"Upsert":{"Services":[{"Name":"lessons","MaxConnections":20,"Revision":"r1"},{"Name":"fees","MaxConnections":20,"Revision":"r1"}],
 "Limits":{"MaxHeaderBytes":16384,"MaxBodyBytes":1048576,"Revision":"r1"},
 "VirtualHosts":[{"Hostname":"h.example","PathTable":[
 {"Name":"read","PathPrefix":"/read/","RouteType":"safe","Timeout":"1200ms","TargetLatency":"300ms","MaxAttempts":2,"Service":"lessons","Revision":"r1"},
@@ -41,16 +41,16 @@
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return errors.Trace(err)
 	}
-	town, err := standin.NewTown(folder, port, map[string]string{"l-1": "lessons", "l-2": "lessons", "f-1": "fees", "f-2": "fees"})
+	cluster, err := standin.NewTown(folder, port, map[string]string{"l-1": "lessons", "l-2": "lessons", "f-1": "fees", "f-2": "fees"})
 	if err != nil {
 		return errors.Trace(err)
 	}
-	defer town.Close()
+	defer cluster.Close()
 	_, err = os.Stat(filepath.Join(folder, "disk-1"))
-	isFirst := os.IsNotExist(err)
+	firstStart := os.IsNotExist(err)
 	var edge standin.Machine
 	for number := 1; number <= 3; number++ {
-		machine, err := town.Core(number, isFirst)
+		machine, err := cluster.Core(number, firstStart)
 		if err != nil {
 			return errors.Trace(err)
 		}
@@ -58,7 +58,7 @@
 			return err
 		}
 	}
-	if edge, err = town.Edge(1); err != nil {
+	if edge, err = cluster.Edge(1); err != nil {
 		return errors.Trace(err)
 	}
 	for _, program := range []string{"agent", "proxy"} {
@@ -67,25 +67,25 @@
 		}
 	}
 	for status := 0; status != 200 && ctx.Err() == nil; time.Sleep(100 * time.Millisecond) {
-		status, _ = town.Modify(1, firstManifest)
+		status, _ = cluster.Modify(1, initialConfiguration)
 	}
 	fmt.Printf("it runs; try:\n"+
 		"  curl -s -H 'Host: h.example' -H 'Ploverhitch-Attempt-Id: a1' http://%[1]s/read/hello\n"+
 		"  curl -s -H 'Host: h.example' -H 'Ploverhitch-Attempt-Id: a2' -H 'Ploverhitch-Operation-Key: k1' -d seat=7 http://%[1]s/fee/enrol\n"+
 		"  curl -s http://%[2]s/v1/status\n"+
 		"  target/ploverhitch inspector --control %[2]s check\n"+
-		"  go run ./cmd/measure --through %[1]s --direct %[3]s\n", edge.Front, town.Control(1), town.Servers["l-1"].Address())
+		"  go run ./cmd/measure --through %[1]s --direct %[3]s\n", edge.Front, cluster.Control(1), cluster.Servers["l-1"].Address())
 	<-ctx.Done()
 	return nil
 }
 
 // launch starts a ploverhitch process, which receives SIGTERM when the context ends.
 func launch(ctx context.Context, program string, machine standin.Machine) error {
-	self, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
 		return errors.Trace(err)
 	}
-	command := exec.CommandContext(ctx, filepath.Join(filepath.Dir(self), "ploverhitch"), "--settings", machine.Settings, program)
+	command := exec.CommandContext(ctx, filepath.Join(filepath.Dir(executable), "ploverhitch"), "--settings", machine.Settings, program)
 	command.Stdout, command.Stderr = os.Stdout, os.Stderr
 	command.Cancel = func() error { return command.Process.Signal(syscall.SIGTERM) }
 	return errors.Annotatef(command.Start(), "starting %s", program)
--- a/cmd/measure/delay.go
+++ b/cmd/measure/delay.go
@@ -14,11 +14,11 @@
 )
 
 // delays are how long replies took, in order.
-type delays []time.Duration
+type latencies []time.Duration
 
 // at is the delay under which so large a part of them stayed.
-func (d delays) at(part float64) time.Duration {
-	return d[min(len(d)-1, int(part*float64(len(d))))].Round(time.Microsecond)
+func (l latencies) quantile(fraction float64) time.Duration {
+	return l[min(len(l)-1, int(fraction*float64(len(l))))].Round(time.Microsecond)
 }
 
 // sender makes inquiries at one address, over connections that it keeps.
@@ -36,7 +36,7 @@
 }
 
 // ask makes one inquiry and returns how long its reply took.
-func (s *sender) ask(method, path, id, key string) (time.Duration, error) {
+func (s *sender) send(method, path, id, key string) (time.Duration, error) {
 	request, err := http.NewRequest(method, "http://h.example"+path, strings.NewReader(""))
 	if err != nil {
 		return 0, errors.Trace(err)
@@ -61,31 +61,31 @@
 }
 
 // addedDelay asks a proxy and a server by turns, and prints what the proxy adds.
-func addedDelay(through, direct string, count int) error {
+func printAddedLatency(through, direct string, count int) error {
 	senders := []*sender{newSender(through), newSender(direct)}
-	for _, one := range []struct{ what, method, path, key string }{{"reads", "GET", "/read/a", ""}, {"keyed operations", "POST", "/fee/a", "k"}} {
-		sides := map[string]delays{}
+	for _, operation := range []struct{ what, method, path, key string }{{"reads", "GET", "/read/a", ""}, {"keyed operations", "POST", "/fee/a", "k"}} {
+		latenciesByAddress := map[string]latencies{}
 		for number := range count {
-			for _, side := range senders {
+			for _, target := range senders {
 				id, key := fmt.Sprint("d", time.Now().UnixNano()), ""
-				if one.key != "" {
+				if operation.key != "" {
 					key = id
 				}
-				took, err := side.ask(one.method, one.path, id, key)
+				took, err := target.send(operation.method, operation.path, id, key)
 				if err != nil {
 					return err
 				}
 				if number > count/10 {
-					sides[side.address] = append(sides[side.address], took)
+					latenciesByAddress[target.address] = append(latenciesByAddress[target.address], took)
 				}
 			}
 		}
-		for _, took := range sides {
+		for _, took := range latenciesByAddress {
 			slices.Sort(took)
 		}
-		proxy, server := sides[through], sides[direct]
-		fmt.Printf("%s, one at a time, %d each way: through the proxy p50 %v p99 %v; direct p50 %v p99 %v; added p50 %v p99 %v\n", one.what, len(proxy),
-			proxy.at(0.5), proxy.at(0.99), server.at(0.5), server.at(0.99), proxy.at(0.5)-server.at(0.5), proxy.at(0.99)-server.at(0.99))
+		proxy, server := latenciesByAddress[through], latenciesByAddress[direct]
+		fmt.Printf("%s, one at a time, %d each way: through the proxy p50 %v p99 %v; direct p50 %v p99 %v; added p50 %v p99 %v\n", operation.what, len(proxy),
+			proxy.quantile(0.5), proxy.quantile(0.99), server.quantile(0.5), server.quantile(0.99), proxy.quantile(0.5)-server.quantile(0.5), proxy.quantile(0.99)-server.quantile(0.99))
 	}
 	return nil
 }
--- a/cmd/measure/departures.go
+++ b/cmd/measure/departures.go
@@ -14,12 +14,12 @@
 
 // departuresCommand is what `measure departures` was asked for.
 type departuresCommand struct {
-	seeds, first uint64
-	only         string
-	size         departure.Size
-	drain        time.Duration
-	isBefore     bool
-	workers      int
+	seeds, first  uint64
+	scenario      string
+	size          departure.Size
+	drain         time.Duration
+	withoutGuards bool
+	workers       int
 }
 
 // addDepartures adds the command to the program's.
@@ -27,49 +27,49 @@
 	command, flags := app.Command("departures", "Emulate how long a server that leaves still gets requests, over many seeds."), &departuresCommand{}
 	command.Flag("seeds", "How many seeds to run of each scenario.").Default("100").Uint64Var(&flags.seeds)
 	command.Flag("first", "The first seed.").Default("0").Uint64Var(&flags.first)
-	command.Flag("scenario", "Run only this scenario.").StringVar(&flags.only)
+	command.Flag("scenario", "Run only this scenario.").StringVar(&flags.scenario)
 	command.Flag("pages", "How many pages the platform's list has.").Default("15").IntVar(&flags.size.Pages)
 	command.Flag("zones", "How many zones they are of.").Default("6").IntVar(&flags.size.Zones)
 	command.Flag("rate", "How many calls a second the platform takes.").Default("50").Float64Var(&flags.size.Rate)
 	command.Flag("members", "How many members the view has.").Default("5").IntVar(&flags.size.Members)
 	command.Flag("proxies", "How many proxies there are.").Default("30").IntVar(&flags.size.Proxies)
 	command.Flag("drain", "How long after the list shows it a server may still get requests.").Default("2500ms").DurationVar(&flags.drain)
-	command.Flag("before", "Take out all rules that incident operators-drain brought.").BoolVar(&flags.isBefore)
+	command.Flag("before", "Take out all rules that incident operators-drain brought.").BoolVar(&flags.withoutGuards)
 	command.Flag("workers", "How many runs to play at a time.").Default("2").IntVar(&flags.workers)
 	return command, flags
 }
 
 // departures prints, for each scenario, where the time goes.
-func (c departuresCommand) departures() error {
+func (c departuresCommand) run() error {
 	out := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	defer out.Flush()
 	_, _ = fmt.Fprintln(out, "scenario\treading\tpage shows\tmember tells\tproxy knows\tlast byte\tlast byte, settled\tof drain left\twent back\tcalls a second")
 	for _, scenario := range departure.Scenarios() {
-		if c.only != "" && c.only != string(scenario) {
+		if c.scenario != "" && c.scenario != string(scenario) {
 			continue
 		}
-		all := c.play(scenario)
-		left := 1 - all.SettledLastByte.Most().Seconds()/c.drain.Seconds()
-		_, _ = fmt.Fprintf(out, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%.0f%%\t%d\t%.1f\n", scenario, quantiles(all.Readings), quantiles(all.Read),
-			quantiles(all.Told), quantiles(all.Known), quantiles(all.LastByte), quantiles(all.SettledLastByte), 100*left, all.Regressions, float64(all.Calls)/float64(c.seeds)/departure.RunSpan.Seconds())
+		total := c.runSeeds(scenario)
+		left := 1 - total.SettledLastByte.Most().Seconds()/c.drain.Seconds()
+		_, _ = fmt.Fprintf(out, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%.0f%%\t%d\t%.1f\n", scenario, formatQuantiles(total.Readings), formatQuantiles(total.Read),
+			formatQuantiles(total.Told), formatQuantiles(total.Known), formatQuantiles(total.LastByte), formatQuantiles(total.SettledLastByte), 100*left, total.Regressions, float64(total.Calls)/float64(c.seeds)/departure.RunSpan.Seconds())
 	}
 	return nil
 }
 
 // play runs all seeds of a scenario, a few at a time.
-func (c departuresCommand) play(scenario departure.Scenario) departure.Result {
+func (c departuresCommand) runSeeds(scenario departure.Scenario) departure.Result {
 	guards := departure.Present()
-	if c.isBefore {
+	if c.withoutGuards {
 		guards = departure.Guards{}
 	}
-	all, lock := departure.NewResult(), sync.Mutex{}
+	total, lock := departure.NewResult(), sync.Mutex{}
 	seeds, done := make(chan uint64), sync.WaitGroup{}
 	for range max(1, c.workers) {
 		done.Go(func() {
 			for seed := range seeds {
 				result := departure.Run(departure.Options{Seed: seed, Size: c.size, Scenario: scenario, Guards: guards})
 				lock.Lock()
-				all.Merge(result)
+				total.Merge(result)
 				lock.Unlock()
 			}
 		})
@@ -79,11 +79,11 @@
 	}
 	close(seeds)
 	done.Wait()
-	return all
+	return total
 }
 
 // quantiles are the middle, the 99th and 99.9th of a hundred, and the most, in seconds.
-func quantiles(spans departure.Spans) string {
-	return fmt.Sprintf("%.2f %.2f %.2f %.2f", spans.Quantile(50).Seconds(), spans.Quantile(99).Seconds(),
-		spans.Quantile(99.9).Seconds(), spans.Most().Seconds())
+func formatQuantiles(durations departure.Spans) string {
+	return fmt.Sprintf("%.2f %.2f %.2f %.2f", durations.Quantile(50).Seconds(), durations.Quantile(99).Seconds(),
+		durations.Quantile(99.9).Seconds(), durations.Most().Seconds())
 }
--- a/cmd/measure/main.go
+++ b/cmd/measure/main.go
@@ -19,10 +19,10 @@
 )
 
 // measure is one slope: what is done at a size, and what came of it.
-type measure struct {
-	role, what string
+type measurement struct {
+	role, name string
 	sizes      []int
-	act        func(size int) result
+	run        func(size int) result
 }
 
 // result is the bytes that a thing takes or sends, and how long one act lasts.
@@ -32,22 +32,22 @@
 }
 
 // repeated is how long one act lasts, of as many as fit into a short span.
-func repeated(act func()) time.Duration {
-	act()
+func averageTime(run func()) time.Duration {
+	run()
 	began, count := time.Now(), 0
 	for time.Since(began) < 100*time.Millisecond {
-		act()
+		run()
 		count++
 	}
 	return time.Since(began) / time.Duration(count)
 }
 
 // held is how much memory what make returns keeps alive.
-func held[T any](make func() T) (bytes int, kept T) {
+func retainedBytes[T any](create func() T) (bytes int, kept T) {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	kept = make()
+	kept = create()
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	return max(0, int(after.HeapAlloc)-int(before.HeapAlloc)), kept
@@ -77,35 +77,35 @@
 	departures, departed := addDepartures(app)
 	switch kingpin.MustParse(app.Parse(os.Args[1:])) {
 	case simulate.FullCommand():
-		app.FatalIfError(simulated.simulate(), "the simulation")
+		app.FatalIfError(simulated.run(), "the simulation")
 		return
 	case departures.FullCommand():
-		app.FatalIfError(departed.departures(), "the emulation")
+		app.FatalIfError(departed.run(), "the emulation")
 		return
 	}
 	if len(*orders) > 0 {
-		app.FatalIfError(orderDelays(*orders, max(1, *count), max(1, *operators)), "orders")
+		app.FatalIfError(printChangeLatencies(*orders, max(1, *count), max(1, *operators)), "orders")
 		return
 	}
 	if *through != "" {
-		app.FatalIfError(addedDelay(*through, *direct, max(100, *count)), "the added delay")
+		app.FatalIfError(printAddedLatency(*through, *direct, max(100, *count)), "the added delay")
 		return
 	}
 	runtime.GOMAXPROCS(1)
 	table := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(table, "ROLE\tWHAT\tSIZES\tBYTES\tTIME\tBYTES EACH\tTIME EACH")
-	for _, m := range measures() {
-		if !strings.Contains(m.role+" "+m.what, *only) {
+	for _, m := range measurements() {
+		if !strings.Contains(m.role+" "+m.name, *only) {
 			continue
 		}
 		var bytes, times []float64
 		var texts, spans []string
 		for _, size := range m.sizes {
-			r := m.act(size)
+			r := m.run(size)
 			bytes, times = append(bytes, float64(r.bytes)), append(times, float64(r.took))
 			texts, spans = append(texts, fmt.Sprint(r.bytes)), append(spans, r.took.Round(time.Microsecond/10).String())
 		}
-		fmt.Fprintf(table, "%s\t%s\t%v\t%s\t%s\t%.4g\t%v\n", m.role, m.what, m.sizes, strings.Join(texts, " "), strings.Join(spans, " "),
+		fmt.Fprintf(table, "%s\t%s\t%v\t%s\t%s\t%.4g\t%v\n", m.role, m.name, m.sizes, strings.Join(texts, " "), strings.Join(spans, " "),
 			slope(m.sizes, bytes), time.Duration(slope(m.sizes, times)))
 	}
 	_ = table.Flush()
--- a/cmd/measure/measures.go
+++ b/cmd/measure/measures.go
@@ -17,101 +17,101 @@
 	"ploverhitch/internal/shedding"
 )
 
-func measures() []measure {
-	servers, lanes := []int{500, 2000, 8000}, []int{200, 1000, 5000}
-	return []measure{
-		{"agent", "checkpoint of the fleet, by servers", servers, checkpoint},
-		{"agent", "change of all paces, by servers", servers, paces},
-		{"proxy", "yard laid, by servers (one in 100 new)", servers, yard},
-		{"proxy", "paces heard, by servers", servers, hear},
-		{"proxy", "manifest compiled, by lanes", lanes, compile},
-		{"control", "manifest kept, by lanes", lanes, book},
-		{"control", "intents kept for a keyed operation, by operations", []int{2000, 8000, 32000}, intents},
-		{"control", "news written to followers, by followers", []int{100, 400, 1600}, followers},
-		{"control", "order agreed, by members", []int{3, 5, 9}, agree},
-		{"control", "order checked, by routes", lanes, draft},
-		{"holder", "reports heard, by proxies (12 servers each)", []int{100, 400, 1600}, reports},
-		{"holder", "cutoff decided, by proxies", []int{100, 400, 1600}, cutoff},
+func measurements() []measurement {
+	servers, routes := []int{500, 2000, 8000}, []int{200, 1000, 5000}
+	return []measurement{
+		{"agent", "checkpoint of the fleet, by servers", servers, measureCheckpoint},
+		{"agent", "change of all paces, by servers", servers, measureHealthChange},
+		{"proxy", "yard laid, by servers (one in 100 new)", servers, measureServerSet},
+		{"proxy", "paces heard, by servers", servers, measureHealthUpdate},
+		{"proxy", "manifest compiled, by lanes", routes, measureCompile},
+		{"control", "manifest kept, by lanes", routes, measureItemSet},
+		{"control", "intents kept for a keyed operation, by operations", []int{2000, 8000, 32000}, measureIntents},
+		{"control", "news written to followers, by followers", []int{100, 400, 1600}, measureFollowers},
+		{"control", "order agreed, by members", []int{3, 5, 9}, measureAgreement},
+		{"control", "order checked, by routes", routes, measureDraft},
+		{"holder", "reports heard, by proxies (12 servers each)", []int{100, 400, 1600}, measureReports},
+		{"holder", "cutoff decided, by proxies", []int{100, 400, 1600}, measureCutoff},
 	}
 }
 
-func fleetOf(count int, reading uint64, pace int) feed.Fleet {
+func fleetOf(count int, reading uint64, relativeLatency int) feed.Fleet {
 	fleet := feed.Fleet{Term: 1, Count: reading, Leader: "10.1.0.42:7200", Proxies: 100}
 	for id := range count {
 		fleet.Servers = append(fleet.Servers, feed.Server{
 			ID: fmt.Sprintf("i-%010x", id), Service: fmt.Sprint("service-", id%(count/32)), Address: fmt.Sprintf("10.%d.%d.%d:8080", id>>16&255, id>>8&255, id&255),
-			Zone: fmt.Sprint("cell-", id%20), Capacity: 2, IsReady: true, Revision: "v1", RelativeLatency: pace,
+			Zone: fmt.Sprint("cell-", id%20), Capacity: 2, IsReady: true, Revision: "v1", RelativeLatency: relativeLatency,
 		})
 	}
 	return fleet
 }
 
-func written(value any) int {
-	text, err := cbor.Marshal(value)
+func encodedSize(value any) int {
+	encoded, err := cbor.Marshal(value)
 	if err != nil {
 		panic(err)
 	}
-	return len(text)
+	return len(encoded)
 }
 
-func checkpoint(size int) result {
+func measureCheckpoint(size int) result {
 	fleet := fleetOf(size, 1, 8)
-	return result{written(fleet), repeated(func() { written(fleet) })}
+	return result{encodedSize(fleet), averageTime(func() { encodedSize(fleet) })}
 }
 
-func paces(size int) result {
+func measureHealthChange(size int) result {
 	old, next := fleetOf(size, 1, 8), fleetOf(size, 2, 9)
-	return result{written(next.DiffFrom(old)), repeated(func() { old.Apply(next.DiffFrom(old)) })}
+	return result{encodedSize(next.DiffFrom(old)), averageTime(func() { old.Apply(next.DiffFrom(old)) })}
 }
 
-func yard(size int) result {
+func measureServerSet(size int) result {
 	old, next := fleetOf(size, 1, 8), fleetOf(size, 2, 8)
-	for at := range next.Servers {
-		if at%100 == 0 {
-			next.Servers[at].ID += "x"
+	for i := range next.Servers {
+		if i%100 == 0 {
+			next.Servers[i].ID += "x"
 		}
 	}
-	home := balancer.Locality{Node: "edge-1", Zone: "cell-1", SubsetSize: 24}
-	bytes, laid := held(func() *balancer.ServerSet { return balancer.NewServerSet(home).WithFleet(old) })
-	return result{bytes, repeated(func() { laid.WithFleet(next) })}
+	locality := balancer.Locality{Node: "edge-1", Zone: "cell-1", SubsetSize: 24}
+	bytes, serverSet := retainedBytes(func() *balancer.ServerSet { return balancer.NewServerSet(locality).WithFleet(old) })
+	return result{bytes, averageTime(func() { serverSet.WithFleet(next) })}
 }
 
-func hear(size int) result {
+func measureHealthUpdate(size int) result {
 	old, next := fleetOf(size, 1, 8), fleetOf(size, 2, 9)
-	laid := balancer.NewServerSet(balancer.Locality{Node: "edge-1", Zone: "cell-1", SubsetSize: 24}).WithFleet(old)
-	return result{0, repeated(func() { laid.UpdateHealth(next) })}
+	serverSet := balancer.NewServerSet(balancer.Locality{Node: "edge-1", Zone: "cell-1", SubsetSize: 24}).WithFleet(old)
+	return result{0, averageTime(func() { serverSet.UpdateHealth(next) })}
 }
 
-func bookOf(size int) config.ItemSet {
+func itemSetOf(size int) config.ItemSet {
 	var items []config.Item
-	for at := range size {
-		name := fmt.Sprint("lane-", at)
+	for i := range size {
+		name := fmt.Sprint("lane-", i)
 		body, _ := json.Marshal(config.RouteSpec{
 			Name: name, PathPrefix: "/" + name + "/", RouteType: config.Safe, Timeout: clock.Duration(time.Second), TargetLatency: clock.Duration(time.Second),
-			Service: fmt.Sprint("service-", at%40), MaxAttempts: 2, Revision: 1,
+			Service: fmt.Sprint("service-", i%40), MaxAttempts: 2, Revision: 1,
 		})
-		items = append(items, config.Item{ID: config.ID{Class: config.RouteItem, Name: name}, Version: 1, Host: fmt.Sprint("h", at%400, ".example"), Body: body})
+		items = append(items, config.Item{ID: config.ID{Class: config.RouteItem, Name: name}, Version: 1, Host: fmt.Sprint("h", i%400, ".example"), Body: body})
 	}
-	book := config.ItemSet{}
-	book.Merge(items)
-	return book
+	itemSet := config.ItemSet{}
+	itemSet.Merge(items)
+	return itemSet
 }
 
-func compile(size int) result {
-	book := bookOf(size)
-	bytes, _ := held(book.Compile)
-	return result{bytes, repeated(func() { book.Compile() })}
+func measureCompile(size int) result {
+	itemSet := itemSetOf(size)
+	bytes, _ := retainedBytes(itemSet.Compile)
+	return result{bytes, averageTime(func() { itemSet.Compile() })}
 }
 
-func book(size int) result {
-	bytes, kept := held(func() config.ItemSet { return bookOf(size) })
-	return result{bytes, repeated(func() { kept.Digest() })}
+func measureItemSet(size int) result {
+	bytes, kept := retainedBytes(func() config.ItemSet { return itemSetOf(size) })
+	return result{bytes, averageTime(func() { kept.Digest() })}
 }
 
-func intents(size int) result {
+func measureIntents(size int) result {
 	body := make([]byte, 1500)
-	vote := func(voter *idempotency.Voter, at int) {
-		name := fmt.Sprint("k-", at)
+	vote := func(voter *idempotency.Voter, i int) {
+		name := fmt.Sprint("k-", i)
 		intent := idempotency.Intent{Key: idempotency.Key{Tenant: "h.example", Key: name}, Attempt: idempotency.Attempt(name), Route: "lane", Service: "fees", Reservation: name, CreatedMs: 1}
 		voter.Reserve(intent)
 		intent.State, intent.Response = idempotency.Completed, &idempotency.Response{Status: 200, Seal: "3e1b.07.5a2.600.0.c9f2a4d1", Body: append([]byte(nil), body...)}
@@ -119,13 +119,13 @@
 		if err != nil {
 			panic(err)
 		}
-		written(entry)
+		encodedSize(entry)
 	}
 	var took time.Duration
-	bytes, _ := held(func() *idempotency.Voter {
+	bytes, _ := retainedBytes(func() *idempotency.Voter {
 		voter, began := idempotency.NewVoter(idempotency.Policy{KeyWindow: time.Minute}), time.Now()
-		for at := range size {
-			vote(voter, at)
+		for i := range size {
+			vote(voter, i)
 		}
 		took = time.Since(began)
 		return voter
@@ -133,7 +133,7 @@
 	return result{bytes, took}
 }
 
-func followers(size int) result {
+func measureFollowers(size int) result {
 	fleet := fleetOf(1000, 1, 8)
 	hub := feed.NewHub()
 	hub.Publish(feed.Update{Fleet: &fleet})
@@ -149,10 +149,10 @@
 	next := fleetOf(1000, 2, 9)
 	hub.Publish(feed.Update{Fleet: &next})
 	sent := bytes
-	reading, pace := uint64(2), 8
-	return result{sent, repeated(func() {
-		reading, pace = reading+1, 17-pace
-		fleet := fleetOf(1000, reading, pace)
+	reading, relativeLatency := uint64(2), 8
+	return result{sent, averageTime(func() {
+		reading, relativeLatency = reading+1, 17-relativeLatency
+		fleet := fleetOf(1000, reading, relativeLatency)
 		hub.Publish(feed.Update{Fleet: &fleet})
 	})}
 }
@@ -165,25 +165,25 @@
 	return report
 }
 
-func reports(size int) result {
-	court, number := outlier.NewAggregator(clock.Real()), uint64(0)
+func measureReports(size int) result {
+	aggregator, number := outlier.NewAggregator(clock.Real()), uint64(0)
 	bytes := 0
 	for proxy := range size {
-		bytes += written(reportOf(proxy, 1))
+		bytes += encodedSize(reportOf(proxy, 1))
 	}
-	return result{bytes, repeated(func() {
+	return result{bytes, averageTime(func() {
 		number++
 		for proxy := range size {
-			court.AddReport(reportOf(proxy, number))
+			aggregator.AddReport(reportOf(proxy, number))
 		}
-		court.UpdateWindow()
+		aggregator.UpdateWindow()
 	})}
 }
 
-func cutoff(size int) result {
+func measureCutoff(size int) result {
 	gauge := shedding.NewGauge(clock.Real(), func() uint64 { return 1 })
 	loads := []shedding.Load{{Service: "a", Offered: 9, Sent: 9, Rejected: 3}, {Service: "b", Tier: 1, Offered: 9, Sent: 9}}
-	return result{size * written(loads), repeated(func() {
+	return result{size * encodedSize(loads), averageTime(func() {
 		for proxy := range size {
 			gauge.Add(fmt.Sprint("edge-", proxy), loads)
 		}
--- a/cmd/measure/orders.go
+++ b/cmd/measure/orders.go
@@ -16,10 +16,10 @@
 
 const (
 	// orderSilence is after how long an operator goes on to another node.
-	orderSilence = time.Second
+	changeRequestTimeout = time.Second
 	// orderLongest bounds how long one order is tried.
-	orderLongest = 30 * time.Second
-	histogramMax = int64(time.Minute / time.Microsecond)
+	changeTimeout = 30 * time.Second
+	histogramMax  = int64(time.Minute / time.Microsecond)
 )
 
 // operator sends orders to one control node, and goes on to the next node after a
@@ -31,15 +31,15 @@
 }
 
 func newOperator(addresses []string) *operator {
-	return &operator{addresses, &http.Client{Timeout: orderSilence}, rand.IntN(len(addresses))}
+	return &operator{addresses, &http.Client{Timeout: changeRequestTimeout}, rand.IntN(len(addresses))}
 }
 
 // send tries an order until it is acknowledged and tells how often it was tried.
-func (o *operator) send(order string) (tries int, err error) {
-	until := time.Now().Add(orderLongest)
-	for tries = 1; time.Now().Before(until); tries++ {
+func (o *operator) send(change string) (attempts int, err error) {
+	deadline := time.Now().Add(changeTimeout)
+	for attempts = 1; time.Now().Before(deadline); attempts++ {
 		address := o.addresses[o.next%len(o.addresses)]
-		response, err := o.client.Post("http://"+address+"/v1/config/modify", "application/json", strings.NewReader(order))
+		response, err := o.client.Post("http://"+address+"/v1/config/modify", "application/json", strings.NewReader(change))
 		if err != nil {
 			o.next++
 			continue
@@ -48,40 +48,40 @@
 		_ = response.Body.Close()
 		switch {
 		case response.StatusCode == http.StatusOK:
-			return tries, nil
+			return attempts, nil
 		case response.StatusCode < http.StatusInternalServerError:
-			return tries, errors.Errorf("%s answered %d: %s", address, response.StatusCode, text)
+			return attempts, errors.Errorf("%s answered %d: %s", address, response.StatusCode, text)
 		}
 		o.next++
 		time.Sleep(5 * time.Millisecond)
 	}
-	return tries, errors.Timeoutf("an order")
+	return attempts, errors.Timeoutf("an order")
 }
 
 // orderDelays sends orders from several operators at once and prints how long each
 // took until it was acknowledged.
-func orderDelays(addresses []string, count, operators int) error {
+func printChangeLatencies(addresses []string, count, operators int) error {
 	histogram, lock := hdrhistogram.New(1, histogramMax, 3), sync.Mutex{}
 	var all sync.WaitGroup
 	var sent, retried atomic.Int64
 	failed := make(chan error, operators)
 	began := time.Now()
 	revision := began.UnixMilli()
-	for number := range operators {
+	for index := range operators {
 		all.Go(func() {
 			o := newOperator(addresses)
 			for sent.Add(1) <= int64(count) {
 				revision := revision + sent.Load()
-				order := fmt.Sprintf(`{"Upsert":{"VirtualHosts":[{"Hostname":"orders.example","PathTable":[{"Name":"orders-%d","PathPrefix":"/orders/%d/","RouteType":"safe","Timeout":"1s","Service":"lessons","Revision":"r%d"}]}]}}`, number, number, revision)
-				at := time.Now()
-				tries, err := o.send(order)
+				change := fmt.Sprintf(`{"Upsert":{"VirtualHosts":[{"Hostname":"orders.example","PathTable":[{"Name":"orders-%d","PathPrefix":"/orders/%d/","RouteType":"safe","Timeout":"1s","Service":"lessons","Revision":"r%d"}]}]}}`, index, index, revision)
+				start := time.Now()
+				attempts, err := o.send(change)
 				if err != nil {
 					failed <- err
 					return
 				}
-				retried.Add(int64(tries - 1))
+				retried.Add(int64(attempts - 1))
 				lock.Lock()
-				_ = histogram.RecordValue(max(1, time.Since(at).Microseconds()))
+				_ = histogram.RecordValue(max(1, time.Since(start).Microseconds()))
 				lock.Unlock()
 			}
 		})
--- a/cmd/measure/simulate.go
+++ b/cmd/measure/simulate.go
@@ -18,27 +18,27 @@
 
 // simulateCommand is what `measure simulate` was asked for.
 type simulateCommand struct {
-	seeds   uint64
-	first   uint64
-	only    string
-	guard   string
-	isDense bool
-	plot    string
+	seeds    uint64
+	first    uint64
+	scenario string
+	guard    string
+	dense    bool
+	plot     string
 }
 
 const (
 	// simulatedSpares is how many nodes wait outside the view.
 	simulatedSpares = 2
 	// highestLatency bounds a histogram, in microseconds.
-	highestLatency = int64(time.Minute / time.Microsecond)
-	digits         = 3
+	highestLatency    = int64(time.Minute / time.Microsecond)
+	significantDigits = 3
 )
 
 // simulatedSizes are the numbers of members.
 var simulatedSizes = []int{3, 5}
 
 // tally is what the runs of one scenario came to.
-type tally struct {
+type summary struct {
 	scenario     simulation.Scenario
 	runs         int
 	failed       int
@@ -52,35 +52,35 @@
 	command, flags := app.Command("simulate", "Run the control plane's simulation over many seeds."), &simulateCommand{}
 	command.Flag("seeds", "How many seeds to run of each scenario.").Default("100").Uint64Var(&flags.seeds)
 	command.Flag("first", "The first seed.").Default("0").Uint64Var(&flags.first)
-	command.Flag("scenario", "Run only this scenario.").StringVar(&flags.only)
+	command.Flag("scenario", "Run only this scenario.").StringVar(&flags.scenario)
 	command.Flag("without", "Take out this guard.").StringVar(&flags.guard)
-	command.Flag("dense", "Dense load on slow disks; the order of operations is not checked.").BoolVar(&flags.isDense)
+	command.Flag("dense", "Dense load on slow disks; the order of operations is not checked.").BoolVar(&flags.dense)
 	command.Flag("plot", "Write a plot to this file, .svg or .png.").StringVar(&flags.plot)
 	return command, flags
 }
 
 // simulate runs the seeds, prints the failures first, then the histograms of the
 // virtual time to acknowledge an order.
-func (c simulateCommand) simulate() error {
-	var tallies []*tally
+func (c simulateCommand) run() error {
+	var summaries []*summary
 	failed := 0
 	for _, scenario := range simulation.Scenarios() {
-		if c.only != "" && c.only != string(scenario) {
+		if c.scenario != "" && c.scenario != string(scenario) {
 			continue
 		}
-		t := c.runAll(scenario)
-		tallies = append(tallies, t)
+		t := c.runSeeds(scenario)
+		summaries = append(summaries, t)
 		failed += t.failed
 	}
 	fmt.Printf("%d failed\n", failed)
-	for _, t := range tallies {
+	for _, t := range summaries {
 		h := t.latencies
 		fmt.Printf("%s: %d runs, %d failed, %d undetermined, %d changes; acknowledged %d, p50 %v p90 %v p99 %v most %v\n",
 			t.scenario, t.runs, t.failed, t.undetermined, t.changes, h.TotalCount(),
-			virtual(h.ValueAtQuantile(50)), virtual(h.ValueAtQuantile(90)), virtual(h.ValueAtQuantile(99)), virtual(h.Max()))
+			virtualTime(h.ValueAtQuantile(50)), virtualTime(h.ValueAtQuantile(90)), virtualTime(h.ValueAtQuantile(99)), virtualTime(h.Max()))
 	}
 	if c.plot != "" {
-		if err := draw(tallies, c.plot); err != nil {
+		if err := drawPlot(summaries, c.plot); err != nil {
 			return err
 		}
 	}
@@ -90,17 +90,17 @@
 	return nil
 }
 
-func virtual(microseconds int64) time.Duration {
+func virtualTime(microseconds int64) time.Duration {
 	return time.Duration(microseconds) * time.Microsecond
 }
 
-func (c simulateCommand) runAll(scenario simulation.Scenario) *tally {
-	t := &tally{scenario: scenario, latencies: hdrhistogram.New(1, highestLatency, digits)}
+func (c simulateCommand) runSeeds(scenario simulation.Scenario) *summary {
+	t := &summary{scenario: scenario, latencies: hdrhistogram.New(1, highestLatency, significantDigits)}
 	for seed := c.first; seed < c.first+c.seeds; seed++ {
 		for _, members := range simulatedSizes {
 			result := simulation.Run(simulation.Options{
 				Seed: seed, Members: members, Spares: simulatedSpares, Scenario: scenario,
-				IsDense: c.isDense, Without: simulation.Guard(c.guard),
+				IsDense: c.dense, Without: simulation.Guard(c.guard),
 			})
 			t.add(result)
 		}
@@ -108,7 +108,7 @@
 	return t
 }
 
-func (t *tally) add(result simulation.Result) {
+func (t *summary) add(result simulation.Result) {
 	t.runs++
 	t.changes += result.Changes
 	if result.Violation != nil {
@@ -125,13 +125,13 @@
 }
 
 // draw plots the quantiles of each scenario; the file's ending chooses SVG or PNG.
-func draw(tallies []*tally, path string) error {
+func drawPlot(summaries []*summary, path string) error {
 	p := plot.New()
 	p.Title.Text = "Time from an order to its acknowledgement (simulated)"
 	p.X.Label.Text = "milliseconds of virtual time"
 	p.Y.Label.Text = "percent acknowledged"
 	p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{}
-	for at, t := range tallies {
+	for at, t := range summaries {
 		var points plotter.XYs
 		for percent := 1.0; percent <= 100; percent++ {
 			milliseconds := float64(t.latencies.ValueAtQuantile(percent)) / 1000
