--- a/cmd/measure/agreement.go
+++ b/cmd/measure/agreement.go
@@ -11,7 +11,8 @@
 	"ploverhitch/internal/messages"
 )
 
-// members are replicas that a round reaches through the bytes of its messages.
+// replicaGroup is a set of replicas in one process. Every message is encoded and decoded, and
+// bytes counts the encoded size.
 type replicaGroup struct {
 	replicas []*registry.Replica
 	bytes    int
@@ -25,7 +26,7 @@
 	return group
 }
 
-// carry writes a message and reads it again, as between two processes.
+// roundTrip encodes and decodes a message, as if it were sent between two processes.
 func roundTrip[T any](group *replicaGroup, message T) (out T) {
 	encoded, err := cbor.Marshal(message)
 	if err == nil {
@@ -38,7 +39,7 @@
 	return out
 }
 
-// Prepare carries the message to every replica and its answer back.
+// Prepare sends the message to every replica and returns the responses.
 func (group *replicaGroup) Prepare(prepare registry.Prepare) (out []registry.Promise) {
 	for number, replica := range group.replicas {
 		promise, _ := replica.Promise(roundTrip(group, prepare))
@@ -48,7 +49,7 @@
 	return out
 }
 
-// Accept carries the message to every replica and its answer back.
+// Accept sends the message to every replica and returns the responses.
 func (group *replicaGroup) Accept(accept registry.Accept) (out []registry.Acceptance) {
 	for number, replica := range group.replicas {
 		acceptance, _ := replica.Accept(memberName(number), roundTrip(group, accept))
@@ -59,8 +60,8 @@
 
 func memberName(number int) string { return fmt.Sprintf("10.1.0.%d:7200", number) }
 
-// agree decides one order for a route among so many members: the bytes of all its
-// messages, and the work of all of them without the syncs.
+// measureAgreement measures the agreement of size members on one change of a route: the
+// bytes of all messages and the time of all members without disk syncs.
 func measureAgreement(size int) result {
 	group := newReplicaGroup(size)
 	items := itemSetOf(40).Items()
@@ -90,7 +91,7 @@
 	return result{group.bytes, took}
 }
 
-// draft checks one order against a set of so many routes.
+// measureDraft measures the validation of one change against an item set of size routes.
 func measureDraft(size int) result {
 	replica := registry.NewReplica()
 	items := itemSetOf(size).Items()
--- a/cmd/measure/delay.go
+++ b/cmd/measure/delay.go
@@ -13,15 +13,15 @@
 	"github.com/juju/errors"
 )
 
-// delays are how long replies took, in order.
+// latencies are response times in ascending order.
 type latencies []time.Duration
 
-// at is the delay under which so large a part of them stayed.
+// quantile returns the latency below which this fraction of the responses lies.
 func (l latencies) quantile(fraction float64) time.Duration {
 	return l[min(len(l)-1, int(fraction*float64(len(l))))].Round(time.Microsecond)
 }
 
-// sender makes inquiries at one address, over connections that it keeps.
+// sender sends requests to one address over keep-alive connections.
 type sender struct {
 	address string
 	client  *http.Client
@@ -35,7 +35,7 @@
 	return &sender{address, &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DialContext: dial, DisableCompression: true}}}
 }
 
-// ask makes one inquiry and returns how long its reply took.
+// send sends one request and returns the time until the whole response was read.
 func (s *sender) send(method, path, id, key string) (time.Duration, error) {
 	request, err := http.NewRequest(method, "http://h.example"+path, strings.NewReader(""))
 	if err != nil {
@@ -60,7 +60,8 @@
 	return time.Since(began), nil
 }
 
-// addedDelay asks a proxy and a server by turns, and prints what the proxy adds.
+// printAddedLatency sends requests alternately to a proxy and to a server, and prints the
+// latency that the proxy adds.
 func printAddedLatency(through, direct string, count int) error {
 	senders := []*sender{newSender(through), newSender(direct)}
 	for _, operation := range []struct{ what, method, path, key string }{{"reads", "GET", "/read/a", ""}, {"keyed operations", "POST", "/fee/a", "k"}} {
--- a/cmd/measure/departures.go
+++ b/cmd/measure/departures.go
@@ -12,7 +12,7 @@
 	"ploverhitch/internal/emulator/departure"
 )
 
-// departuresCommand is what `measure departures` was asked for.
+// departuresCommand holds the flags of `measure departures`.
 type departuresCommand struct {
 	seeds, first  uint64
 	scenario      string
@@ -22,24 +22,24 @@
 	workers       int
 }
 
-// addDepartures adds the command to the program's.
+// addDepartures registers the command `departures`.
 func addDepartures(app *kingpin.Application) (*kingpin.CmdClause, *departuresCommand) {
-	command, flags := app.Command("departures", "Emulate how long a server that leaves still gets requests, over many seeds."), &departuresCommand{}
-	command.Flag("seeds", "How many seeds to run of each scenario.").Default("100").Uint64Var(&flags.seeds)
+	command, flags := app.Command("departures", "Emulate how long a departing server still receives requests, over many seeds."), &departuresCommand{}
+	command.Flag("seeds", "Number of seeds for each scenario.").Default("100").Uint64Var(&flags.seeds)
 	command.Flag("first", "The first seed.").Default("0").Uint64Var(&flags.first)
 	command.Flag("scenario", "Run only this scenario.").StringVar(&flags.scenario)
-	command.Flag("pages", "How many pages the platform's list has.").Default("15").IntVar(&flags.size.Pages)
-	command.Flag("zones", "How many zones they are of.").Default("6").IntVar(&flags.size.Zones)
-	command.Flag("rate", "How many calls a second the platform takes.").Default("50").Float64Var(&flags.size.Rate)
-	command.Flag("members", "How many members the view has.").Default("5").IntVar(&flags.size.Members)
-	command.Flag("proxies", "How many proxies there are.").Default("30").IntVar(&flags.size.Proxies)
-	command.Flag("drain", "How long after the list shows it a server may still get requests.").Default("2500ms").DurationVar(&flags.drain)
-	command.Flag("before", "Take out all rules that incident operators-drain brought.").BoolVar(&flags.withoutGuards)
-	command.Flag("workers", "How many runs to play at a time.").Default("2").IntVar(&flags.workers)
+	command.Flag("pages", "Number of pages of the platform's instance list.").Default("15").IntVar(&flags.size.Pages)
+	command.Flag("zones", "Number of zones that the pages belong to.").Default("6").IntVar(&flags.size.Zones)
+	command.Flag("rate", "Requests per second that the platform accepts.").Default("50").Float64Var(&flags.size.Rate)
+	command.Flag("members", "Number of members of the view.").Default("5").IntVar(&flags.size.Members)
+	command.Flag("proxies", "Number of proxies.").Default("30").IntVar(&flags.size.Proxies)
+	command.Flag("drain", "Time after the list shows the departure in which a server may still receive requests.").Default("2500ms").DurationVar(&flags.drain)
+	command.Flag("before", "Disable all guards that were introduced after the incident operators-drain.").BoolVar(&flags.withoutGuards)
+	command.Flag("workers", "Number of concurrent runs.").Default("2").IntVar(&flags.workers)
 	return command, flags
 }
 
-// departures prints, for each scenario, where the time goes.
+// run prints, for each scenario, how the time until the last byte divides into its stages.
 func (c departuresCommand) run() error {
 	out := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	defer out.Flush()
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// play runs all seeds of a scenario, a few at a time.
+// runSeeds runs all seeds of a scenario on the configured number of workers.
 func (c departuresCommand) runSeeds(scenario departure.Scenario) departure.Result {
 	guards := departure.Present()
 	if c.withoutGuards {
@@ -82,7 +82,7 @@
 	return total
 }
 
-// quantiles are the middle, the 99th and 99.9th of a hundred, and the most, in seconds.
+// formatQuantiles returns the median, the 99th and 99.9th percentiles and the maximum, in seconds.
 func formatQuantiles(durations departure.Spans) string {
 	return fmt.Sprintf("%.2f %.2f %.2f %.2f", durations.Quantile(50).Seconds(), durations.Quantile(99).Seconds(),
 		durations.Quantile(99.9).Seconds(), durations.Most().Seconds())
--- a/cmd/measure/main.go
+++ b/cmd/measure/main.go
@@ -1,10 +1,6 @@
 // Command measure measures, on the machine it runs on, how the state and the work
-// of each role grow with the number of servers, lanes, proxies and keyed operations.
-// docs/CAPACITY.md is made from what it prints.
-//
-// Example:
-//
-//	go run ./cmd/measure
+// of each role grow with the number of servers, routes, proxies and keyed operations.
+// docs/CAPACITY.md is based on its output.
 package main
 
 import (
@@ -18,20 +14,20 @@
 	"github.com/alecthomas/kingpin/v2"
 )
 
-// measure is one slope: what is done at a size, and what came of it.
+// measurement is one operation that is measured at several sizes.
 type measurement struct {
 	role, name string
 	sizes      []int
 	run        func(size int) result
 }
 
-// result is the bytes that a thing takes or sends, and how long one act lasts.
+// result holds the bytes that are kept or sent at one size, and the time of one operation.
 type result struct {
 	bytes int
 	took  time.Duration
 }
 
-// repeated is how long one act lasts, of as many as fit into a short span.
+// averageTime runs the operation repeatedly for 100 ms and returns the mean duration.
 func averageTime(run func()) time.Duration {
 	run()
 	began, count := time.Now(), 0
@@ -42,7 +38,7 @@
 	return time.Since(began) / time.Duration(count)
 }
 
-// held is how much memory what make returns keeps alive.
+// retainedBytes returns the heap memory that the result of create keeps alive, and that result.
 func retainedBytes[T any](create func() T) (bytes int, kept T) {
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -53,7 +49,7 @@
 	return max(0, int(after.HeapAlloc)-int(before.HeapAlloc)), kept
 }
 
-// slope is the least squares slope of figures over sizes.
+// slope returns the least-squares slope of the figures over the sizes.
 func slope(sizes []int, figures []float64) float64 {
 	n, x, y, xx, xy := float64(len(sizes)), 0.0, 0.0, 0.0, 0.0
 	for i, size := range sizes {
@@ -66,13 +62,13 @@
 func main() {
 	app := kingpin.New("measure", "Measures how the state and work of each role grow with size.")
 	app.HelpFlag.Short('h')
-	slopes := app.Command("slopes", "Measure the slopes, or what a proxy adds.").Default()
-	only := slopes.Flag("only", "Measure only what has this in its name.").String()
-	through := slopes.Flag("through", "Measure instead what this proxy's client address adds, as localcluster prints it.").PlaceHolder("HOST:PORT").String()
-	direct := slopes.Flag("direct", "The address of a server behind it.").PlaceHolder("HOST:PORT").String()
-	count := slopes.Flag("count", "How many inquiries to send each way.").Default("5000").Int()
-	orders := slopes.Flag("orders", "Measure instead how long orders to this control address take until they are acknowledged; may be repeated.").PlaceHolder("HOST:PORT").Strings()
-	operators := slopes.Flag("operators", "How many operators send orders at once.").Default("1").Int()
+	slopes := app.Command("slopes", "Measure growth with size, the latency that a proxy adds, or the latency of configuration changes.").Default()
+	only := slopes.Flag("only", "Run only measurements whose role and name contain this text.").String()
+	through := slopes.Flag("through", "Measure instead the latency that a proxy adds; the client address of the proxy, as printed by localcluster.").PlaceHolder("HOST:PORT").String()
+	direct := slopes.Flag("direct", "Address of a server behind the proxy.").PlaceHolder("HOST:PORT").String()
+	count := slopes.Flag("count", "Number of requests to send on each path.").Default("5000").Int()
+	orders := slopes.Flag("orders", "Measure instead the time until configuration changes sent to this control address are acknowledged; may be repeated.").PlaceHolder("HOST:PORT").Strings()
+	operators := slopes.Flag("operators", "Number of operators that send changes concurrently.").Default("1").Int()
 	simulate, simulated := addSimulate(app)
 	departures, departed := addDepartures(app)
 	switch kingpin.MustParse(app.Parse(os.Args[1:])) {
--- a/cmd/measure/measures.go
+++ b/cmd/measure/measures.go
@@ -20,18 +20,18 @@
 func measurements() []measurement {
 	servers, routes := []int{500, 2000, 8000}, []int{200, 1000, 5000}
 	return []measurement{
-		{"agent", "checkpoint of the fleet, by servers", servers, measureCheckpoint},
-		{"agent", "change of all paces, by servers", servers, measureHealthChange},
-		{"proxy", "yard laid, by servers (one in 100 new)", servers, measureServerSet},
-		{"proxy", "paces heard, by servers", servers, measureHealthUpdate},
-		{"proxy", "manifest compiled, by lanes", routes, measureCompile},
-		{"control", "manifest kept, by lanes", routes, measureItemSet},
+		{"agent", "fleet checkpoint, by servers", servers, measureCheckpoint},
+		{"agent", "change of all relative latencies, by servers", servers, measureHealthChange},
+		{"proxy", "server set updated, by servers (one in 100 new)", servers, measureServerSet},
+		{"proxy", "relative latencies updated, by servers", servers, measureHealthUpdate},
+		{"proxy", "configuration compiled, by routes", routes, measureCompile},
+		{"control", "item set kept, by routes", routes, measureItemSet},
 		{"control", "intents kept for a keyed operation, by operations", []int{2000, 8000, 32000}, measureIntents},
-		{"control", "news written to followers, by followers", []int{100, 400, 1600}, measureFollowers},
-		{"control", "order agreed, by members", []int{3, 5, 9}, measureAgreement},
-		{"control", "order checked, by routes", routes, measureDraft},
-		{"holder", "reports heard, by proxies (12 servers each)", []int{100, 400, 1600}, measureReports},
-		{"holder", "cutoff decided, by proxies", []int{100, 400, 1600}, measureCutoff},
+		{"control", "update sent to followers, by followers", []int{100, 400, 1600}, measureFollowers},
+		{"control", "change agreed, by members", []int{3, 5, 9}, measureAgreement},
+		{"control", "change validated, by routes", routes, measureDraft},
+		{"leader", "reports processed, by proxies (12 servers each)", []int{100, 400, 1600}, measureReports},
+		{"leader", "cutoff decided, by proxies", []int{100, 400, 1600}, measureCutoff},
 	}
 }
 
--- a/cmd/measure/orders.go
+++ b/cmd/measure/orders.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	// orderSilence is after how long an operator goes on to another node.
+	// changeRequestTimeout is the time after which an operator tries another node.
 	changeRequestTimeout = time.Second
-	// orderLongest bounds how long one order is tried.
+	// changeTimeout limits all attempts to send one change.
 	changeTimeout = 30 * time.Second
 	histogramMax  = int64(time.Minute / time.Microsecond)
 )
 
-// operator sends orders to one control node, and goes on to the next node after a
-// failure, a 5xx or a second of silence.
+// operator sends configuration changes to one control node, and moves to the next node
+// after a failure, a 5xx response or a timeout of one second.
 type operator struct {
 	addresses []string
 	client    *http.Client
@@ -34,7 +34,7 @@
 	return &operator{addresses, &http.Client{Timeout: changeRequestTimeout}, rand.IntN(len(addresses))}
 }
 
-// send tries an order until it is acknowledged and tells how often it was tried.
+// send retries a change until it is acknowledged and returns the number of attempts.
 func (o *operator) send(change string) (attempts int, err error) {
 	deadline := time.Now().Add(changeTimeout)
 	for attempts = 1; time.Now().Before(deadline); attempts++ {
@@ -55,11 +55,11 @@
 		o.next++
 		time.Sleep(5 * time.Millisecond)
 	}
-	return attempts, errors.Timeoutf("an order")
+	return attempts, errors.Timeoutf("configuration change")
 }
 
-// orderDelays sends orders from several operators at once and prints how long each
-// took until it was acknowledged.
+// printChangeLatencies sends changes from several concurrent operators and prints the
+// quantiles of the time to acknowledgement.
 func printChangeLatencies(addresses []string, count, operators int) error {
 	histogram, lock := hdrhistogram.New(1, histogramMax, 3), sync.Mutex{}
 	var all sync.WaitGroup
@@ -88,9 +88,9 @@
 	}
 	all.Wait()
 	close(failed)
-	fmt.Printf("%d orders acknowledged in %v by %d operators, %d sent again; p50 %.1f ms, p99 %.1f ms, max %.1f ms\n", histogram.TotalCount(),
+	fmt.Printf("%d changes acknowledged in %v by %d operators, %d sent again; p50 %.1f ms, p99 %.1f ms, max %.1f ms\n", histogram.TotalCount(),
 		time.Since(began).Round(time.Millisecond), operators, retried.Load(), milliseconds(histogram, 50), milliseconds(histogram, 99), milliseconds(histogram, 100))
-	return errors.Annotate(<-failed, "an order")
+	return errors.Annotate(<-failed, "configuration change")
 }
 
 func milliseconds(histogram *hdrhistogram.Histogram, percentile float64) float64 {
--- a/cmd/measure/simulate.go
+++ b/cmd/measure/simulate.go
@@ -16,7 +16,7 @@
 	"ploverhitch/internal/emulator/simulation"
 )
 
-// simulateCommand is what `measure simulate` was asked for.
+// simulateCommand holds the flags of `measure simulate`.
 type simulateCommand struct {
 	seeds    uint64
 	first    uint64
@@ -27,9 +27,9 @@
 }
 
 const (
-	// simulatedSpares is how many nodes wait outside the view.
+	// simulatedSpares is the number of spare nodes outside the view.
 	simulatedSpares = 2
-	// highestLatency bounds a histogram, in microseconds.
+	// highestLatency is the upper bound of the histogram, in microseconds.
 	highestLatency    = int64(time.Minute / time.Microsecond)
 	significantDigits = 3
 )
@@ -37,7 +37,7 @@
 // simulatedSizes are the numbers of members.
 var simulatedSizes = []int{3, 5}
 
-// tally is what the runs of one scenario came to.
+// summary aggregates the runs of one scenario.
 type summary struct {
 	scenario     simulation.Scenario
 	runs         int
@@ -47,20 +47,20 @@
 	latencies    *hdrhistogram.Histogram
 }
 
-// addSimulate adds the command to the program's.
+// addSimulate registers the command `simulate`.
 func addSimulate(app *kingpin.Application) (*kingpin.CmdClause, *simulateCommand) {
 	command, flags := app.Command("simulate", "Run the control plane's simulation over many seeds."), &simulateCommand{}
-	command.Flag("seeds", "How many seeds to run of each scenario.").Default("100").Uint64Var(&flags.seeds)
+	command.Flag("seeds", "Number of seeds for each scenario.").Default("100").Uint64Var(&flags.seeds)
 	command.Flag("first", "The first seed.").Default("0").Uint64Var(&flags.first)
 	command.Flag("scenario", "Run only this scenario.").StringVar(&flags.scenario)
-	command.Flag("without", "Take out this guard.").StringVar(&flags.guard)
-	command.Flag("dense", "Dense load on slow disks; the order of operations is not checked.").BoolVar(&flags.dense)
+	command.Flag("without", "Disable this guard.").StringVar(&flags.guard)
+	command.Flag("dense", "Run a dense load on slow disks; the order of operations is not checked.").BoolVar(&flags.dense)
 	command.Flag("plot", "Write a plot to this file, .svg or .png.").StringVar(&flags.plot)
 	return command, flags
 }
 
-// simulate runs the seeds, prints the failures first, then the histograms of the
-// virtual time to acknowledge an order.
+// run runs the seeds and prints the failures first, then the quantiles of the virtual time
+// to acknowledge a change.
 func (c simulateCommand) run() error {
 	var summaries []*summary
 	failed := 0
@@ -124,10 +124,10 @@
 	}
 }
 
-// draw plots the quantiles of each scenario; the file's ending chooses SVG or PNG.
+// drawPlot plots the quantiles of each scenario; the file extension selects SVG or PNG.
 func drawPlot(summaries []*summary, path string) error {
 	p := plot.New()
-	p.Title.Text = "Time from an order to its acknowledgement (simulated)"
+	p.Title.Text = "Time from a change to its acknowledgement (simulated)"
 	p.X.Label.Text = "milliseconds of virtual time"
 	p.Y.Label.Text = "percent acknowledged"
 	p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{}
