--- a/cmd/measure/agreement.go
+++ b/cmd/measure/agreement.go
@@ -40,20 +40,20 @@
 }
 
 // Prepare sends the message to every replica and returns the responses.
-func (group *replicaGroup) Prepare(prepare registry.Prepare) (out []registry.Promise) {
-	for number, replica := range group.replicas {
-		promise, _ := replica.Promise(roundTrip(group, prepare))
+func (g *replicaGroup) Prepare(prepare registry.Prepare) (out []registry.Promise) {
+	for number, replica := range g.replicas {
+		promise, _ := replica.Promise(roundTrip(g, prepare))
 		promise.Member = memberName(number)
-		out = append(out, roundTrip(group, promise))
+		out = append(out, roundTrip(g, promise))
 	}
 	return out
 }
 
 // Accept sends the message to every replica and returns the responses.
-func (group *replicaGroup) Accept(accept registry.Accept) (out []registry.Acceptance) {
-	for number, replica := range group.replicas {
-		acceptance, _ := replica.Accept(memberName(number), roundTrip(group, accept))
-		out = append(out, roundTrip(group, acceptance))
+func (g *replicaGroup) Accept(accept registry.Accept) (out []registry.Acceptance) {
+	for number, replica := range g.replicas {
+		acceptance, _ := replica.Accept(memberName(number), roundTrip(g, accept))
+		out = append(out, roundTrip(g, acceptance))
 	}
 	return out
 }
--- a/cmd/measure/delay.go
+++ b/cmd/measure/delay.go
@@ -64,7 +64,7 @@
 // latency that the proxy adds.
 func printAddedLatency(through, direct string, count int) error {
 	senders := []*sender{newSender(through), newSender(direct)}
-	for _, operation := range []struct{ what, method, path, key string }{{"reads", "GET", "/read/a", ""}, {"keyed operations", "POST", "/fee/a", "k"}} {
+	for _, operation := range []struct{ name, method, path, key string }{{"reads", "GET", "/read/a", ""}, {"keyed operations", "POST", "/fee/a", "k"}} {
 		latenciesByAddress := map[string]latencies{}
 		for number := range count {
 			for _, target := range senders {
@@ -85,7 +85,7 @@
 			slices.Sort(took)
 		}
 		proxy, server := latenciesByAddress[through], latenciesByAddress[direct]
-		fmt.Printf("%s, one at a time, %d each way: through the proxy p50 %v p99 %v; direct p50 %v p99 %v; added p50 %v p99 %v\n", operation.what, len(proxy),
+		fmt.Printf("%s, one at a time, %d each way: through the proxy p50 %v p99 %v; direct p50 %v p99 %v; added p50 %v p99 %v\n", operation.name, len(proxy),
 			proxy.quantile(0.5), proxy.quantile(0.99), server.quantile(0.5), server.quantile(0.99), proxy.quantile(0.5)-server.quantile(0.5), proxy.quantile(0.99)-server.quantile(0.99))
 	}
 	return nil
--- a/cmd/measure/main.go
+++ b/cmd/measure/main.go
@@ -80,11 +80,11 @@
 		return
 	}
 	if len(*orders) > 0 {
-		app.FatalIfError(printChangeLatencies(*orders, max(1, *count), max(1, *operators)), "orders")
+		app.FatalIfError(printChangeLatencies(*orders, max(1, *count), max(1, *operators)), "measuring configuration changes")
 		return
 	}
 	if *through != "" {
-		app.FatalIfError(printAddedLatency(*through, *direct, max(100, *count)), "the added delay")
+		app.FatalIfError(printAddedLatency(*through, *direct, max(100, *count)), "measuring the added latency")
 		return
 	}
 	runtime.GOMAXPROCS(1)
--- a/cmd/measure/measures.go
+++ b/cmd/measure/measures.go
@@ -35,12 +35,12 @@
 	}
 }
 
-func fleetOf(count int, reading uint64, relativeLatency int) feed.Fleet {
-	fleet := feed.Fleet{Term: 1, Count: reading, Leader: "10.1.0.42:7200", Proxies: 100}
+func fleetOf(count int, sequence uint64, relativeLatency int) feed.Fleet {
+	fleet := feed.Fleet{Term: 1, Count: sequence, Leader: "10.1.0.42:7200", Proxies: 100}
 	for id := range count {
 		fleet.Servers = append(fleet.Servers, feed.Server{
 			ID: fmt.Sprintf("i-%010x", id), Service: fmt.Sprint("service-", id%(count/32)), Address: fmt.Sprintf("10.%d.%d.%d:8080", id>>16&255, id>>8&255, id&255),
-			Zone: fmt.Sprint("cell-", id%20), Capacity: 2, IsReady: true, Revision: "v1", RelativeLatency: relativeLatency,
+			Zone: fmt.Sprint("zone-", id%20), Capacity: 2, IsReady: true, Revision: "v1", RelativeLatency: relativeLatency,
 		})
 	}
 	return fleet
@@ -71,14 +71,14 @@
 			next.Servers[i].ID += "x"
 		}
 	}
-	locality := balancer.Locality{Node: "edge-1", Zone: "cell-1", SubsetSize: 24}
+	locality := balancer.Locality{Node: "edge-1", Zone: "zone-1", SubsetSize: 24}
 	bytes, serverSet := retainedBytes(func() *balancer.ServerSet { return balancer.NewServerSet(locality).WithFleet(old) })
 	return result{bytes, averageTime(func() { serverSet.WithFleet(next) })}
 }
 
 func measureHealthUpdate(size int) result {
 	old, next := fleetOf(size, 1, 8), fleetOf(size, 2, 9)
-	serverSet := balancer.NewServerSet(balancer.Locality{Node: "edge-1", Zone: "cell-1", SubsetSize: 24}).WithFleet(old)
+	serverSet := balancer.NewServerSet(balancer.Locality{Node: "edge-1", Zone: "zone-1", SubsetSize: 24}).WithFleet(old)
 	return result{0, averageTime(func() { serverSet.UpdateHealth(next) })}
 }
 
@@ -112,7 +112,7 @@
 	body := make([]byte, 1500)
 	vote := func(voter *idempotency.Voter, i int) {
 		name := fmt.Sprint("k-", i)
-		intent := idempotency.Intent{Key: idempotency.Key{Tenant: "h.example", Key: name}, Attempt: idempotency.Attempt(name), Route: "lane", Service: "fees", Reservation: name, CreatedMs: 1}
+		intent := idempotency.Intent{Key: idempotency.Key{Tenant: "h.example", Key: name}, Attempt: idempotency.Attempt(name), Route: "route", Service: "fees", Reservation: name, CreatedMs: 1}
 		voter.Reserve(intent)
 		intent.State, intent.Response = idempotency.Completed, &idempotency.Response{Status: 200, Seal: "3e1b.07.5a2.600.0.c9f2a4d1", Body: append([]byte(nil), body...)}
 		entry, err := voter.Record(intent)
@@ -149,10 +149,10 @@
 	next := fleetOf(1000, 2, 9)
 	hub.Publish(feed.Update{Fleet: &next})
 	sent := bytes
-	reading, relativeLatency := uint64(2), 8
+	sequence, relativeLatency := uint64(2), 8
 	return result{sent, averageTime(func() {
-		reading, relativeLatency = reading+1, 17-relativeLatency
-		fleet := fleetOf(1000, reading, relativeLatency)
+		sequence, relativeLatency = sequence+1, 17-relativeLatency
+		fleet := fleetOf(1000, sequence, relativeLatency)
 		hub.Publish(feed.Update{Fleet: &fleet})
 	})}
 }
--- a/cmd/measure/simulate.go
+++ b/cmd/measure/simulate.go
@@ -68,15 +68,15 @@
 		if c.scenario != "" && c.scenario != string(scenario) {
 			continue
 		}
-		t := c.runSeeds(scenario)
-		summaries = append(summaries, t)
-		failed += t.failed
+		s := c.runSeeds(scenario)
+		summaries = append(summaries, s)
+		failed += s.failed
 	}
 	fmt.Printf("%d failed\n", failed)
-	for _, t := range summaries {
-		h := t.latencies
+	for _, s := range summaries {
+		h := s.latencies
 		fmt.Printf("%s: %d runs, %d failed, %d undetermined, %d changes; acknowledged %d, p50 %v p90 %v p99 %v most %v\n",
-			t.scenario, t.runs, t.failed, t.undetermined, t.changes, h.TotalCount(),
+			s.scenario, s.runs, s.failed, s.undetermined, s.changes, h.TotalCount(),
 			virtualTime(h.ValueAtQuantile(50)), virtualTime(h.ValueAtQuantile(90)), virtualTime(h.ValueAtQuantile(99)), virtualTime(h.Max()))
 	}
 	if c.plot != "" {
@@ -95,32 +95,32 @@
 }
 
 func (c simulateCommand) runSeeds(scenario simulation.Scenario) *summary {
-	t := &summary{scenario: scenario, latencies: hdrhistogram.New(1, highestLatency, significantDigits)}
+	s := &summary{scenario: scenario, latencies: hdrhistogram.New(1, highestLatency, significantDigits)}
 	for seed := c.first; seed < c.first+c.seeds; seed++ {
 		for _, members := range simulatedSizes {
 			result := simulation.Run(simulation.Options{
 				Seed: seed, Members: members, Spares: simulatedSpares, Scenario: scenario,
 				IsDense: c.dense, Without: simulation.Guard(c.guard),
 			})
-			t.add(result)
+			s.add(result)
 		}
 	}
-	return t
+	return s
 }
 
-func (t *summary) add(result simulation.Result) {
-	t.runs++
-	t.changes += result.Changes
+func (s *summary) add(result simulation.Result) {
+	s.runs++
+	s.changes += result.Changes
 	if result.Violation != nil {
-		t.failed++
+		s.failed++
 		fmt.Fprintln(os.Stdout, "FAILED", result.Violation)
 	}
 	if result.IsUndetermined {
-		t.undetermined++
+		s.undetermined++
 		fmt.Fprintln(os.Stdout, "UNDETERMINED", result.Options)
 	}
 	for _, latency := range result.Latencies {
-		_ = t.latencies.RecordValue(max(1, min(highestLatency, latency.Microseconds())))
+		_ = s.latencies.RecordValue(max(1, min(highestLatency, latency.Microseconds())))
 	}
 }
 
@@ -131,19 +131,19 @@
 	p.X.Label.Text = "milliseconds of virtual time"
 	p.Y.Label.Text = "percent acknowledged"
 	p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{}
-	for at, t := range summaries {
+	for i, s := range summaries {
 		var points plotter.XYs
 		for percent := 1.0; percent <= 100; percent++ {
-			milliseconds := float64(t.latencies.ValueAtQuantile(percent)) / 1000
+			milliseconds := float64(s.latencies.ValueAtQuantile(percent)) / 1000
 			points = append(points, plotter.XY{X: max(0.1, milliseconds), Y: percent})
 		}
 		line, err := plotter.NewLine(points)
 		if err != nil {
 			return errors.Trace(err)
 		}
-		line.Color = plotutil.Color(at)
+		line.Color = plotutil.Color(i)
 		p.Add(line)
-		p.Legend.Add(string(t.scenario), line)
+		p.Legend.Add(string(s.scenario), line)
 	}
 	return errors.Trace(p.Save(8*vg.Inch, 5*vg.Inch, path))
 }
--- a/internal/apply/apply_test.go
+++ b/internal/apply/apply_test.go
@@ -11,7 +11,7 @@
 	"ploverhitch/internal/config"
 )
 
-func TestObjects(t *testing.T) {
+func TestApply(t *testing.T) {
 	RegisterFailHandler(Fail)
 	RunSpecs(t, "apply")
 }
