--- a/cmd/measure/delay.go
+++ b/cmd/measure/delay.go
@@ -13,15 +13,15 @@
 	"github.com/juju/errors"
 )
 
-// delays are how long replies took, in order.
-type delays []time.Duration
+// latencies are response times in ascending order.
+type latencies []time.Duration
 
-// at is the delay under which so large a part of them stayed.
-func (d delays) at(part float64) time.Duration {
-	return d[min(len(d)-1, int(part*float64(len(d))))].Round(time.Microsecond)
+// quantile returns the latency below which this fraction of the responses lies.
+func (l latencies) quantile(fraction float64) time.Duration {
+	return l[min(len(l)-1, int(fraction*float64(len(l))))].Round(time.Microsecond)
 }
 
-// sender makes inquiries at one address, over connections that it keeps.
+// sender sends requests to one address over keep-alive connections.
 type sender struct {
 	address string
 	client  *http.Client
@@ -35,8 +35,8 @@
 	return &sender{address, &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DialContext: dial, DisableCompression: true}}}
 }
 
-// ask makes one inquiry and returns how long its reply took.
-func (s *sender) ask(method, path, id, key string) (time.Duration, error) {
+// send sends one request and returns the time until the whole response was read.
+func (s *sender) send(method, path, id, key string) (time.Duration, error) {
 	request, err := http.NewRequest(method, "http://h.example"+path, strings.NewReader(""))
 	if err != nil {
 		return 0, errors.Trace(err)
@@ -60,32 +60,33 @@
 	return time.Since(began), nil
 }
 
-// addedDelay asks a proxy and a server by turns, and prints what the proxy adds.
-func addedDelay(through, direct string, count int) error {
+// printAddedLatency sends requests alternately to a proxy and to a server, and prints the
+// latency that the proxy adds.
+func printAddedLatency(through, direct string, count int) error {
 	senders := []*sender{newSender(through), newSender(direct)}
-	for _, one := range []struct{ what, method, path, key string }{{"reads", "GET", "/read/a", ""}, {"keyed operations", "POST", "/fee/a", "k"}} {
-		sides := map[string]delays{}
+	for _, operation := range []struct{ name, method, path, key string }{{"reads", "GET", "/read/a", ""}, {"keyed operations", "POST", "/fee/a", "k"}} {
+		latenciesByAddress := map[string]latencies{}
 		for number := range count {
-			for _, side := range senders {
+			for _, target := range senders {
 				id, key := fmt.Sprint("d", time.Now().UnixNano()), ""
-				if one.key != "" {
+				if operation.key != "" {
 					key = id
 				}
-				took, err := side.ask(one.method, one.path, id, key)
+				took, err := target.send(operation.method, operation.path, id, key)
 				if err != nil {
 					return err
 				}
 				if number > count/10 {
-					sides[side.address] = append(sides[side.address], took)
+					latenciesByAddress[target.address] = append(latenciesByAddress[target.address], took)
 				}
 			}
 		}
-		for _, took := range sides {
+		for _, took := range latenciesByAddress {
 			slices.Sort(took)
 		}
-		proxy, server := sides[through], sides[direct]
-		fmt.Printf("%s, one at a time, %d each way: through the proxy p50 %v p99 %v; direct p50 %v p99 %v; added p50 %v p99 %v\n", one.what, len(proxy),
-			proxy.at(0.5), proxy.at(0.99), server.at(0.5), server.at(0.99), proxy.at(0.5)-server.at(0.5), proxy.at(0.99)-server.at(0.99))
+		proxy, server := latenciesByAddress[through], latenciesByAddress[direct]
+		fmt.Printf("%s, one at a time, %d each way: through the proxy p50 %v p99 %v; direct p50 %v p99 %v; added p50 %v p99 %v\n", operation.name, len(proxy),
+			proxy.quantile(0.5), proxy.quantile(0.99), server.quantile(0.5), server.quantile(0.99), proxy.quantile(0.5)-server.quantile(0.5), proxy.quantile(0.99)-server.quantile(0.99))
 	}
 	return nil
 }
--- a/cmd/measure/main.go
+++ b/cmd/measure/main.go
@@ -1,10 +1,6 @@
 // Command measure measures, on the machine it runs on, how the state and the work
-// of each role grow with the number of servers, lanes, proxies and keyed operations.
-// docs/CAPACITY.md is made from what it prints.
-//
-// Example:
-//
-//	go run ./cmd/measure
+// of each role grow with the number of servers, routes, proxies and keyed operations.
+// docs/CAPACITY.md is based on its output.
 package main
 
 import (
@@ -18,42 +14,42 @@
 	"github.com/alecthomas/kingpin/v2"
 )
 
-// measure is one slope: what is done at a size, and what came of it.
-type measure struct {
-	role, what string
+// measurement is one operation that is measured at several sizes.
+type measurement struct {
+	role, name string
 	sizes      []int
-	act        func(size int) result
+	run        func(size int) result
 }
 
-// result is the bytes that a thing takes or sends, and how long one act lasts.
+// result holds the bytes that are kept or sent at one size, and the time of one operation.
 type result struct {
 	bytes int
 	took  time.Duration
 }
 
-// repeated is how long one act lasts, of as many as fit into a short span.
-func repeated(act func()) time.Duration {
-	act()
+// averageTime runs the operation repeatedly for 100 ms and returns the mean duration.
+func averageTime(run func()) time.Duration {
+	run()
 	began, count := time.Now(), 0
 	for time.Since(began) < 100*time.Millisecond {
-		act()
+		run()
 		count++
 	}
 	return time.Since(began) / time.Duration(count)
 }
 
-// held is how much memory what make returns keeps alive.
-func held[T any](make func() T) (bytes int, kept T) {
+// retainedBytes returns the heap memory that the result of create keeps alive, and that result.
+func retainedBytes[T any](create func() T) (bytes int, kept T) {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	kept = make()
+	kept = create()
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	return max(0, int(after.HeapAlloc)-int(before.HeapAlloc)), kept
 }
 
-// slope is the least squares slope of figures over sizes.
+// slope returns the least-squares slope of the figures over the sizes.
 func slope(sizes []int, figures []float64) float64 {
 	n, x, y, xx, xy := float64(len(sizes)), 0.0, 0.0, 0.0, 0.0
 	for i, size := range sizes {
@@ -66,46 +62,46 @@
 func main() {
 	app := kingpin.New("measure", "Measures how the state and work of each role grow with size.")
 	app.HelpFlag.Short('h')
-	slopes := app.Command("slopes", "Measure the slopes, or what a proxy adds.").Default()
-	only := slopes.Flag("only", "Measure only what has this in its name.").String()
-	through := slopes.Flag("through", "Measure instead what this proxy's client address adds, as localcluster prints it.").PlaceHolder("HOST:PORT").String()
-	direct := slopes.Flag("direct", "The address of a server behind it.").PlaceHolder("HOST:PORT").String()
-	count := slopes.Flag("count", "How many inquiries to send each way.").Default("5000").Int()
-	orders := slopes.Flag("orders", "Measure instead how long orders to this control address take until they are acknowledged; may be repeated.").PlaceHolder("HOST:PORT").Strings()
-	operators := slopes.Flag("operators", "How many operators send orders at once.").Default("1").Int()
+	slopes := app.Command("slopes", "Measure growth with size, the latency that a proxy adds, or the latency of configuration changes.").Default()
+	only := slopes.Flag("only", "Run only measurements whose role and name contain this text.").String()
+	through := slopes.Flag("through", "Measure instead the latency that a proxy adds; the client address of the proxy, as printed by localcluster.").PlaceHolder("HOST:PORT").String()
+	direct := slopes.Flag("direct", "Address of a server behind the proxy.").PlaceHolder("HOST:PORT").String()
+	count := slopes.Flag("count", "Number of requests to send on each path.").Default("5000").Int()
+	orders := slopes.Flag("orders", "Measure instead the time until configuration changes sent to this control address are acknowledged; may be repeated.").PlaceHolder("HOST:PORT").Strings()
+	operators := slopes.Flag("operators", "Number of operators that send changes concurrently.").Default("1").Int()
 	simulate, simulated := addSimulate(app)
 	departures, departed := addDepartures(app)
 	switch kingpin.MustParse(app.Parse(os.Args[1:])) {
 	case simulate.FullCommand():
-		app.FatalIfError(simulated.simulate(), "the simulation")
+		app.FatalIfError(simulated.run(), "the simulation")
 		return
 	case departures.FullCommand():
-		app.FatalIfError(departed.departures(), "the emulation")
+		app.FatalIfError(departed.run(), "the emulation")
 		return
 	}
 	if len(*orders) > 0 {
-		app.FatalIfError(orderDelays(*orders, max(1, *count), max(1, *operators)), "orders")
+		app.FatalIfError(printChangeLatencies(*orders, max(1, *count), max(1, *operators)), "measuring configuration changes")
 		return
 	}
 	if *through != "" {
-		app.FatalIfError(addedDelay(*through, *direct, max(100, *count)), "the added delay")
+		app.FatalIfError(printAddedLatency(*through, *direct, max(100, *count)), "measuring the added latency")
 		return
 	}
 	runtime.GOMAXPROCS(1)
 	table := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(table, "ROLE\tWHAT\tSIZES\tBYTES\tTIME\tBYTES EACH\tTIME EACH")
-	for _, m := range measures() {
-		if !strings.Contains(m.role+" "+m.what, *only) {
+	for _, m := range measurements() {
+		if !strings.Contains(m.role+" "+m.name, *only) {
 			continue
 		}
 		var bytes, times []float64
 		var texts, spans []string
 		for _, size := range m.sizes {
-			r := m.act(size)
+			r := m.run(size)
 			bytes, times = append(bytes, float64(r.bytes)), append(times, float64(r.took))
 			texts, spans = append(texts, fmt.Sprint(r.bytes)), append(spans, r.took.Round(time.Microsecond/10).String())
 		}
-		fmt.Fprintf(table, "%s\t%s\t%v\t%s\t%s\t%.4g\t%v\n", m.role, m.what, m.sizes, strings.Join(texts, " "), strings.Join(spans, " "),
+		fmt.Fprintf(table, "%s\t%s\t%v\t%s\t%s\t%.4g\t%v\n", m.role, m.name, m.sizes, strings.Join(texts, " "), strings.Join(spans, " "),
 			slope(m.sizes, bytes), time.Duration(slope(m.sizes, times)))
 	}
 	_ = table.Flush()
--- a/cmd/measure/simulate.go
+++ b/cmd/measure/simulate.go
@@ -16,29 +16,29 @@
 	"ploverhitch/internal/emulator/simulation"
 )
 
-// simulateCommand is what `measure simulate` was asked for.
+// simulateCommand holds the flags of `measure simulate`.
 type simulateCommand struct {
-	seeds   uint64
-	first   uint64
-	only    string
-	guard   string
-	isDense bool
-	plot    string
+	seeds    uint64
+	first    uint64
+	scenario string
+	guard    string
+	dense    bool
+	plot     string
 }
 
 const (
-	// simulatedSpares is how many nodes wait outside the view.
+	// simulatedSpares is the number of spare nodes outside the view.
 	simulatedSpares = 2
-	// highestLatency bounds a histogram, in microseconds.
-	highestLatency = int64(time.Minute / time.Microsecond)
-	digits         = 3
+	// highestLatency is the upper bound of the histogram, in microseconds.
+	highestLatency    = int64(time.Minute / time.Microsecond)
+	significantDigits = 3
 )
 
 // simulatedSizes are the numbers of members.
 var simulatedSizes = []int{3, 5}
 
-// tally is what the runs of one scenario came to.
-type tally struct {
+// summary aggregates the runs of one scenario.
+type summary struct {
 	scenario     simulation.Scenario
 	runs         int
 	failed       int
@@ -47,40 +47,40 @@
 	latencies    *hdrhistogram.Histogram
 }
 
-// addSimulate adds the command to the program's.
+// addSimulate registers the command `simulate`.
 func addSimulate(app *kingpin.Application) (*kingpin.CmdClause, *simulateCommand) {
 	command, flags := app.Command("simulate", "Run the control plane's simulation over many seeds."), &simulateCommand{}
-	command.Flag("seeds", "How many seeds to run of each scenario.").Default("100").Uint64Var(&flags.seeds)
+	command.Flag("seeds", "Number of seeds for each scenario.").Default("100").Uint64Var(&flags.seeds)
 	command.Flag("first", "The first seed.").Default("0").Uint64Var(&flags.first)
-	command.Flag("scenario", "Run only this scenario.").StringVar(&flags.only)
-	command.Flag("without", "Take out this guard.").StringVar(&flags.guard)
-	command.Flag("dense", "Dense load on slow disks; the order of operations is not checked.").BoolVar(&flags.isDense)
+	command.Flag("scenario", "Run only this scenario.").StringVar(&flags.scenario)
+	command.Flag("without", "Disable this guard.").StringVar(&flags.guard)
+	command.Flag("dense", "Run a dense load on slow disks; the order of operations is not checked.").BoolVar(&flags.dense)
 	command.Flag("plot", "Write a plot to this file, .svg or .png.").StringVar(&flags.plot)
 	return command, flags
 }
 
-// simulate runs the seeds, prints the failures first, then the histograms of the
-// virtual time to acknowledge an order.
-func (c simulateCommand) simulate() error {
-	var tallies []*tally
+// run runs the seeds and prints the failures first, then the quantiles of the virtual time
+// to acknowledge a change.
+func (c simulateCommand) run() error {
+	var summaries []*summary
 	failed := 0
 	for _, scenario := range simulation.Scenarios() {
-		if c.only != "" && c.only != string(scenario) {
+		if c.scenario != "" && c.scenario != string(scenario) {
 			continue
 		}
-		t := c.runAll(scenario)
-		tallies = append(tallies, t)
-		failed += t.failed
+		s := c.runSeeds(scenario)
+		summaries = append(summaries, s)
+		failed += s.failed
 	}
 	fmt.Printf("%d failed\n", failed)
-	for _, t := range tallies {
-		h := t.latencies
+	for _, s := range summaries {
+		h := s.latencies
 		fmt.Printf("%s: %d runs, %d failed, %d undetermined, %d changes; acknowledged %d, p50 %v p90 %v p99 %v most %v\n",
-			t.scenario, t.runs, t.failed, t.undetermined, t.changes, h.TotalCount(),
-			virtual(h.ValueAtQuantile(50)), virtual(h.ValueAtQuantile(90)), virtual(h.ValueAtQuantile(99)), virtual(h.Max()))
+			s.scenario, s.runs, s.failed, s.undetermined, s.changes, h.TotalCount(),
+			virtualTime(h.ValueAtQuantile(50)), virtualTime(h.ValueAtQuantile(90)), virtualTime(h.ValueAtQuantile(99)), virtualTime(h.Max()))
 	}
 	if c.plot != "" {
-		if err := draw(tallies, c.plot); err != nil {
+		if err := drawPlot(summaries, c.plot); err != nil {
 			return err
 		}
 	}
@@ -90,60 +90,60 @@
 	return nil
 }
 
-func virtual(microseconds int64) time.Duration {
+func virtualTime(microseconds int64) time.Duration {
 	return time.Duration(microseconds) * time.Microsecond
 }
 
-func (c simulateCommand) runAll(scenario simulation.Scenario) *tally {
-	t := &tally{scenario: scenario, latencies: hdrhistogram.New(1, highestLatency, digits)}
+func (c simulateCommand) runSeeds(scenario simulation.Scenario) *summary {
+	s := &summary{scenario: scenario, latencies: hdrhistogram.New(1, highestLatency, significantDigits)}
 	for seed := c.first; seed < c.first+c.seeds; seed++ {
 		for _, members := range simulatedSizes {
 			result := simulation.Run(simulation.Options{
 				Seed: seed, Members: members, Spares: simulatedSpares, Scenario: scenario,
-				IsDense: c.isDense, Without: simulation.Guard(c.guard),
+				IsDense: c.dense, Without: simulation.Guard(c.guard),
 			})
-			t.add(result)
+			s.add(result)
 		}
 	}
-	return t
+	return s
 }
 
-func (t *tally) add(result simulation.Result) {
-	t.runs++
-	t.changes += result.Changes
+func (s *summary) add(result simulation.Result) {
+	s.runs++
+	s.changes += result.Changes
 	if result.Violation != nil {
-		t.failed++
+		s.failed++
 		fmt.Fprintln(os.Stdout, "FAILED", result.Violation)
 	}
 	if result.IsUndetermined {
-		t.undetermined++
+		s.undetermined++
 		fmt.Fprintln(os.Stdout, "UNDETERMINED", result.Options)
 	}
 	for _, latency := range result.Latencies {
-		_ = t.latencies.RecordValue(max(1, min(highestLatency, latency.Microseconds())))
+		_ = s.latencies.RecordValue(max(1, min(highestLatency, latency.Microseconds())))
 	}
 }
 
-// draw plots the quantiles of each scenario; the file's ending chooses SVG or PNG.
-func draw(tallies []*tally, path string) error {
+// drawPlot plots the quantiles of each scenario; the file extension selects SVG or PNG.
+func drawPlot(summaries []*summary, path string) error {
 	p := plot.New()
-	p.Title.Text = "Time from an order to its acknowledgement (simulated)"
+	p.Title.Text = "Time from a change to its acknowledgement (simulated)"
 	p.X.Label.Text = "milliseconds of virtual time"
 	p.Y.Label.Text = "percent acknowledged"
 	p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{}
-	for at, t := range tallies {
+	for i, s := range summaries {
 		var points plotter.XYs
 		for percent := 1.0; percent <= 100; percent++ {
-			milliseconds := float64(t.latencies.ValueAtQuantile(percent)) / 1000
+			milliseconds := float64(s.latencies.ValueAtQuantile(percent)) / 1000
 			points = append(points, plotter.XY{X: max(0.1, milliseconds), Y: percent})
 		}
 		line, err := plotter.NewLine(points)
 		if err != nil {
 			return errors.Trace(err)
 		}
-		line.Color = plotutil.Color(at)
+		line.Color = plotutil.Color(i)
 		p.Add(line)
-		p.Legend.Add(string(t.scenario), line)
+		p.Legend.Add(string(s.scenario), line)
 	}
 	return errors.Trace(p.Save(8*vg.Inch, 5*vg.Inch, path))
 }
--- a/cmd/ploverhitch/main.go
+++ b/cmd/ploverhitch/main.go
@@ -1,5 +1,5 @@
-// Command ploverhitch is an API gateway: one binary whose subcommands are its
-// programs.
+// Command ploverhitch is an API gateway: one binary with the proxy, the agent, the control
+// node and the operator tools as subcommands.
 package main
 
 import (
@@ -14,80 +14,81 @@
 	"github.com/alecthomas/kingpin/v2"
 
 	"ploverhitch/internal/agent"
+	"ploverhitch/internal/apply"
 	"ploverhitch/internal/control"
-	"ploverhitch/internal/dispatcher"
 	"ploverhitch/internal/inspector"
 	"ploverhitch/internal/logring"
-	"ploverhitch/internal/objects"
 	"ploverhitch/internal/proxy"
+	"ploverhitch/internal/rolloutcmd"
 	"ploverhitch/internal/settings"
 )
 
 // version is set by the linker for a release.
 var version = "development"
 
-type program func(ctx context.Context, set *settings.Settings, path string, note func(level, text string, pairs ...any)) error
+type runFunc func(ctx context.Context, cfg *settings.Settings, path string, log func(level, text string, pairs ...any)) error
 
-var programs = map[string]program{
+var programs = map[string]runFunc{
 	"proxy":   proxy.Run,
 	"control": control.Run,
-	"agent": func(ctx context.Context, set *settings.Settings, path string, note func(level, text string, pairs ...any)) error {
-		// The proxy beside it goes on serving for a part of its grace.
-		linger, cancel := context.WithCancel(context.Background())
+	"agent": func(ctx context.Context, cfg *settings.Settings, path string, log func(level, text string, pairs ...any)) error {
+		// The proxy on the same node keeps serving for part of its grace period, so the
+		// agent outlives the termination signal by half of that period.
+		agentCtx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		go func() {
 			<-ctx.Done()
-			time.Sleep(set.Platform.Bounds.Grace.Std() / 2)
+			time.Sleep(cfg.Platform.Bounds.Grace.Std() / 2)
 			cancel()
 		}()
-		return agent.Run(linger, set, path, note)
+		return agent.Run(agentCtx, cfg, path, log)
 	},
 }
 
-// fail ends the program with one line.
-func fail(status int, err error) {
+// exit prints the error on one line and exits with the status.
+func exit(status int, err error) {
 	fmt.Fprintln(os.Stderr, "ploverhitch:", strings.ReplaceAll(err.Error(), "\n", " "))
 	os.Exit(status)
 }
 
 func main() {
-	app := kingpin.New("ploverhitch", "An API gateway whose nodes keep keyed operations to one run.")
+	app := kingpin.New("ploverhitch", "An API gateway that runs each keyed operation at most once.")
 	app.Version(version)
 	app.HelpFlag.Short('h')
-	path := app.Flag("settings", "Path of the settings file.").Envar(settings.PathVariable).String()
-	isCheck := app.Flag("check-settings", "Read and check the settings, and end.").Bool()
-	app.Command("proxy", "The proxy: takes clients' requests. Example: ploverhitch proxy --settings local.yaml")
-	app.Command("agent", "The agent beside a proxy. Example: ploverhitch agent --settings local.yaml")
-	app.Command("control", "A node of the core. Example: ploverhitch control --settings local.yaml")
-	inspect := inspector.Register(app, os.Stdout, os.Stderr)
-	apply := objects.Register(app, os.Stdout)
-	trials := dispatcher.Register(app, os.Stdout)
+	settingsPath := app.Flag("settings", "Path to the settings file.").Envar(settings.PathVariable).String()
+	checkOnly := app.Flag("check-settings", "Validate the settings and exit.").Bool()
+	app.Command("proxy", "Runs the proxy, which serves client requests. Example: ploverhitch proxy --settings local.yaml")
+	app.Command("agent", "Runs the agent beside a proxy. Example: ploverhitch agent --settings local.yaml")
+	app.Command("control", "Runs a control node. Example: ploverhitch control --settings local.yaml")
+	inspectorCommand := inspector.Register(app, os.Stdout, os.Stderr)
+	applyCommand := apply.Register(app, os.Stdout)
+	rolloutCommand := rolloutcmd.Register(app, os.Stdout)
 	name := kingpin.MustParse(app.Parse(os.Args[1:]))
 	switch {
 	case strings.HasPrefix(name, "inspector"):
-		os.Exit(inspect.Run(name))
+		os.Exit(inspectorCommand.Run(name))
 	case strings.HasPrefix(name, "rollout"), strings.HasPrefix(name, "staged"):
-		status, err := trials.Run(name)
+		status, err := rolloutCommand.Run(name)
 		if err != nil {
-			fail(status, err)
+			exit(status, err)
 		}
 		os.Exit(status)
 	case name == "apply":
-		if err := apply.Run(); err != nil {
-			fail(2, err)
+		if err := applyCommand.Run(); err != nil {
+			exit(2, err)
 		}
 		return
 	}
-	set, err := settings.Read(*path)
+	cfg, err := settings.Read(*settingsPath)
 	if err != nil {
-		fail(2, err)
+		exit(2, err)
 	}
-	if *isCheck {
-		fmt.Println("the settings are in order")
+	if *checkOnly {
+		fmt.Println("the settings are valid")
 		return
 	}
-	set.Tune()
-	ring := logring.New(set.Tuning.LogLevel, os.Stderr)
+	cfg.Tune()
+	ring := logring.New(cfg.Tuning.LogLevel, os.Stderr)
 	dump := make(chan os.Signal, 1)
 	signal.Notify(dump, syscall.SIGUSR1)
 	go func() {
@@ -97,8 +98,8 @@
 	}()
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	if err := programs[name](ctx, set, *path, ring.Log); err != nil {
-		ring.Log("error", "the program ended", "program", name, "error", err)
+	if err := programs[name](ctx, cfg, *settingsPath, ring.Log); err != nil {
+		ring.Log("error", "the program failed", "program", name, "error", err)
 		os.Exit(1)
 	}
 }
