--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -91,7 +91,7 @@
 	for _, received := range batch {
 		received.update.Complete = false
 		fits := true
-		if a.hub.Read(func(board *feed.Replica) { fits = board.CanApply(received.update) }); !fits {
+		if a.hub.Read(func(replica *feed.Replica) { fits = replica.CanApply(received.update) }); !fits {
 			a.gaps[received.member] = received.update.Fleet.Version()
 		}
 		a.hub.Publish(received.update)
@@ -109,7 +109,7 @@
 	lacking := config.ItemSet{}
 	lacking.Merge(received.update.Items)
 	var items []config.Item
-	a.hub.Read(func(board *feed.Replica) { items = lacking.Newer(board.Items.Items()) })
+	a.hub.Read(func(replica *feed.Replica) { items = lacking.Newer(replica.Items.Items()) })
 	if client := a.clients[received.member]; client != nil && len(items) > 0 {
 		a.log("info", "sending the member configuration items that it lacks", "to", received.member, "items", len(items))
 		client.Send(messages.KindOfferItems, messages.OfferItems{Items: items}, nil)
@@ -120,7 +120,7 @@
 // another member has delivered the resulting state in the meantime.
 func (a *agent) closeGaps() {
 	var held feed.FleetVersion
-	a.hub.Read(func(board *feed.Replica) { held = board.Fleet.Version() })
+	a.hub.Read(func(replica *feed.Replica) { held = replica.Fleet.Version() })
 	for address, reading := range a.gaps {
 		if follower := a.followers[address]; follower != nil && reading.NewerThan(held) {
 			follower.RequestSnapshot()
@@ -130,12 +130,12 @@
 }
 
 func (a *agent) view() (view membership.View) {
-	a.hub.Read(func(board *feed.Replica) { view = board.View })
+	a.hub.Read(func(replica *feed.Replica) { view = replica.View })
 	return view
 }
 
 func (a *agent) holdsItems() (held bool) {
-	a.hub.Read(func(board *feed.Replica) { held = len(board.Items) > 0 })
+	a.hub.Read(func(replica *feed.Replica) { held = len(replica.Items) > 0 })
 	return held
 }
 
@@ -192,7 +192,7 @@
 	client := rpc.NewClient(address, connectTimeout, silenceTimeout)
 	a.clients[address] = client
 	name := a.settings.Platform.NodeName + "@" + a.settings.InternalAddress(a.settings.Platform.Ip, 1)
-	follower := feed.NewFollower(name, client, func(news feed.Update) { a.loop.Put(memberUpdate{address, news}) }, followRetryDelay)
+	follower := feed.NewFollower(name, client, func(update feed.Update) { a.loop.Put(memberUpdate{address, update}) }, followRetryDelay)
 	a.followers[address] = follower
 	go follower.Run(followCtx)
 }
--- a/internal/config/extensions.go
+++ b/internal/config/extensions.go
@@ -44,7 +44,7 @@
 				return nil, invalid(extension.label+" "+version.Name, err)
 			}
 			if version.Name == "" || version.Revision == 0 {
-				return nil, apierror.New(apierror.InvalidManifest, "a "+extension.label+" has no name or version")
+				return nil, apierror.New(apierror.InvalidConfiguration, "a "+extension.label+" has no name or version")
 			}
 			if err := extension.check(body); err != nil {
 				return nil, invalid(extension.label+" "+version.Name, err)
@@ -53,7 +53,7 @@
 		}
 		for _, removal := range request.Remove {
 			if removal.Name == "" || removal.Revision == 0 {
-				return nil, apierror.New(apierror.InvalidManifest, "a removal has no name or version")
+				return nil, apierror.New(apierror.InvalidConfiguration, "a removal has no name or version")
 			}
 			items = append(items, Item{ID: ID{class, removal.Name}, Version: removal.Revision, Removed: true})
 		}
@@ -136,7 +136,7 @@
 	if len(mirrors) > 0 {
 		routes = s.mirrorRoutes()
 		if err := mirror.CheckAll(mirrors, routes, serviceExists, now); err != nil {
-			return apierror.New(apierror.InvalidManifest, err.Error())
+			return apierror.New(apierror.InvalidConfiguration, err.Error())
 		}
 	}
 	for _, item := range newer {
@@ -152,7 +152,7 @@
 			}
 		}
 		if err != nil {
-			return apierror.New(apierror.InvalidManifest, err.Error())
+			return apierror.New(apierror.InvalidConfiguration, err.Error())
 		}
 	}
 	return nil
@@ -164,7 +164,7 @@
 		return err
 	}
 	if plans, _ := decodeClass[shedding.Plan](s, PlanItem); len(plans) > 1 {
-		return apierror.New(apierror.InvalidManifest, "plans "+plans[0].Name+" and "+plans[1].Name+" exist; only one plan is allowed")
+		return apierror.New(apierror.InvalidConfiguration, "plans "+plans[0].Name+" and "+plans[1].Name+" exist; only one plan is allowed")
 	}
 	return plan.Check(s.sheddingRoutes())
 }
--- a/internal/config/modify.go
+++ b/internal/config/modify.go
@@ -33,7 +33,7 @@
 }
 
 func invalid(what string, err error) error {
-	return apierror.New(apierror.InvalidManifest, what+": "+err.Error())
+	return apierror.New(apierror.InvalidConfiguration, what+": "+err.Error())
 }
 
 // ParseModify decodes an operator's request and validates each item by itself.
@@ -44,7 +44,7 @@
 		return nil, invalid("the request cannot be read", err)
 	}
 	if _, err := decoder.Token(); err != io.EOF {
-		return nil, apierror.New(apierror.InvalidManifest, "the request does not end after its JSON value")
+		return nil, apierror.New(apierror.InvalidConfiguration, "the request does not end after its JSON value")
 	}
 	var items []Item
 	if request.Upsert != nil {
@@ -56,7 +56,7 @@
 	for class, removals := range map[Class][]itemVersion{RouteItem: request.Remove.Routes, ServiceItem: request.Remove.Services} {
 		for _, removal := range removals {
 			if removal.Name == "" || removal.Revision == 0 {
-				return nil, apierror.New(apierror.InvalidManifest, "a removal has no name or version")
+				return nil, apierror.New(apierror.InvalidConfiguration, "a removal has no name or version")
 			}
 			items = append(items, Item{ID: ID{class, removal.Name}, Version: removal.Revision, Removed: true})
 		}
--- a/internal/config/spec.go
+++ b/internal/config/spec.go
@@ -130,16 +130,16 @@
 		}
 		var route RouteSpec
 		if err := json.Unmarshal(item.Body, &route); err != nil {
-			return apierror.New(apierror.InvalidManifest, "route "+item.ID.Name+": "+err.Error())
+			return apierror.New(apierror.InvalidConfiguration, "route "+item.ID.Name+": "+err.Error())
 		}
 		for _, name := range route.Services() {
 			if service, found := s[ID{ServiceItem, name}]; !found || service.Removed {
-				return apierror.New(apierror.InvalidManifest, "route "+route.Name+" names the unknown service "+name)
+				return apierror.New(apierror.InvalidConfiguration, "route "+route.Name+" names the unknown service "+name)
 			}
 		}
 		location := item.Host + route.PathPrefix
 		if other, taken := names[location]; taken {
-			return apierror.New(apierror.InvalidManifest, "routes "+other+" and "+route.Name+" share host and prefix")
+			return apierror.New(apierror.InvalidConfiguration, "routes "+other+" and "+route.Name+" share host and prefix")
 		}
 		names[location] = route.Name
 	}
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -64,7 +64,7 @@
 			return nil, apierror.New(apierror.BodyTooLarge, err.Error())
 		}
 		if err != nil {
-			return nil, apierror.New(apierror.InvalidManifest, err.Error())
+			return nil, apierror.New(apierror.InvalidConfiguration, err.Error())
 		}
 		return parse(body)
 	}
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -93,7 +93,7 @@
 // serversWithoutLeaving is the server list, corrected by the draining servers that this
 // node's feed knows of: another member may have read the list later than this node.
 func (c *coordinator) serversWithoutLeaving() (servers []feed.Server) {
-	c.hub.Read(func(board *feed.Replica) { servers = board.MarkLeaving(c.listedServers) })
+	c.hub.Read(func(replica *feed.Replica) { servers = replica.MarkLeaving(c.listedServers) })
 	return servers
 }
 
--- a/internal/control/handlers.go
+++ b/internal/control/handlers.go
@@ -25,7 +25,7 @@
 		messages.KindCatchUp:         typedHandler(n.onCatchUp),
 		messages.KindPropose:         typedHandler(n.onPropose),
 		messages.KindOfferItems:      typedHandler(n.onOffer),
-		messages.KindProposal:        typedHandler(n.onMotion),
+		messages.KindProposal:        typedHandler(n.onProposal),
 		messages.KindHeartbeat:       typedHandler(n.onHeartbeat),
 		messages.KindClaim:           typedHandler(n.onClaim),
 		messages.KindFleet:           typedHandler(n.onFleet),
@@ -105,7 +105,7 @@
 	}, func() { reply(found) })
 }
 
-func (n *node) onMotion(in membership.Proposal, reply func(membership.Response)) {
+func (n *node) onProposal(in membership.Proposal, reply func(membership.Response)) {
 	var response membership.Response
 	n.store.enqueue(func(t *tables) []record {
 		if !t.trusted {
--- a/internal/control/leadership.go
+++ b/internal/control/leadership.go
@@ -53,11 +53,11 @@
 		return nil
 	}, func() {
 		eligible = eligible && trusted && n.isReadyToLead(heldFleet)
-		beat := membership.Heartbeat{From: n.self, View: view, Term: term, Index: uint64(index), Seen: directlySeen, Eligible: eligible}
+		heartbeat := membership.Heartbeat{From: n.self, View: view, Term: term, Index: uint64(index), Seen: directlySeen, Eligible: eligible}
 		fleet := n.fleet()
-		beat.FleetTerm, beat.FleetCount = fleet.Term, fleet.Count
+		heartbeat.FleetTerm, heartbeat.FleetCount = fleet.Term, fleet.Count
 		for _, watcher := range membership.RingSuccessors(view.Members, n.self, heartbeatTargetCount) {
-			n.connection(watcher).Send(messages.KindHeartbeat, beat, nil)
+			n.connection(watcher).Send(messages.KindHeartbeat, heartbeat, nil)
 		}
 		n.memberLoop.Offer(func() {
 			if !view.Contains(n.self) || !trusted {
@@ -112,28 +112,28 @@
 
 // onHeartbeat records a heartbeat of a member and adopts its view and term if they are
 // newer. If the member's configuration is ahead, this node fetches the changes from it.
-func (n *node) onHeartbeat(beat membership.Heartbeat, _ func(messages.Ack)) {
-	n.memberLoop.Offer(func() { n.livenessWatch.Observe(beat) })
-	n.memberReadings.Store(beat.From, feed.FleetVersion{Term: beat.FleetTerm, Count: beat.FleetCount})
+func (n *node) onHeartbeat(heartbeat membership.Heartbeat, _ func(messages.Ack)) {
+	n.memberLoop.Offer(func() { n.livenessWatch.Observe(heartbeat) })
+	n.memberReadings.Store(heartbeat.From, feed.FleetVersion{Term: heartbeat.FleetTerm, Count: heartbeat.FleetCount})
 	behind := false
 	n.store.enqueue(func(t *tables) (out []record) {
-		behind = registry.Index(beat.Index) > t.registry.Index
-		if beat.View.Epoch > t.view.Epoch {
-			view := beat.View
+		behind = registry.Index(heartbeat.Index) > t.registry.Index
+		if heartbeat.View.Epoch > t.view.Epoch {
+			view := heartbeat.View
 			r := record{View: &view}
 			t.apply(r)
 			out = append(out, r)
 			n.hub.Publish(feed.Update{View: &view})
 		}
-		if beat.Term.Number > t.term.Number {
-			term := beat.Term
+		if heartbeat.Term.Number > t.term.Number {
+			term := heartbeat.Term
 			t.term = term
 			out = append(out, record{Term: &term})
 		}
 		return out
 	}, func() {
 		if behind {
-			go n.configReplicator.catchUpFrom(beat.From)
+			go n.configReplicator.catchUpFrom(heartbeat.From)
 		}
 	})
 }
@@ -173,7 +173,7 @@
 	}
 	defer n.proposingView.Store(false)
 	number := membership.Ballot{Round: n.viewRound.Add(1), Node: n.proposerID}
-	ask := func(motion membership.Proposal) []membership.Response { return n.requestViewChange(view, motion) }
+	ask := func(proposal membership.Proposal) []membership.Response { return n.requestViewChange(view, proposal) }
 	decided, highest, ok := membership.Propose(view, proposed, number, ask)
 	n.viewRound.Store(max(n.viewRound.Load(), highest.Round))
 	if ok {
@@ -183,10 +183,10 @@
 }
 
 // requestViewChange sends a proposal for the next view to all members.
-func (n *node) requestViewChange(view membership.View, motion membership.Proposal) []membership.Response {
-	return callRound(n, view, messages.KindProposal, motion, n.clock.Monotonic(),
+func (n *node) requestViewChange(view membership.View, proposal membership.Proposal) []membership.Response {
+	return callRound(n, view, messages.KindProposal, proposal, n.clock.Monotonic(),
 		func(response *membership.Response) *bool { return &response.OK },
-		func(response membership.Response) bool { return motion.Ballot.Less(response.Promised) })
+		func(response membership.Response) bool { return proposal.Ballot.Less(response.Promised) })
 }
 
 // onJoin records a node that asks to become a member.
--- a/internal/control/list_poller.go
+++ b/internal/control/list_poller.go
@@ -82,7 +82,7 @@
 			p.coordinator.loop.Offer(func() { p.coordinator.updateServers(read.servers) })
 		}
 		p.sendListProgress(messages.ListProgress{
-			Complete: true, Age: clock.Duration(p.lastRead.ended - read.started), Next: clock.Duration(p.nextPageDue()),
+			Complete: true, Age: clock.Duration(p.lastRead.ended - read.started), Next: clock.Duration(p.nextPageDelay()),
 		})
 	}
 	return min(delay, readCheckInterval)
@@ -90,7 +90,7 @@
 
 // nextPageDue is the time after the end of a read within which the next page must be read,
 // by this node or by another leader in its place, at the leader's share of the rate limit.
-func (p *listPoller) nextPageDue() time.Duration {
+func (p *listPoller) nextPageDelay() time.Duration {
 	pace := p.paceForShare(listing.LeaderShare)
 	return time.Duration(pace.Next(p.lastRead.started, p.lastRead.ended, p.lastRead.calls)-p.lastRead.ended) + listing.PageInterval
 }
@@ -101,8 +101,8 @@
 	if p.lastRead.calls == 0 {
 		return 0
 	}
-	due := p.pace(leading).Next(p.lastRead.started, p.lastRead.ended, p.lastRead.calls)
-	return time.Duration(due - p.clock.Monotonic())
+	nextRead := p.pace(leading).Next(p.lastRead.started, p.lastRead.ended, p.lastRead.calls)
+	return time.Duration(nextRead - p.clock.Monotonic())
 }
 
 // handlePage publishes the draining servers of one page without waiting for the rest of the
@@ -152,6 +152,6 @@
 
 // fleet returns the fleet that this node's feed last published.
 func (n *node) fleet() (fleet feed.Fleet) {
-	n.hub.Read(func(board *feed.Replica) { fleet = board.Fleet })
+	n.hub.Read(func(replica *feed.Replica) { fleet = replica.Fleet })
 	return fleet
 }
--- a/internal/control/mirrors.go
+++ b/internal/control/mirrors.go
@@ -91,11 +91,11 @@
 }
 
 // recordCopies adds the copy counts that a node reported.
-func (c *coordinator) recordCopies(tallies []mirror.CountDelta) {
-	for _, tally := range tallies {
-		if active := c.activeMirrors[tally.Name]; active != nil {
-			active.copied += tally.Copied
-			active.lost += tally.Lost
+func (c *coordinator) recordCopies(deltas []mirror.CountDelta) {
+	for _, delta := range deltas {
+		if active := c.activeMirrors[delta.Name]; active != nil {
+			active.copied += delta.Copied
+			active.lost += delta.Lost
 		}
 	}
 }
--- a/internal/control/registry/cluster_test.go
+++ b/internal/control/registry/cluster_test.go
@@ -22,11 +22,11 @@
 }
 
 // check is the part of the program's validation that needs only the items.
-func check(book config.ItemSet, _, unseen []config.Item) error {
-	if err := book.Check(); err != nil {
+func check(itemSet config.ItemSet, _, unseen []config.Item) error {
+	if err := itemSet.Check(); err != nil {
 		return err
 	}
-	return book.CheckRoutes(unseen)
+	return itemSet.CheckRoutes(unseen)
 }
 
 // cluster is a set of replicas that respond at once, except the unreachable ones.
--- a/internal/control/registry/draft.go
+++ b/internal/control/registry/draft.go
@@ -9,7 +9,7 @@
 
 // Check validates the set that a proposal would produce. newer are the proposal's
 // items that take effect, unseen those that were not accepted before.
-type Check func(book config.ItemSet, newer, unseen []config.Item) error
+type Check func(itemSet config.ItemSet, newer, unseen []config.Item) error
 
 // ConflictError reports that the version which a proposal gives to an item was
 // accepted with different content.
@@ -28,8 +28,8 @@
 // Draft collects proposals into the change that follows a set. A rejected proposal
 // has no effect on it.
 type Draft struct {
-	set  *Set
-	book config.ItemSet
+	set     *Set
+	itemSet config.ItemSet
 	// items are those of the proposals added so far, in the order of the proposals.
 	// They may hold several versions of an item, also versions without effect.
 	items        []config.Item
@@ -45,7 +45,7 @@
 
 // Draft returns an empty draft of the change that follows the set.
 func (s *Set) Draft(check Check) *Draft {
-	return &Draft{set: s, book: s.Items.Clone(), fingerprints: map[versionKey]string{}, check: check}
+	return &Draft{set: s, itemSet: s.Items.Clone(), fingerprints: map[versionKey]string{}, check: check}
 }
 
 // Add adds a proposal as a whole or not at all. An item has no effect if its version
@@ -58,23 +58,23 @@
 	}
 	previous := map[config.ID]config.Item{}
 	for _, item := range newer {
-		if current, ok := d.book[item.ID]; ok {
+		if current, ok := d.itemSet[item.ID]; ok {
 			if _, saved := previous[item.ID]; !saved {
 				previous[item.ID] = current
 			}
 		}
-		d.book[item.ID] = item
+		d.itemSet[item.ID] = item
 	}
-	err := d.check(d.book, newer, unseen)
+	err := d.check(d.itemSet, newer, unseen)
 	if err == nil && conflict != nil {
 		err = conflict
 	}
 	if err != nil {
 		for _, item := range newer {
-			delete(d.book, item.ID)
+			delete(d.itemSet, item.ID)
 		}
 		for id, current := range previous {
-			d.book[id] = current
+			d.itemSet[id] = current
 		}
 		return err
 	}
@@ -105,7 +105,7 @@
 			conflict = cmp.Or(conflict, d.newConflict(item, accepted))
 			continue
 		}
-		current, exists := d.book[item.ID]
+		current, exists := d.itemSet[item.ID]
 		if highest[item.ID].Version == item.Version && (!exists || item.Version > current.Version) {
 			newer = append(newer, item)
 		}
--- a/internal/control/registry/initial_set.go
+++ b/internal/control/registry/initial_set.go
@@ -24,9 +24,9 @@
 
 // duplicateRoutes returns the routes whose host and prefix belong to another route:
 // the one with the higher version, then with the greater name, as in config.Compile.
-func duplicateRoutes(book config.ItemSet) (duplicates []config.Item) {
+func duplicateRoutes(itemSet config.ItemSet) (duplicates []config.Item) {
 	owners := map[string]config.Item{}
-	for _, item := range book.Items() {
+	for _, item := range itemSet.Items() {
 		var route config.RouteSpec
 		if item.ID.Class != config.RouteItem || item.Removed || json.Unmarshal(item.Body, &route) != nil {
 			continue
--- a/internal/control/sites.go
+++ b/internal/control/sites.go
@@ -104,7 +104,7 @@
 func (n *node) checkSites(configuration config.ItemSet) error {
 	_, err := configuration.Tree(n.settings.Load().Platform.Cells)
 	if err != nil {
-		return apierror.New(apierror.InvalidManifest, errors.Cause(err).Error())
+		return apierror.New(apierror.InvalidConfiguration, errors.Cause(err).Error())
 	}
 	return nil
 }
--- a/internal/control/staged_coordinator.go
+++ b/internal/control/staged_coordinator.go
@@ -60,7 +60,7 @@
 	}
 	switch {
 	case err != nil:
-		return apierror.InvalidManifest, err.Error()
+		return apierror.InvalidConfiguration, err.Error()
 	case len(newer) != len(in.Items):
 		return apierror.OrderInProgress, "the configuration already contains this or a newer version of an item"
 	}
--- a/internal/control/standby.go
+++ b/internal/control/standby.go
@@ -60,7 +60,7 @@
 
 // viewAndLeader returns the view and the leader that this node's feed last published.
 func (n *node) viewAndLeader() (view membership.View, leader string) {
-	n.hub.Read(func(board *feed.Replica) { view, leader = board.View, board.Fleet.Leader })
+	n.hub.Read(func(replica *feed.Replica) { view, leader = replica.View, replica.Fleet.Leader })
 	return view, leader
 }
 
@@ -81,7 +81,7 @@
 func (n *node) publishLeaving(servers []feed.Server) {
 	var view membership.View
 	var leaving messages.LeavingServers
-	n.hub.Read(func(board *feed.Replica) { view, leaving.IDs = board.View, board.UnreportedLeaving(servers) })
+	n.hub.Read(func(replica *feed.Replica) { view, leaving.IDs = replica.View, replica.UnreportedLeaving(servers) })
 	if len(leaving.IDs) == 0 {
 		return
 	}
--- a/internal/control/standby_test.go
+++ b/internal/control/standby_test.go
@@ -31,7 +31,7 @@
 		return &feed.Fleet{Term: 1, Count: count, Leader: publisher, Servers: []feed.Server{{ID: "a", IsReady: isReady}, {ID: "b", IsReady: true}}}
 	}
 	leaving := func() (out map[string]bool) {
-		n.hub.Read(func(board *feed.Replica) { out = maps.Clone(board.Leaving) })
+		n.hub.Read(func(replica *feed.Replica) { out = maps.Clone(replica.Leaving) })
 		return out
 	}
 	sendHeartbeat := func() {
--- a/internal/control/takeover_test.go
+++ b/internal/control/takeover_test.go
@@ -121,7 +121,7 @@
 		DeferCleanup(cancel)
 		go poller.poll(ctx)
 		Eventually(func() (out map[string]bool) {
-			n.hub.Read(func(board *feed.Replica) { out = maps.Clone(board.Leaving) })
+			n.hub.Read(func(replica *feed.Replica) { out = maps.Clone(replica.Leaving) })
 			return out
 		}, pageTimeout/2).Should(HaveKey("i-1"))
 	})
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -45,9 +45,9 @@
 }
 
 func serveConn(conn net.Conn, handlers Handlers, stopped <-chan struct{}) {
-	box, closed := newOutbox(conn, 1024), make(chan struct{})
+	outbox, closed := newOutbox(conn, 1024), make(chan struct{})
 	var once sync.Once
-	closeConn := func() { once.Do(func() { _ = conn.Close(); close(box.done); close(closed) }) }
+	closeConn := func() { once.Do(func() { _ = conn.Close(); close(outbox.done); close(closed) }) }
 	defer closeConn()
 	go func() {
 		select {
@@ -69,7 +69,7 @@
 		number, kind := f.Number, f.Kind
 		handle(Call{Body: f.Body, Closed: closed, Reply: func(body any) bool {
 			response, err := encodeFrame(number, kind, body)
-			return err == nil && box.enqueue(conn, response)
+			return err == nil && outbox.enqueue(conn, response)
 		}})
 	}
 }
