--- a/internal/apierror/kinds.go
+++ b/internal/apierror/kinds.go
@@ -62,7 +62,7 @@
 	ResponseTimeout:         {Status: 504, Reason: "the server did not respond in time; the request may have been executed"},
 	HeaderTooLarge:          {Status: 431, Reason: "the headers are too large", Close: true},
 	TooManyIntents:          {Status: 429, Reason: "the route has too many open intents", NotExecuted: true, RetryAfter: 200 * time.Millisecond},
-	InvalidConfiguration:    {Status: 400, Reason: "the manifest is invalid"},
+	InvalidConfiguration:    {Status: 400, Reason: "the configuration is invalid"},
 	NotFound:                {Status: 404, Reason: "not found"},
 	OrderInProgress:         {Status: 409, Reason: "another operator order is in progress"},
 	InvalidOrder:            {Status: 400, Reason: "the operator order is invalid"},
--- a/internal/control/commands.go
+++ b/internal/control/commands.go
@@ -12,7 +12,7 @@
 
 // runCommand runs an operator's command in the coordinator's loop and replies with the
 // result. A command that waited longer than its caller does has no effect: the operator
-// was told that it failed and may have sent another since.
+// has been sent an error and may have sent another command since.
 func (n *node) runCommand(reply func(messages.OrderResponse), run func(c *coordinator) (apierror.Kind, string)) {
 	c, receivedAt := n.coordinator, n.clock.Monotonic()
 	enqueued := c.loop.Offer(func() {
--- a/internal/control/config_replicator.go
+++ b/internal/control/config_replicator.go
@@ -22,7 +22,7 @@
 	// backoffStep is the unit of the random backoff after a lost round.
 	backoffStep = 12 * time.Millisecond
 	// maintainInterval is how often a replica looks for a change that it accepted but
-	// whose decision it was not told. It waits for undecidedDelay before it completes
+	// whose decision it did not receive. It waits for undecidedDelay before it completes
 	// the change, plus rankDelay for each member that precedes it in the view, so that
 	// members don't compete.
 	maintainInterval  = 50 * time.Millisecond
@@ -204,7 +204,7 @@
 }
 
 // maintain completes what a proposer left unfinished: a change that this replica
-// accepted but whose decision it was not told, and an item set of an older build that
+// accepted but whose decision it did not receive, and an item set of an older build that
 // has no index yet.
 func (r *configReplicator) maintain() {
 	n := r.node
--- a/internal/control/list_poller.go
+++ b/internal/control/list_poller.go
@@ -34,7 +34,7 @@
 		started, ended clock.Instant
 		calls          int
 	}
-	// progressSentAt is when this node last told the members that a read goes on.
+	// progressSentAt is when this node last reported to the members that a read is in progress.
 	progressSentAt clock.Instant
 }
 
@@ -88,7 +88,7 @@
 	return min(delay, readCheckInterval)
 }
 
-// nextPageDue is the time after the end of a read within which the next page must be read,
+// nextPageDelay is the time after the end of a read within which the next page must be read,
 // by this node or by another leader in its place, at the leader's share of the rate limit.
 func (p *listPoller) nextPageDelay() time.Duration {
 	pace := p.paceForShare(listing.LeaderShare)
@@ -106,7 +106,7 @@
 }
 
 // handlePage publishes the draining servers of one page without waiting for the rest of the
-// list, and periodically tells the members that the read goes on.
+// list, and periodically reports to the members that the read is in progress.
 func (p *listPoller) handlePage(servers []feed.Server) {
 	p.publishLeaving(servers)
 	if now := p.clock.Monotonic(); time.Duration(now-p.progressSentAt) >= listing.ProgressInterval {
--- a/internal/control/listing/pace.go
+++ b/internal/control/listing/pace.go
@@ -11,7 +11,7 @@
 	// LeaderShare is the largest share of the platform's rate limit for the leader, or
 	// for a member that reads while no other does. concurrentShare, the rest, is for a
 	// member that reads concurrently with a leader, and IsolatedShare for one that may
-	// not be told of concurrent reads by others.
+	// not be notified of concurrent reads by others.
 	LeaderShare     = 0.6
 	concurrentShare = 0.4
 	IsolatedShare   = 0.2
--- a/internal/control/registry/acceptor.go
+++ b/internal/control/registry/acceptor.go
@@ -47,7 +47,7 @@
 type Promise struct {
 	OK     bool   `cbor:"1,keyasint"`
 	Member string `cbor:"2,keyasint"`
-	// Incarnation identifies the replica's acceptor state: a new one is drawn when
+	// Incarnation identifies the replica's acceptor state: a new one is generated when
 	// a replica that lost its disk is rebuilt from other replicas.
 	Incarnation uint64 `cbor:"3,keyasint"`
 	// Index is the index of the replica's set.
--- a/internal/control/registry/replica.go
+++ b/internal/control/registry/replica.go
@@ -16,7 +16,7 @@
 type Replica struct {
 	*Set
 	Acceptor Acceptor
-	// Incarnation identifies the replica's acceptor state; a rebuild draws a new one.
+	// Incarnation identifies the replica's acceptor state; a rebuild generates a new one.
 	Incarnation uint64
 	recent      []recentChange
 	recentBytes int
--- a/internal/control/standby.go
+++ b/internal/control/standby.go
@@ -12,8 +12,8 @@
 )
 
 // isolatedReadLimit is how long a node without quorum contact reads the list while it is
-// told of no read by another member. Many such nodes would use up the platform's rate limit;
-// members with quorum contact tell each other of their reads.
+// notified of no read by another member. Many such nodes would use up the platform's rate limit;
+// members with quorum contact notify each other of their reads.
 const isolatedReadLimit = 4 * time.Second
 
 // listTracker tracks the reads of the platform's server list by all members. It is shared
@@ -96,7 +96,7 @@
 	n.hub.Publish(feed.Update{Leaving: in.IDs})
 }
 
-// sendListProgress tells the other members how far this node has read the list.
+// sendListProgress reports to the other members how far this node has read the list.
 func (n *node) sendListProgress(progress messages.ListProgress) {
 	progress.From = n.self
 	n.listWatch.record(progress, n.clock.Monotonic())
--- a/internal/control/standby_test.go
+++ b/internal/control/standby_test.go
@@ -79,7 +79,7 @@
 		Expect(n.isStandbyReader()).To(BeTrue())
 	})
 
-	It("ends after isolatedReadLimit at a node without quorum contact that is told of no read", func() {
+	It("ends after isolatedReadLimit at a node without quorum contact that is notified of no read", func() {
 		manualClock.Sleep(isolatedReadLimit + time.Millisecond)
 		Expect(n.isStandbyReader()).To(BeFalse())
 		n.contact.record(manualClock.Monotonic(), feed.FleetVersion{})
