--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -47,12 +47,12 @@
 	// gaps holds, by member, the fleet version of a change that did not apply to the
 	// state held.
 	gaps map[string]feed.FleetVersion
-	// checkpointed holds the members that have sent their checkpoint.
-	checkpointed    map[string]bool
-	startedAt       clock.Instant
-	complete        bool
-	log             LogFunc
-	settingsUpdates chan *settings.Settings
+	// snapshotReceived holds the members that have sent their snapshot.
+	snapshotReceived map[string]bool
+	startedAt        clock.Instant
+	complete         bool
+	log              LogFunc
+	settingsUpdates  chan *settings.Settings
 	// spares is the number of members followed in addition to the preferred ones, in
 	// the epoch spareEpoch. All preferred members have been sending since healthySince.
 	spareEpoch   membership.Epoch
@@ -69,7 +69,7 @@
 func Run(ctx context.Context, cfg *settings.Settings, path string, log LogFunc) error {
 	a := &agent{
 		settings: cfg, clock: clock.Real(), hub: feed.NewHub(), loop: clock.NewLoop[memberUpdate](256),
-		log: log, cancelFollow: map[string]context.CancelFunc{}, clients: map[string]*rpc.Client{}, checkpointed: map[string]bool{},
+		log: log, cancelFollow: map[string]context.CancelFunc{}, clients: map[string]*rpc.Client{}, snapshotReceived: map[string]bool{},
 		followers: map[string]*feed.Follower{}, gaps: map[string]feed.FleetVersion{}, settingsUpdates: make(chan *settings.Settings, 1),
 	}
 	a.startedAt = a.clock.Monotonic()
@@ -86,7 +86,7 @@
 }
 
 // merge publishes a batch of updates. The published state is complete once a majority
-// of the view has sent a checkpoint.
+// of the view has sent a snapshot.
 func (a *agent) merge(batch []memberUpdate) {
 	for _, received := range batch {
 		received.update.Complete = false
@@ -96,7 +96,7 @@
 		}
 		a.hub.Publish(received.update)
 		if received.update.Snapshot {
-			a.checkpointed[received.member] = true
+			a.snapshotReceived[received.member] = true
 			a.restoreItems(received)
 		}
 	}
@@ -116,7 +116,7 @@
 	}
 }
 
-// closeGaps requests a checkpoint from each member whose change did not apply, unless
+// closeGaps requests a snapshot from each member whose change did not apply, unless
 // another member has delivered the resulting state in the meantime.
 func (a *agent) closeGaps() {
 	var held feed.FleetVersion
@@ -145,7 +145,7 @@
 	}
 	view, count := a.view(), 0
 	for _, member := range view.Members {
-		if a.checkpointed[member] {
+		if a.snapshotReceived[member] {
 			count++
 		}
 	}
@@ -153,7 +153,7 @@
 	// A control plane without a majority cannot store changes, so after a timeout
 	// the state of a single member is better than serving no requests. Without any
 	// configuration items, however, every response would be a wrong 404.
-	timedOut := a.clock.Monotonic()-a.startedAt > clock.Instant(a.settings.Platform.Bounds.Contact) && len(a.checkpointed) > 0 && a.holdsItems()
+	timedOut := a.clock.Monotonic()-a.startedAt > clock.Instant(a.settings.Platform.Bounds.Contact) && len(a.snapshotReceived) > 0 && a.holdsItems()
 	if a.complete = majority || timedOut; a.complete {
 		a.log("info", "the configuration is complete", "members", count, "timed_out", timedOut)
 		a.hub.Publish(feed.Update{Complete: true})
--- a/internal/control/coordinator.go
+++ b/internal/control/coordinator.go
@@ -64,8 +64,8 @@
 	phase          rollout.Phase
 	wave           int
 	phaseStartedAt clock.Instant
-	// fullShareReading is the first fleet reading that gives the target all requests.
-	fullShareReading feed.FleetVersion
+	// fullShareVersion is the first fleet version that gives the target all requests.
+	fullShareVersion feed.FleetVersion
 	finding          outlier.Evaluation
 	// knownDuplicates is the number of keys with duplicate executions that this node
 	// knew of when it began to advance the rollout: those counted in an earlier term
@@ -211,7 +211,7 @@
 	}
 	next := &rolloutProgress{number: state.Number, phase: state.Phase, wave: state.Wave, phaseStartedAt: c.clock.Monotonic()}
 	if previous != nil && previous.number == state.Number {
-		next.fullShareReading, next.finding, next.knownDuplicates = previous.fullShareReading, previous.finding, previous.knownDuplicates
+		next.fullShareVersion, next.finding, next.knownDuplicates = previous.fullShareVersion, previous.finding, previous.knownDuplicates
 	} else {
 		c.store.read(func(t *tables) { next.knownDuplicates = t.voter.DuplicateExecutions() })
 	}
@@ -228,8 +228,8 @@
 	}
 	current, target := splitByVersion(c.listedServers, state)
 	facts.ReadyCapacity, facts.OldCapacity = totalCapacity(c.listedServers, target), totalCapacity(c.listedServers, current)
-	facts.ProxyProgress = c.detector.Usage(state.Subject, progress.fullShareReading)
-	if progress.fullShareReading.Term == 0 {
+	facts.ProxyProgress = c.detector.Usage(state.Subject, progress.fullShareVersion)
+	if progress.fullShareVersion.Term == 0 {
 		facts.ProxyProgress.Outdated = max(1, facts.ProxyProgress.Outdated)
 	}
 	return facts
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -82,8 +82,8 @@
 			c.recentFleets = slices.Clone(c.recentFleets[1:])
 		}
 		for _, share := range next.Shares {
-			if progress := c.progress[share.Service]; progress != nil && share.Fraction >= 1 && progress.fullShareReading.Term == 0 {
-				progress.fullShareReading = next.Version()
+			if progress := c.progress[share.Service]; progress != nil && share.Fraction >= 1 && progress.fullShareVersion.Term == 0 {
+				progress.fullShareVersion = next.Version()
 			}
 		}
 	}
@@ -113,12 +113,12 @@
 // are sent to concurrently.
 func (c *coordinator) sendFleet(fleet feed.Fleet) {
 	for _, member := range c.view().Members {
-		value, _ := c.memberReadings.Load(member)
+		value, _ := c.memberFleetVersions.Load(member)
 		confirmed, known := value.(feed.FleetVersion)
 		if known && !fleet.Version().NewerThan(confirmed) {
 			continue
 		}
-		if _, sending := c.sendingReadings.LoadOrStore(member, true); sending {
+		if _, sending := c.sendingFleet.LoadOrStore(member, true); sending {
 			continue
 		}
 		message := fleet
@@ -128,17 +128,17 @@
 			}
 		}
 		go func() {
-			defer c.sendingReadings.Delete(member)
+			defer c.sendingFleet.Delete(member)
 			if !c.holdsLease(fleet.Term) {
 				return
 			}
 			var done messages.Ack
 			switch err := c.call(member, messages.KindFleet, message, &done, callTimeout); {
 			case err == nil && done.OK:
-				c.memberReadings.Store(member, fleet.Version())
+				c.memberFleetVersions.Store(member, fleet.Version())
 			case err == nil:
 				// The member does not have the assumed fleet; send the complete one next time.
-				c.memberReadings.Delete(member)
+				c.memberFleetVersions.Delete(member)
 			}
 		}()
 	}
--- a/internal/control/handlers.go
+++ b/internal/control/handlers.go
@@ -128,7 +128,7 @@
 			return nil
 		}
 		if in.Base != nil {
-			// A delta applies only to the reading that it is based on.
+			// A delta applies only to the fleet version that it is based on.
 			if accepted = *in.Base == t.fleet.Version(); !accepted {
 				return nil
 			}
--- a/internal/control/leadership.go
+++ b/internal/control/leadership.go
@@ -114,7 +114,7 @@
 // newer. If the member's configuration is ahead, this node fetches the changes from it.
 func (n *node) onHeartbeat(heartbeat membership.Heartbeat, _ func(messages.Ack)) {
 	n.memberLoop.Offer(func() { n.livenessWatch.Observe(heartbeat) })
-	n.memberReadings.Store(heartbeat.From, feed.FleetVersion{Term: heartbeat.FleetTerm, Count: heartbeat.FleetCount})
+	n.memberFleetVersions.Store(heartbeat.From, feed.FleetVersion{Term: heartbeat.FleetTerm, Count: heartbeat.FleetCount})
 	behind := false
 	n.store.enqueue(func(t *tables) (out []record) {
 		behind = registry.Index(heartbeat.Index) > t.registry.Index
--- a/internal/control/member_test.go
+++ b/internal/control/member_test.go
@@ -88,7 +88,7 @@
 		Expect(sendFleet(feed.Fleet{Term: 6, Count: 9, Leader: "old"})).To(BeFalse())
 		Expect(sendFleet(feed.Fleet{Term: 7, Count: 1, Leader: "new"})).To(BeTrue())
 		Expect(n.fleet().Leader).To(Equal("new"))
-		// A delta to a reading that the member doesn't have can't be applied.
+		// A delta to a fleet version that the member doesn't have can't be applied.
 		Expect(sendFleet(feed.Fleet{Term: 7, Count: 5, Leader: "later", Base: &feed.FleetVersion{Term: 7, Count: 4}})).To(BeFalse())
 		Expect(n.fleet().Leader).To(Equal("new"))
 		Expect(writeRollout(6, 3)).To(BeFalse())
--- a/internal/control/mirrors.go
+++ b/internal/control/mirrors.go
@@ -26,7 +26,7 @@
 // activeMirror is the leader's state of one mirror in force.
 type activeMirror struct {
 	grant mirror.Grant
-	// eraStart is the first reading of the era.
+	// eraStart is the first fleet version of the era.
 	eraStart feed.FleetVersion
 	// copied and lost are counted since the last reduction of the share, at
 	// shareReducedAt.
@@ -49,14 +49,14 @@
 		clear(c.activeMirrors)
 		return nil
 	}
-	lives := c.detector.CombineIncarnations(mirrorReportMaxAge, mirror.IncarnationHash)
+	incarnations := c.detector.CombineIncarnations(mirrorReportMaxAge, mirror.IncarnationHash)
 	inForce := map[string]bool{}
 	for i, mirror := range mirrors {
 		if !mirror.Until.After(c.clock.Wall()) || compiled.HasRouteTo(mirror.Shadow) {
 			continue
 		}
 		inForce[mirror.Name] = true
-		grants = append(grants, c.mirrorGrant(mirror, uint64(versions[i]), lives))
+		grants = append(grants, c.mirrorGrant(mirror, uint64(versions[i]), incarnations))
 	}
 	for name := range c.activeMirrors {
 		if !inForce[name] {
@@ -67,16 +67,16 @@
 	return grants
 }
 
-func (c *coordinator) mirrorGrant(declared mirror.Mirror, version, lives uint64) mirror.Grant {
+func (c *coordinator) mirrorGrant(declared mirror.Mirror, version, incarnations uint64) mirror.Grant {
 	active := c.activeMirrors[declared.Name]
 	if active == nil || active.grant.Version != version {
 		active = &activeMirror{grant: mirror.Grant{Name: declared.Name, Version: version, Share: declared.Share}}
 		c.activeMirrors[declared.Name] = active
 	}
-	if active.grant.Era == 0 || active.grant.Incarnations != lives {
+	if active.grant.Era == 0 || active.grant.Incarnations != incarnations {
 		// The fleet that is being built gets the next count.
 		c.eraCount++
-		active.grant.Era, active.grant.Incarnations, active.grant.Settled = c.term<<32|c.eraCount, lives, false
+		active.grant.Era, active.grant.Incarnations, active.grant.Settled = c.term<<32|c.eraCount, incarnations, false
 		active.eraStart = feed.FleetVersion{Term: c.term, Count: c.lastFleet.Count + 1}
 	}
 	if touch := c.detector.Usage("", active.eraStart); !active.grant.Settled && touch.Proxies > 0 && touch.Outdated == 0 {
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -62,10 +62,10 @@
 	rolloutStarts sync.Map
 	coordinator   *coordinator
 	listWatch     *listTracker
-	// memberReadings holds the fleet reading that each member is known to have.
-	memberReadings sync.Map
-	// sendingReadings marks the members to which a reading is being sent.
-	sendingReadings sync.Map
+	// memberFleetVersions holds the fleet version that each member is known to have.
+	memberFleetVersions sync.Map
+	// sendingFleet marks the members to which a fleet is being sent.
+	sendingFleet sync.Map
 
 	configReplicator *configReplicator
 	// proposerID identifies this run of the process in ballots: a round number that is
--- a/internal/messages/rollouts.go
+++ b/internal/messages/rollouts.go
@@ -28,14 +28,14 @@
 	States    []rollout.State `cbor:"3,keyasint,omitempty"`
 }
 
-// StartRollout forwards an operator's order for a rollout to the leader.
+// StartRollout forwards an operator's command for a rollout to the leader.
 type StartRollout struct {
 	Service  string `cbor:"1,keyasint"`
 	Target   string `cbor:"2,keyasint"`
 	Duration int64  `cbor:"3,keyasint"`
 }
 
-// StagedChange forwards an operator's order to start or, with Halt, to halt a staged
+// StagedChange forwards an operator's command to start or, with Halt, to halt a staged
 // change to the leader.
 type StagedChange struct {
 	Name     string        `cbor:"1,keyasint"`
@@ -52,11 +52,11 @@
 	Routes  []outlier.Evidence `cbor:"2,keyasint,omitempty"`
 }
 
-// OrderResponse is the response to an operator's order: the kind of the error that
+// OrderResponse is the response to an operator's command: the kind of the error that
 // prevents it, or apierror.None.
 type OrderResponse struct {
 	Kind   apierror.Kind `cbor:"1,keyasint"`
 	Detail string        `cbor:"2,keyasint,omitempty"`
-	// Index is the configuration index from which a configuration order is in force.
+	// Index is the configuration index from which a configuration command is in force.
 	Index uint64 `cbor:"3,keyasint,omitempty"`
 }
