--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -121,8 +121,8 @@
 func (a *agent) closeGaps() {
 	var held feed.FleetVersion
 	a.hub.Read(func(replica *feed.Replica) { held = replica.Fleet.Version() })
-	for address, reading := range a.gaps {
-		if follower := a.followers[address]; follower != nil && reading.NewerThan(held) {
+	for address, version := range a.gaps {
+		if follower := a.followers[address]; follower != nil && version.NewerThan(held) {
 			follower.RequestSnapshot()
 		}
 		delete(a.gaps, address)
--- a/internal/control/call.go
+++ b/internal/control/call.go
@@ -116,7 +116,7 @@
 	leader := n.leader()
 	var result messages.OrderResponse
 	if leader == "" || n.call(leader, kind, command, &result, commandTimeout) != nil {
-		return apierror.New(apierror.ControlPlaneUnavailable, "the leader does not answer")
+		return apierror.New(apierror.ControlPlaneUnavailable, "the leader does not respond")
 	}
 	return resultError(result)
 }
--- a/internal/control/leader_lease_test.go
+++ b/internal/control/leader_lease_test.go
@@ -26,7 +26,7 @@
 	n := &node{
 		self: "a", clock: manualClock, hub: feed.NewHub(), log: func(string, string, ...any) {}, connections: map[string]*rpc.Client{},
 		memberLoop: clock.NewLoop[func()](256), livenessWatch: membership.NewLivenessWatch(manualClock, time.Second), lease: newLeaderLease(testLeaseDuration),
-		listWatch: newListTracker(manualClock.Monotonic()),
+		listReads: newListTracker(manualClock.Monotonic()),
 	}
 	n.settings.Store(&settings.Settings{Tuning: settings.Defaults()})
 	disk, err := storage.OpenDir(GinkgoT().TempDir())
--- a/internal/control/leadership.go
+++ b/internal/control/leadership.go
@@ -53,11 +53,11 @@
 		return nil
 	}, func() {
 		eligible = eligible && trusted && n.isReadyToLead(heldFleet)
-		heartbeat := membership.Heartbeat{From: n.self, View: view, Term: term, Index: uint64(index), Seen: directlySeen, Eligible: eligible}
+		message := membership.Heartbeat{From: n.self, View: view, Term: term, Index: uint64(index), Seen: directlySeen, Eligible: eligible}
 		fleet := n.fleet()
-		heartbeat.FleetTerm, heartbeat.FleetCount = fleet.Term, fleet.Count
+		message.FleetTerm, message.FleetCount = fleet.Term, fleet.Count
 		for _, watcher := range membership.RingSuccessors(view.Members, n.self, heartbeatTargetCount) {
-			n.connection(watcher).Send(messages.KindHeartbeat, heartbeat, nil)
+			n.connection(watcher).Send(messages.KindHeartbeat, message, nil)
 		}
 		n.memberLoop.Offer(func() {
 			if !view.Contains(n.self) || !trusted {
@@ -173,8 +173,8 @@
 	}
 	defer n.proposingView.Store(false)
 	number := membership.Ballot{Round: n.viewRound.Add(1), Node: n.proposerID}
-	ask := func(proposal membership.Proposal) []membership.Response { return n.requestViewChange(view, proposal) }
-	decided, highest, ok := membership.Propose(view, proposed, number, ask)
+	requestAll := func(proposal membership.Proposal) []membership.Response { return n.requestViewChange(view, proposal) }
+	decided, highest, ok := membership.Propose(view, proposed, number, requestAll)
 	n.viewRound.Store(max(n.viewRound.Load(), highest.Round))
 	if ok {
 		n.log("warn", "view changed", "epoch", decided.Epoch, "members", decided.Members)
--- a/internal/control/member_test.go
+++ b/internal/control/member_test.go
@@ -29,7 +29,7 @@
 
 	BeforeEach(func() {
 		manualClock = &clock.Manual{Now: time.Hour}
-		n = &node{self: "a", clock: manualClock, hub: feed.NewHub(), log: func(string, string, ...any) {}, listWatch: newListTracker(manualClock.Monotonic())}
+		n = &node{self: "a", clock: manualClock, hub: feed.NewHub(), log: func(string, string, ...any) {}, listReads: newListTracker(manualClock.Monotonic())}
 		disk, err := storage.OpenDir(GinkgoT().TempDir())
 		Expect(err).NotTo(HaveOccurred())
 		n.store, err = openStore(disk, idempotency.Policy{OpenLimit: 10, KeyWindow: time.Minute}, manualClock, func(err error) { Expect(err).NotTo(HaveOccurred()) })
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -61,7 +61,7 @@
 	// rolloutStarts holds the start time of each rollout.
 	rolloutStarts sync.Map
 	coordinator   *coordinator
-	listWatch     *listTracker
+	listReads     *listTracker
 	// memberFleetVersions holds the fleet version that each member is known to have.
 	memberFleetVersions sync.Map
 	// sendingFleet marks the members to which a fleet is being sent.
@@ -92,7 +92,7 @@
 	n.startedAt = n.clock.Monotonic()
 	n.livenessWatch = membership.NewLivenessWatch(n.clock, set.Tuning.SilentAfter.Std())
 	n.lease = newLeaderLease(leaseDuration(set.Tuning))
-	n.listWatch = newListTracker(n.startedAt)
+	n.listReads = newListTracker(n.startedAt)
 	if err := n.openDisk(set); err != nil {
 		return err
 	}
--- a/internal/control/page_client.go
+++ b/internal/control/page_client.go
@@ -159,7 +159,7 @@
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
 		_, _ = io.Copy(io.Discard, response.Body)
-		return page, errors.Errorf("the platform's server list answered with status %d", response.StatusCode)
+		return page, errors.Errorf("the platform responded to the server list request with status %d", response.StatusCode)
 	}
 	return page, errors.Trace(json.NewDecoder(response.Body).Decode(&page))
 }
--- a/internal/control/quorum_contact.go
+++ b/internal/control/quorum_contact.go
@@ -80,12 +80,12 @@
 	}
 	view, sentAt, count := n.view(), n.clock.Monotonic(), 0
 	var newest feed.FleetVersion
-	callAll(n, view.Members, messages.KindContact, messages.Contact{Epoch: view.Epoch}, callTimeout, func(_ string, answer messages.ContactResponse) bool {
-		if !answer.OK {
+	callAll(n, view.Members, messages.KindContact, messages.Contact{Epoch: view.Epoch}, callTimeout, func(_ string, response messages.ContactResponse) bool {
+		if !response.OK {
 			return false
 		}
-		if count++; answer.Fleet.NewerThan(newest) {
-			newest = answer.Fleet
+		if count++; response.Fleet.NewerThan(newest) {
+			newest = response.Fleet
 		}
 		return count >= view.Majority()
 	})
@@ -101,12 +101,12 @@
 }
 
 // onContact answers whether this node serves in the epoch, and which fleet it has.
-func (n *node) onContact(in messages.Contact, answer func(messages.ContactResponse)) {
+func (n *node) onContact(in messages.Contact, reply func(messages.ContactResponse)) {
 	var out messages.ContactResponse
 	n.store.enqueue(func(t *tables) []record {
 		out.OK, out.Fleet = n.canVote(t, in.Epoch), t.fleet.Version()
 		return nil
-	}, func() { answer(out) })
+	}, func() { reply(out) })
 }
 
 // requireQuorumContact makes a call that answers from local state fail unless this node
--- a/internal/control/round_transport.go
+++ b/internal/control/round_transport.go
@@ -46,27 +46,27 @@
 }
 
 // callRound calls all members of a view and returns once a majority has agreed or an
-// answer shows that the round is lost. okField returns a pointer to the field that
-// holds an answer's agreement. Agreement counts only within the vote timeout from
+// response shows that the round is lost. okField returns a pointer to the field that
+// holds a response's agreement. Agreement counts only within the vote timeout from
 // startedAt, as a member that lost its disk waits twice that long before it votes
-// again. Answers that arrive later are returned without their agreement, since they
+// again. Responses that arrive later are returned without their agreement, since they
 // still show why the round can't succeed.
-func callRound[T any](n *node, view membership.View, kind rpc.Kind, request any, startedAt clock.Instant, okField func(*T) *bool, lost func(T) bool) (answers []T) {
+func callRound[T any](n *node, view membership.View, kind rpc.Kind, request any, startedAt clock.Instant, okField func(*T) *bool, lost func(T) bool) (responses []T) {
 	count := 0
-	callAll(n, view.Members, kind, request, n.voteTimeout(), func(_ string, answer T) bool {
-		answers = append(answers, answer)
-		if *okField(&answer) {
+	callAll(n, view.Members, kind, request, n.voteTimeout(), func(_ string, response T) bool {
+		responses = append(responses, response)
+		if *okField(&response) {
 			count++
 		}
-		return count >= view.Majority() || lost(answer)
+		return count >= view.Majority() || lost(response)
 	})
 	if !n.voteExpired(startedAt) {
-		return answers
+		return responses
 	}
-	for i := range answers {
-		*okField(&answers[i]) = false
+	for i := range responses {
+		*okField(&responses[i]) = false
 	}
-	return answers
+	return responses
 }
 
 func (n *node) onPrepare(in registry.Prepare, reply func(registry.Promise)) {
--- a/internal/control/standby.go
+++ b/internal/control/standby.go
@@ -73,7 +73,7 @@
 // standby reader, or 0 if it is none.
 func (n *node) standbyRateShare() float64 {
 	view, leader := n.viewAndLeader()
-	return n.listWatch.share(view, leader, n.self, n.hasQuorumContact(), n.clock.Monotonic())
+	return n.listReads.share(view, leader, n.self, n.hasQuorumContact(), n.clock.Monotonic())
 }
 
 // publishLeaving notifies followers and members of the draining servers in the list that
@@ -99,7 +99,7 @@
 // sendListProgress reports to the other members how far this node has read the list.
 func (n *node) sendListProgress(progress messages.ListProgress) {
 	progress.From = n.self
-	n.listWatch.record(progress, n.clock.Monotonic())
+	n.listReads.record(progress, n.clock.Monotonic())
 	view, _ := n.viewAndLeader()
 	for _, member := range view.Others(n.self) {
 		n.connection(member).Send(messages.KindListProgress, progress, nil)
@@ -108,5 +108,5 @@
 
 // onListProgress records the progress of another member's read.
 func (n *node) onListProgress(in messages.ListProgress, _ func(messages.Ack)) {
-	n.listWatch.record(in, n.clock.Monotonic())
+	n.listReads.record(in, n.clock.Monotonic())
 }
--- a/internal/control/standby_test.go
+++ b/internal/control/standby_test.go
@@ -50,7 +50,7 @@
 			self: self, clock: manualClock, hub: feed.NewHub(), log: func(string, string, ...any) {},
 			connections: map[string]*rpc.Client{},
 			memberLoop:  clock.NewLoop[func()](8), livenessWatch: membership.NewLivenessWatch(manualClock, silentAfter), startedAt: manualClock.Monotonic(),
-			listWatch: newListTracker(manualClock.Monotonic()), lease: newLeaderLease(testLeaseDuration),
+			listReads: newListTracker(manualClock.Monotonic()), lease: newLeaderLease(testLeaseDuration),
 		}
 		n.settings.Store(&settings.Settings{Tuning: settings.Tuning{SilentAfter: clock.Duration(silentAfter)}})
 		ctx, cancel := context.WithCancel(context.Background())
@@ -166,12 +166,12 @@
 		manualClock.Sleep(time.Minute)
 		poller := &listPoller{node: n, reader: newListReader(manualClock, func() string { return platform.Listener.Addr().String() })}
 		poller.poll(context.Background())
-		age, _ := n.listWatch.age(manualClock.Monotonic())
+		age, _ := n.listReads.age(manualClock.Monotonic())
 		Expect(age).To(BeNumerically(">=", time.Minute))
 		isFailing.Store(false)
 		manualClock.Sleep(time.Second)
 		poller.poll(context.Background())
-		age, _ = n.listWatch.age(manualClock.Monotonic())
+		age, _ = n.listReads.age(manualClock.Monotonic())
 		Expect(age).To(BeNumerically("<", time.Second))
 	})
 
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -90,7 +90,7 @@
 	})
 	status.Servers = len(n.fleet().Servers)
 	status.QuorumAgeMs, status.Lease = ageMs(n.contact.age(n.clock.Monotonic())), n.leaseStatus(status)
-	status.ListAgeMs = ageMs(n.listWatch.age(n.clock.Monotonic()))
+	status.ListAgeMs = ageMs(n.listReads.age(n.clock.Monotonic()))
 	return status, nil
 }
 
