--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -55,9 +55,9 @@
 	lease         *leaderLease
 	contact       quorumContact
 	proposingView atomic.Bool
-	// takingOffer ensures that offers of several agents are handled one at a time.
-	takingOffer atomic.Bool
-	viewRound   atomic.Uint64
+	// handlingOffer ensures that offers of several agents are handled one at a time.
+	handlingOffer atomic.Bool
+	viewRound     atomic.Uint64
 	// rolloutStarts holds the start time of each rollout.
 	rolloutStarts sync.Map
 	coordinator   *coordinator
--- a/internal/control/round_transport.go
+++ b/internal/control/round_transport.go
@@ -116,11 +116,11 @@
 // onOffer adds to the configuration the items that only an agent still holds. It
 // ignores offers that arrive while another is being handled.
 func (n *node) onOffer(in messages.OfferItems, reply func(messages.Ack)) {
-	if !n.takingOffer.CompareAndSwap(false, true) {
+	if !n.handlingOffer.CompareAndSwap(false, true) {
 		return
 	}
 	go func() {
-		defer n.takingOffer.Store(false)
+		defer n.handlingOffer.Store(false)
 		configuration, err := n.readConfig()
 		if err != nil {
 			return
