--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -47,12 +47,12 @@
 	// gaps holds, by member, the fleet version of a change that did not apply to the
 	// state held.
 	gaps map[string]feed.FleetVersion
-	// checkpointed holds the members that have sent their checkpoint.
-	checkpointed    map[string]bool
-	startedAt       clock.Instant
-	complete        bool
-	log             LogFunc
-	settingsUpdates chan *settings.Settings
+	// snapshotReceived holds the members that have sent their snapshot.
+	snapshotReceived map[string]bool
+	startedAt        clock.Instant
+	complete         bool
+	log              LogFunc
+	settingsUpdates  chan *settings.Settings
 	// spares is the number of members followed in addition to the preferred ones, in
 	// the epoch spareEpoch. All preferred members have been sending since healthySince.
 	spareEpoch   membership.Epoch
@@ -69,7 +69,7 @@
 func Run(ctx context.Context, cfg *settings.Settings, path string, log LogFunc) error {
 	a := &agent{
 		settings: cfg, clock: clock.Real(), hub: feed.NewHub(), loop: clock.NewLoop[memberUpdate](256),
-		log: log, cancelFollow: map[string]context.CancelFunc{}, clients: map[string]*rpc.Client{}, checkpointed: map[string]bool{},
+		log: log, cancelFollow: map[string]context.CancelFunc{}, clients: map[string]*rpc.Client{}, snapshotReceived: map[string]bool{},
 		followers: map[string]*feed.Follower{}, gaps: map[string]feed.FleetVersion{}, settingsUpdates: make(chan *settings.Settings, 1),
 	}
 	a.startedAt = a.clock.Monotonic()
@@ -86,17 +86,17 @@
 }
 
 // merge publishes a batch of updates. The published state is complete once a majority
-// of the view has sent a checkpoint.
+// of the view has sent a snapshot.
 func (a *agent) merge(batch []memberUpdate) {
 	for _, received := range batch {
 		received.update.Complete = false
 		fits := true
-		if a.hub.Read(func(board *feed.Replica) { fits = board.CanApply(received.update) }); !fits {
+		if a.hub.Read(func(replica *feed.Replica) { fits = replica.CanApply(received.update) }); !fits {
 			a.gaps[received.member] = received.update.Fleet.Version()
 		}
 		a.hub.Publish(received.update)
 		if received.update.Snapshot {
-			a.checkpointed[received.member] = true
+			a.snapshotReceived[received.member] = true
 			a.restoreItems(received)
 		}
 	}
@@ -109,20 +109,20 @@
 	lacking := config.ItemSet{}
 	lacking.Merge(received.update.Items)
 	var items []config.Item
-	a.hub.Read(func(board *feed.Replica) { items = lacking.Newer(board.Items.Items()) })
+	a.hub.Read(func(replica *feed.Replica) { items = lacking.Newer(replica.Items.Items()) })
 	if client := a.clients[received.member]; client != nil && len(items) > 0 {
 		a.log("info", "sending the member configuration items that it lacks", "to", received.member, "items", len(items))
 		client.Send(messages.KindOfferItems, messages.OfferItems{Items: items}, nil)
 	}
 }
 
-// closeGaps requests a checkpoint from each member whose change did not apply, unless
+// closeGaps requests a snapshot from each member whose change did not apply, unless
 // another member has delivered the resulting state in the meantime.
 func (a *agent) closeGaps() {
 	var held feed.FleetVersion
-	a.hub.Read(func(board *feed.Replica) { held = board.Fleet.Version() })
-	for address, reading := range a.gaps {
-		if follower := a.followers[address]; follower != nil && reading.NewerThan(held) {
+	a.hub.Read(func(replica *feed.Replica) { held = replica.Fleet.Version() })
+	for address, version := range a.gaps {
+		if follower := a.followers[address]; follower != nil && version.NewerThan(held) {
 			follower.RequestSnapshot()
 		}
 		delete(a.gaps, address)
@@ -130,12 +130,12 @@
 }
 
 func (a *agent) view() (view membership.View) {
-	a.hub.Read(func(board *feed.Replica) { view = board.View })
+	a.hub.Read(func(replica *feed.Replica) { view = replica.View })
 	return view
 }
 
 func (a *agent) holdsItems() (held bool) {
-	a.hub.Read(func(board *feed.Replica) { held = len(board.Items) > 0 })
+	a.hub.Read(func(replica *feed.Replica) { held = len(replica.Items) > 0 })
 	return held
 }
 
@@ -145,7 +145,7 @@
 	}
 	view, count := a.view(), 0
 	for _, member := range view.Members {
-		if a.checkpointed[member] {
+		if a.snapshotReceived[member] {
 			count++
 		}
 	}
@@ -153,7 +153,7 @@
 	// A control plane without a majority cannot store changes, so after a timeout
 	// the state of a single member is better than serving no requests. Without any
 	// configuration items, however, every response would be a wrong 404.
-	timedOut := a.clock.Monotonic()-a.startedAt > clock.Instant(a.settings.Platform.Bounds.Contact) && len(a.checkpointed) > 0 && a.holdsItems()
+	timedOut := a.clock.Monotonic()-a.startedAt > clock.Instant(a.settings.Platform.Bounds.Contact) && len(a.snapshotReceived) > 0 && a.holdsItems()
 	if a.complete = majority || timedOut; a.complete {
 		a.log("info", "the configuration is complete", "members", count, "timed_out", timedOut)
 		a.hub.Publish(feed.Update{Complete: true})
@@ -192,7 +192,7 @@
 	client := rpc.NewClient(address, connectTimeout, silenceTimeout)
 	a.clients[address] = client
 	name := a.settings.Platform.NodeName + "@" + a.settings.InternalAddress(a.settings.Platform.Ip, 1)
-	follower := feed.NewFollower(name, client, func(news feed.Update) { a.loop.Put(memberUpdate{address, news}) }, followRetryDelay)
+	follower := feed.NewFollower(name, client, func(update feed.Update) { a.loop.Put(memberUpdate{address, update}) }, followRetryDelay)
 	a.followers[address] = follower
 	go follower.Run(followCtx)
 }
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -55,17 +55,17 @@
 	lease         *leaderLease
 	contact       quorumContact
 	proposingView atomic.Bool
-	// takingOffer ensures that offers of several agents are handled one at a time.
-	takingOffer atomic.Bool
-	viewRound   atomic.Uint64
+	// handlingOffer ensures that offers of several agents are handled one at a time.
+	handlingOffer atomic.Bool
+	viewRound     atomic.Uint64
 	// rolloutStarts holds the start time of each rollout.
 	rolloutStarts sync.Map
 	coordinator   *coordinator
-	listWatch     *listTracker
-	// memberReadings holds the fleet reading that each member is known to have.
-	memberReadings sync.Map
-	// sendingReadings marks the members to which a reading is being sent.
-	sendingReadings sync.Map
+	listReads     *listTracker
+	// memberFleetVersions holds the fleet version that each member is known to have.
+	memberFleetVersions sync.Map
+	// sendingFleet marks the members to which a fleet is being sent.
+	sendingFleet sync.Map
 
 	configReplicator *configReplicator
 	// proposerID identifies this run of the process in ballots: a round number that is
@@ -92,7 +92,7 @@
 	n.startedAt = n.clock.Monotonic()
 	n.livenessWatch = membership.NewLivenessWatch(n.clock, set.Tuning.SilentAfter.Std())
 	n.lease = newLeaderLease(leaseDuration(set.Tuning))
-	n.listWatch = newListTracker(n.startedAt)
+	n.listReads = newListTracker(n.startedAt)
 	if err := n.openDisk(set); err != nil {
 		return err
 	}
--- a/internal/control/standby.go
+++ b/internal/control/standby.go
@@ -12,8 +12,8 @@
 )
 
 // isolatedReadLimit is how long a node without quorum contact reads the list while it is
-// told of no read by another member. Many such nodes would use up the platform's rate limit;
-// members with quorum contact tell each other of their reads.
+// notified of no read by another member. Many such nodes would use up the platform's rate limit;
+// members with quorum contact notify each other of their reads.
 const isolatedReadLimit = 4 * time.Second
 
 // listTracker tracks the reads of the platform's server list by all members. It is shared
@@ -60,7 +60,7 @@
 
 // viewAndLeader returns the view and the leader that this node's feed last published.
 func (n *node) viewAndLeader() (view membership.View, leader string) {
-	n.hub.Read(func(board *feed.Replica) { view, leader = board.View, board.Fleet.Leader })
+	n.hub.Read(func(replica *feed.Replica) { view, leader = replica.View, replica.Fleet.Leader })
 	return view, leader
 }
 
@@ -73,7 +73,7 @@
 // standby reader, or 0 if it is none.
 func (n *node) standbyRateShare() float64 {
 	view, leader := n.viewAndLeader()
-	return n.listWatch.share(view, leader, n.self, n.hasQuorumContact(), n.clock.Monotonic())
+	return n.listReads.share(view, leader, n.self, n.hasQuorumContact(), n.clock.Monotonic())
 }
 
 // publishLeaving notifies followers and members of the draining servers in the list that
@@ -81,7 +81,7 @@
 func (n *node) publishLeaving(servers []feed.Server) {
 	var view membership.View
 	var leaving messages.LeavingServers
-	n.hub.Read(func(board *feed.Replica) { view, leaving.IDs = board.View, board.UnreportedLeaving(servers) })
+	n.hub.Read(func(replica *feed.Replica) { view, leaving.IDs = replica.View, replica.UnreportedLeaving(servers) })
 	if len(leaving.IDs) == 0 {
 		return
 	}
@@ -96,10 +96,10 @@
 	n.hub.Publish(feed.Update{Leaving: in.IDs})
 }
 
-// sendListProgress tells the other members how far this node has read the list.
+// sendListProgress reports to the other members how far this node has read the list.
 func (n *node) sendListProgress(progress messages.ListProgress) {
 	progress.From = n.self
-	n.listWatch.record(progress, n.clock.Monotonic())
+	n.listReads.record(progress, n.clock.Monotonic())
 	view, _ := n.viewAndLeader()
 	for _, member := range view.Others(n.self) {
 		n.connection(member).Send(messages.KindListProgress, progress, nil)
@@ -108,5 +108,5 @@
 
 // onListProgress records the progress of another member's read.
 func (n *node) onListProgress(in messages.ListProgress, _ func(messages.Ack)) {
-	n.listWatch.record(in, n.clock.Monotonic())
+	n.listReads.record(in, n.clock.Monotonic())
 }
--- a/internal/control/standby_test.go
+++ b/internal/control/standby_test.go
@@ -31,7 +31,7 @@
 		return &feed.Fleet{Term: 1, Count: count, Leader: publisher, Servers: []feed.Server{{ID: "a", IsReady: isReady}, {ID: "b", IsReady: true}}}
 	}
 	leaving := func() (out map[string]bool) {
-		n.hub.Read(func(board *feed.Replica) { out = maps.Clone(board.Leaving) })
+		n.hub.Read(func(replica *feed.Replica) { out = maps.Clone(replica.Leaving) })
 		return out
 	}
 	sendHeartbeat := func() {
@@ -50,7 +50,7 @@
 			self: self, clock: manualClock, hub: feed.NewHub(), log: func(string, string, ...any) {},
 			connections: map[string]*rpc.Client{},
 			memberLoop:  clock.NewLoop[func()](8), livenessWatch: membership.NewLivenessWatch(manualClock, silentAfter), startedAt: manualClock.Monotonic(),
-			listWatch: newListTracker(manualClock.Monotonic()), lease: newLeaderLease(testLeaseDuration),
+			listReads: newListTracker(manualClock.Monotonic()), lease: newLeaderLease(testLeaseDuration),
 		}
 		n.settings.Store(&settings.Settings{Tuning: settings.Tuning{SilentAfter: clock.Duration(silentAfter)}})
 		ctx, cancel := context.WithCancel(context.Background())
@@ -79,7 +79,7 @@
 		Expect(n.isStandbyReader()).To(BeTrue())
 	})
 
-	It("ends after isolatedReadLimit at a node without quorum contact that is told of no read", func() {
+	It("ends after isolatedReadLimit at a node without quorum contact that is notified of no read", func() {
 		manualClock.Sleep(isolatedReadLimit + time.Millisecond)
 		Expect(n.isStandbyReader()).To(BeFalse())
 		n.contact.record(manualClock.Monotonic(), feed.FleetVersion{})
@@ -166,12 +166,12 @@
 		manualClock.Sleep(time.Minute)
 		poller := &listPoller{node: n, reader: newListReader(manualClock, func() string { return platform.Listener.Addr().String() })}
 		poller.poll(context.Background())
-		age, _ := n.listWatch.age(manualClock.Monotonic())
+		age, _ := n.listReads.age(manualClock.Monotonic())
 		Expect(age).To(BeNumerically(">=", time.Minute))
 		isFailing.Store(false)
 		manualClock.Sleep(time.Second)
 		poller.poll(context.Background())
-		age, _ = n.listWatch.age(manualClock.Monotonic())
+		age, _ = n.listReads.age(manualClock.Monotonic())
 		Expect(age).To(BeNumerically("<", time.Second))
 	})
 
