--- a/cmd/ploverhitch/main.go
+++ b/cmd/ploverhitch/main.go
@@ -16,7 +16,7 @@
 	"ploverhitch/internal/agent"
 	"ploverhitch/internal/control"
 	"ploverhitch/internal/dispatcher"
-	"ploverhitch/internal/inspector"
+	"ploverhitch/internal/inspect"
 	"ploverhitch/internal/logring"
 	"ploverhitch/internal/objects"
 	"ploverhitch/internal/proxy"
@@ -59,7 +59,7 @@
 	app.Command("proxy", "The proxy: takes clients' requests. Example: ploverhitch proxy --settings local.yaml")
 	app.Command("agent", "The agent beside a proxy. Example: ploverhitch agent --settings local.yaml")
 	app.Command("control", "A node of the core. Example: ploverhitch control --settings local.yaml")
-	inspect := inspector.Register(app, os.Stdout, os.Stderr)
+	inspect := inspect.Register(app, os.Stdout, os.Stderr)
 	apply := objects.Register(app, os.Stdout)
 	trials := dispatcher.Register(app, os.Stdout)
 	name := kingpin.MustParse(app.Parse(os.Args[1:]))
--- a/internal/inspector/check.go
+++ b/internal/inspect/check.go
@@ -1,6 +1,6 @@
-// Package inspector checks a manifest against the fleet as it is, and tells
+// Package inspect checks a manifest against the fleet as it is, and tells
 // before a change of servers which running operations it would move.
-package inspector
+package inspect
 
 import (
 	"encoding/json"
--- a/internal/inspector/core_test.go
+++ b/internal/inspect/core_test.go
@@ -1,4 +1,4 @@
-package inspector
+package inspect
 
 import (
 	. "github.com/onsi/ginkgo/v2"
--- a/internal/inspector/inspector_test.go
+++ b/internal/inspect/inspect_test.go
@@ -1,4 +1,4 @@
-package inspector_test
+package inspect_test
 
 import (
 	"fmt"
@@ -14,7 +14,7 @@
 	"ploverhitch/internal/config"
 	"ploverhitch/internal/control"
 	"ploverhitch/internal/feed"
-	"ploverhitch/internal/inspector"
+	"ploverhitch/internal/inspect"
 	"ploverhitch/internal/messages"
 	"ploverhitch/internal/sites"
 )
@@ -33,10 +33,10 @@
 const inForce = `{"Upsert":{"Services":[{"Name":"fees","MaxConnections":9,"Revision":"r4"},{"Name":"packs","MaxConnections":9,"Revision":"r4"}],
 "VirtualHosts":[{"Hostname":"h","PathTable":[{"Name":"fee","PathPrefix":"/fee/","RouteType":"idempotent","Timeout":"1s","MaxAttempts":2,"Service":"fees","Revision":"r4"}]}]}}`
 
-func healthy() (config.ItemSet, inspector.Fleet) {
+func healthy() (config.ItemSet, inspect.Fleet) {
 	book := config.ItemSet{}
 	book.Merge(items(inForce))
-	return book, inspector.Fleet{
+	return book, inspect.Fleet{
 		Servers: []feed.Server{{ID: "i-1", Service: "fees", Capacity: 2, IsReady: true}, {ID: "i-2", Service: "packs", Capacity: 2}},
 		Cores: []control.Status{
 			{Node: "c1", Epoch: 2, Digest: "d", IsTrusted: true}, {Node: "c2", Epoch: 2, Digest: "d", IsTrusted: true}, {Node: "c3", Epoch: 2, Digest: "d", IsTrusted: true},
@@ -45,7 +45,7 @@
 	}
 }
 
-func whats(findings []inspector.Finding) (out []string) {
+func whats(findings []inspect.Finding) (out []string) {
 	for _, f := range findings {
 		out = append(out, f.What+": "+f.Where)
 	}
@@ -55,7 +55,7 @@
 var _ = Describe("the check", func() {
 	It("finds nothing in a healthy system", func() {
 		book, fleet := healthy()
-		Expect(inspector.Check(book, nil, fleet)).To(BeEmpty())
+		Expect(inspect.Check(book, nil, fleet)).To(BeEmpty())
 	})
 
 	It("names what the nodes lack", func() {
@@ -63,7 +63,7 @@
 		fleet.Cores[1].Epoch, fleet.Cores[2].Digest, fleet.Cores[0].IsTrusted = 1, "old", false
 		fleet.Edges[0].Digest, fleet.Edges[0].Ready = "old", false
 		fleet.Unheard = []string{"e9"}
-		Expect(whats(inspector.Check(book, nil, fleet))).To(ConsistOf(
+		Expect(whats(inspect.Check(book, nil, fleet))).To(ConsistOf(
 			"behind: c2", "behind: c3", "rebuilding: c1", "not ready: e1", "behind: e1", "unheard: e9"))
 	})
 
@@ -72,16 +72,16 @@
 		sent := items(`{"Upsert":{"Services":[{"Name":"fees","MaxConnections":1,"Revision":"r5"},{"Name":"packs","MaxConnections":8,"Revision":"r4"}],
 "VirtualHosts":[{"Hostname":"h","PathTable":[
 {"Name":"pack","PathPrefix":"/pack/","RouteType":"download","Timeout":"1s","MaxAttempts":2,"TrafficSplit":[{"Service":"fees","Weight":9},{"Service":"packs","Weight":1}],"Revision":"r5"}]}]}}`)
-		Expect(whats(inspector.Check(book, sent, fleet))).To(ConsistOf(
+		Expect(whats(inspect.Check(book, sent, fleet))).To(ConsistOf(
 			"superseded: packs", "no server: lane pack", "connections: service fees"))
 		clash := items(`{"Upsert":{"VirtualHosts":[{"Hostname":"h","PathTable":[{"Name":"other","PathPrefix":"/fee/","RouteType":"safe","Timeout":"1s","Service":"none","Revision":"r5"}]}]}}`)
-		Expect(whats(inspector.Check(book, clash, fleet))).To(ContainElement("invalid: manifest"))
+		Expect(whats(inspect.Check(book, clash, fleet))).To(ContainElement("invalid: manifest"))
 	})
 
 	It("tells place and reason of a file that cannot be read, in one line", func() {
 		path := filepath.Join(GinkgoT().TempDir(), "m.json")
 		Expect(os.WriteFile(path, []byte("{\n\"Upsert\": {\n  oops\n"), 0o600)).To(Succeed())
-		_, err := inspector.FileItems(path)
+		_, err := inspect.FileItems(path)
 		Expect(err).To(MatchError(MatchRegexp(`m\.json, line 3: invalid character`)))
 		Expect(err.Error()).NotTo(ContainSubstring("\n"))
 	})
@@ -133,13 +133,13 @@
 		for site, own := range map[string]int{"a": 40, "b": 20, "c": 10} {
 			page.Accounts = append(page.Accounts, sites.Status{Site: site, Service: "fees", Capacity: 40, Own: own})
 		}
-		passages, err := inspector.Without(page, "a")
+		passages, err := inspect.Without(page, "a")
 		Expect(err).NotTo(HaveOccurred())
-		Expect(passages).To(Equal([]inspector.Passage{
+		Expect(passages).To(Equal([]inspect.Passage{
 			{Service: "fees", To: "b", Load: sites.SpareCapacity(40, 20)}, {Service: "fees", To: "c", Load: sites.SpareCapacity(40, 10)},
 			{Service: "fees", Load: 40 - sites.SpareCapacity(40, 20) - sites.SpareCapacity(40, 10), IsLeft: true},
 		}))
-		_, err = inspector.Without(page, "nowhere")
+		_, err = inspect.Without(page, "nowhere")
 		Expect(err).To(MatchError(ContainSubstring("nowhere")))
 	})
 })
--- a/internal/inspector/look.go
+++ b/internal/inspect/look.go
@@ -1,4 +1,4 @@
-package inspector
+package inspect
 
 import (
 	"encoding/json"
--- a/internal/inspector/mirror_test.go
+++ b/internal/inspect/mirror_test.go
@@ -1,4 +1,4 @@
-package inspector_test
+package inspect_test
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ploverhitch/internal/inspector"
+	"ploverhitch/internal/inspect"
 	"ploverhitch/internal/messages"
 	"ploverhitch/internal/mirror"
 )
@@ -47,7 +47,7 @@
 
 	It("claims parity over whole conversations that all nodes chose alike", func() {
 		grant, nodes, parts := converse(byHash)
-		sum := inspector.Sum("m", grant, nodes)
+		sum := inspect.Sum("m", grant, nodes)
 		Expect(sum.Whole).To(Equal(len(parts)))
 		Expect(sum.Claim).To(HavePrefix("no difference in "))
 		for learner, count := range parts {
@@ -69,23 +69,23 @@
 
 	It("claims nothing while a node has not answered, lives anew, is of another era, or lacks the order", func() {
 		grant, nodes, _ := converse(byHash)
-		Expect(inspector.Sum("m", grant, nodes[1:]).Claim).To(HavePrefix("nothing"))
+		Expect(inspect.Sum("m", grant, nodes[1:]).Claim).To(HavePrefix("nothing"))
 		anew := append([]messages.MirrorStatus{}, nodes...)
 		anew[0].Incarnation = "b"
-		Expect(inspector.Sum("m", grant, anew).Whole).To(BeZero())
+		Expect(inspect.Sum("m", grant, anew).Whole).To(BeZero())
 		other := *grant
 		other.Era = 2
-		Expect(inspector.Sum("m", &other, nodes).Whole).To(BeZero())
+		Expect(inspect.Sum("m", &other, nodes).Whole).To(BeZero())
 		other = *grant
 		other.Settled = false
-		Expect(inspector.Sum("m", &other, nodes).Claim).To(HavePrefix("nothing"))
-		Expect(inspector.Sum("m", nil, nodes).Claim).To(HavePrefix("nothing"))
+		Expect(inspect.Sum("m", &other, nodes).Claim).To(HavePrefix("nothing"))
+		Expect(inspect.Sum("m", nil, nodes).Claim).To(HavePrefix("nothing"))
 	})
 
 	It("takes conversations out that a lowered share no longer copies", func() {
 		grant, nodes, _ := converse(byHash)
 		lowered := *grant
 		lowered.Share = 0.25
-		Expect(inspector.Sum("m", &lowered, nodes).Whole).To(BeNumerically("<", inspector.Sum("m", grant, nodes).Whole*2/3))
+		Expect(inspect.Sum("m", &lowered, nodes).Whole).To(BeNumerically("<", inspect.Sum("m", grant, nodes).Whole*2/3))
 	})
 })
--- a/internal/standin/mirror_test.go
+++ b/internal/standin/mirror_test.go
@@ -12,7 +12,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ploverhitch/internal/inspector"
+	"ploverhitch/internal/inspect"
 	"ploverhitch/internal/standin"
 )
 
@@ -24,7 +24,7 @@
 }
 
 // outcomes and lost count what came of all copies.
-func outcomes(sum inspector.Mirroring) (count uint64) {
+func outcomes(sum inspect.Mirroring) (count uint64) {
 	for _, lane := range sum.Counts {
 		for _, number := range lane {
 			count += number
@@ -33,7 +33,7 @@
 	return count
 }
 
-func lost(sum inspector.Mirroring) (count uint64) {
+func lost(sum inspect.Mirroring) (count uint64) {
 	for _, number := range sum.Gaps {
 		count += number
 	}
@@ -63,7 +63,7 @@
 		Eventually(func() string { return s.state("/v1/mirrors") }).Should(ContainSubstring(`"IsSettled":true`))
 		// What it settled under is renewed to every node.
 		Eventually(func(g Gomega) {
-			sums, unheard, err := inspector.NewControl(s.town.Control(1)).Mirrors()
+			sums, unheard, err := inspect.NewControl(s.town.Control(1)).Mirrors()
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(unheard).To(BeEmpty())
 			g.Expect(sums[0].Claim).To(ContainSubstring("whole conversations"))
@@ -100,10 +100,10 @@
 		settled(s)
 		matchSchema("MirrorPage", s.state("/v1/mirrors"))
 		week(s, "a", 90)
-		var sums []inspector.Mirroring
+		var sums []inspect.Mirroring
 		Eventually(func(g Gomega) {
 			var err error
-			sums, _, err = inspector.NewControl(s.town.Control(2)).Mirrors()
+			sums, _, err = inspect.NewControl(s.town.Control(2)).Mirrors()
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(sums[0].Claim).To(HavePrefix("no difference in "))
 			g.Expect(outcomes(sums[0]) + lost(sums[0])).To(BeEquivalentTo(sums[0].Seen * 2))
@@ -143,10 +143,10 @@
 
 		var out bytes.Buffer
 		app := kingpin.New("test", "")
-		commands := inspector.Register(app, &out, &out)
+		commands := inspect.Register(app, &out, &out)
 		_, err := app.Parse([]string{"inspector", "--control", s.town.Control(2), "mirror"})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(commands.Run("inspector mirror")).To(Equal(inspector.Clean))
+		Expect(commands.Run("inspector mirror")).To(Equal(inspect.Clean))
 		Expect(out.String()).To(ContainSubstring("no difference in"))
 		order(s, `{"Remove":[{"Name":"build","Revision":"r9"}]}`)
 		Eventually(func() string { return s.state("/v1/mirrors") }).Should(ContainSubstring(`"Grants":[]`))
@@ -179,7 +179,7 @@
 			}
 			Expect(pace(fmt.Sprint("on", act))).To(BeNumerically("<", 2*off+10*time.Millisecond))
 		}
-		sums, _, err := inspector.NewControl(s.town.Control(1)).Mirrors()
+		sums, _, err := inspect.NewControl(s.town.Control(1)).Mirrors()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(sums[0].Claim).NotTo(HavePrefix("no difference"))
 		for _, id := range []string{"x-1", "x-2"} {
--- a/internal/standin/moves_test.go
+++ b/internal/standin/moves_test.go
@@ -12,7 +12,7 @@
 
 	"ploverhitch/internal/balancer"
 	"ploverhitch/internal/clock"
-	"ploverhitch/internal/inspector"
+	"ploverhitch/internal/inspect"
 	"ploverhitch/internal/standin"
 )
 
@@ -42,9 +42,9 @@
 				statuses[i], _, _ = s.send(i%2, "POST", path, "x", headers)
 			})
 		}
-		control := inspector.NewControl(s.town.Control(1))
+		control := inspect.NewControl(s.town.Control(1))
 		change := balancer.Change{Service: "fees", Retire: []string{"f-1"}}
-		var forecast *inspector.Forecast
+		var forecast *inspect.Forecast
 		Eventually(func(g Gomega) (count int) {
 			var err error
 			forecast, err = control.Forecast(change)
@@ -100,20 +100,20 @@
 		run := func(args ...string) (int, string, string) {
 			var out, errs bytes.Buffer
 			app := kingpin.New("ploverhitch", "")
-			commands := inspector.Register(app, &out, &errs)
+			commands := inspect.Register(app, &out, &errs)
 			name, err := app.Parse(append([]string{"inspector", "--control", s.town.Control(1)}, args...))
 			Expect(err).NotTo(HaveOccurred())
 			return commands.Run(name), out.String(), errs.String()
 		}
 		s.town.List(s.hidden())
-		Eventually(func() int { status, _, _ := run("check"); return status }).Should(Equal(inspector.Clean))
+		Eventually(func() int { status, _, _ := run("check"); return status }).Should(Equal(inspect.Clean))
 		status, out, _ := run("--json", "moves", "--service", "fees", "--add", "f-9")
-		Expect(status).To(Equal(inspector.Clean))
+		Expect(status).To(Equal(inspect.Clean))
 		Expect(out).To(ContainSubstring(`"Node": "edge-2"`))
 		s.town.List(map[string]string{"f-1": "gone", "f-2": "gone", "n-1": "gone", "n-2": "gone"})
 		Eventually(func() string { _, out, _ := run("check"); return out }).Should(MatchRegexp(`no server +lane fee`))
 		status, _, errs := run("moves", "--service", "fees", "--retire", "never-was")
-		Expect(status).To(Equal(inspector.Unlooked))
+		Expect(status).To(Equal(inspect.Unlooked))
 		Expect(errs).To(ContainSubstring("never-was"))
 	})
 })
--- a/internal/standin/overload_test.go
+++ b/internal/standin/overload_test.go
@@ -12,7 +12,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"ploverhitch/internal/inspector"
+	"ploverhitch/internal/inspect"
 	"ploverhitch/internal/standin"
 )
 
@@ -146,10 +146,10 @@
 
 		var out bytes.Buffer
 		app := kingpin.New("test", "")
-		commands := inspector.Register(app, &out, &out)
+		commands := inspect.Register(app, &out, &out)
 		_, err := app.Parse([]string{"inspector", "--control", s.town.Control(2), "load"})
 		Expect(err).NotTo(HaveOccurred())
-		Eventually(func() int { return commands.Run("inspector load") }).Should(Equal(inspector.Clean))
+		Eventually(func() int { return commands.Run("inspector load") }).Should(Equal(inspect.Clean))
 		Expect(out.String()).To(ContainSubstring("urgent"))
 	})
 
