--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -191,7 +191,7 @@
 	a.cancelFollow[address] = cancel
 	client := rpc.NewClient(address, connectTimeout, silenceTimeout)
 	a.clients[address] = client
-	name := a.settings.Platform.NodeName + "@" + a.settings.InternalAddress(a.settings.Platform.Ip, 1)
+	name := a.settings.Platform.NodeName + "@" + a.settings.InternalAddress(a.settings.Platform.IP, 1)
 	follower := feed.NewFollower(name, client, func(news feed.Update) { a.loop.Put(memberUpdate{address, news}) }, followRetryDelay)
 	a.followers[address] = follower
 	go follower.Run(followCtx)
--- a/internal/control/leader_lease.go
+++ b/internal/control/leader_lease.go
@@ -25,7 +25,7 @@
 // leaseDuration is how long a member's promise to the leader is valid. All members must
 // have the same settings.
 func leaseDuration(tuning settings.Tuning) time.Duration {
-	return tuning.SilentAfter.Std() * leaseNumerator / leaseDenominator
+	return tuning.SilenceTimeout.Std() * leaseNumerator / leaseDenominator
 }
 
 // leaderLease is this node's leader lease. It is shared by the goroutines that renew it
--- a/internal/control/leadership.go
+++ b/internal/control/leadership.go
@@ -86,7 +86,7 @@
 		n.isLeader.Store(false)
 		// After a start, a node waits until it could have received heartbeats of
 		// the members before it in the order. The first member has none to wait for.
-		if view.Members[0] != n.self && n.clock.Monotonic()-n.startedAt < clock.Instant(n.settings.Load().Tuning.SilentAfter) {
+		if view.Members[0] != n.self && n.clock.Monotonic()-n.startedAt < clock.Instant(n.settings.Load().Tuning.SilenceTimeout) {
 			return
 		}
 		go n.claimLeadership(view, membership.Term{Number: term.Number + 1, Holder: n.self})
@@ -145,7 +145,7 @@
 	current, now := n.settings.Load(), n.clock.Monotonic()
 	replacement := ""
 	for address, lastSeen := range n.joining {
-		recent := time.Duration(now-lastSeen) < current.Tuning.SilentAfter.Std()
+		recent := time.Duration(now-lastSeen) < current.Tuning.SilenceTimeout.Std()
 		if recent && !view.Contains(address) && (replacement == "" || address < replacement) {
 			replacement = address
 		}
--- a/internal/control/list_poller.go
+++ b/internal/control/list_poller.go
@@ -40,10 +40,10 @@
 
 // pollPlatform polls the platform's list until the context ends.
 func (n *node) pollPlatform(ctx context.Context) {
-	poller := &listPoller{node: n, reader: newListReader(n.clock, func() string { return n.settings.Load().Platform.CloudApi.Address })}
+	poller := &listPoller{node: n, reader: newListReader(n.clock, func() string { return n.settings.Load().Platform.CloudAPI.Address })}
 	poller.reader.zones = func() ([]string, int) {
 		servers := n.fleet().Servers
-		return zonesOf(n.settings.Load().Platform.Cells, servers), len(servers)
+		return zonesOf(n.settings.Load().Platform.Zones, servers), len(servers)
 	}
 	n.eligible.Store(true)
 	for ctx.Err() == nil {
@@ -131,7 +131,7 @@
 // paceForShare is the pace of a reader with a share of the platform's rate limit.
 func (p *listPoller) paceForShare(share float64) listing.Pace {
 	current := p.settings.Load()
-	return listing.Pace{MinInterval: current.Tuning.Poll.Std(), Rate: current.Platform.CloudApi.RatePerS * share}
+	return listing.Pace{MinInterval: current.Tuning.PollInterval.Std(), Rate: current.Platform.CloudAPI.RatePerS * share}
 }
 
 // recordResult counts consecutive failures; after maxFailedReads this node is ineligible
--- a/internal/control/load.go
+++ b/internal/control/load.go
@@ -13,7 +13,9 @@
 )
 
 // loadGaugeOn reports whether the settings enable load measurement.
-func (n *node) loadGaugeOn() bool { return n.settings.Load().Tuning.Loadgauge == settings.GaugeOn }
+func (n *node) loadGaugeOn() bool {
+	return n.settings.Load().Tuning.SharedCutoff == settings.SharedCutoffOn
+}
 
 // cutoffsMaxAge is how old the last leader's cutoffs may be for a new leader to adopt them.
 const cutoffsMaxAge = 5 * time.Second
@@ -80,7 +82,7 @@
 
 func (n *node) loadEndpoint(context.Context, any) (any, error) {
 	c := n.coordinator
-	page := LoadPage{Mode: n.settings.Load().Tuning.Loadgauge, Order: []shedding.TierInfo{}, Cutoffs: []shedding.Cutoff{}, Accounts: []shedding.Account{}, Leader: n.leader()}
+	page := LoadPage{Mode: n.settings.Load().Tuning.SharedCutoff, Order: []shedding.TierInfo{}, Cutoffs: []shedding.Cutoff{}, Accounts: []shedding.Account{}, Leader: n.leader()}
 	runAndWait(c.loop, func() {
 		if page.IsLeader = c.ensureLeading(); page.IsLeader {
 			page.Accounts = append(page.Accounts, c.loadGauge.Accounts()...)
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -84,13 +84,13 @@
 	ctx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	n := &node{
-		self: set.InternalAddress(set.Platform.Ip, 0), clock: clock.Real(), log: log, hub: feed.NewHub(),
+		self: set.InternalAddress(set.Platform.IP, 0), clock: clock.Real(), log: log, hub: feed.NewHub(),
 		connections: map[string]*rpc.Client{}, memberLoop: clock.NewLoop[func()](256), joining: map[string]clock.Instant{},
 	}
 	n.settings.Store(set)
 	n.proposerID = newProposerID(n.self)
 	n.startedAt = n.clock.Monotonic()
-	n.livenessWatch = membership.NewLivenessWatch(n.clock, set.Tuning.SilentAfter.Std())
+	n.livenessWatch = membership.NewLivenessWatch(n.clock, set.Tuning.SilenceTimeout.Std())
 	n.lease = newLeaderLease(leaseDuration(set.Tuning))
 	n.listWatch = newListTracker(n.startedAt)
 	if err := n.openDisk(set); err != nil {
@@ -112,8 +112,8 @@
 	go n.store.run(ctx)
 	n.publishState()
 	go rpc.Serve(internalListener, n.callHandlers, silenceTimeout)
-	go clock.Every(ctx, set.Tuning.Beat.Std()/contactChecksPerHeartbeat, n.refreshQuorumContact)
-	go n.memberLoop.Run(ctx, runAll, set.Tuning.Beat.Std(), n.heartbeat)
+	go clock.Every(ctx, set.Tuning.HeartbeatInterval.Std()/contactChecksPerHeartbeat, n.refreshQuorumContact)
+	go n.memberLoop.Run(ctx, runAll, set.Tuning.HeartbeatInterval.Std(), n.heartbeat)
 	go n.recoverState(ctx)
 	go n.configReplicator.run(ctx)
 	go n.replicateIntents(ctx)
@@ -137,8 +137,8 @@
 func (n *node) openDisk(set *settings.Settings) error {
 	p, t := set.Platform, set.Tuning
 	policy := idempotency.Policy{
-		OpenLimit: t.OpenLimit, Retention: t.Retention.Std(), KeyWindow: p.Bounds.KeyWindow.Std(),
-		ClockMargin: 10 * time.Second, SoftLimitBytes: maxIntentBytes(p.Limits), HardLimitBytes: p.Limits.MemoryMb << 20 * 2 / 5,
+		OpenLimit: t.OpenIntentLimit, Retention: t.Retention.Std(), KeyWindow: p.Bounds.KeyWindow.Std(),
+		ClockMargin: 10 * time.Second, SoftLimitBytes: maxIntentBytes(p.Limits), HardLimitBytes: p.Limits.MemoryMB << 20 * 2 / 5,
 	}
 	reportError := func(err error) { n.log("error", "disk failure", "error", err) }
 	disk, err := storage.OpenDir(p.DataDir)
@@ -159,9 +159,9 @@
 // maxIntentBytes returns how much space the intents may take: a quarter of the memory,
 // and of the disk, where both the checkpoint and the log hold a copy of them.
 func maxIntentBytes(limits settings.Limits) int {
-	bytes := limits.MemoryMb << 20 / 4
-	if limits.DiskMb > 0 {
-		bytes = min(bytes, limits.DiskMb<<20/4)
+	bytes := limits.MemoryMB << 20 / 4
+	if limits.DiskMB > 0 {
+		bytes = min(bytes, limits.DiskMB<<20/4)
 	}
 	return bytes
 }
--- a/internal/control/quorum_contact.go
+++ b/internal/control/quorum_contact.go
@@ -75,7 +75,7 @@
 // refreshQuorumContact asks the members of the view whether they serve in its epoch, unless
 // a majority confirmed that within the last heartbeat interval.
 func (n *node) refreshQuorumContact() {
-	if age, ok := n.contact.age(n.clock.Monotonic()); ok && age < n.settings.Load().Tuning.Beat.Std() {
+	if age, ok := n.contact.age(n.clock.Monotonic()); ok && age < n.settings.Load().Tuning.HeartbeatInterval.Std() {
 		return
 	}
 	view, sentAt, count := n.view(), n.clock.Monotonic(), 0
--- a/internal/control/round_transport.go
+++ b/internal/control/round_transport.go
@@ -38,7 +38,7 @@
 		func(acceptance registry.Acceptance) bool { return acceptance.Preempted(accept) })
 }
 
-func (n *node) voteTimeout() time.Duration { return n.settings.Load().Tuning.VoteSpan.Std() }
+func (n *node) voteTimeout() time.Duration { return n.settings.Load().Tuning.VoteTimeout.Std() }
 
 // voteExpired reports whether votes requested at that time no longer count.
 func (n *node) voteExpired(startedAt clock.Instant) bool {
--- a/internal/control/round_transport_test.go
+++ b/internal/control/round_transport_test.go
@@ -35,7 +35,7 @@
 	withoutWaiting := func(run func()) {
 		startedAt := time.Now()
 		run()
-		Expect(time.Since(startedAt)).To(BeNumerically("<", n.settings.Load().Tuning.VoteSpan.Std()))
+		Expect(time.Since(startedAt)).To(BeNumerically("<", n.settings.Load().Tuning.VoteTimeout.Std()))
 	}
 
 	It("fails immediately and returns the higher ballot when a member has promised one", func() {
@@ -68,7 +68,7 @@
 		round := registry.Round{Epoch: 1, Index: 1, Ballot: low, Majority: 2}
 		outcome := round.Run(&roundTransport{node: n, view: view, startedAt: n.clock.Monotonic()})
 		Expect(outcome.Responses).To(Equal(1))
-		Expect(time.Since(startedAt)).To(BeNumerically("~", n.settings.Load().Tuning.VoteSpan.Std(), 100*time.Millisecond))
+		Expect(time.Since(startedAt)).To(BeNumerically("~", n.settings.Load().Tuning.VoteTimeout.Std(), 100*time.Millisecond))
 	})
 
 	It("fails immediately on a higher ballot for a new view as well", func() {
--- a/internal/control/sites.go
+++ b/internal/control/sites.go
@@ -44,7 +44,7 @@
 		if digest != c.siteTreeDigest {
 			// Stored items have been validated. If zones have been removed from the
 			// settings since, the previous tree remains in use.
-			if built, err := t.configuration().Tree(c.settings.Load().Platform.Cells); err == nil {
+			if built, err := t.configuration().Tree(c.settings.Load().Platform.Zones); err == nil {
 				tree = built
 			}
 			c.siteTreeDigest = digest
@@ -92,7 +92,7 @@
 	if err != nil {
 		return nil, err
 	}
-	tree, err := configuration.Tree(n.settings.Load().Platform.Cells)
+	tree, err := configuration.Tree(n.settings.Load().Platform.Zones)
 	if err != nil {
 		return nil, apierror.New(apierror.ControlPlaneUnavailable, err.Error())
 	}
@@ -102,7 +102,7 @@
 
 // checkSites returns an error if the sites of the configuration form no tree.
 func (n *node) checkSites(configuration config.ItemSet) error {
-	_, err := configuration.Tree(n.settings.Load().Platform.Cells)
+	_, err := configuration.Tree(n.settings.Load().Platform.Zones)
 	if err != nil {
 		return apierror.New(apierror.InvalidManifest, errors.Cause(err).Error())
 	}
--- a/internal/control/standby_test.go
+++ b/internal/control/standby_test.go
@@ -52,7 +52,7 @@
 			memberLoop:  clock.NewLoop[func()](8), livenessWatch: membership.NewLivenessWatch(manualClock, silentAfter), startedAt: manualClock.Monotonic(),
 			listWatch: newListTracker(manualClock.Monotonic()), lease: newLeaderLease(testLeaseDuration),
 		}
-		n.settings.Store(&settings.Settings{Tuning: settings.Tuning{SilentAfter: clock.Duration(silentAfter)}})
+		n.settings.Store(&settings.Settings{Tuning: settings.Tuning{SilenceTimeout: clock.Duration(silentAfter)}})
 		ctx, cancel := context.WithCancel(context.Background())
 		DeferCleanup(cancel)
 		go n.memberLoop.Run(ctx, runAll, 0, nil)
@@ -130,7 +130,7 @@
 	It("is paced by the share of the rate limit for the node's present role", func() {
 		n.coordinator = newCoordinator(n)
 		set := *n.settings.Load()
-		set.Platform.CloudApi.RatePerS = 50
+		set.Platform.CloudAPI.RatePerS = 50
 		n.settings.Store(&set)
 		poller := &listPoller{node: n}
 		poller.lastRead.started, poller.lastRead.ended, poller.lastRead.calls = manualClock.Monotonic(), manualClock.Monotonic(), 30
--- a/internal/proxy/canary.go
+++ b/internal/proxy/canary.go
@@ -132,8 +132,8 @@
 		for _, share := range s.trialShares {
 			evidence.InFlight = append(evidence.InFlight, outlier.InFlight{Subject: share.Service, Requests: s.balancer.InFlight(share.Service)})
 		}
-		report := messages.ProxyReport{Evidence: evidence, Zone: conf.Platform.Cell}
-		if conf.Tuning.Branchline != settings.BranchOff {
+		report := messages.ProxyReport{Evidence: evidence, Zone: conf.Platform.Zone}
+		if conf.Tuning.CapacityLeases != settings.CapacityLeasesOff {
 			report.Uses = p.siteCapacity.Usages()
 		}
 		report.Loads, report.Mirrors = p.takeLoads(), p.trafficMirror.tallies()
--- a/internal/proxy/idempotency.go
+++ b/internal/proxy/idempotency.go
@@ -143,7 +143,7 @@
 		Status: response.Status, Seal: response.Header.Get(upstream.HeaderSeal),
 		ContentType: response.Header.Get("Content-Type"), Body: response.Body,
 	}
-	a.recordIntent(a.intent, a.settings.Load().Tuning.RecordWait.Std())
+	a.recordIntent(a.intent, a.settings.Load().Tuning.RecordTimeout.Std())
 }
 
 // recordIntent sends the intent to every member, and waits until a majority has stored
--- a/internal/proxy/members_test.go
+++ b/internal/proxy/members_test.go
@@ -29,7 +29,7 @@
 	// newAttempt returns an attempt with an idempotency key and the given members.
 	newAttempt := func(members ...net.Listener) *keyedAttempt {
 		conf := &settings.Settings{}
-		conf.Tuning.VoteSpan = clock.Duration(150 * time.Millisecond)
+		conf.Tuning.VoteTimeout = clock.Duration(150 * time.Millisecond)
 		conf.Platform.Bounds.Sync = clock.Duration(10 * time.Second)
 		p := newProxy(conf, clock.Real(), func(string, string, ...any) {})
 		view := membership.View{Epoch: 1}
--- a/internal/proxy/operator.go
+++ b/internal/proxy/operator.go
@@ -100,7 +100,7 @@
 // OperatorAddress is the address where the proxy of a machine answers operator
 // queries, such as "10.1.0.39:7201".
 func OperatorAddress(conf *settings.Settings) string {
-	return conf.InternalAddress(conf.Platform.Ip, 1)
+	return conf.InternalAddress(conf.Platform.IP, 1)
 }
 
 // serveOperators serves the queries that the inspector sends to a proxy.
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -110,7 +110,7 @@
 // or when the file at settingsPath changes.
 func Run(ctx context.Context, cfg *settings.Settings, settingsPath string, log LogFunc) error {
 	p := newProxy(cfg, clock.Real(), log)
-	tcpListener, err := net.Listen("tcp4", cfg.Platform.Bind.ClientHttp)
+	tcpListener, err := net.Listen("tcp4", cfg.Platform.Bind.ClientHTTP)
 	if err != nil {
 		return errors.Annotate(err, "listen on the client address")
 	}
@@ -158,7 +158,7 @@
 		shedder: newLoadShedder(timeSource), trafficMirror: newMirrorSender(),
 	}
 	p.settings.Store(cfg)
-	locality := balancer.Locality{Node: cfg.Platform.NodeName, Zone: cfg.Platform.Cell, SubsetSize: cfg.Tuning.WorkingSet}
+	locality := balancer.Locality{Node: cfg.Platform.NodeName, Zone: cfg.Platform.Zone, SubsetSize: cfg.Tuning.SubsetSize}
 	p.inbound = bandwidth.NewPacer(cfg.Platform.Limits.LinkMbps, timeSource)
 	p.outbound = bandwidth.NewPacer(cfg.Platform.Limits.LinkMbps, timeSource)
 	p.downloads = bandwidth.NewBulkLimiter(p.outbound)
@@ -197,8 +197,8 @@
 	if manifestChanged {
 		next.manifest, next.manifestDigest = p.replica.Items.Compile(), p.replica.Items.Digest()
 		platform := p.settings.Load().Platform
-		if sites, err := p.replica.Items.Tree(platform.Cells); err == nil {
-			next.sites, next.localSite = sites, sites.SiteOf("", platform.Cell)
+		if sites, err := p.replica.Items.Tree(platform.Zones); err == nil {
+			next.sites, next.localSite = sites, sites.SiteOf("", platform.Zone)
 		}
 	}
 	if len(next.stagedChanges)+len(p.replica.Fleet.Stages) > 0 {
--- a/internal/proxy/selection.go
+++ b/internal/proxy/selection.go
@@ -23,7 +23,7 @@
 func (d *forwarder) chooseServer() *balancer.Endpoint {
 	s := d.snapshot.Load()
 	criteria := balancer.Criteria{
-		Service: d.request.service, Tried: d.tried, ZoneCost: d.stats.zoneCost(d.settings.Load().Tuning.CrossingPerKB.Std()),
+		Service: d.request.service, Tried: d.tried, ZoneCost: d.stats.zoneCost(d.settings.Load().Tuning.CrossZoneDelayPerKB.Std()),
 		Position: d.request.ringPosition, HasPosition: d.request.hasRingPosition, MaxInFlight: d.connectionLimit(), Canary: d.mayUseCanary(s), UsualLatency: d.stats.mean(),
 	}
 	if server := d.chooseMatching(s, criteria); server != nil || !criteria.Canary {
@@ -55,12 +55,12 @@
 // chooseMatching chooses a server at the local site, or at another site with free
 // slots, and takes a slot there. It returns nil if no server meets the criteria.
 func (d *forwarder) chooseMatching(s *snapshot, criteria balancer.Criteria) *balancer.Endpoint {
-	mode := d.settings.Load().Tuning.Branchline
-	if mode == settings.BranchOff || s.sites == nil {
+	mode := d.settings.Load().Tuning.CapacityLeases
+	if mode == settings.CapacityLeasesOff || s.sites == nil {
 		return s.balancer.Choose(criteria, d.clock)
 	}
 	service, share := d.request.service, s.slotShare(d.request)
-	if mode == settings.BranchFallen && !s.balancer.LocalZoneDegraded(service) {
+	if mode == settings.CapacityLeasesSiteDown && !s.balancer.LocalZoneDegraded(service) {
 		// While the local site is healthy, its servers limit the load by rejecting
 		// requests themselves.
 		server := s.balancer.Choose(criteria, d.clock)
@@ -102,5 +102,5 @@
 // needsSlots reports whether requests lack slots at other sites. Reports are then
 // sent in every period.
 func (p *proxy) needsSlots() bool {
-	return p.settings.Load().Tuning.Branchline != settings.BranchOff && p.siteCapacity.HasRejections()
+	return p.settings.Load().Tuning.CapacityLeases != settings.CapacityLeasesOff && p.siteCapacity.HasRejections()
 }
--- a/internal/proxy/shed.go
+++ b/internal/proxy/shed.go
@@ -37,7 +37,9 @@
 	return &loadShedder{counter: shedding.NewCounter(), localGauge: shedding.NewGauge(clock, func() uint64 { return 0 })}
 }
 
-func (p *proxy) sheddingEnabled() bool { return p.settings.Load().Tuning.Loadgauge == settings.GaugeOn }
+func (p *proxy) sheddingEnabled() bool {
+	return p.settings.Load().Tuning.SharedCutoff == settings.SharedCutoffOn
+}
 
 // activeCutoffs returns the cutoffs in force: those of the term holder while its
 // grant is valid, or those of the local gauge once the term holder has been silent
--- a/internal/proxy/vote.go
+++ b/internal/proxy/vote.go
@@ -13,7 +13,7 @@
 // result of the round.
 func (a *keyedAttempt) reserve() idempotency.Result {
 	view := a.snapshot.Load().view
-	start, voteSpan := a.clock.Monotonic(), a.settings.Load().Tuning.VoteSpan
+	start, voteSpan := a.clock.Monotonic(), a.settings.Load().Tuning.VoteTimeout
 	a.round = idempotency.NewRound(a.intent.RequestHash, max(1, len(view.Members)), start, clock.Instant(voteSpan))
 	votes, cancel := callMembers[messages.Vote](a.proxy, view, messages.KindReserve, messages.Reserve{Epoch: view.Epoch, Intent: a.intent})
 	defer cancel()
--- a/internal/settings/process.go
+++ b/internal/settings/process.go
@@ -21,8 +21,8 @@
 //	set.Tune()
 func (s *Settings) Tune() {
 	runtime.GOMAXPROCS(1)
-	if mb := s.Platform.Limits.MemoryMb; mb > 0 {
-		debug.SetMemoryLimit(int64(mb) << 20 / heapPart)
+	if memoryMB := s.Platform.Limits.MemoryMB; memoryMB > 0 {
+		debug.SetMemoryLimit(int64(memoryMB) << 20 / memoryLimitDivisor)
 	}
 	debug.SetGCPercent(200)
 }
@@ -30,7 +30,7 @@
 // heapPart is the part of the machine's memory, as its divisor, that the runtime
 // keeps to as long as what is alive permits. The rest is for the program itself, the
 // stacks and the kernel's buffers.
-const heapPart = 2
+const memoryLimitDivisor = 2
 
 // Watch calls changed with new settings after a SIGHUP or a change of the
 // file, which is looked at once a second; a wrong file changes nothing and is
@@ -39,23 +39,23 @@
 // Example:
 //
 //	go settings.Watch(ctx, path, apply, report)
-func Watch(ctx context.Context, path string, changed func(*Settings), failed func(error)) {
-	hangup := make(chan os.Signal, 1)
-	signal.Notify(hangup, syscall.SIGHUP)
-	defer signal.Stop(hangup)
-	last, _ := os.ReadFile(path)
-	look := func() {
+func Watch(ctx context.Context, path string, onChange func(*Settings), onError func(error)) {
+	hangups := make(chan os.Signal, 1)
+	signal.Notify(hangups, syscall.SIGHUP)
+	defer signal.Stop(hangups)
+	lastText, _ := os.ReadFile(path)
+	reload := func() {
 		text, err := os.ReadFile(path)
-		if err != nil || bytes.Equal(text, last) {
+		if err != nil || bytes.Equal(text, lastText) {
 			return
 		}
-		last = text
+		lastText = text
 		set, err := Parse(text)
 		if err != nil {
-			failed(err)
+			onError(err)
 			return
 		}
-		changed(set)
+		onChange(set)
 	}
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
@@ -63,9 +63,9 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-hangup:
+		case <-hangups:
 		case <-ticker.C:
 		}
-		look()
+		reload()
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -26,37 +26,37 @@
 // Platform is what the platform tells; its field names are the wire's.
 type Platform struct {
 	NodeName string `yaml:"NodeName"`
-	Ip       string `yaml:"Ip"`
-	Cell     string `yaml:"Zone"`
+	IP       string `yaml:"Ip"`
+	Zone     string `yaml:"Zone"`
 	// Cells names all cells, each with its region.
-	Cells          map[string]string `yaml:"Zones"`
+	Zones          map[string]string `yaml:"Zones"`
 	Bind           Bind              `yaml:"Bind"`
 	InternalPorts  []int             `yaml:"InternalPorts"`
 	SeedNodes      []string          `yaml:"SeedNodes"`
 	Bootstrap      bool              `yaml:"Bootstrap"`
 	Limits         Limits            `yaml:"Limits"`
 	DataDir        string            `yaml:"DataDir"`
-	FaultTolerance Tolerance         `yaml:"FaultTolerance"`
+	FaultTolerance FaultTolerance    `yaml:"FaultTolerance"`
 	Bounds         Bounds            `yaml:"Bounds"`
-	CloudApi       CloudApi          `yaml:"CloudApi"`
+	CloudAPI       CloudAPI          `yaml:"CloudApi"`
 }
 
 // Bind holds the addresses of what the role serves.
 type Bind struct {
-	ClientHttp   string `yaml:"ClientHttp"`
+	ClientHTTP   string `yaml:"ClientHttp"`
 	Readiness    string `yaml:"Readiness"`
 	ControlPlane string `yaml:"ControlPlane"`
 }
 
 // Limits are those of the process.
 type Limits struct {
-	MemoryMb int     `yaml:"MemoryMb"`
-	DiskMb   int     `yaml:"DiskMb"`
+	MemoryMB int     `yaml:"MemoryMb"`
+	DiskMB   int     `yaml:"DiskMb"`
 	LinkMbps float64 `yaml:"LinkMbps"`
 }
 
 // Tolerance is what may be lost at once.
-type Tolerance struct {
+type FaultTolerance struct {
 	Machines int `yaml:"Machines"`
 }
 
@@ -76,48 +76,48 @@
 }
 
 // CloudApi tells where the platform's list is.
-type CloudApi struct {
+type CloudAPI struct {
 	Address  string  `yaml:"Address"`
 	RatePerS float64 `yaml:"RatePerS"`
 }
 
 // Tuning is this project's own part.
 type Tuning struct {
-	VoteSpan     clock.Duration `yaml:"vote_span"`
-	RecordWait   clock.Duration `yaml:"record_wait"`
-	Retention    clock.Duration `yaml:"retention"`
-	OpenLimit    int            `yaml:"open_limit"`
-	BufferBytes  int            `yaml:"buffer_bytes"`
-	Beat         clock.Duration `yaml:"beat"`
-	SilentAfter  clock.Duration `yaml:"silent_after"`
-	ReplaceAfter clock.Duration `yaml:"replace_after"`
-	Poll         clock.Duration `yaml:"poll"`
-	LogLevel     string         `yaml:"log_level"`
+	VoteTimeout       clock.Duration `yaml:"vote_span"`
+	RecordTimeout     clock.Duration `yaml:"record_wait"`
+	Retention         clock.Duration `yaml:"retention"`
+	OpenIntentLimit   int            `yaml:"open_limit"`
+	BufferBytes       int            `yaml:"buffer_bytes"`
+	HeartbeatInterval clock.Duration `yaml:"beat"`
+	SilenceTimeout    clock.Duration `yaml:"silent_after"`
+	ReplaceAfter      clock.Duration `yaml:"replace_after"`
+	PollInterval      clock.Duration `yaml:"poll"`
+	LogLevel          string         `yaml:"log_level"`
 	// CrossingPerKB is how much delay is borne to save a kilobyte between cells.
-	CrossingPerKB clock.Duration `yaml:"crossing_per_kb"`
+	CrossZoneDelayPerKB clock.Duration `yaml:"crossing_per_kb"`
 	// Branchline says when callers go to other sites only where these have room:
 	// off, once their own site has fallen, or always.
-	Branchline string `yaml:"branchline"`
+	CapacityLeases string `yaml:"branchline"`
 	// WorkingSet is how many servers of a service one proxy keeps to.
-	WorkingSet int `yaml:"working_set"`
+	SubsetSize int `yaml:"working_set"`
 	// Loadgauge says whether nodes turn inquiries away by the cutoff that all agree
 	// on: off or on.
-	Loadgauge string `yaml:"loadgauge"`
+	SharedCutoff string `yaml:"loadgauge"`
 	// Loopback is where a machine's proxy finds its agent.
 	Loopback string `yaml:"loopback"`
 }
 
 // Whether the cutoff of an overload is agreed on and heeded.
 const (
-	GaugeOff = "off"
-	GaugeOn  = "on"
+	SharedCutoffOff = "off"
+	SharedCutoffOn  = "on"
 )
 
 // When callers are passed to other sites by lots only.
 const (
-	BranchOff    = "off"
-	BranchFallen = "fallen"
-	BranchAlways = "always"
+	CapacityLeasesOff      = "off"
+	CapacityLeasesSiteDown = "fallen"
+	CapacityLeasesAlways   = "always"
 )
 
 // Read reads and checks the file at the path.
@@ -147,7 +147,7 @@
 	if err := yaml.Unmarshal(text, set); err != nil {
 		return nil, errors.NewNotValid(nil, "settings: "+strings.ReplaceAll(err.Error(), "\n", " "))
 	}
-	if err := set.check(); err != nil {
+	if err := set.validate(); err != nil {
 		return nil, errors.NewNotValid(nil, "settings: "+err.Error())
 	}
 	return set, nil
@@ -161,48 +161,48 @@
 func Defaults() Tuning {
 	const ms = clock.Duration(1_000_000)
 	return Tuning{
-		VoteSpan: 250 * ms, RecordWait: 250 * ms, Retention: 24 * 3600 * 1000 * ms,
-		OpenLimit: 4096, BufferBytes: 1 << 20, Beat: 300 * ms, SilentAfter: 1200 * ms,
-		ReplaceAfter: 2500 * ms, Poll: 400 * ms, LogLevel: "warn", Branchline: BranchOff, Loadgauge: GaugeOff, CrossingPerKB: 10 * ms, WorkingSet: 24, Loopback: "127.0.0.1",
+		VoteTimeout: 250 * ms, RecordTimeout: 250 * ms, Retention: 24 * 3600 * 1000 * ms,
+		OpenIntentLimit: 4096, BufferBytes: 1 << 20, HeartbeatInterval: 300 * ms, SilenceTimeout: 1200 * ms,
+		ReplaceAfter: 2500 * ms, PollInterval: 400 * ms, LogLevel: "warn", CapacityLeases: CapacityLeasesOff, SharedCutoff: SharedCutoffOff, CrossZoneDelayPerKB: 10 * ms, SubsetSize: 24, Loopback: "127.0.0.1",
 	}
 }
 
-func (s *Settings) check() error {
+func (s *Settings) validate() error {
 	p, t := &s.Platform, &s.Tuning
 	const ms = clock.Duration(1_000_000)
-	atLeast := func(least clock.Duration) validation.Rule { return validation.Min(int64(least)) }
-	spans := validation.Errors{}
-	for name, span := range map[string]clock.Duration{
-		"tuning.vote_span": t.VoteSpan, "tuning.record_wait": t.RecordWait, "tuning.beat": t.Beat,
-		"tuning.silent_after": t.SilentAfter, "tuning.replace_after": t.ReplaceAfter, "tuning.poll": t.Poll,
+	atLeast := func(minimum clock.Duration) validation.Rule { return validation.Min(int64(minimum)) }
+	failures := validation.Errors{}
+	for name, duration := range map[string]clock.Duration{
+		"tuning.vote_span": t.VoteTimeout, "tuning.record_wait": t.RecordTimeout, "tuning.beat": t.HeartbeatInterval,
+		"tuning.silent_after": t.SilenceTimeout, "tuning.replace_after": t.ReplaceAfter, "tuning.poll": t.PollInterval,
 	} {
-		spans[name] = validation.Validate(int64(span), validation.Required, atLeast(10*ms))
+		failures[name] = validation.Validate(int64(duration), validation.Required, atLeast(10*ms))
 	}
 	for name, err := range (validation.Errors{
 		"platform.NodeName":                validation.Validate(p.NodeName, validation.Required),
-		"platform.Ip":                      validation.Validate(p.Ip, validation.Required),
+		"platform.Ip":                      validation.Validate(p.IP, validation.Required),
 		"platform.SeedNodes":               validation.Validate(p.SeedNodes, validation.Required),
 		"platform.InternalPorts":           validation.Validate(p.InternalPorts, validation.Length(2, 2)),
-		"platform.Limits.MemoryMb":         validation.Validate(p.Limits.MemoryMb, validation.Min(0)),
+		"platform.Limits.MemoryMb":         validation.Validate(p.Limits.MemoryMB, validation.Min(0)),
 		"platform.Limits.LinkMbps":         validation.Validate(p.Limits.LinkMbps, validation.Min(0.0)),
 		"platform.Bounds.RetryBudgetRatio": validation.Validate(p.Bounds.RetryBudgetRatio, validation.Min(0.0)),
 		"platform.Bounds.CanaryShare":      validation.Validate(p.Bounds.CanaryShare, validation.Min(0.0), validation.Max(1.0)),
 		"platform.Bounds.KeyWindow":        validation.Validate(int64(p.Bounds.KeyWindow), validation.Required),
 		"tuning.retention":                 validation.Validate(int64(t.Retention), atLeast(p.Bounds.KeyWindow)),
-		"tuning.silent_after":              validation.Validate(int64(t.SilentAfter), atLeast(2*t.Beat)),
-		"tuning.open_limit":                validation.Validate(t.OpenLimit, validation.Min(1)),
+		"tuning.silent_after":              validation.Validate(int64(t.SilenceTimeout), atLeast(2*t.HeartbeatInterval)),
+		"tuning.open_limit":                validation.Validate(t.OpenIntentLimit, validation.Min(1)),
 		"tuning.buffer_bytes":              validation.Validate(t.BufferBytes, validation.Min(4096)),
-		"tuning.working_set":               validation.Validate(t.WorkingSet, validation.Min(4)),
-		"tuning.branchline":                validation.Validate(t.Branchline, validation.In(BranchOff, BranchFallen, BranchAlways)),
-		"tuning.loadgauge":                 validation.Validate(t.Loadgauge, validation.In(GaugeOff, GaugeOn)),
+		"tuning.working_set":               validation.Validate(t.SubsetSize, validation.Min(4)),
+		"tuning.branchline":                validation.Validate(t.CapacityLeases, validation.In(CapacityLeasesOff, CapacityLeasesSiteDown, CapacityLeasesAlways)),
+		"tuning.loadgauge":                 validation.Validate(t.SharedCutoff, validation.In(SharedCutoffOff, SharedCutoffOn)),
 		"tuning.loopback":                  validation.Validate(t.Loopback, validation.Required, is.IPv4),
 		"tuning.log_level":                 validation.Validate(t.LogLevel, validation.In("debug", "info", "warn", "error")),
 	}) {
 		if err != nil {
-			spans[name] = err
+			failures[name] = err
 		}
 	}
-	return spans.Filter()
+	return failures.Filter()
 }
 
 // InternalAddress is the address of a node's own protocol, at the n-th
@@ -211,7 +211,7 @@
 // Example:
 //
 //	address := set.InternalAddress("10.1.0.42:8382", 0) // "10.1.0.42:7200"
-func (s *Settings) InternalAddress(host string, n int) string {
+func (s *Settings) InternalAddress(host string, index int) string {
 	host, _, _ = strings.Cut(host, ":")
-	return host + ":" + itoa(s.Platform.InternalPorts[0]+n)
+	return host + ":" + itoa(s.Platform.InternalPorts[0]+index)
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -17,7 +17,7 @@
 	RunSpecs(t, "settings")
 }
 
-const file = `platform:
+const settingsFile = `platform:
   NodeName: n
   Ip: 10.0.0.1
   InternalPorts: [7200, 7215]
@@ -29,9 +29,9 @@
 
 var _ = Describe("a settings file", func() {
 	It("is read, with defaults, and unknown fields are passed over", func() {
-		set, err := settings.Parse([]byte(file))
+		set, err := settings.Parse([]byte(settingsFile))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(set.Tuning.VoteSpan.Std()).To(Equal(200 * time.Millisecond))
+		Expect(set.Tuning.VoteTimeout.Std()).To(Equal(200 * time.Millisecond))
 		Expect(set.Tuning.Retention.Std()).To(Equal(24 * time.Hour))
 		Expect(set.InternalAddress(set.Platform.SeedNodes[0], 1)).To(Equal("10.0.0.2:7201"))
 	})
@@ -47,7 +47,7 @@
 
 	DescribeTable("that is wrong ends the start with one line that names field and value",
 		func(from, to, reason string) {
-			_, err := settings.Parse([]byte(strings.Replace(file, from, to, 1)))
+			_, err := settings.Parse([]byte(strings.Replace(settingsFile, from, to, 1)))
 			Expect(err).To(MatchError(ContainSubstring(reason)))
 			Expect(err.Error()).NotTo(ContainSubstring("\n"))
 		},
