--- a/internal/settings/process.go
+++ b/internal/settings/process.go
@@ -14,11 +14,8 @@
 
 func itoa(n int) string { return strconv.Itoa(n) }
 
-// Tune fits the Go runtime to the machine that the settings describe.
-//
-// Example:
-//
-//	set.Tune()
+// Tune configures the Go runtime for the machine that the settings describe: one
+// processor, a soft memory limit and the garbage collection target.
 func (s *Settings) Tune() {
 	runtime.GOMAXPROCS(1)
 	if memoryMB := s.Platform.Limits.MemoryMB; memoryMB > 0 {
@@ -27,18 +24,15 @@
 	debug.SetGCPercent(200)
 }
 
-// heapPart is the part of the machine's memory, as its divisor, that the runtime
-// keeps to as long as what is alive permits. The rest is for the program itself, the
+// memoryLimitDivisor divides the machine's memory to give the runtime's soft memory
+// limit, which live data may exceed. The rest is left for the program text, the
 // stacks and the kernel's buffers.
 const memoryLimitDivisor = 2
 
-// Watch calls changed with new settings after a SIGHUP or a change of the
-// file, which is looked at once a second; a wrong file changes nothing and is
-// reported to failed.
-//
-// Example:
-//
-//	go settings.Watch(ctx, path, apply, report)
+// Watch reloads the settings file on SIGHUP and polls it for changes once a second,
+// until ctx is done. It calls onChange with the new settings when the content has
+// changed. An invalid file leaves the current settings in force and its error is
+// passed to onError.
 func Watch(ctx context.Context, path string, onChange func(*Settings), onError func(error)) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads and checks what a process is told at its start: the
-// platform's facts and this project's tuning.
+// Package settings reads and validates the settings file of a process: the values
+// supplied by the platform and the tuning parameters of ploverhitch itself.
 package settings
 
 import (
@@ -14,21 +14,22 @@
 	"ploverhitch/internal/clock"
 )
 
-// PathVariable names the environment variable that holds the file's path.
+// PathVariable is the environment variable that holds the path of the settings file.
 const PathVariable = "PLOVERHITCH_BOOT"
 
-// Settings is one process's file.
+// Settings is the content of a process's settings file.
 type Settings struct {
 	Platform Platform `yaml:"platform"`
 	Tuning   Tuning   `yaml:"tuning"`
 }
 
-// Platform is what the platform tells; its field names are the wire's.
+// Platform holds the values supplied by the platform, under the platform's own key
+// names.
 type Platform struct {
 	NodeName string `yaml:"NodeName"`
 	IP       string `yaml:"Ip"`
 	Zone     string `yaml:"Zone"`
-	// Cells names all cells, each with its region.
+	// Zones maps each zone to its region.
 	Zones          map[string]string `yaml:"Zones"`
 	Bind           Bind              `yaml:"Bind"`
 	InternalPorts  []int             `yaml:"InternalPorts"`
@@ -41,26 +42,26 @@
 	CloudAPI       CloudAPI          `yaml:"CloudApi"`
 }
 
-// Bind holds the addresses of what the role serves.
+// Bind holds the listen addresses of the process.
 type Bind struct {
 	ClientHTTP   string `yaml:"ClientHttp"`
 	Readiness    string `yaml:"Readiness"`
 	ControlPlane string `yaml:"ControlPlane"`
 }
 
-// Limits are those of the process.
+// Limits holds the resource limits of the process.
 type Limits struct {
 	MemoryMB int     `yaml:"MemoryMb"`
 	DiskMB   int     `yaml:"DiskMb"`
 	LinkMbps float64 `yaml:"LinkMbps"`
 }
 
-// Tolerance is what may be lost at once.
+// FaultTolerance is the number of simultaneous failures to tolerate.
 type FaultTolerance struct {
 	Machines int `yaml:"Machines"`
 }
 
-// Bounds are the figures of the rules in force.
+// Bounds holds the limits that the platform's rules set.
 type Bounds struct {
 	Contact          clock.Duration `yaml:"Contact"`
 	Sync             clock.Duration `yaml:"Sync"`
@@ -70,18 +71,18 @@
 	RetrySlack       int            `yaml:"RetrySlack"`
 	KeyWindow        clock.Duration `yaml:"KeyWindow"`
 	Ack              clock.Duration `yaml:"Ack"`
-	// CanaryShare is given where versions are ordered; then a version that
-	// nobody ordered gets nothing.
+	// CanaryShare is set where versions are rolled out on an operator's order; a
+	// version without such an order then receives no traffic.
 	CanaryShare float64 `yaml:"CanaryShare"`
 }
 
-// CloudApi tells where the platform's list is.
+// CloudAPI locates the platform's instance list and limits the request rate to it.
 type CloudAPI struct {
 	Address  string  `yaml:"Address"`
 	RatePerS float64 `yaml:"RatePerS"`
 }
 
-// Tuning is this project's own part.
+// Tuning holds the parameters of ploverhitch itself.
 type Tuning struct {
 	VoteTimeout       clock.Duration `yaml:"vote_span"`
 	RecordTimeout     clock.Duration `yaml:"record_wait"`
@@ -93,41 +94,40 @@
 	ReplaceAfter      clock.Duration `yaml:"replace_after"`
 	PollInterval      clock.Duration `yaml:"poll"`
 	LogLevel          string         `yaml:"log_level"`
-	// CrossingPerKB is how much delay is borne to save a kilobyte between cells.
+	// CrossZoneDelayPerKB is the added delay that is acceptable to save one kilobyte
+	// of traffic between zones.
 	CrossZoneDelayPerKB clock.Duration `yaml:"crossing_per_kb"`
-	// Branchline says when callers go to other sites only where these have room:
-	// off, once their own site has fallen, or always.
+	// CapacityLeases says when requests go to other sites only under capacity leases:
+	// never, when the local site is down, or always.
 	CapacityLeases string `yaml:"branchline"`
-	// WorkingSet is how many servers of a service one proxy keeps to.
+	// SubsetSize is the number of servers of a service that one proxy uses.
 	SubsetSize int `yaml:"working_set"`
-	// Loadgauge says whether nodes turn inquiries away by the cutoff that all agree
-	// on: off or on.
+	// SharedCutoff says whether nodes shed requests by the cutoff that all of them
+	// agree on: off or on.
 	SharedCutoff string `yaml:"loadgauge"`
-	// Loopback is where a machine's proxy finds its agent.
+	// Loopback is the IPv4 address at which a machine's proxy reaches its agent.
 	Loopback string `yaml:"loopback"`
 }
 
-// Whether the cutoff of an overload is agreed on and heeded.
+// Values of Tuning.SharedCutoff: whether the nodes agree on an overload cutoff and
+// shed requests by it.
 const (
 	SharedCutoffOff = "off"
 	SharedCutoffOn  = "on"
 )
 
-// When callers are passed to other sites by lots only.
+// Values of Tuning.CapacityLeases: when requests go to other sites only under
+// capacity leases.
 const (
 	CapacityLeasesOff      = "off"
 	CapacityLeasesSiteDown = "fallen"
 	CapacityLeasesAlways   = "always"
 )
 
-// Read reads and checks the file at the path.
-//
-// Example:
-//
-//	set, err := settings.Read(os.Getenv(settings.PathVariable))
+// Read reads and validates the settings file at path.
 func Read(path string) (*Settings, error) {
 	if path == "" {
-		return nil, errors.NotValidf("settings: no path (set %s or --settings)", PathVariable)
+		return nil, errors.NotValidf("settings: no file path given (set %s or --settings)", PathVariable)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -136,12 +136,8 @@
 	return Parse(text)
 }
 
-// Parse reads and checks the text of a settings file. Unknown fields are
-// ignored; a wrong one is named in the error.
-//
-// Example:
-//
-//	set, err := settings.Parse([]byte("platform: {Ip: 127.0.0.1}"))
+// Parse parses and validates the text of a settings file. Unknown fields are
+// ignored. The error names each invalid field.
 func Parse(text []byte) (*Settings, error) {
 	set := &Settings{Tuning: Defaults()}
 	if err := yaml.Unmarshal(text, set); err != nil {
@@ -153,11 +149,7 @@
 	return set, nil
 }
 
-// Defaults is the tuning in force where the file says nothing.
-//
-// Example:
-//
-//	tuning := settings.Defaults()
+// Defaults returns the tuning parameters that apply where the file sets none.
 func Defaults() Tuning {
 	const ms = clock.Duration(1_000_000)
 	return Tuning{
@@ -205,8 +197,9 @@
 	return failures.Filter()
 }
 
-// InternalAddress is the address of a node's own protocol, at the n-th
-// internal port of the machine that holds host.
+// InternalAddress returns the address of the internal protocol on the machine of
+// host: the machine's address with the first internal port plus index. A port in
+// host is ignored.
 //
 // Example:
 //
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -28,7 +28,7 @@
 `
 
 var _ = Describe("a settings file", func() {
-	It("is read, with defaults, and unknown fields are passed over", func() {
+	It("is parsed with defaults, and unknown fields are ignored", func() {
 		set, err := settings.Parse([]byte(settingsFile))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(set.Tuning.VoteTimeout.Std()).To(Equal(200 * time.Millisecond))
@@ -36,7 +36,7 @@
 		Expect(set.InternalAddress(set.Platform.SeedNodes[0], 1)).To(Equal("10.0.0.2:7201"))
 	})
 
-	It("comes out of the deploy template once the platform has filled it", func() {
+	It("is valid when rendered from the deploy template", func() {
 		template, err := os.ReadFile("../../deploy/settings.yaml")
 		Expect(err).NotTo(HaveOccurred())
 		filled := strings.Replace(string(template), "{{.|json}}",
@@ -45,17 +45,17 @@
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	DescribeTable("that is wrong ends the start with one line that names field and value",
+	DescribeTable("that is invalid is rejected with a one-line error that names the field or value",
 		func(from, to, reason string) {
 			_, err := settings.Parse([]byte(strings.Replace(settingsFile, from, to, 1)))
 			Expect(err).To(MatchError(ContainSubstring(reason)))
 			Expect(err.Error()).NotTo(ContainSubstring("\n"))
 		},
-		Entry("a span without a unit", "vote_span: 200ms", "vote_span: 200", `"200"`),
-		Entry("a span that is too short", "vote_span: 200ms", "vote_span: 1ms", "tuning.vote_span"),
-		Entry("no seeds", `["10.0.0.2:8382"]`, "[]", "platform.SeedNodes"),
-		Entry("one port", "[7200, 7215]", "[7200]", "platform.InternalPorts"),
+		Entry("a duration without a unit", "vote_span: 200ms", "vote_span: 200", `"200"`),
+		Entry("a duration below the minimum", "vote_span: 200ms", "vote_span: 1ms", "tuning.vote_span"),
+		Entry("no seed nodes", `["10.0.0.2:8382"]`, "[]", "platform.SeedNodes"),
+		Entry("a single internal port", "[7200, 7215]", "[7200]", "platform.InternalPorts"),
 		Entry("a retention below the key window", "vote_span: 200ms", "retention: 30s", "tuning.retention"),
-		Entry("a level of its own", "vote_span: 200ms", "log_level: loud", "tuning.log_level"),
+		Entry("an unknown log level", "vote_span: 200ms", "log_level: loud", "tuning.log_level"),
 	)
 })
