--- a/internal/inspect/check.go
+++ b/internal/inspect/check.go
@@ -25,9 +25,9 @@
 	Servers []feed.Server
 	// Cores and Edges are what each node says of itself; a node that did not
 	// answer is named in Unheard.
-	Cores   []control.Status
-	Edges   []messages.ProxyStatus
-	Unheard []string
+	Members     []control.Status
+	Proxies     []messages.ProxyStatus
+	Unreachable []string
 }
 
 // Check lists the findings of a book against the fleet, in a settled order.
@@ -37,18 +37,18 @@
 // Example:
 //
 //	findings := inspector.Check(book, sent, fleet)
-func Check(book config.ItemSet, sent []config.Item, fleet Fleet) (out []Finding) {
+func Check(itemSet config.ItemSet, sent []config.Item, fleet Fleet) (out []Finding) {
 	find := func(what, where, format string, args ...any) {
 		out = append(out, Finding{what, where, fmt.Sprintf(format, args...)})
 	}
 	for _, item := range sent {
-		if held, isHeld := book[item.ID]; isHeld && item.Version <= held.Version {
-			mine, _ := item.Version.MarshalText()
-			theirs, _ := held.Version.MarshalText()
-			find("superseded", item.ID.Name, "version %s has no effect: %s is in force", mine, theirs)
+		if current, exists := itemSet[item.ID]; exists && item.Version <= current.Version {
+			sentVersion, _ := item.Version.MarshalText()
+			currentVersion, _ := current.Version.MarshalText()
+			find("superseded", item.ID.Name, "version %s has no effect: %s is in force", sentVersion, currentVersion)
 		}
 	}
-	_, trial, err := book.ValidateUpdate(sent)
+	_, updated, err := itemSet.ValidateUpdate(sent)
 	if err != nil {
 		find("invalid", "manifest", "%s", err)
 	}
@@ -59,9 +59,9 @@
 			slots[server.Service] = max(slots[server.Service], server.Capacity)
 		}
 	}
-	for _, item := range trial.Items() {
+	for _, item := range updated.Items() {
 		if !item.Removed {
-			checkItem(item, ready, slots, len(fleet.Edges), find)
+			checkItem(item, ready, slots, len(fleet.Proxies), find)
 		}
 	}
 	checkNodes(fleet, find)
@@ -71,20 +71,20 @@
 
 type finder func(what, where, format string, args ...any)
 
-func checkItem(item config.Item, ready, slots map[string]int, edges int, find finder) {
+func checkItem(item config.Item, ready, slots map[string]int, proxies int, find finder) {
 	switch item.ID.Class {
 	case config.RouteItem:
-		var lane config.RouteSpec
-		if json.Unmarshal(item.Body, &lane) != nil {
+		var route config.RouteSpec
+		if json.Unmarshal(item.Body, &route) != nil {
 			find("invalid", "lane "+item.ID.Name, "cannot be read")
 			return
 		}
-		if len(lane.TrafficSplit) == 0 && ready[lane.Service] == 0 {
-			find("no server", "lane "+lane.Name, "service %s has no ready server", lane.Service)
+		if len(route.TrafficSplit) == 0 && ready[route.Service] == 0 {
+			find("no server", "lane "+route.Name, "service %s has no ready server", route.Service)
 		}
-		for _, share := range lane.TrafficSplit {
+		for _, share := range route.TrafficSplit {
 			if share.Weight > 0 && ready[share.Service] == 0 {
-				find("no server", "lane "+lane.Name, "a share of %g goes to %s, which has no ready server", share.Weight, share.Service)
+				find("no server", "lane "+route.Name, "a share of %g goes to %s, which has no ready server", share.Weight, share.Service)
 			}
 		}
 	case config.ServiceItem:
@@ -93,48 +93,48 @@
 			find("invalid", "service "+item.ID.Name, "cannot be read")
 			return
 		}
-		if least := max(slots[service.Name], edges); service.MaxConnections > 0 && service.MaxConnections < least {
+		if minimum := max(slots[service.Name], proxies); service.MaxConnections > 0 && service.MaxConnections < minimum {
 			find("connections", "service "+service.Name, "%d connections a server are fewer than its %d slots or the %d proxies",
-				service.MaxConnections, slots[service.Name], edges)
+				service.MaxConnections, slots[service.Name], proxies)
 		}
 	}
 }
 
 func checkNodes(fleet Fleet, find finder) {
-	for _, name := range fleet.Unheard {
+	for _, name := range fleet.Unreachable {
 		find("unheard", name, "the node did not answer")
 	}
 	newest, digests := uint64(0), map[string]int{}
-	for _, core := range fleet.Cores {
-		newest = max(newest, core.Epoch)
-		digests[core.Digest]++
+	for _, member := range fleet.Members {
+		newest = max(newest, member.Epoch)
+		digests[member.Digest]++
 	}
-	common := ""
+	majority := ""
 	for digest, count := range digests {
-		if count > digests[common] || count == digests[common] && digest < common {
-			common = digest
+		if count > digests[majority] || count == digests[majority] && digest < majority {
+			majority = digest
 		}
 	}
-	for _, core := range fleet.Cores {
-		if !core.IsTrusted {
-			find("rebuilding", core.Node, "the member does not vote yet")
+	for _, member := range fleet.Members {
+		if !member.IsTrusted {
+			find("rebuilding", member.Node, "the member does not vote yet")
 		}
-		if core.Epoch < newest {
-			find("behind", core.Node, "view %d, where %d is in force", core.Epoch, newest)
+		if member.Epoch < newest {
+			find("behind", member.Node, "view %d, where %d is in force", member.Epoch, newest)
 		}
-		if core.Digest != common {
-			find("behind", core.Node, "its items differ from the others'")
+		if member.Digest != majority {
+			find("behind", member.Node, "its items differ from the others'")
 		}
 	}
-	for _, edge := range fleet.Edges {
-		if !edge.Ready {
-			find("not ready", edge.Node, "the proxy takes no new connections")
+	for _, proxy := range fleet.Proxies {
+		if !proxy.Ready {
+			find("not ready", proxy.Node, "the proxy takes no new connections")
 		}
-		if edge.Digest != common {
-			find("behind", edge.Node, "its items differ from the core's")
+		if proxy.Digest != majority {
+			find("behind", proxy.Node, "its items differ from the core's")
 		}
-		if edge.Epoch < newest {
-			find("behind", edge.Node, "view %d, where %d is in force", edge.Epoch, newest)
+		if proxy.Epoch < newest {
+			find("behind", proxy.Node, "view %d, where %d is in force", proxy.Epoch, newest)
 		}
 	}
 }
--- a/internal/inspect/command.go
+++ b/internal/inspect/command.go
@@ -17,9 +17,9 @@
 
 // The exit statuses of the inspector.
 const (
-	Clean    = 0
-	Found    = 1
-	Unlooked = 2
+	ExitClean    = 0
+	ExitFindings = 1
+	ExitError    = 2
 )
 
 // Commands are the inspector's subcommands on a command line.
@@ -64,22 +64,22 @@
 //
 //	os.Exit(commands.Run("inspector check"))
 func (c *Commands) Run(name string) int {
-	look := map[string]func(*Control) (int, error){
+	run := map[string]func(*Control) (int, error){
 		"inspector check": c.check, "inspector moves": c.moves, "inspector sites": c.sites, "inspector load": c.load, "inspector mirror": c.mirror, "inspector control": c.core,
 	}[name]
-	if look == nil || *c.control == "" {
-		return c.unlooked(fmt.Errorf("--control is needed"))
+	if run == nil || *c.control == "" {
+		return c.fail(fmt.Errorf("--control is needed"))
 	}
-	status, err := look(NewControl(*c.control))
+	status, err := run(NewControl(*c.control))
 	if err != nil {
-		return c.unlooked(err)
+		return c.fail(err)
 	}
 	return status
 }
 
-func (c *Commands) unlooked(err error) int {
+func (c *Commands) fail(err error) int {
 	fmt.Fprintln(c.errs, "ploverhitch inspector:", strings.ReplaceAll(err.Error(), "\n", " "))
-	return Unlooked
+	return ExitError
 }
 
 func (c *Commands) check(control *Control) (int, error) {
@@ -87,33 +87,33 @@
 	var err error
 	if *c.file != "" {
 		if sent, err = FileItems(*c.file); err != nil {
-			return Unlooked, err
+			return ExitError, err
 		}
 	}
-	book, err := control.Book()
+	itemSet, err := control.ItemSet()
 	if err != nil {
-		return Unlooked, err
+		return ExitError, err
 	}
 	fleet, err := control.Fleet()
 	if err != nil {
-		return Unlooked, err
+		return ExitError, err
 	}
-	findings := Check(book, sent, fleet)
+	findings := Check(itemSet, sent, fleet)
 	rows := [][]string{{"FINDING", "WHERE", "DETAIL"}}
 	for _, f := range findings {
 		rows = append(rows, []string{f.What, f.Where, f.Detail})
 	}
 	c.print(append([]Finding{}, findings...), rows)
 	if len(findings) > 0 {
-		return Found, nil
+		return ExitFindings, nil
 	}
-	return Clean, nil
+	return ExitClean, nil
 }
 
 func (c *Commands) moves(control *Control) (int, error) {
 	forecast, err := control.Forecast(balancer.Change{Service: *c.service, Add: *c.add, Retire: *c.retire})
 	if err != nil {
-		return Unlooked, err
+		return ExitError, err
 	}
 	rows := [][]string{{"NODE", "LANE", "OPERATION", "FROM", "TO", "RUNS ON"}}
 	for _, node := range forecast.Nodes {
@@ -127,12 +127,12 @@
 	}
 	c.print(forecast, rows)
 	if len(forecast.Unheard) > 0 {
-		return Unlooked, fmt.Errorf("no answer from %s", strings.Join(forecast.Unheard, ", "))
+		return ExitError, fmt.Errorf("no answer from %s", strings.Join(forecast.Unheard, ", "))
 	}
 	if *c.confirm > 0 {
 		surprises, err := forecast.Confirm(clock.Real(), *c.confirm)
 		if err != nil {
-			return Unlooked, err
+			return ExitError, err
 		}
 		rows = [][]string{{"NODE", "OPERATION", "FORECAST", "HOME"}}
 		for _, s := range surprises {
@@ -140,14 +140,14 @@
 		}
 		c.print(append([]Surprise{}, surprises...), rows)
 		if len(surprises) > 0 {
-			return Found, nil
+			return ExitFindings, nil
 		}
-		return Clean, nil
+		return ExitClean, nil
 	}
 	if len(rows) > 1 {
-		return Found, nil
+		return ExitFindings, nil
 	}
-	return Clean, nil
+	return ExitClean, nil
 }
 
 func (c *Commands) print(value any, rows [][]string) {
--- a/internal/inspect/core.go
+++ b/internal/inspect/core.go
@@ -32,7 +32,7 @@
 	}
 	core.Accepted, core.Unheard = map[string]control.AcceptedPage{}, []string{}
 	for _, member := range sortedKeys(first.Members) {
-		at, err := c.at(member)
+		at, err := c.memberControl(member)
 		if err != nil {
 			return core, err
 		}
@@ -106,7 +106,7 @@
 func (c *Commands) core(at *Control) (int, error) {
 	core, err := at.Core(*c.item)
 	if err != nil {
-		return Unlooked, err
+		return ExitError, err
 	}
 	rows := [][]string{{"MEMBER", "EPOCH", "WHOLE", "INDEX", "BEHIND", "QUORUM", "LIST READ", "TERM", "LEASE"}}
 	newest := uint64(0)
@@ -140,9 +140,9 @@
 	c.print(core, rows)
 	switch {
 	case len(core.Unheard) > 0:
-		return Unlooked, fmt.Errorf("no answer from %s", strings.Join(core.Unheard, ", "))
+		return ExitError, fmt.Errorf("no answer from %s", strings.Join(core.Unheard, ", "))
 	case len(core.Findings) > 0:
-		return Found, nil
+		return ExitFindings, nil
 	}
-	return Clean, nil
+	return ExitClean, nil
 }
--- a/internal/inspect/inspect_test.go
+++ b/internal/inspect/inspect_test.go
@@ -19,7 +19,7 @@
 	"ploverhitch/internal/sites"
 )
 
-func TestInspector(t *testing.T) {
+func TestInspect(t *testing.T) {
 	RegisterFailHandler(Fail)
 	RunSpecs(t, "inspector")
 }
@@ -34,18 +34,18 @@
 "VirtualHosts":[{"Hostname":"h","PathTable":[{"Name":"fee","PathPrefix":"/fee/","RouteType":"idempotent","Timeout":"1s","MaxAttempts":2,"Service":"fees","Revision":"r4"}]}]}}`
 
 func healthy() (config.ItemSet, inspect.Fleet) {
-	book := config.ItemSet{}
-	book.Merge(items(inForce))
-	return book, inspect.Fleet{
+	itemSet := config.ItemSet{}
+	itemSet.Merge(items(inForce))
+	return itemSet, inspect.Fleet{
 		Servers: []feed.Server{{ID: "i-1", Service: "fees", Capacity: 2, IsReady: true}, {ID: "i-2", Service: "packs", Capacity: 2}},
-		Cores: []control.Status{
+		Members: []control.Status{
 			{Node: "c1", Epoch: 2, Digest: "d", IsTrusted: true}, {Node: "c2", Epoch: 2, Digest: "d", IsTrusted: true}, {Node: "c3", Epoch: 2, Digest: "d", IsTrusted: true},
 		},
-		Edges: []messages.ProxyStatus{{Node: "e1", Digest: "d", Epoch: 2, Ready: true}},
+		Proxies: []messages.ProxyStatus{{Node: "e1", Digest: "d", Epoch: 2, Ready: true}},
 	}
 }
 
-func whats(findings []inspect.Finding) (out []string) {
+func kindsOf(findings []inspect.Finding) (out []string) {
 	for _, f := range findings {
 		out = append(out, f.What+": "+f.Where)
 	}
@@ -54,28 +54,28 @@
 
 var _ = Describe("the check", func() {
 	It("finds nothing in a healthy system", func() {
-		book, fleet := healthy()
-		Expect(inspect.Check(book, nil, fleet)).To(BeEmpty())
+		itemSet, fleet := healthy()
+		Expect(inspect.Check(itemSet, nil, fleet)).To(BeEmpty())
 	})
 
 	It("names what the nodes lack", func() {
-		book, fleet := healthy()
-		fleet.Cores[1].Epoch, fleet.Cores[2].Digest, fleet.Cores[0].IsTrusted = 1, "old", false
-		fleet.Edges[0].Digest, fleet.Edges[0].Ready = "old", false
-		fleet.Unheard = []string{"e9"}
-		Expect(whats(inspect.Check(book, nil, fleet))).To(ConsistOf(
+		itemSet, fleet := healthy()
+		fleet.Members[1].Epoch, fleet.Members[2].Digest, fleet.Members[0].IsTrusted = 1, "old", false
+		fleet.Proxies[0].Digest, fleet.Proxies[0].Ready = "old", false
+		fleet.Unreachable = []string{"e9"}
+		Expect(kindsOf(inspect.Check(itemSet, nil, fleet))).To(ConsistOf(
 			"behind: c2", "behind: c3", "rebuilding: c1", "not ready: e1", "behind: e1", "unheard: e9"))
 	})
 
 	It("looks at what is to be sent against the fleet as it is", func() {
-		book, fleet := healthy()
+		itemSet, fleet := healthy()
 		sent := items(`{"Upsert":{"Services":[{"Name":"fees","MaxConnections":1,"Revision":"r5"},{"Name":"packs","MaxConnections":8,"Revision":"r4"}],
 "VirtualHosts":[{"Hostname":"h","PathTable":[
 {"Name":"pack","PathPrefix":"/pack/","RouteType":"download","Timeout":"1s","MaxAttempts":2,"TrafficSplit":[{"Service":"fees","Weight":9},{"Service":"packs","Weight":1}],"Revision":"r5"}]}]}}`)
-		Expect(whats(inspect.Check(book, sent, fleet))).To(ConsistOf(
+		Expect(kindsOf(inspect.Check(itemSet, sent, fleet))).To(ConsistOf(
 			"superseded: packs", "no server: lane pack", "connections: service fees"))
 		clash := items(`{"Upsert":{"VirtualHosts":[{"Hostname":"h","PathTable":[{"Name":"other","PathPrefix":"/fee/","RouteType":"safe","Timeout":"1s","Service":"none","Revision":"r5"}]}]}}`)
-		Expect(whats(inspect.Check(book, clash, fleet))).To(ContainElement("invalid: manifest"))
+		Expect(kindsOf(inspect.Check(itemSet, clash, fleet))).To(ContainElement("invalid: manifest"))
 	})
 
 	It("tells place and reason of a file that cannot be read, in one line", func() {
--- a/internal/inspect/load.go
+++ b/internal/inspect/load.go
@@ -32,8 +32,8 @@
 	if err != nil {
 		return out, err
 	}
-	out.Nodes, out.Unheard = map[string][]string{}, append([]string{}, fleet.Unheard...)
-	for _, sight := range fleet.Edges {
+	out.Nodes, out.Unheard = map[string][]string{}, append([]string{}, fleet.Unreachable...)
+	for _, sight := range fleet.Proxies {
 		name := cutoffName(sight)
 		out.Nodes[name] = append(out.Nodes[name], sight.Node)
 	}
@@ -70,7 +70,7 @@
 func (c *Commands) load(control *Control) (int, error) {
 	load, err := control.Load()
 	if err != nil {
-		return Unlooked, err
+		return ExitError, err
 	}
 	rows := [][]string{{"TIER", "PLAN", "PRIORITY", "KIND", "LANES", "TURNED AWAY"}}
 	for _, rung := range load.Order {
@@ -93,9 +93,9 @@
 	c.print(load, rows)
 	switch {
 	case len(load.Unheard) > 0:
-		return Unlooked, fmt.Errorf("no answer from %s", strings.Join(load.Unheard, ", "))
+		return ExitError, fmt.Errorf("no answer from %s", strings.Join(load.Unheard, ", "))
 	case len(load.Cutoffs) > 0:
-		return Found, nil
+		return ExitFindings, nil
 	}
-	return Clean, nil
+	return ExitClean, nil
 }
--- a/internal/inspect/look.go
+++ b/internal/inspect/look.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	lookSpan  = 3 * time.Second
-	bookBytes = 64 << 20
+	requestTimeout   = 3 * time.Second
+	maxResponseBytes = 64 << 20
 )
 
 // Control is the operators' interface of one core node.
@@ -35,7 +35,7 @@
 //
 //	control := inspector.NewControl("10.1.0.42:8382")
 func NewControl(address string) *Control {
-	return &Control{address, &http.Client{Timeout: lookSpan}}
+	return &Control{address, &http.Client{Timeout: requestTimeout}}
 }
 
 func (c *Control) get(path string) ([]byte, error) {
@@ -44,7 +44,7 @@
 		return nil, errors.Trace(err)
 	}
 	defer response.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(response.Body, bookBytes))
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err == nil && response.StatusCode != http.StatusOK {
 		err = errors.Errorf("%s%s answered %d", c.Address, path, response.StatusCode)
 	}
@@ -64,7 +64,7 @@
 // Example:
 //
 //	book, err := control.Book()
-func (c *Control) Book() (config.ItemSet, error) {
+func (c *Control) ItemSet() (config.ItemSet, error) {
 	text, err := c.get("/v1/config/read")
 	if err != nil {
 		return nil, err
@@ -73,9 +73,9 @@
 	if err != nil {
 		return nil, errors.Annotatef(err, "manifest of %s", c.Address)
 	}
-	book := config.ItemSet{}
-	book.Merge(items)
-	return book, nil
+	itemSet := config.ItemSet{}
+	itemSet.Merge(items)
+	return itemSet, nil
 }
 
 // FileItems reads a call of an operator from a file. What cannot be read is told
@@ -89,14 +89,14 @@
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	var whole any
-	if err := json.Unmarshal(text, &whole); err != nil {
-		at := len(text)
+	var document any
+	if err := json.Unmarshal(text, &document); err != nil {
+		offset := len(text)
 		var syntax *json.SyntaxError
 		if errors.As(err, &syntax) {
-			at = min(int(syntax.Offset), len(text))
+			offset = min(int(syntax.Offset), len(text))
 		}
-		return nil, errors.Errorf("%s, line %d: %s", path, 1+strings.Count(string(text[:at]), "\n"), err)
+		return nil, errors.Errorf("%s, line %d: %s", path, 1+strings.Count(string(text[:offset]), "\n"), err)
 	}
 	items, err := config.ParseModify(text)
 	return items, errors.Annotate(err, path)
@@ -104,7 +104,7 @@
 
 // at is the operators' interface of a member, which is named by its internal
 // address; on all machines the ports are alike.
-func (c *Control) at(member string) (*Control, error) {
+func (c *Control) memberControl(member string) (*Control, error) {
 	_, port, err := net.SplitHostPort(c.Address)
 	if err != nil {
 		return nil, errors.Annotate(err, "control address")
@@ -130,47 +130,47 @@
 	if err = c.read("/v1/fleet", &page); err != nil {
 		return fleet, err
 	}
-	fleet.Servers, fleet.Cores = page.Servers, []control.Status{first}
+	fleet.Servers, fleet.Members = page.Servers, []control.Status{first}
 	for member := range first.Members {
 		if member == first.Node {
 			continue
 		}
-		at, err := c.at(member)
+		memberControl, err := c.memberControl(member)
 		if err != nil {
 			return fleet, err
 		}
 		var status control.Status
-		if at.read("/v1/status", &status) != nil {
-			fleet.Unheard = append(fleet.Unheard, member)
+		if memberControl.read("/v1/status", &status) != nil {
+			fleet.Unreachable = append(fleet.Unreachable, member)
 			continue
 		}
-		fleet.Cores = append(fleet.Cores, status)
+		fleet.Members = append(fleet.Members, status)
 	}
-	for _, edge := range edgesOf(fleet.Cores) {
-		var sight messages.ProxyStatus
-		if edge.line.Call(messages.KindProxyStatus, struct{}{}, &sight, lookSpan) != nil {
-			fleet.Unheard = append(fleet.Unheard, edge.name)
+	for _, proxy := range proxyClients(fleet.Members) {
+		var status messages.ProxyStatus
+		if proxy.client.Call(messages.KindProxyStatus, struct{}{}, &status, requestTimeout) != nil {
+			fleet.Unreachable = append(fleet.Unreachable, proxy.name)
 			continue
 		}
-		fleet.Edges = append(fleet.Edges, sight)
+		fleet.Proxies = append(fleet.Proxies, status)
 	}
 	return fleet, nil
 }
 
 // edge is a proxy's machine, as the core knows it by the feed it follows.
-type edge struct {
-	name string
-	line *rpc.Client
+type proxyClient struct {
+	name   string
+	client *rpc.Client
 }
 
-func edgesOf(cores []control.Status) (out []edge) {
+func proxyClients(cores []control.Status) (out []proxyClient) {
 	seen := map[string]bool{}
 	for _, core := range cores {
 		for _, follower := range core.Followers {
-			name, address, isEdge := strings.Cut(follower, "@")
-			if isEdge && !seen[name] {
+			name, address, isProxy := strings.Cut(follower, "@")
+			if isProxy && !seen[name] {
 				seen[name] = true
-				out = append(out, edge{name, rpc.NewClient(address, time.Second, lookSpan)})
+				out = append(out, proxyClient{name, rpc.NewClient(address, time.Second, requestTimeout)})
 			}
 		}
 	}
--- a/internal/inspect/mirror.go
+++ b/internal/inspect/mirror.go
@@ -111,10 +111,10 @@
 		return nil, nil, err
 	}
 	var nodes []messages.MirrorStatus
-	unheard = append(unheard, fleet.Unheard...)
-	for _, edge := range edgesOf(fleet.Cores) {
+	unheard = append(unheard, fleet.Unreachable...)
+	for _, edge := range proxyClients(fleet.Members) {
 		var node messages.MirrorStatus
-		if edge.line.Call(messages.KindMirrorStatus, struct{}{}, &node, lookSpan) != nil {
+		if edge.client.Call(messages.KindMirrorStatus, struct{}{}, &node, requestTimeout) != nil {
 			unheard = append(unheard, edge.name)
 			continue
 		}
@@ -136,9 +136,9 @@
 func (c *Commands) mirror(control *Control) (int, error) {
 	sums, unheard, err := control.Mirrors()
 	if err != nil {
-		return Unlooked, err
+		return ExitError, err
 	}
-	status := Clean
+	status := ExitClean
 	rows := [][]string{{"MIRROR", "SHARE", "SEEN", "WHOLE", "DIFFERING", "CLAIM"}}
 	details := [][]string{nil, {"MIRROR", "LANE", "OUTCOME", "COUNT"}}
 	for _, sum := range sums {
@@ -148,7 +148,7 @@
 		}
 		rows = append(rows, []string{sum.Name, share, strconv.Itoa(sum.Seen), strconv.Itoa(sum.Whole), strconv.Itoa(sum.Differing), sum.Claim})
 		if sum.Differing > 0 {
-			status = Found
+			status = ExitFindings
 		}
 		for _, lane := range sortedKeys(sum.Counts) {
 			for _, outcome := range slices.Sorted(maps.Keys(sum.Counts[lane])) {
@@ -164,7 +164,7 @@
 	}
 	c.print(append([]Mirroring{}, sums...), append(rows, details...))
 	if len(unheard) > 0 {
-		return Unlooked, fmt.Errorf("no answer from %s", strings.Join(unheard, ", "))
+		return ExitError, fmt.Errorf("no answer from %s", strings.Join(unheard, ", "))
 	}
 	return status, nil
 }
--- a/internal/inspect/moves.go
+++ b/internal/inspect/moves.go
@@ -19,7 +19,7 @@
 	Change  balancer.Change  `json:"Change"`
 	Nodes   []messages.Moves `json:"Nodes"`
 	Unheard []string         `json:"Unheard,omitempty"`
-	edges   []edge
+	edges   []proxyClient
 }
 
 // Forecast asks every proxy which running operations the change would move.
@@ -38,10 +38,10 @@
 			return nil, errors.NotFoundf("server %s of service %s", id, change.Service)
 		}
 	}
-	out := &Forecast{Change: change, Unheard: fleet.Unheard}
-	for _, edge := range edgesOf(fleet.Cores) {
+	out := &Forecast{Change: change, Unheard: fleet.Unreachable}
+	for _, edge := range proxyClients(fleet.Members) {
 		var moves messages.Moves
-		if edge.line.Call(messages.KindMoves, change, &moves, lookSpan) != nil {
+		if edge.client.Call(messages.KindMoves, change, &moves, requestTimeout) != nil {
 			if !slices.Contains(out.Unheard, edge.name) {
 				out.Unheard = append(out.Unheard, edge.name)
 			}
@@ -104,7 +104,7 @@
 		}
 		var now messages.LookupHomesResponse
 		for {
-			err = edge.line.Call(messages.KindLookupHomes, asked, &now, lookSpan)
+			err = edge.client.Call(messages.KindLookupHomes, asked, &now, requestTimeout)
 			if err == nil && f.isMade(now.Instances) {
 				break
 			}
--- a/internal/inspect/sites.go
+++ b/internal/inspect/sites.go
@@ -31,7 +31,7 @@
 	if isHolder || address == "" {
 		return nil
 	}
-	at, err := c.at(address)
+	at, err := c.memberControl(address)
 	if err != nil {
 		return err
 	}
@@ -97,18 +97,18 @@
 func (c *Commands) sites(control *Control) (int, error) {
 	page, err := control.Sites()
 	if err != nil {
-		return Unlooked, err
+		return ExitError, err
 	}
 	if *c.without != "" {
 		passages, err := Without(page, *c.without)
 		if err != nil {
-			return Unlooked, err
+			return ExitError, err
 		}
-		status, rows := Clean, [][]string{{"SERVICE", "TO", "LOAD"}}
+		status, rows := ExitClean, [][]string{{"SERVICE", "TO", "LOAD"}}
 		for _, p := range passages {
 			to := p.To
 			if p.IsLeft {
-				status, to = Found, "(no room)"
+				status, to = ExitFindings, "(no room)"
 			}
 			rows = append(rows, []string{p.Service, to, strconv.Itoa(p.Load)})
 		}
@@ -124,5 +124,5 @@
 		rows = append(rows, []string{a.Site, a.Parent, a.Service, strconv.Itoa(a.Capacity), strconv.Itoa(a.Own), strconv.Itoa(a.Remote), strconv.Itoa(a.Leased), from})
 	}
 	c.print(page, rows)
-	return Clean, nil
+	return ExitClean, nil
 }
--- a/internal/standin/mirror_test.go
+++ b/internal/standin/mirror_test.go
@@ -146,7 +146,7 @@
 		commands := inspect.Register(app, &out, &out)
 		_, err := app.Parse([]string{"inspector", "--control", s.town.Control(2), "mirror"})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(commands.Run("inspector mirror")).To(Equal(inspect.Clean))
+		Expect(commands.Run("inspector mirror")).To(Equal(inspect.ExitClean))
 		Expect(out.String()).To(ContainSubstring("no difference in"))
 		order(s, `{"Remove":[{"Name":"build","Revision":"r9"}]}`)
 		Eventually(func() string { return s.state("/v1/mirrors") }).Should(ContainSubstring(`"Grants":[]`))
--- a/internal/standin/overload_test.go
+++ b/internal/standin/overload_test.go
@@ -149,7 +149,7 @@
 		commands := inspect.Register(app, &out, &out)
 		_, err := app.Parse([]string{"inspector", "--control", s.town.Control(2), "load"})
 		Expect(err).NotTo(HaveOccurred())
-		Eventually(func() int { return commands.Run("inspector load") }).Should(Equal(inspect.Clean))
+		Eventually(func() int { return commands.Run("inspector load") }).Should(Equal(inspect.ExitClean))
 		Expect(out.String()).To(ContainSubstring("urgent"))
 	})
 
