--- a/internal/inspect/check.go
+++ b/internal/inspect/check.go
@@ -109,10 +109,10 @@
 		newest = max(newest, member.Epoch)
 		digests[member.Digest]++
 	}
-	majority := ""
+	mostCommon := ""
 	for digest, count := range digests {
-		if count > digests[majority] || count == digests[majority] && digest < majority {
-			majority = digest
+		if count > digests[mostCommon] || count == digests[mostCommon] && digest < mostCommon {
+			mostCommon = digest
 		}
 	}
 	for _, member := range fleet.Members {
@@ -122,7 +122,7 @@
 		if member.Epoch < newest {
 			find("behind", member.Node, "view %d, where %d is in force", member.Epoch, newest)
 		}
-		if member.Digest != majority {
+		if member.Digest != mostCommon {
 			find("behind", member.Node, "its items differ from the others'")
 		}
 	}
@@ -130,7 +130,7 @@
 		if !proxy.Ready {
 			find("not ready", proxy.Node, "the proxy takes no new connections")
 		}
-		if proxy.Digest != majority {
+		if proxy.Digest != mostCommon {
 			find("behind", proxy.Node, "its items differ from the core's")
 		}
 		if proxy.Epoch < newest {
--- a/internal/inspect/command.go
+++ b/internal/inspect/command.go
@@ -126,20 +126,20 @@
 		}
 	}
 	c.print(forecast, rows)
-	if len(forecast.Unheard) > 0 {
-		return ExitError, fmt.Errorf("no answer from %s", strings.Join(forecast.Unheard, ", "))
+	if len(forecast.Unreachable) > 0 {
+		return ExitError, fmt.Errorf("no answer from %s", strings.Join(forecast.Unreachable, ", "))
 	}
 	if *c.confirm > 0 {
-		surprises, err := forecast.Confirm(clock.Real(), *c.confirm)
+		mismatches, err := forecast.Confirm(clock.Real(), *c.confirm)
 		if err != nil {
 			return ExitError, err
 		}
 		rows = [][]string{{"NODE", "OPERATION", "FORECAST", "HOME"}}
-		for _, s := range surprises {
-			rows = append(rows, []string{s.Node, s.Run.Key + s.Run.Target, s.Run.To, s.Home})
+		for _, s := range mismatches {
+			rows = append(rows, []string{s.Node, s.Operation.Key + s.Operation.Target, s.Operation.To, s.Home})
 		}
-		c.print(append([]Surprise{}, surprises...), rows)
-		if len(surprises) > 0 {
+		c.print(append([]Mismatch{}, mismatches...), rows)
+		if len(mismatches) > 0 {
 			return ExitFindings, nil
 		}
 		return ExitClean, nil
--- a/internal/inspect/core.go
+++ b/internal/inspect/core.go
@@ -12,8 +12,8 @@
 
 // Core is the control side as its members tell it.
 type Core struct {
-	Members []control.Status `json:"Members"`
-	Unheard []string         `json:"Unheard"`
+	Members     []control.Status `json:"Members"`
+	Unreachable []string         `json:"Unheard"`
 	// Accepted is what each member remembers of the item that was asked for.
 	Accepted map[string]control.AcceptedPage `json:"Accepted,omitempty"`
 	Findings []string                        `json:"Findings"`
@@ -30,20 +30,20 @@
 	if err = c.read("/v1/status", &first); err != nil {
 		return core, err
 	}
-	core.Accepted, core.Unheard = map[string]control.AcceptedPage{}, []string{}
+	core.Accepted, core.Unreachable = map[string]control.AcceptedPage{}, []string{}
 	for _, member := range sortedKeys(first.Members) {
-		at, err := c.memberControl(member)
+		memberControl, err := c.memberControl(member)
 		if err != nil {
 			return core, err
 		}
 		var status control.Status
-		if at.read("/v1/status", &status) != nil {
-			core.Unheard = append(core.Unheard, member)
+		if memberControl.read("/v1/status", &status) != nil {
+			core.Unreachable = append(core.Unreachable, member)
 			continue
 		}
 		core.Members = append(core.Members, status)
 		var page control.AcceptedPage
-		if item != "" && at.read("/v1/config/accepted/"+url.PathEscape(item), &page) == nil {
+		if item != "" && memberControl.read("/v1/config/accepted/"+url.PathEscape(item), &page) == nil {
 			core.Accepted[member] = page
 		}
 	}
@@ -52,16 +52,16 @@
 }
 
 // findings is what is not as it should be.
-func (core Core) findings() []string {
+func (c Core) findings() []string {
 	out := []string{}
 	newest := control.Status{}
-	for _, status := range core.Members {
+	for _, status := range c.Members {
 		newest.Epoch, newest.Index = max(newest.Epoch, status.Epoch), max(newest.Index, status.Index)
 	}
-	holders := []string{}
-	for _, status := range core.Members {
+	leaseHolders := []string{}
+	for _, status := range c.Members {
 		if status.Lease.RemainingMs > 0 {
-			holders = append(holders, status.Node)
+			leaseHolders = append(leaseHolders, status.Node)
 		}
 		if status.Epoch < newest.Epoch {
 			out = append(out, fmt.Sprintf("%s is in epoch %d of %d", status.Node, status.Epoch, newest.Epoch))
@@ -72,17 +72,17 @@
 		if status.Index < newest.Index {
 			out = append(out, fmt.Sprintf("%s lacks %d changes of the configuration", status.Node, newest.Index-status.Index))
 		}
-		if status.QuorumAgeMs < 0 || status.QuorumAgeMs > staleContactMs {
-			out = append(out, fmt.Sprintf("%s reached a majority: %s", status.Node, age(status.QuorumAgeMs)))
+		if status.QuorumAgeMs < 0 || status.QuorumAgeMs > maxQuorumAgeMs {
+			out = append(out, fmt.Sprintf("%s reached a majority: %s", status.Node, formatAge(status.QuorumAgeMs)))
 		}
-		if status.ListAgeMs < 0 || status.ListAgeMs > staleListMs {
-			out = append(out, fmt.Sprintf("%s knows of a reading of the platform's list: %s", status.Node, age(status.ListAgeMs)))
+		if status.ListAgeMs < 0 || status.ListAgeMs > maxListAgeMs {
+			out = append(out, fmt.Sprintf("%s knows of a reading of the platform's list: %s", status.Node, formatAge(status.ListAgeMs)))
 		}
 	}
-	if len(holders) != 1 {
-		out = append(out, fmt.Sprintf("%d members hold the lease of the duty: %s", len(holders), strings.Join(holders, ", ")))
+	if len(leaseHolders) != 1 {
+		out = append(out, fmt.Sprintf("%d members hold the lease of the duty: %s", len(leaseHolders), strings.Join(leaseHolders, ", ")))
 	}
-	for _, member := range core.Unheard {
+	for _, member := range c.Unreachable {
 		out = append(out, member+" does not answer")
 	}
 	return out
@@ -90,21 +90,21 @@
 
 // staleContactMs is how old a member's contact with a majority may be before it is
 // a finding.
-const staleContactMs = 2000
+const maxQuorumAgeMs = 2000
 
 // staleListMs is how old a member's newest reading of the platform's list may be before
 // it is a finding: a server that leaves must be known well within two seconds.
-const staleListMs = 2000
+const maxListAgeMs = 2000
 
-func age(ms int64) string {
+func formatAge(ms int64) string {
 	if ms < 0 {
 		return "never"
 	}
 	return fmt.Sprintf("%d ms ago", ms)
 }
 
-func (c *Commands) core(at *Control) (int, error) {
-	core, err := at.Core(*c.item)
+func (c *Commands) core(control *Control) (int, error) {
+	core, err := control.Core(*c.item)
 	if err != nil {
 		return ExitError, err
 	}
@@ -120,7 +120,7 @@
 		}
 		rows = append(rows, []string{
 			status.Node, strconv.FormatUint(status.Epoch, 10), strconv.FormatBool(status.IsTrusted), strconv.FormatUint(status.Index, 10),
-			strconv.FormatUint(newest-status.Index, 10), age(status.QuorumAgeMs), age(status.ListAgeMs), strconv.FormatUint(status.Term, 10), lease,
+			strconv.FormatUint(newest-status.Index, 10), formatAge(status.QuorumAgeMs), formatAge(status.ListAgeMs), strconv.FormatUint(status.Term, 10), lease,
 		})
 	}
 	if len(core.Accepted) > 0 {
@@ -139,8 +139,8 @@
 	}
 	c.print(core, rows)
 	switch {
-	case len(core.Unheard) > 0:
-		return ExitError, fmt.Errorf("no answer from %s", strings.Join(core.Unheard, ", "))
+	case len(core.Unreachable) > 0:
+		return ExitError, fmt.Errorf("no answer from %s", strings.Join(core.Unreachable, ", "))
 	case len(core.Findings) > 0:
 		return ExitFindings, nil
 	}
--- a/internal/inspect/core_test.go
+++ b/internal/inspect/core_test.go
@@ -20,12 +20,12 @@
 	It("is a member that is behind, not whole, out of contact, without the list, in an older view or silent", func() {
 		behind, broken, cut, old := member("b", 0), member("c", 0), member("d", 0), member("e", 0)
 		unread, stale := member("g", 0), member("h", 0)
-		unread.ListAgeMs, stale.ListAgeMs = -1, staleListMs+1
+		unread.ListAgeMs, stale.ListAgeMs = -1, maxListAgeMs+1
 		behind.Index = 2
 		broken.IsTrusted = false
 		cut.QuorumAgeMs = -1
 		old.Epoch = 3
-		core := Core{Members: []control.Status{member("a", 700), behind, broken, cut, old, unread, stale}, Unheard: []string{"f"}}
+		core := Core{Members: []control.Status{member("a", 700), behind, broken, cut, old, unread, stale}, Unreachable: []string{"f"}}
 		Expect(core.findings()).To(ConsistOf(
 			"b lacks 7 changes of the configuration",
 			ContainSubstring("c is not whole"),
--- a/internal/inspect/inspect_test.go
+++ b/internal/inspect/inspect_test.go
@@ -133,13 +133,13 @@
 		for site, own := range map[string]int{"a": 40, "b": 20, "c": 10} {
 			page.Accounts = append(page.Accounts, sites.Status{Site: site, Service: "fees", Capacity: 40, Own: own})
 		}
-		passages, err := inspect.Without(page, "a")
+		failovers, err := inspect.ForecastSiteLoss(page, "a")
 		Expect(err).NotTo(HaveOccurred())
-		Expect(passages).To(Equal([]inspect.Passage{
+		Expect(failovers).To(Equal([]inspect.SiteFailover{
 			{Service: "fees", To: "b", Load: sites.SpareCapacity(40, 20)}, {Service: "fees", To: "c", Load: sites.SpareCapacity(40, 10)},
-			{Service: "fees", Load: 40 - sites.SpareCapacity(40, 20) - sites.SpareCapacity(40, 10), IsLeft: true},
+			{Service: "fees", Load: 40 - sites.SpareCapacity(40, 20) - sites.SpareCapacity(40, 10), Unplaced: true},
 		}))
-		_, err = inspect.Without(page, "nowhere")
+		_, err = inspect.ForecastSiteLoss(page, "nowhere")
 		Expect(err).To(MatchError(ContainSubstring("nowhere")))
 	})
 })
--- a/internal/inspect/load.go
+++ b/internal/inspect/load.go
@@ -15,8 +15,8 @@
 // the cutoff that they work by.
 type Load struct {
 	control.LoadPage
-	Nodes   map[string][]string `json:"Nodes"`
-	Unheard []string            `json:"Unheard"`
+	Nodes       map[string][]string `json:"Nodes"`
+	Unreachable []string            `json:"Unheard"`
 }
 
 // Load asks the holder of the duty and every proxy.
@@ -25,17 +25,17 @@
 //
 //	load, err := control.Load()
 func (c *Control) Load() (out Load, err error) {
-	if err = c.readAtHolder("/v1/load", &out.LoadPage, func() (bool, string) { return out.IsLeader, out.Leader }); err != nil {
+	if err = c.readFromLeader("/v1/load", &out.LoadPage, func() (bool, string) { return out.IsLeader, out.Leader }); err != nil {
 		return out, err
 	}
 	fleet, err := c.Fleet()
 	if err != nil {
 		return out, err
 	}
-	out.Nodes, out.Unheard = map[string][]string{}, append([]string{}, fleet.Unreachable...)
-	for _, sight := range fleet.Proxies {
-		name := cutoffName(sight)
-		out.Nodes[name] = append(out.Nodes[name], sight.Node)
+	out.Nodes, out.Unreachable = map[string][]string{}, append([]string{}, fleet.Unreachable...)
+	for _, status := range fleet.Proxies {
+		name := cutoffName(status)
+		out.Nodes[name] = append(out.Nodes[name], status.Node)
 	}
 	for _, nodes := range out.Nodes {
 		slices.Sort(nodes)
@@ -43,18 +43,18 @@
 	return out, nil
 }
 
-func cutoffName(sight messages.ProxyStatus) string {
+func cutoffName(status messages.ProxyStatus) string {
 	switch {
-	case sight.LocalCutoff && sight.Cutoff > 0:
+	case status.LocalCutoff && status.Cutoff > 0:
 		return "own floor"
-	case sight.Cutoff == 0:
+	case status.Cutoff == 0:
 		return "none"
 	}
-	return strconv.FormatUint(sight.Cutoff, 10)
+	return strconv.FormatUint(status.Cutoff, 10)
 }
 
 // shedOf tells what the cutoffs turn away of a tier.
-func shedOf(tier shedding.Tier, cutoffs []shedding.Cutoff) string {
+func shedSummary(tier shedding.Tier, cutoffs []shedding.Cutoff) string {
 	var out []string
 	for _, cutoff := range cutoffs {
 		switch {
@@ -73,15 +73,15 @@
 		return ExitError, err
 	}
 	rows := [][]string{{"TIER", "PLAN", "PRIORITY", "KIND", "LANES", "TURNED AWAY"}}
-	for _, rung := range load.Order {
+	for _, tier := range load.Order {
 		rows = append(rows, []string{
-			strconv.Itoa(int(rung.Tier)), rung.Plan, strconv.Itoa(rung.Priority), rung.Kind, strings.Join(rung.Routes, ","), shedOf(rung.Tier, load.Cutoffs),
+			strconv.Itoa(int(tier.Tier)), tier.Plan, strconv.Itoa(tier.Priority), tier.Kind, strings.Join(tier.Routes, ","), shedSummary(tier.Tier, load.Cutoffs),
 		})
 	}
 	rows = append(rows, nil, []string{"SERVICE", "TIER", "OFFERED", "TURNED AWAY", "SENT", "FULL", "LATE"})
-	for _, a := range load.Accounts {
-		row := []string{a.Service, strconv.Itoa(int(a.Tier))}
-		for _, count := range []uint32{a.Offered, a.Shed, a.Sent, a.Rejected, a.Late} {
+	for _, account := range load.Accounts {
+		row := []string{account.Service, strconv.Itoa(int(account.Tier))}
+		for _, count := range []uint32{account.Offered, account.Shed, account.Sent, account.Rejected, account.Late} {
 			row = append(row, strconv.FormatUint(uint64(count), 10))
 		}
 		rows = append(rows, row)
@@ -92,8 +92,8 @@
 	}
 	c.print(load, rows)
 	switch {
-	case len(load.Unheard) > 0:
-		return ExitError, fmt.Errorf("no answer from %s", strings.Join(load.Unheard, ", "))
+	case len(load.Unreachable) > 0:
+		return ExitError, fmt.Errorf("no answer from %s", strings.Join(load.Unreachable, ", "))
 	case len(load.Cutoffs) > 0:
 		return ExitFindings, nil
 	}
--- a/internal/inspect/mirror.go
+++ b/internal/inspect/mirror.go
@@ -14,10 +14,10 @@
 
 // parityLeast is how many whole conversations without a difference it takes to
 // claim that the shadow does as the live side does.
-const parityLeast = 30
+const minConversations = 30
 
 // Mirroring is what came of one mirror, summed over all nodes.
-type Mirroring struct {
+type MirrorSummary struct {
 	Name   string                               `json:"Name"`
 	Grant  *mirror.Grant                        `json:"Grant,omitempty"`
 	Counts map[string]map[mirror.Outcome]uint64 `json:"Counts"`
@@ -41,42 +41,42 @@
 // Example:
 //
 //	sum := inspector.Sum("east", grant, nodes)
-func Sum(name string, grant *mirror.Grant, nodes []messages.MirrorStatus) Mirroring {
-	out := Mirroring{Name: name, Grant: grant, Counts: map[string]map[mirror.Outcome]uint64{}, Gaps: map[string]uint64{}, Examples: []mirror.Example{}}
-	talks, lives, isOneEra := map[uint64]mirror.Conversation{}, uint64(0), true
+func Summarize(name string, grant *mirror.Grant, nodes []messages.MirrorStatus) MirrorSummary {
+	out := MirrorSummary{Name: name, Grant: grant, Counts: map[string]map[mirror.Outcome]uint64{}, Gaps: map[string]uint64{}, Examples: []mirror.Example{}}
+	conversations, incarnations, sameEra := map[uint64]mirror.Conversation{}, uint64(0), true
 	for _, node := range nodes {
-		lives ^= mirror.IncarnationHash(node.Node, node.Incarnation)
-		page, isThere := node.Pages[name]
-		if !isThere {
+		incarnations ^= mirror.IncarnationHash(node.Node, node.Incarnation)
+		page, exists := node.Pages[name]
+		if !exists {
 			continue
 		}
-		isOneEra = isOneEra && grant != nil && page.Grant.Era == grant.Era && page.Grant.Version == grant.Version
-		for lane, counts := range page.Counts {
-			if out.Counts[lane] == nil {
-				out.Counts[lane] = map[mirror.Outcome]uint64{}
+		sameEra = sameEra && grant != nil && page.Grant.Era == grant.Era && page.Grant.Version == grant.Version
+		for route, counts := range page.Counts {
+			if out.Counts[route] == nil {
+				out.Counts[route] = map[mirror.Outcome]uint64{}
 			}
 			for outcome, count := range counts {
-				out.Counts[lane][outcome] += count
+				out.Counts[route][outcome] += count
 			}
 		}
-		for why, count := range page.Gaps {
-			out.Gaps[why] += count
+		for reason, count := range page.Gaps {
+			out.Gaps[reason] += count
 		}
-		for _, talk := range page.Conversations {
-			sum := talks[talk.Hash]
-			sum.SamplePoint, sum.Partial = talk.SamplePoint, sum.Partial || talk.Partial
-			sum.Copies, sum.Compared = sum.Copies+talk.Copies, sum.Compared+talk.Compared
-			sum.Differing, sum.Gaps = sum.Differing+talk.Differing, sum.Gaps+talk.Gaps
-			talks[talk.Hash] = sum
+		for _, conversation := range page.Conversations {
+			sum := conversations[conversation.Hash]
+			sum.SamplePoint, sum.Partial = conversation.SamplePoint, sum.Partial || conversation.Partial
+			sum.Copies, sum.Compared = sum.Copies+conversation.Copies, sum.Compared+conversation.Compared
+			sum.Differing, sum.Gaps = sum.Differing+conversation.Differing, sum.Gaps+conversation.Gaps
+			conversations[conversation.Hash] = sum
 		}
 		out.Untracked += page.Untracked
 		out.Examples = append(out.Examples, page.Examples...)
 	}
-	for _, talk := range talks {
+	for _, conversation := range conversations {
 		out.Seen++
-		if grant != nil && talk.IsWhole() && talk.SamplePoint < grant.Share {
+		if grant != nil && conversation.IsWhole() && conversation.SamplePoint < grant.Share {
 			out.Whole++
-			if talk.Differing > 0 {
+			if conversation.Differing > 0 {
 				out.Differing++
 			}
 		}
@@ -84,12 +84,12 @@
 	switch {
 	case grant == nil:
 		out.Whole, out.Differing, out.Claim = 0, 0, "nothing: the mirror is not in force"
-	case !grant.Settled || lives != grant.Incarnations || !isOneEra:
+	case !grant.Settled || incarnations != grant.Incarnations || !sameEra:
 		out.Whole, out.Differing, out.Claim = 0, 0, "nothing: not all nodes have answered by one order"
 	case out.Differing > 0:
 		out.Claim = fmt.Sprintf("%d of %d whole conversations differ", out.Differing, out.Whole)
-	case out.Whole < parityLeast:
-		out.Claim = fmt.Sprintf("nothing yet: %d of %d whole conversations needed", out.Whole, parityLeast)
+	case out.Whole < minConversations:
+		out.Claim = fmt.Sprintf("nothing yet: %d of %d whole conversations needed", out.Whole, minConversations)
 	default:
 		out.Claim = fmt.Sprintf("no difference in %d whole conversations (under %.2g%% differ, at 95%%)", out.Whole, 300/float64(out.Whole))
 	}
@@ -101,7 +101,7 @@
 // Example:
 //
 //	sums, err := control.Mirrors()
-func (c *Control) Mirrors() (out []Mirroring, unheard []string, err error) {
+func (c *Control) Mirrors() (out []MirrorSummary, unreachable []string, err error) {
 	var page control.MirrorPage
 	if err = c.read("/v1/mirrors", &page); err != nil {
 		return nil, nil, err
@@ -111,60 +111,60 @@
 		return nil, nil, err
 	}
 	var nodes []messages.MirrorStatus
-	unheard = append(unheard, fleet.Unreachable...)
-	for _, edge := range proxyClients(fleet.Members) {
+	unreachable = append(unreachable, fleet.Unreachable...)
+	for _, proxy := range proxyClients(fleet.Members) {
 		var node messages.MirrorStatus
-		if edge.client.Call(messages.KindMirrorStatus, struct{}{}, &node, requestTimeout) != nil {
-			unheard = append(unheard, edge.name)
+		if proxy.client.Call(messages.KindMirrorStatus, struct{}{}, &node, requestTimeout) != nil {
+			unreachable = append(unreachable, proxy.name)
 			continue
 		}
 		nodes = append(nodes, node)
 	}
 	for _, declared := range page.Mirrors {
-		at := slices.IndexFunc(page.Grants, func(g mirror.Grant) bool { return g.Name == declared.Name })
-		if at < 0 {
-			out = append(out, Sum(declared.Name, nil, nodes))
+		index := slices.IndexFunc(page.Grants, func(g mirror.Grant) bool { return g.Name == declared.Name })
+		if index < 0 {
+			out = append(out, Summarize(declared.Name, nil, nodes))
 			continue
 		}
-		out = append(out, Sum(declared.Name, &page.Grants[at], nodes))
+		out = append(out, Summarize(declared.Name, &page.Grants[index], nodes))
 	}
-	return out, unheard, nil
+	return out, unreachable, nil
 }
 
 func sortedKeys[V any](from map[string]V) []string { return slices.Sorted(maps.Keys(from)) }
 
 func (c *Commands) mirror(control *Control) (int, error) {
-	sums, unheard, err := control.Mirrors()
+	summaries, unreachable, err := control.Mirrors()
 	if err != nil {
 		return ExitError, err
 	}
 	status := ExitClean
 	rows := [][]string{{"MIRROR", "SHARE", "SEEN", "WHOLE", "DIFFERING", "CLAIM"}}
 	details := [][]string{nil, {"MIRROR", "LANE", "OUTCOME", "COUNT"}}
-	for _, sum := range sums {
+	for _, summary := range summaries {
 		share := "ended"
-		if sum.Grant != nil {
-			share = strconv.FormatFloat(sum.Grant.Share, 'g', 3, 64)
+		if summary.Grant != nil {
+			share = strconv.FormatFloat(summary.Grant.Share, 'g', 3, 64)
 		}
-		rows = append(rows, []string{sum.Name, share, strconv.Itoa(sum.Seen), strconv.Itoa(sum.Whole), strconv.Itoa(sum.Differing), sum.Claim})
-		if sum.Differing > 0 {
+		rows = append(rows, []string{summary.Name, share, strconv.Itoa(summary.Seen), strconv.Itoa(summary.Whole), strconv.Itoa(summary.Differing), summary.Claim})
+		if summary.Differing > 0 {
 			status = ExitFindings
 		}
-		for _, lane := range sortedKeys(sum.Counts) {
-			for _, outcome := range slices.Sorted(maps.Keys(sum.Counts[lane])) {
-				details = append(details, []string{sum.Name, lane, string(outcome), strconv.FormatUint(sum.Counts[lane][outcome], 10)})
+		for _, route := range sortedKeys(summary.Counts) {
+			for _, outcome := range slices.Sorted(maps.Keys(summary.Counts[route])) {
+				details = append(details, []string{summary.Name, route, string(outcome), strconv.FormatUint(summary.Counts[route][outcome], 10)})
 			}
 		}
-		for _, why := range sortedKeys(sum.Gaps) {
-			details = append(details, []string{sum.Name, "", "gap: " + why, strconv.FormatUint(sum.Gaps[why], 10)})
+		for _, reason := range sortedKeys(summary.Gaps) {
+			details = append(details, []string{summary.Name, "", "gap: " + reason, strconv.FormatUint(summary.Gaps[reason], 10)})
 		}
-		for _, e := range sum.Examples {
-			details = append(details, []string{sum.Name, e.Route, "example: " + string(e.Outcome), fmt.Sprintf("%s live %d in %d ms, shadow %d in %d ms", e.Attempt, e.LiveStatus, e.LiveMs, e.ShadowStatus, e.ShadowMs)})
+		for _, example := range summary.Examples {
+			details = append(details, []string{summary.Name, example.Route, "example: " + string(example.Outcome), fmt.Sprintf("%s live %d in %d ms, shadow %d in %d ms", example.Attempt, example.LiveStatus, example.LiveMs, example.ShadowStatus, example.ShadowMs)})
 		}
 	}
-	c.print(append([]Mirroring{}, sums...), append(rows, details...))
-	if len(unheard) > 0 {
-		return ExitError, fmt.Errorf("no answer from %s", strings.Join(unheard, ", "))
+	c.print(append([]MirrorSummary{}, summaries...), append(rows, details...))
+	if len(unreachable) > 0 {
+		return ExitError, fmt.Errorf("no answer from %s", strings.Join(unreachable, ", "))
 	}
 	return status, nil
 }
--- a/internal/inspect/mirror_test.go
+++ b/internal/inspect/mirror_test.go
@@ -47,7 +47,7 @@
 
 	It("claims parity over whole conversations that all nodes chose alike", func() {
 		grant, nodes, parts := converse(byHash)
-		sum := inspect.Sum("m", grant, nodes)
+		sum := inspect.Summarize("m", grant, nodes)
 		Expect(sum.Whole).To(Equal(len(parts)))
 		Expect(sum.Claim).To(HavePrefix("no difference in "))
 		for learner, count := range parts {
@@ -69,23 +69,23 @@
 
 	It("claims nothing while a node has not answered, lives anew, is of another era, or lacks the order", func() {
 		grant, nodes, _ := converse(byHash)
-		Expect(inspect.Sum("m", grant, nodes[1:]).Claim).To(HavePrefix("nothing"))
+		Expect(inspect.Summarize("m", grant, nodes[1:]).Claim).To(HavePrefix("nothing"))
 		anew := append([]messages.MirrorStatus{}, nodes...)
 		anew[0].Incarnation = "b"
-		Expect(inspect.Sum("m", grant, anew).Whole).To(BeZero())
+		Expect(inspect.Summarize("m", grant, anew).Whole).To(BeZero())
 		other := *grant
 		other.Era = 2
-		Expect(inspect.Sum("m", &other, nodes).Whole).To(BeZero())
+		Expect(inspect.Summarize("m", &other, nodes).Whole).To(BeZero())
 		other = *grant
 		other.Settled = false
-		Expect(inspect.Sum("m", &other, nodes).Claim).To(HavePrefix("nothing"))
-		Expect(inspect.Sum("m", nil, nodes).Claim).To(HavePrefix("nothing"))
+		Expect(inspect.Summarize("m", &other, nodes).Claim).To(HavePrefix("nothing"))
+		Expect(inspect.Summarize("m", nil, nodes).Claim).To(HavePrefix("nothing"))
 	})
 
 	It("takes conversations out that a lowered share no longer copies", func() {
 		grant, nodes, _ := converse(byHash)
 		lowered := *grant
 		lowered.Share = 0.25
-		Expect(inspect.Sum("m", &lowered, nodes).Whole).To(BeNumerically("<", inspect.Sum("m", grant, nodes).Whole*2/3))
+		Expect(inspect.Summarize("m", &lowered, nodes).Whole).To(BeNumerically("<", inspect.Summarize("m", grant, nodes).Whole*2/3))
 	})
 })
--- a/internal/inspect/moves.go
+++ b/internal/inspect/moves.go
@@ -16,10 +16,10 @@
 
 // Forecast is what every proxy says of a change before it is made.
 type Forecast struct {
-	Change  balancer.Change  `json:"Change"`
-	Nodes   []messages.Moves `json:"Nodes"`
-	Unheard []string         `json:"Unheard,omitempty"`
-	edges   []proxyClient
+	Change      balancer.Change  `json:"Change"`
+	Nodes       []messages.Moves `json:"Nodes"`
+	Unreachable []string         `json:"Unheard,omitempty"`
+	proxies     []proxyClient
 }
 
 // Forecast asks every proxy which running operations the change would move.
@@ -38,16 +38,16 @@
 			return nil, errors.NotFoundf("server %s of service %s", id, change.Service)
 		}
 	}
-	out := &Forecast{Change: change, Unheard: fleet.Unreachable}
-	for _, edge := range proxyClients(fleet.Members) {
+	out := &Forecast{Change: change, Unreachable: fleet.Unreachable}
+	for _, proxy := range proxyClients(fleet.Members) {
 		var moves messages.Moves
-		if edge.client.Call(messages.KindMoves, change, &moves, requestTimeout) != nil {
-			if !slices.Contains(out.Unheard, edge.name) {
-				out.Unheard = append(out.Unheard, edge.name)
+		if proxy.client.Call(messages.KindMoves, change, &moves, requestTimeout) != nil {
+			if !slices.Contains(out.Unreachable, proxy.name) {
+				out.Unreachable = append(out.Unreachable, proxy.name)
 			}
 			continue
 		}
-		out.Nodes, out.edges = append(out.Nodes, moves), append(out.edges, edge)
+		out.Nodes, out.proxies = append(out.Nodes, moves), append(out.proxies, proxy)
 	}
 	sort.Slice(out.Nodes, func(i, j int) bool { return out.Nodes[i].Node < out.Nodes[j].Node })
 	return out, nil
@@ -61,9 +61,9 @@
 func (f *Forecast) Moving() map[string][]messages.Move {
 	out := map[string][]messages.Move{}
 	for _, node := range f.Nodes {
-		for _, run := range node.Operations {
-			if run.IsMoving() {
-				out[node.Node] = append(out[node.Node], run)
+		for _, operation := range node.Operations {
+			if operation.IsMoving() {
+				out[node.Node] = append(out[node.Node], operation)
 			}
 		}
 	}
@@ -71,13 +71,13 @@
 }
 
 // Surprise is an operation whose home after the change is not the one forecast.
-type Surprise struct {
-	Node string        `json:"Node"`
-	Run  messages.Move `json:"Run"`
-	Home string        `json:"Home"`
+type Mismatch struct {
+	Node      string        `json:"Node"`
+	Operation messages.Move `json:"Run"`
+	Home      string        `json:"Home"`
 }
 
-const confirmPause = 200 * time.Millisecond
+const confirmInterval = 200 * time.Millisecond
 
 // Confirm waits, for so long at most, until every node's live ring shows the
 // change, and then compares where each operation's home is with what was
@@ -86,43 +86,43 @@
 // Example:
 //
 //	surprises, err := forecast.Confirm(clock, time.Minute)
-func (f *Forecast) Confirm(timeSource clock.Clock, wait time.Duration) (out []Surprise, err error) {
-	end := timeSource.Monotonic() + clock.Instant(wait)
-	for _, edge := range f.edges {
-		node, isKnown := messages.Moves{}, false
-		for _, one := range f.Nodes {
-			if one.Node == edge.name {
-				node, isKnown = one, true
+func (f *Forecast) Confirm(timeSource clock.Clock, timeout time.Duration) (out []Mismatch, err error) {
+	deadline := timeSource.Monotonic() + clock.Instant(timeout)
+	for _, proxy := range f.proxies {
+		node, known := messages.Moves{}, false
+		for _, candidate := range f.Nodes {
+			if candidate.Node == proxy.name {
+				node, known = candidate, true
 			}
 		}
-		if !isKnown {
-			return nil, errors.NotFoundf("forecast of %s", edge.name)
+		if !known {
+			return nil, errors.NotFoundf("forecast of %s", proxy.name)
 		}
-		asked := messages.LookupHomes{Service: f.Change.Service}
-		for _, run := range node.Operations {
-			asked.Places = append(asked.Places, run.Place)
+		request := messages.LookupHomes{Service: f.Change.Service}
+		for _, operation := range node.Operations {
+			request.Places = append(request.Places, operation.Place)
 		}
-		var now messages.LookupHomesResponse
+		var response messages.LookupHomesResponse
 		for {
-			err = edge.client.Call(messages.KindLookupHomes, asked, &now, requestTimeout)
-			if err == nil && f.isMade(now.Instances) {
+			err = proxy.client.Call(messages.KindLookupHomes, request, &response, requestTimeout)
+			if err == nil && f.isApplied(response.Instances) {
 				break
 			}
-			if timeSource.Monotonic() > end {
-				return nil, errors.Timeoutf("the change at %s", edge.name)
+			if timeSource.Monotonic() > deadline {
+				return nil, errors.Timeoutf("the change at %s", proxy.name)
 			}
-			timeSource.Sleep(confirmPause)
+			timeSource.Sleep(confirmInterval)
 		}
-		for i, run := range node.Operations {
-			if now.Homes[i] != run.To {
-				out = append(out, Surprise{Node: node.Node, Run: run, Home: now.Homes[i]})
+		for i, operation := range node.Operations {
+			if response.Homes[i] != operation.To {
+				out = append(out, Mismatch{Node: node.Node, Operation: operation, Home: response.Homes[i]})
 			}
 		}
 	}
 	return out, nil
 }
 
-func (f *Forecast) isMade(ring []string) bool {
+func (f *Forecast) isApplied(ring []string) bool {
 	for _, text := range f.Change.Add {
 		id, _, _ := strings.Cut(text, "@")
 		if !slices.Contains(ring, id) {
--- a/internal/inspect/sites.go
+++ b/internal/inspect/sites.go
@@ -18,33 +18,33 @@
 //
 //	page, err := control.Sites()
 func (c *Control) Sites() (page control.SitePage, err error) {
-	return page, c.readAtHolder("/v1/sites", &page, func() (bool, string) { return page.IsLeader, page.Leader })
+	return page, c.readFromLeader("/v1/sites", &page, func() (bool, string) { return page.IsLeader, page.Leader })
 }
 
 // readAtHolder reads a page, and reads it again at the holder of the duty where the
 // first answer, which says who that is, came from another node.
-func (c *Control) readAtHolder(path string, out any, holder func() (isHolder bool, address string)) error {
+func (c *Control) readFromLeader(path string, out any, leader func() (isLeader bool, address string)) error {
 	if err := c.read(path, out); err != nil {
 		return err
 	}
-	isHolder, address := holder()
-	if isHolder || address == "" {
+	isLeader, address := leader()
+	if isLeader || address == "" {
 		return nil
 	}
-	at, err := c.memberControl(address)
+	leaderControl, err := c.memberControl(address)
 	if err != nil {
 		return err
 	}
-	return at.read(path, out)
+	return leaderControl.read(path, out)
 }
 
 // Passage is where a part of a lost site's callers would go.
-type Passage struct {
+type SiteFailover struct {
 	Service string `json:"Service"`
 	To      string `json:"To"`
 	Load    int    `json:"Load"`
 	// IsLeft marks what no site has room for.
-	IsLeft bool `json:"IsLeft,omitempty"`
+	Unplaced bool `json:"IsLeft,omitempty"`
 }
 
 // Without forecasts where the callers of a site would go if its servers dropped
@@ -53,38 +53,38 @@
 // Example:
 //
 //	passages, err := inspector.Without(page, "tvm-a")
-func Without(page control.SitePage, site string) (out []Passage, err error) {
-	tree, err := rebuild(page.Sites)
+func ForecastSiteLoss(page control.SitePage, site string) (out []SiteFailover, err error) {
+	tree, err := buildTree(page.Sites)
 	if err != nil {
 		return nil, err
 	}
 	if !slices.ContainsFunc(page.Sites, func(s sites.Site) bool { return s.Name == site }) {
 		return nil, errors.NotFoundf("site %s", site)
 	}
-	room, load := map[sites.Key]int{}, map[string]int{}
-	for _, a := range page.Accounts {
-		room[sites.Key{Service: a.Service, Site: a.Site}] = sites.SpareCapacity(a.Capacity, a.Own) - a.Remote + a.RemoteBySite[site]
-		load[a.Service] += a.RemoteBySite[site]
-		if a.Site == site {
-			load[a.Service] += a.Own
+	spare, load := map[sites.Key]int{}, map[string]int{}
+	for _, account := range page.Accounts {
+		spare[sites.Key{Service: account.Service, Site: account.Site}] = sites.SpareCapacity(account.Capacity, account.Own) - account.Remote + account.RemoteBySite[site]
+		load[account.Service] += account.RemoteBySite[site]
+		if account.Site == site {
+			load[account.Service] += account.Own
 		}
 	}
 	for _, service := range slices.Sorted(maps.Keys(load)) {
-		left := load[service]
+		remaining := load[service]
 		for _, to := range tree.FailoverOrder(site) {
-			if part := min(left, room[sites.Key{Service: service, Site: to}]); part > 0 {
-				out, left = append(out, Passage{Service: service, To: to, Load: part}), left-part
+			if part := min(remaining, spare[sites.Key{Service: service, Site: to}]); part > 0 {
+				out, remaining = append(out, SiteFailover{Service: service, To: to, Load: part}), remaining-part
 			}
 		}
-		if left > 0 {
-			out = append(out, Passage{Service: service, Load: left, IsLeft: true})
+		if remaining > 0 {
+			out = append(out, SiteFailover{Service: service, Load: remaining, Unplaced: true})
 		}
 	}
 	return out, nil
 }
 
 // rebuild lays the tree of a page anew.
-func rebuild(all []sites.Site) (*sites.Tree, error) {
+func buildTree(all []sites.Site) (*sites.Tree, error) {
 	var named []sites.Site
 	for _, site := range all {
 		if site.Name != sites.Root {
@@ -100,28 +100,28 @@
 		return ExitError, err
 	}
 	if *c.without != "" {
-		passages, err := Without(page, *c.without)
+		failovers, err := ForecastSiteLoss(page, *c.without)
 		if err != nil {
 			return ExitError, err
 		}
 		status, rows := ExitClean, [][]string{{"SERVICE", "TO", "LOAD"}}
-		for _, p := range passages {
-			to := p.To
-			if p.IsLeft {
+		for _, failover := range failovers {
+			to := failover.To
+			if failover.Unplaced {
 				status, to = ExitFindings, "(no room)"
 			}
-			rows = append(rows, []string{p.Service, to, strconv.Itoa(p.Load)})
+			rows = append(rows, []string{failover.Service, to, strconv.Itoa(failover.Load)})
 		}
-		c.print(append([]Passage{}, passages...), rows)
+		c.print(append([]SiteFailover{}, failovers...), rows)
 		return status, nil
 	}
 	rows := [][]string{{"SITE", "PARENT", "SERVICE", "CAPACITY", "OWN", "PASSED", "GRANTED", "FROM"}}
-	for _, a := range page.Accounts {
+	for _, account := range page.Accounts {
 		from := ""
-		for _, site := range slices.Sorted(maps.Keys(a.RemoteBySite)) {
-			from += fmt.Sprintf("%s:%d ", site, a.RemoteBySite[site])
+		for _, site := range slices.Sorted(maps.Keys(account.RemoteBySite)) {
+			from += fmt.Sprintf("%s:%d ", site, account.RemoteBySite[site])
 		}
-		rows = append(rows, []string{a.Site, a.Parent, a.Service, strconv.Itoa(a.Capacity), strconv.Itoa(a.Own), strconv.Itoa(a.Remote), strconv.Itoa(a.Leased), from})
+		rows = append(rows, []string{account.Site, account.Parent, account.Service, strconv.Itoa(account.Capacity), strconv.Itoa(account.Own), strconv.Itoa(account.Remote), strconv.Itoa(account.Leased), from})
 	}
 	c.print(page, rows)
 	return ExitClean, nil
--- a/internal/standin/mirror_test.go
+++ b/internal/standin/mirror_test.go
@@ -24,7 +24,7 @@
 }
 
 // outcomes and lost count what came of all copies.
-func outcomes(sum inspect.Mirroring) (count uint64) {
+func outcomes(sum inspect.MirrorSummary) (count uint64) {
 	for _, lane := range sum.Counts {
 		for _, number := range lane {
 			count += number
@@ -33,7 +33,7 @@
 	return count
 }
 
-func lost(sum inspect.Mirroring) (count uint64) {
+func lost(sum inspect.MirrorSummary) (count uint64) {
 	for _, number := range sum.Gaps {
 		count += number
 	}
@@ -100,7 +100,7 @@
 		settled(s)
 		matchSchema("MirrorPage", s.state("/v1/mirrors"))
 		week(s, "a", 90)
-		var sums []inspect.Mirroring
+		var sums []inspect.MirrorSummary
 		Eventually(func(g Gomega) {
 			var err error
 			sums, _, err = inspect.NewControl(s.town.Control(2)).Mirrors()
--- a/internal/standin/moves_test.go
+++ b/internal/standin/moves_test.go
@@ -54,7 +54,7 @@
 			}
 			return count
 		}).Should(Equal(keys))
-		Expect(forecast.Unheard).To(BeEmpty())
+		Expect(forecast.Unreachable).To(BeEmpty())
 		Expect(forecast.Nodes).To(HaveLen(2))
 		named, downloads := 0, 0
 		for _, moves := range forecast.Moving() {
