--- a/internal/inspect/check.go
+++ b/internal/inspect/check.go
@@ -1,5 +1,6 @@
-// Package inspect checks a manifest against the fleet as it is, and tells
-// before a change of servers which running operations it would move.
+// Package inspect implements the operators' read-only commands: it validates a
+// configuration against the running fleet, forecasts which running operations a
+// change of servers would move, and reports sites, load, mirrors and control members.
 package inspect
 
 import (
@@ -13,30 +14,26 @@
 	"ploverhitch/internal/messages"
 )
 
-// Finding is one thing that is not as it should be.
+// Finding is one problem that a check found.
 type Finding struct {
 	What   string `json:"What"`
 	Where  string `json:"Where"`
 	Detail string `json:"Detail"`
 }
 
-// Fleet is everything that a manifest is checked against.
+// Fleet is the state of the running system that a configuration is checked against.
 type Fleet struct {
 	Servers []feed.Server
-	// Cores and Edges are what each node says of itself; a node that did not
-	// answer is named in Unheard.
+	// Members and Proxies hold the status that each node reports. Unreachable names
+	// the nodes that did not answer.
 	Members     []control.Status
 	Proxies     []messages.ProxyStatus
 	Unreachable []string
 }
 
-// Check lists the findings of a book against the fleet, in a settled order.
-// Where the book is not the one in force, sent holds the items of a file that
-// is to be sent.
-//
-// Example:
-//
-//	findings := inspector.Check(book, sent, fleet)
+// Check returns the findings for an item set against the fleet, ordered by kind.
+// sent holds the items of a request that is yet to be submitted, if any; they are
+// applied to the item set before the check.
 func Check(itemSet config.ItemSet, sent []config.Item, fleet Fleet) (out []Finding) {
 	find := func(what, where, format string, args ...any) {
 		out = append(out, Finding{what, where, fmt.Sprintf(format, args...)})
--- a/internal/inspect/command.go
+++ b/internal/inspect/command.go
@@ -15,14 +15,15 @@
 	"ploverhitch/internal/config"
 )
 
-// The exit statuses of the inspector.
+// Exit statuses of the inspector command.
 const (
 	ExitClean    = 0
 	ExitFindings = 1
 	ExitError    = 2
 )
 
-// Commands are the inspector's subcommands on a command line.
+// Commands holds the parsed flags and the output streams of the inspector's
+// subcommands.
 type Commands struct {
 	control, file, service *string
 	add, retire            *[]string
@@ -32,43 +33,35 @@
 	out, errs              io.Writer
 }
 
-// Register adds the inspector to the command line.
-//
-// Example:
-//
-//	commands := inspector.Register(app, os.Stdout, os.Stderr)
+// Register adds the inspector command with its subcommands to app.
 func Register(app *kingpin.Application, out, errs io.Writer) *Commands {
 	c := &Commands{out: out, errs: errs}
-	group := app.Command("inspector", "Looks at a running system, and changes nothing.")
-	c.control = group.Flag("control", "Control address of a core node.").PlaceHolder("HOST:PORT").String()
+	group := app.Command("inspector", "Inspects a running system without changing it.")
+	c.control = group.Flag("control", "Control address of a control plane member.").PlaceHolder("HOST:PORT").String()
 	c.isJSON = group.Flag("json", "Print JSON instead of a table.").Bool()
-	check := group.Command("check", "Checks a manifest against the fleet as it is. Example: ploverhitch inspector --control 10.1.0.42:8382 check --manifest next.json")
-	c.file = check.Flag("manifest", "A call of an operator that is to be sent; left out, the manifest in force is checked.").String()
-	moves := group.Command("moves", "Tells which running keyed operations and downloads a change of servers would move. Example: ploverhitch inspector --control 10.1.0.42:8382 moves --service fees --retire i-7f3a91c2")
+	check := group.Command("check", "Checks a configuration against the running fleet. Example: ploverhitch inspector --control 10.1.0.42:8382 check --manifest next.json")
+	c.file = check.Flag("manifest", "File with a configuration request to check before it is submitted; by default the current configuration is checked.").String()
+	moves := group.Command("moves", "Lists the running keyed operations and downloads that a change of servers would move. Example: ploverhitch inspector --control 10.1.0.42:8382 moves --service fees --retire i-7f3a91c2")
 	c.service = moves.Flag("service", "The service whose servers change.").Required().String()
-	c.add = moves.Flag("add", "An instance that would come, as ID or ID@CELL; may be repeated.").Strings()
-	c.retire = moves.Flag("retire", "An instance that would go; may be repeated.").Strings()
-	c.confirm = moves.Flag("confirm", "Wait so long for the change to be made, and compare what moved with what was told.").Duration()
-	sites := group.Command("sites", "Tells the tree of sites, their capacity and load, and who is passed where. Example: ploverhitch inspector --control 10.1.0.42:8382 sites --without tvm-a")
-	c.without = sites.Flag("without", "Forecast where this site's callers would go, and whether they fit.").PlaceHolder("SITE").String()
-	group.Command("load", "Tells the order in which lanes are turned away under overload, what is turned away now and why, and the nodes by cutoff. Example: ploverhitch inspector --control 10.1.0.42:8382 load")
-	group.Command("mirror", "Tells what came of the copies that a mirror sends to its shadow, and what may be claimed of it. Example: ploverhitch inspector --control 10.1.0.42:8382 mirror")
-	core := group.Command("control", "Tells the members of the core: view, lease, contact with a majority, who lacks which changes, and what was accepted of an item. Example: ploverhitch inspector --control 10.1.0.42:8382 control --item r-fees")
-	c.item = core.Flag("item", "Tell the accepted versions of the items of this name too.").PlaceHolder("NAME").String()
+	c.add = moves.Flag("add", "An instance to add, as ID or ID@ZONE; may be repeated.").Strings()
+	c.retire = moves.Flag("retire", "An instance to retire; may be repeated.").Strings()
+	c.confirm = moves.Flag("confirm", "Wait up to this long for the change to take effect, and compare the moves with the forecast.").Duration()
+	sites := group.Command("sites", "Shows the site tree, the capacity and load of each site, and the requests forwarded between sites. Example: ploverhitch inspector --control 10.1.0.42:8382 sites --without tvm-a")
+	c.without = sites.Flag("without", "Forecast where this site's requests would go if it failed, and whether the capacity suffices.").PlaceHolder("SITE").String()
+	group.Command("load", "Shows the order in which routes are shed under overload, what is shed now and why, and the nodes by cutoff. Example: ploverhitch inspector --control 10.1.0.42:8382 load")
+	group.Command("mirror", "Shows the outcomes of the requests that a mirror copies to its shadow, and the conclusion they support. Example: ploverhitch inspector --control 10.1.0.42:8382 mirror")
+	core := group.Command("control", "Shows the control plane members: view, lease, quorum contact, missing changes, and the accepted versions of an item. Example: ploverhitch inspector --control 10.1.0.42:8382 control --item r-fees")
+	c.item = core.Flag("item", "Also show the accepted versions of the items with this name.").PlaceHolder("NAME").String()
 	return c
 }
 
-// Run runs the subcommand of that name and returns the exit status.
-//
-// Example:
-//
-//	os.Exit(commands.Run("inspector check"))
+// Run runs the subcommand with the given full name and returns the exit status.
 func (c *Commands) Run(name string) int {
 	run := map[string]func(*Control) (int, error){
 		"inspector check": c.check, "inspector moves": c.moves, "inspector sites": c.sites, "inspector load": c.load, "inspector mirror": c.mirror, "inspector control": c.core,
 	}[name]
 	if run == nil || *c.control == "" {
-		return c.fail(fmt.Errorf("--control is needed"))
+		return c.fail(fmt.Errorf("--control is required"))
 	}
 	status, err := run(NewControl(*c.control))
 	if err != nil {
@@ -115,7 +108,7 @@
 	if err != nil {
 		return ExitError, err
 	}
-	rows := [][]string{{"NODE", "LANE", "OPERATION", "FROM", "TO", "RUNS ON"}}
+	rows := [][]string{{"NODE", "ROUTE", "OPERATION", "FROM", "TO", "RUNS ON"}}
 	for _, node := range forecast.Nodes {
 		for _, m := range forecast.Moving()[node.Node] {
 			name := "key " + m.Key
--- a/internal/inspect/core.go
+++ b/internal/inspect/core.go
@@ -10,21 +10,17 @@
 	"ploverhitch/internal/control"
 )
 
-// Core is the control side as its members tell it.
+// Core is the state of the control plane as its members report it.
 type Core struct {
 	Members     []control.Status `json:"Members"`
 	Unreachable []string         `json:"Unheard"`
-	// Accepted is what each member remembers of the item that was asked for.
+	// Accepted maps each member to the versions it has accepted of the requested item.
 	Accepted map[string]control.AcceptedPage `json:"Accepted,omitempty"`
 	Findings []string                        `json:"Findings"`
 }
 
-// Core asks every member of the view for its status, and for what it remembers of
-// an item where a name is given.
-//
-// Example:
-//
-//	core, err := control.Core("r-fees")
+// Core queries every member of the view for its status and, unless item is empty,
+// for the accepted versions of the items with that name.
 func (c *Control) Core(item string) (core Core, err error) {
 	var first control.Status
 	if err = c.read("/v1/status", &first); err != nil {
@@ -51,7 +47,7 @@
 	return core, nil
 }
 
-// findings is what is not as it should be.
+// findings lists the problems in the members' reports.
 func (c Core) findings() []string {
 	out := []string{}
 	newest := control.Status{}
@@ -88,12 +84,13 @@
 	return out
 }
 
-// staleContactMs is how old a member's contact with a majority may be before it is
-// a finding.
+// maxQuorumAgeMs is the age of a member's last quorum contact above which it is
+// reported as a finding.
 const maxQuorumAgeMs = 2000
 
-// staleListMs is how old a member's newest reading of the platform's list may be before
-// it is a finding: a server that leaves must be known well within two seconds.
+// maxListAgeMs is the age of a member's newest read of the platform's instance list
+// above which it is reported as a finding: the departure of a server must be known
+// well within two seconds.
 const maxListAgeMs = 2000
 
 func formatAge(ms int64) string {
--- a/internal/inspect/core_test.go
+++ b/internal/inspect/core_test.go
@@ -7,17 +7,17 @@
 	"ploverhitch/internal/control"
 )
 
-var _ = Describe("what is found of the core", func() {
+var _ = Describe("the findings about control plane members", func() {
 	member := func(node string, remaining int64) control.Status {
 		return control.Status{Node: node, Epoch: 4, IsTrusted: true, Index: 9, QuorumAgeMs: 120, ListAgeMs: 600, Lease: control.LeaseStatus{RemainingMs: remaining}}
 	}
 
-	It("is nothing where all is as it should be", func() {
+	It("are empty for healthy members", func() {
 		core := Core{Members: []control.Status{member("a", 700), member("b", 0), member("c", 0)}}
 		Expect(core.findings()).To(BeEmpty())
 	})
 
-	It("is a member that is behind, not whole, out of contact, without the list, in an older view or silent", func() {
+	It("include members that are behind, untrusted, without quorum contact, without a recent instance list, in an older view or unreachable", func() {
 		behind, broken, cut, old := member("b", 0), member("c", 0), member("d", 0), member("e", 0)
 		unread, stale := member("g", 0), member("h", 0)
 		unread.ListAgeMs, stale.ListAgeMs = -1, maxListAgeMs+1
@@ -37,7 +37,7 @@
 		))
 	})
 
-	It("is a lease that nobody holds, or more than one", func() {
+	It("include a lease with no holder or with several", func() {
 		Expect(Core{Members: []control.Status{member("a", 0)}}.findings()).To(ConsistOf(ContainSubstring("0 members hold the lease")))
 		Expect(Core{Members: []control.Status{member("a", 5), member("b", 5)}}.findings()).To(ConsistOf(ContainSubstring("2 members hold the lease of the duty: a, b")))
 	})
--- a/internal/inspect/inspect_test.go
+++ b/internal/inspect/inspect_test.go
@@ -21,7 +21,7 @@
 
 func TestInspect(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "inspector")
+	RunSpecs(t, "inspect")
 }
 
 func items(text string) []config.Item {
@@ -52,13 +52,13 @@
 	return out
 }
 
-var _ = Describe("the check", func() {
-	It("finds nothing in a healthy system", func() {
+var _ = Describe("Check", func() {
+	It("returns no findings for a healthy system", func() {
 		itemSet, fleet := healthy()
 		Expect(inspect.Check(itemSet, nil, fleet)).To(BeEmpty())
 	})
 
-	It("names what the nodes lack", func() {
+	It("reports nodes that are behind, rebuilding, not ready or unreachable", func() {
 		itemSet, fleet := healthy()
 		fleet.Members[1].Epoch, fleet.Members[2].Digest, fleet.Members[0].IsTrusted = 1, "old", false
 		fleet.Proxies[0].Digest, fleet.Proxies[0].Ready = "old", false
@@ -67,7 +67,7 @@
 			"behind: c2", "behind: c3", "rebuilding: c1", "not ready: e1", "behind: e1", "unheard: e9"))
 	})
 
-	It("looks at what is to be sent against the fleet as it is", func() {
+	It("validates a request against the running fleet before it is submitted", func() {
 		itemSet, fleet := healthy()
 		sent := items(`{"Upsert":{"Services":[{"Name":"fees","MaxConnections":1,"Revision":"r5"},{"Name":"packs","MaxConnections":8,"Revision":"r4"}],
 "VirtualHosts":[{"Hostname":"h","PathTable":[
@@ -78,7 +78,7 @@
 		Expect(kindsOf(inspect.Check(itemSet, clash, fleet))).To(ContainElement("invalid: manifest"))
 	})
 
-	It("tells place and reason of a file that cannot be read, in one line", func() {
+	It("reports the line and the reason for an invalid file in a single line", func() {
 		path := filepath.Join(GinkgoT().TempDir(), "m.json")
 		Expect(os.WriteFile(path, []byte("{\n\"Upsert\": {\n  oops\n"), 0o600)).To(Succeed())
 		_, err := inspect.FileItems(path)
@@ -87,8 +87,8 @@
 	})
 })
 
-var _ = Describe("the ring's forecast", func() {
-	It("is what a plain comparison of the rings before and after comes to", func() {
+var _ = Describe("the hash ring forecast", func() {
+	It("equals a direct comparison of the rings before and after the change", func() {
 		random := rand.New(rand.NewPCG(8, 8))
 		for range 40 {
 			var before, after feed.Fleet
@@ -117,7 +117,7 @@
 				Expect(forecast).To(Equal(to))
 				if from != to {
 					moved++
-					// Only what the change touches moves.
+					// Only keys of the added or the retired server move.
 					Expect(from == change.Retire[0] || to == change.Add[0]).To(BeTrue())
 				}
 			}
@@ -127,8 +127,8 @@
 	})
 })
 
-var _ = Describe("the forecast for a lost site", func() {
-	It("names where its callers would go, nearest first, and what would not fit", func() {
+var _ = Describe("the forecast for the loss of a site", func() {
+	It("lists the receiving sites, nearest first, and the load that exceeds their capacity", func() {
 		page := control.SitePage{Sites: []sites.Site{{Name: "whole"}, {Name: "east", Parent: "whole"}, {Name: "a", Parent: "east"}, {Name: "b", Parent: "east"}, {Name: "c", Parent: "whole"}}}
 		for site, own := range map[string]int{"a": 40, "b": 20, "c": 10} {
 			page.Accounts = append(page.Accounts, sites.Status{Site: site, Service: "fees", Capacity: 40, Own: own})
--- a/internal/inspect/load.go
+++ b/internal/inspect/load.go
@@ -11,19 +11,15 @@
 	"ploverhitch/internal/shedding"
 )
 
-// Load is the order of tiers, what is turned away, and the nodes by the number of
-// the cutoff that they work by.
+// Load is the order of tiers, the requests being shed, and the nodes grouped by the
+// number of the cutoff that they apply.
 type Load struct {
 	control.LoadPage
 	Nodes       map[string][]string `json:"Nodes"`
 	Unreachable []string            `json:"Unheard"`
 }
 
-// Load asks the holder of the duty and every proxy.
-//
-// Example:
-//
-//	load, err := control.Load()
+// Load queries the leader and every proxy.
 func (c *Control) Load() (out Load, err error) {
 	if err = c.readFromLeader("/v1/load", &out.LoadPage, func() (bool, string) { return out.IsLeader, out.Leader }); err != nil {
 		return out, err
@@ -53,7 +49,7 @@
 	return strconv.FormatUint(status.Cutoff, 10)
 }
 
-// shedOf tells what the cutoffs turn away of a tier.
+// shedSummary describes the share of a tier that the cutoffs shed, by service.
 func shedSummary(tier shedding.Tier, cutoffs []shedding.Cutoff) string {
 	var out []string
 	for _, cutoff := range cutoffs {
@@ -72,7 +68,7 @@
 	if err != nil {
 		return ExitError, err
 	}
-	rows := [][]string{{"TIER", "PLAN", "PRIORITY", "KIND", "LANES", "TURNED AWAY"}}
+	rows := [][]string{{"TIER", "PLAN", "PRIORITY", "KIND", "ROUTES", "TURNED AWAY"}}
 	for _, tier := range load.Order {
 		rows = append(rows, []string{
 			strconv.Itoa(int(tier.Tier)), tier.Plan, strconv.Itoa(tier.Priority), tier.Kind, strings.Join(tier.Routes, ","), shedSummary(tier.Tier, load.Cutoffs),
--- a/internal/inspect/look.go
+++ b/internal/inspect/look.go
@@ -23,17 +23,13 @@
 	maxResponseBytes = 64 << 20
 )
 
-// Control is the operators' interface of one core node.
+// Control is a client of the operator API of one control plane member.
 type Control struct {
 	Address string
 	client  *http.Client
 }
 
-// NewControl makes a client of a control address.
-//
-// Example:
-//
-//	control := inspector.NewControl("10.1.0.42:8382")
+// NewControl returns a client for a control address.
 func NewControl(address string) *Control {
 	return &Control{address, &http.Client{Timeout: requestTimeout}}
 }
@@ -59,11 +55,7 @@
 	return errors.Annotatef(err, "%s%s", c.Address, path)
 }
 
-// Book reads the manifest in force.
-//
-// Example:
-//
-//	book, err := control.Book()
+// ItemSet reads the current configuration.
 func (c *Control) ItemSet() (config.ItemSet, error) {
 	text, err := c.get("/v1/config/read")
 	if err != nil {
@@ -71,19 +63,15 @@
 	}
 	items, err := config.ParseModify([]byte(`{"Upsert":` + string(text) + `}`))
 	if err != nil {
-		return nil, errors.Annotatef(err, "manifest of %s", c.Address)
+		return nil, errors.Annotatef(err, "configuration of %s", c.Address)
 	}
 	itemSet := config.ItemSet{}
 	itemSet.Merge(items)
 	return itemSet, nil
 }
 
-// FileItems reads a call of an operator from a file. What cannot be read is told
-// with its place, in one line.
-//
-// Example:
-//
-//	items, err := inspector.FileItems("manifest.json")
+// FileItems reads the items of a configuration request from a file. The error for
+// invalid JSON is a single line with the line number.
 func FileItems(path string) ([]config.Item, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -102,8 +90,8 @@
 	return items, errors.Annotate(err, path)
 }
 
-// at is the operators' interface of a member, which is named by its internal
-// address; on all machines the ports are alike.
+// memberControl returns a client for the operator API of the member with the given
+// internal address. The control port is the same on all machines.
 func (c *Control) memberControl(member string) (*Control, error) {
 	_, port, err := net.SplitHostPort(c.Address)
 	if err != nil {
@@ -111,16 +99,12 @@
 	}
 	host, _, err := net.SplitHostPort(member)
 	if err != nil {
-		return nil, errors.Annotate(err, "address of a member")
+		return nil, errors.Annotate(err, "member address")
 	}
 	return NewControl(net.JoinHostPort(host, port)), nil
 }
 
-// Fleet asks the core nodes and the proxies what they have in force.
-//
-// Example:
-//
-//	fleet, err := control.Fleet()
+// Fleet queries the status of the control plane members and of the proxies.
 func (c *Control) Fleet() (fleet Fleet, err error) {
 	var first control.Status
 	if err = c.read("/v1/status", &first); err != nil {
@@ -157,7 +141,7 @@
 	return fleet, nil
 }
 
-// edge is a proxy's machine, as the core knows it by the feed it follows.
+// proxyClient is a connection to a proxy that follows a member's feed.
 type proxyClient struct {
 	name   string
 	client *rpc.Client
--- a/internal/inspect/mirror.go
+++ b/internal/inspect/mirror.go
@@ -12,35 +12,32 @@
 	"ploverhitch/internal/mirror"
 )
 
-// parityLeast is how many whole conversations without a difference it takes to
-// claim that the shadow does as the live side does.
+// minConversations is the number of complete conversations without a difference that
+// is required to claim that the shadow behaves as the live service.
 const minConversations = 30
 
-// Mirroring is what came of one mirror, summed over all nodes.
+// MirrorSummary holds the results of one mirror, summed over all nodes.
 type MirrorSummary struct {
 	Name   string                               `json:"Name"`
 	Grant  *mirror.Grant                        `json:"Grant,omitempty"`
 	Counts map[string]map[mirror.Outcome]uint64 `json:"Counts"`
 	Gaps   map[string]uint64                    `json:"Gaps"`
-	// Seen are the conversations met since the nodes last changed, Whole those of
-	// which every copy reached the shadow, Differing the whole ones with a
-	// difference, Untracked those beyond what nodes keep.
+	// Seen counts the conversations observed since the nodes last changed, Whole those
+	// of which every copy reached the shadow, Differing the whole ones with a
+	// difference, and Untracked those beyond the number that nodes record.
 	Seen      int              `json:"Seen"`
 	Whole     int              `json:"Whole"`
 	Differing int              `json:"Differing"`
 	Untracked uint64           `json:"Untracked"`
 	Examples  []mirror.Example `json:"Examples"`
-	// Claim is what may be said of the whole conversations, and why not more.
+	// Claim is the conclusion that the whole conversations support, or why there is
+	// none.
 	Claim string `json:"Claim"`
 }
 
-// Sum joins what the nodes know of one mirror. A conversation is whole only if no
-// node misses anything of it; nothing is claimed unless all nodes that the holder
-// knows have answered, in the lives and in the era that it knows.
-//
-// Example:
-//
-//	sum := inspector.Sum("east", grant, nodes)
+// Summarize merges the nodes' results of one mirror. A conversation is whole only if
+// no node has a gap in it. Nothing is claimed unless all nodes known to the leader
+// have answered, with the incarnations and the era that the leader knows.
 func Summarize(name string, grant *mirror.Grant, nodes []messages.MirrorStatus) MirrorSummary {
 	out := MirrorSummary{Name: name, Grant: grant, Counts: map[string]map[mirror.Outcome]uint64{}, Gaps: map[string]uint64{}, Examples: []mirror.Example{}}
 	conversations, incarnations, sameEra := map[uint64]mirror.Conversation{}, uint64(0), true
@@ -85,7 +82,7 @@
 	case grant == nil:
 		out.Whole, out.Differing, out.Claim = 0, 0, "nothing: the mirror is not in force"
 	case !grant.Settled || incarnations != grant.Incarnations || !sameEra:
-		out.Whole, out.Differing, out.Claim = 0, 0, "nothing: not all nodes have answered by one order"
+		out.Whole, out.Differing, out.Claim = 0, 0, "nothing: not all nodes have answered under the same grant"
 	case out.Differing > 0:
 		out.Claim = fmt.Sprintf("%d of %d whole conversations differ", out.Differing, out.Whole)
 	case out.Whole < minConversations:
@@ -96,11 +93,8 @@
 	return out
 }
 
-// Mirrors asks the core for the mirrors and every proxy for what it knows of them.
-//
-// Example:
-//
-//	sums, err := control.Mirrors()
+// Mirrors queries the control plane for the mirrors and every proxy for its results,
+// and returns their summaries and the nodes that did not answer.
 func (c *Control) Mirrors() (out []MirrorSummary, unreachable []string, err error) {
 	var page control.MirrorPage
 	if err = c.read("/v1/mirrors", &page); err != nil {
@@ -140,7 +134,7 @@
 	}
 	status := ExitClean
 	rows := [][]string{{"MIRROR", "SHARE", "SEEN", "WHOLE", "DIFFERING", "CLAIM"}}
-	details := [][]string{nil, {"MIRROR", "LANE", "OUTCOME", "COUNT"}}
+	details := [][]string{nil, {"MIRROR", "ROUTE", "OUTCOME", "COUNT"}}
 	for _, summary := range summaries {
 		share := "ended"
 		if summary.Grant != nil {
--- a/internal/inspect/mirror_test.go
+++ b/internal/inspect/mirror_test.go
@@ -12,10 +12,10 @@
 	"ploverhitch/internal/mirror"
 )
 
-var _ = Describe("the sum of what nodes know of a mirror", func() {
-	// converse lets learners talk to nodes by turns; isChosen says whether a node
-	// copies one part of a conversation.
-	converse := func(isChosen func(node int, draw float64) bool) (grant *mirror.Grant, nodes []messages.MirrorStatus, parts map[uint64]int) {
+var _ = Describe("the summary of the nodes' results for a mirror", func() {
+	// simulate runs conversations whose parts reach random nodes; isChosen says
+	// whether a node copies a part.
+	simulate := func(isChosen func(node int, samplePoint float64) bool) (grant *mirror.Grant, nodes []messages.MirrorStatus, parts map[uint64]int) {
 		m := mirror.Mirror{Name: "m", Shadow: "next"}
 		grant = &mirror.Grant{Name: "m", Version: 1, Share: 0.5, Era: 1, Settled: true}
 		records := make([]*mirror.Recorder, 4)
@@ -27,14 +27,14 @@
 			records[node].SetGrant(*grant)
 		}
 		random, parts := rand.New(rand.NewPCG(1, 1)), map[uint64]int{}
-		for learner := range uint64(200) {
-			draw := m.SamplePoint("h", fmt.Sprint(learner))
+		for client := range uint64(200) {
+			samplePoint := m.SamplePoint("h", fmt.Sprint(client))
 			for range 4 {
 				node := random.IntN(4)
-				if isChosen(node, draw) {
-					parts[learner]++
-					_, era := records[node].AddOriginal(learner, draw)
-					records[node].AddComparison(learner, era, mirror.Example{Route: "l", Outcome: mirror.Same})
+				if isChosen(node, samplePoint) {
+					parts[client]++
+					_, era := records[node].AddOriginal(client, samplePoint)
+					records[node].AddComparison(client, era, mirror.Example{Route: "l", Outcome: mirror.Same})
 				}
 			}
 		}
@@ -43,36 +43,36 @@
 		}
 		return grant, nodes, parts
 	}
-	byHash := func(_ int, draw float64) bool { return draw < 0.5 }
+	byHash := func(_ int, samplePoint float64) bool { return samplePoint < 0.5 }
 
-	It("claims parity over whole conversations that all nodes chose alike", func() {
-		grant, nodes, parts := converse(byHash)
+	It("claims parity when all nodes select the same conversations", func() {
+		grant, nodes, parts := simulate(byHash)
 		sum := inspect.Summarize("m", grant, nodes)
 		Expect(sum.Whole).To(Equal(len(parts)))
 		Expect(sum.Claim).To(HavePrefix("no difference in "))
-		for learner, count := range parts {
-			Expect(count).To(Equal(4), "learner %d", learner)
+		for client, count := range parts {
+			Expect(count).To(Equal(4), "client %d", client)
 		}
 	})
 
-	It("gets torn conversations from a choice by lot at each node: the check can fail", func() {
+	It("sees incomplete conversations when each node selects at random: the check can fail", func() {
 		random := rand.New(rand.NewPCG(2, 2))
-		_, _, parts := converse(func(int, float64) bool { return random.Float64() < 0.5 })
-		torn := 0
+		_, _, parts := simulate(func(int, float64) bool { return random.Float64() < 0.5 })
+		incomplete := 0
 		for _, count := range parts {
 			if count < 4 {
-				torn++
+				incomplete++
 			}
 		}
-		Expect(torn).To(BeNumerically(">", 100))
+		Expect(incomplete).To(BeNumerically(">", 100))
 	})
 
-	It("claims nothing while a node has not answered, lives anew, is of another era, or lacks the order", func() {
-		grant, nodes, _ := converse(byHash)
+	It("claims nothing while a node has not answered, has restarted, is of another era, or has not received the grant", func() {
+		grant, nodes, _ := simulate(byHash)
 		Expect(inspect.Summarize("m", grant, nodes[1:]).Claim).To(HavePrefix("nothing"))
-		anew := append([]messages.MirrorStatus{}, nodes...)
-		anew[0].Incarnation = "b"
-		Expect(inspect.Summarize("m", grant, anew).Whole).To(BeZero())
+		restarted := append([]messages.MirrorStatus{}, nodes...)
+		restarted[0].Incarnation = "b"
+		Expect(inspect.Summarize("m", grant, restarted).Whole).To(BeZero())
 		other := *grant
 		other.Era = 2
 		Expect(inspect.Summarize("m", &other, nodes).Whole).To(BeZero())
@@ -82,8 +82,8 @@
 		Expect(inspect.Summarize("m", nil, nodes).Claim).To(HavePrefix("nothing"))
 	})
 
-	It("takes conversations out that a lowered share no longer copies", func() {
-		grant, nodes, _ := converse(byHash)
+	It("excludes conversations that a lowered share no longer copies", func() {
+		grant, nodes, _ := simulate(byHash)
 		lowered := *grant
 		lowered.Share = 0.25
 		Expect(inspect.Summarize("m", &lowered, nodes).Whole).To(BeNumerically("<", inspect.Summarize("m", grant, nodes).Whole*2/3))
--- a/internal/inspect/moves.go
+++ b/internal/inspect/moves.go
@@ -14,7 +14,7 @@
 	"ploverhitch/internal/messages"
 )
 
-// Forecast is what every proxy says of a change before it is made.
+// Forecast holds the operations that each proxy expects a change of servers to move.
 type Forecast struct {
 	Change      balancer.Change  `json:"Change"`
 	Nodes       []messages.Moves `json:"Nodes"`
@@ -22,12 +22,8 @@
 	proxies     []proxyClient
 }
 
-// Forecast asks every proxy which running operations the change would move.
-// Nothing is shifted by looking.
-//
-// Example:
-//
-//	forecast, err := control.Forecast(balancer.Change{Service: "fees", Retire: []string{"i-7"}})
+// Forecast queries every proxy for the running operations that the change would
+// move. The query itself moves nothing.
 func (c *Control) Forecast(change balancer.Change) (*Forecast, error) {
 	fleet, err := c.Fleet()
 	if err != nil {
@@ -53,11 +49,7 @@
 	return out, nil
 }
 
-// Moving lists the operations that would move, by node.
-//
-// Example:
-//
-//	for node, moves := range forecast.Moving() { show(node, moves) }
+// Moving returns the operations that would move, by node.
 func (f *Forecast) Moving() map[string][]messages.Move {
 	out := map[string][]messages.Move{}
 	for _, node := range f.Nodes {
@@ -70,7 +62,7 @@
 	return out
 }
 
-// Surprise is an operation whose home after the change is not the one forecast.
+// Mismatch is an operation whose home after the change differs from the forecast.
 type Mismatch struct {
 	Node      string        `json:"Node"`
 	Operation messages.Move `json:"Run"`
@@ -79,13 +71,9 @@
 
 const confirmInterval = 200 * time.Millisecond
 
-// Confirm waits, for so long at most, until every node's live ring shows the
-// change, and then compares where each operation's home is with what was
-// forecast, for those that were to move and for those that were not.
-//
-// Example:
-//
-//	surprises, err := forecast.Confirm(clock, time.Minute)
+// Confirm waits, at most for timeout, until every node's ring reflects the change.
+// It then compares the home of each operation with the forecast, both for operations
+// that were to move and for those that were not.
 func (f *Forecast) Confirm(timeSource clock.Clock, timeout time.Duration) (out []Mismatch, err error) {
 	deadline := timeSource.Monotonic() + clock.Instant(timeout)
 	for _, proxy := range f.proxies {
--- a/internal/inspect/sites.go
+++ b/internal/inspect/sites.go
@@ -12,17 +12,13 @@
 	"ploverhitch/internal/sites"
 )
 
-// Sites asks the holder of the duty for the tree and what stands of its sites.
-//
-// Example:
-//
-//	page, err := control.Sites()
+// Sites queries the leader for the site tree and the state of its sites.
 func (c *Control) Sites() (page control.SitePage, err error) {
 	return page, c.readFromLeader("/v1/sites", &page, func() (bool, string) { return page.IsLeader, page.Leader })
 }
 
-// readAtHolder reads a page, and reads it again at the holder of the duty where the
-// first answer, which says who that is, came from another node.
+// readFromLeader reads a page and, if the responding node is not the leader, reads it
+// again from the leader that the first response names.
 func (c *Control) readFromLeader(path string, out any, leader func() (isLeader bool, address string)) error {
 	if err := c.read(path, out); err != nil {
 		return err
@@ -38,21 +34,17 @@
 	return leaderControl.read(path, out)
 }
 
-// Passage is where a part of a lost site's callers would go.
+// SiteFailover is a part of a lost site's load and the site that would receive it.
 type SiteFailover struct {
 	Service string `json:"Service"`
 	To      string `json:"To"`
 	Load    int    `json:"Load"`
-	// IsLeft marks what no site has room for.
+	// Unplaced marks load for which no site has spare capacity.
 	Unplaced bool `json:"IsLeft,omitempty"`
 }
 
-// Without forecasts where the callers of a site would go if its servers dropped
-// out now, by what the accounts say. It shifts nothing.
-//
-// Example:
-//
-//	passages, err := inspector.Without(page, "tvm-a")
+// ForecastSiteLoss computes from the accounts where the load of a site would go if its
+// servers failed now. It moves no traffic.
 func ForecastSiteLoss(page control.SitePage, site string) (out []SiteFailover, err error) {
 	tree, err := buildTree(page.Sites)
 	if err != nil {
@@ -83,7 +75,7 @@
 	return out, nil
 }
 
-// rebuild lays the tree of a page anew.
+// buildTree rebuilds the site tree from the sites of a page.
 func buildTree(all []sites.Site) (*sites.Tree, error) {
 	var named []sites.Site
 	for _, site := range all {
