--- a/internal/inspect/command.go
+++ b/internal/inspect/command.go
@@ -27,18 +27,18 @@
 type Commands struct {
 	control, file, service *string
 	add, retire            *[]string
-	isJSON                 *bool
+	jsonOutput             *bool
 	confirm                *time.Duration
 	without, item          *string
-	out, errs              io.Writer
+	out, errOut            io.Writer
 }
 
 // Register adds the inspector command with its subcommands to app.
-func Register(app *kingpin.Application, out, errs io.Writer) *Commands {
-	c := &Commands{out: out, errs: errs}
+func Register(app *kingpin.Application, out, errOut io.Writer) *Commands {
+	c := &Commands{out: out, errOut: errOut}
 	group := app.Command("inspector", "Inspects a running system without changing it.")
 	c.control = group.Flag("control", "Control address of a control plane member.").PlaceHolder("HOST:PORT").String()
-	c.isJSON = group.Flag("json", "Print JSON instead of a table.").Bool()
+	c.jsonOutput = group.Flag("json", "Print JSON instead of a table.").Bool()
 	check := group.Command("check", "Checks a configuration against the running fleet. Example: ploverhitch inspector --control 10.1.0.42:8382 check --manifest next.json")
 	c.file = check.Flag("manifest", "File with a configuration request to check before it is submitted; by default the current configuration is checked.").String()
 	moves := group.Command("moves", "Lists the running keyed operations and downloads that a change of servers would move. Example: ploverhitch inspector --control 10.1.0.42:8382 moves --service fees --retire i-7f3a91c2")
@@ -71,7 +71,7 @@
 }
 
 func (c *Commands) fail(err error) int {
-	fmt.Fprintln(c.errs, "ploverhitch inspector:", strings.ReplaceAll(err.Error(), "\n", " "))
+	fmt.Fprintln(c.errOut, "ploverhitch inspector:", strings.ReplaceAll(err.Error(), "\n", " "))
 	return ExitError
 }
 
@@ -144,7 +144,7 @@
 }
 
 func (c *Commands) print(value any, rows [][]string) {
-	if *c.isJSON {
+	if *c.jsonOutput {
 		text, _ := json.MarshalIndent(value, "", "  ")
 		fmt.Fprintln(c.out, string(text))
 		return
