--- a/internal/inspect/look.go
+++ b/internal/inspect/look.go
@@ -147,10 +147,10 @@
 	client *rpc.Client
 }
 
-func proxyClients(cores []control.Status) (out []proxyClient) {
+func proxyClients(members []control.Status) (out []proxyClient) {
 	seen := map[string]bool{}
-	for _, core := range cores {
-		for _, follower := range core.Followers {
+	for _, member := range members {
+		for _, follower := range member.Followers {
 			name, address, isProxy := strings.Cut(follower, "@")
 			if isProxy && !seen[name] {
 				seen[name] = true
