--- a/cmd/ploverhitch/main.go
+++ b/cmd/ploverhitch/main.go
@@ -16,7 +16,7 @@
 	"ploverhitch/internal/agent"
 	"ploverhitch/internal/apply"
 	"ploverhitch/internal/control"
-	"ploverhitch/internal/inspector"
+	"ploverhitch/internal/inspect"
 	"ploverhitch/internal/logring"
 	"ploverhitch/internal/proxy"
 	"ploverhitch/internal/rolloutcmd"
@@ -60,7 +60,7 @@
 	app.Command("proxy", "Runs the proxy, which serves client requests. Example: ploverhitch proxy --settings local.yaml")
 	app.Command("agent", "Runs the agent beside a proxy. Example: ploverhitch agent --settings local.yaml")
 	app.Command("control", "Runs a control node. Example: ploverhitch control --settings local.yaml")
-	inspectorCommand := inspector.Register(app, os.Stdout, os.Stderr)
+	inspectorCommand := inspect.Register(app, os.Stdout, os.Stderr)
 	applyCommand := apply.Register(app, os.Stdout)
 	rolloutCommand := rolloutcmd.Register(app, os.Stdout)
 	name := kingpin.MustParse(app.Parse(os.Args[1:]))
--- a/internal/settings/process.go
+++ b/internal/settings/process.go
@@ -14,48 +14,42 @@
 
 func itoa(n int) string { return strconv.Itoa(n) }
 
-// Tune fits the Go runtime to the machine that the settings describe.
-//
-// Example:
-//
-//	set.Tune()
+// Tune configures the Go runtime for the machine that the settings describe: one
+// processor, a soft memory limit and the garbage collection target.
 func (s *Settings) Tune() {
 	runtime.GOMAXPROCS(1)
-	if mb := s.Platform.Limits.MemoryMb; mb > 0 {
-		debug.SetMemoryLimit(int64(mb) << 20 / heapPart)
+	if memoryMB := s.Platform.Limits.MemoryMB; memoryMB > 0 {
+		debug.SetMemoryLimit(int64(memoryMB) << 20 / memoryLimitDivisor)
 	}
 	debug.SetGCPercent(200)
 }
 
-// heapPart is the part of the machine's memory, as its divisor, that the runtime
-// keeps to as long as what is alive permits. The rest is for the program itself, the
+// memoryLimitDivisor divides the machine's memory to give the runtime's soft memory
+// limit, which live data may exceed. The rest is left for the program text, the
 // stacks and the kernel's buffers.
-const heapPart = 2
+const memoryLimitDivisor = 2
 
-// Watch calls changed with new settings after a SIGHUP or a change of the
-// file, which is looked at once a second; a wrong file changes nothing and is
-// reported to failed.
-//
-// Example:
-//
-//	go settings.Watch(ctx, path, apply, report)
-func Watch(ctx context.Context, path string, changed func(*Settings), failed func(error)) {
-	hangup := make(chan os.Signal, 1)
-	signal.Notify(hangup, syscall.SIGHUP)
-	defer signal.Stop(hangup)
-	last, _ := os.ReadFile(path)
-	look := func() {
+// Watch reloads the settings file on SIGHUP and polls it for changes once a second,
+// until ctx is done. It calls onChange with the new settings when the content has
+// changed. An invalid file leaves the current settings in force and its error is
+// passed to onError.
+func Watch(ctx context.Context, path string, onChange func(*Settings), onError func(error)) {
+	hangups := make(chan os.Signal, 1)
+	signal.Notify(hangups, syscall.SIGHUP)
+	defer signal.Stop(hangups)
+	lastText, _ := os.ReadFile(path)
+	reload := func() {
 		text, err := os.ReadFile(path)
-		if err != nil || bytes.Equal(text, last) {
+		if err != nil || bytes.Equal(text, lastText) {
 			return
 		}
-		last = text
+		lastText = text
 		set, err := Parse(text)
 		if err != nil {
-			failed(err)
+			onError(err)
 			return
 		}
-		changed(set)
+		onChange(set)
 	}
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
@@ -63,9 +57,9 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-hangup:
+		case <-hangups:
 		case <-ticker.C:
 		}
-		look()
+		reload()
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads and checks what a process is told at its start: the
-// platform's facts and this project's tuning.
+// Package settings reads and validates the settings file of a process: the values
+// supplied by the platform and the tuning parameters of ploverhitch itself.
 package settings
 
 import (
@@ -14,53 +14,54 @@
 	"ploverhitch/internal/clock"
 )
 
-// PathVariable names the environment variable that holds the file's path.
+// PathVariable is the environment variable that holds the path of the settings file.
 const PathVariable = "PLOVERHITCH_BOOT"
 
-// Settings is one process's file.
+// Settings is the content of a process's settings file.
 type Settings struct {
 	Platform Platform `yaml:"platform"`
 	Tuning   Tuning   `yaml:"tuning"`
 }
 
-// Platform is what the platform tells; its field names are the wire's.
+// Platform holds the values supplied by the platform, under the platform's own key
+// names.
 type Platform struct {
 	NodeName string `yaml:"NodeName"`
-	Ip       string `yaml:"Ip"`
-	Cell     string `yaml:"Zone"`
-	// Cells names all cells, each with its region.
-	Cells          map[string]string `yaml:"Zones"`
+	IP       string `yaml:"Ip"`
+	Zone     string `yaml:"Zone"`
+	// Zones maps each zone to its region.
+	Zones          map[string]string `yaml:"Zones"`
 	Bind           Bind              `yaml:"Bind"`
 	InternalPorts  []int             `yaml:"InternalPorts"`
 	SeedNodes      []string          `yaml:"SeedNodes"`
 	Bootstrap      bool              `yaml:"Bootstrap"`
 	Limits         Limits            `yaml:"Limits"`
 	DataDir        string            `yaml:"DataDir"`
-	FaultTolerance Tolerance         `yaml:"FaultTolerance"`
+	FaultTolerance FaultTolerance    `yaml:"FaultTolerance"`
 	Bounds         Bounds            `yaml:"Bounds"`
-	CloudApi       CloudApi          `yaml:"CloudApi"`
+	CloudAPI       CloudAPI          `yaml:"CloudApi"`
 }
 
-// Bind holds the addresses of what the role serves.
+// Bind holds the listen addresses of the process.
 type Bind struct {
-	ClientHttp   string `yaml:"ClientHttp"`
+	ClientHTTP   string `yaml:"ClientHttp"`
 	Readiness    string `yaml:"Readiness"`
 	ControlPlane string `yaml:"ControlPlane"`
 }
 
-// Limits are those of the process.
+// Limits holds the resource limits of the process.
 type Limits struct {
-	MemoryMb int     `yaml:"MemoryMb"`
-	DiskMb   int     `yaml:"DiskMb"`
+	MemoryMB int     `yaml:"MemoryMb"`
+	DiskMB   int     `yaml:"DiskMb"`
 	LinkMbps float64 `yaml:"LinkMbps"`
 }
 
-// Tolerance is what may be lost at once.
-type Tolerance struct {
+// FaultTolerance is the number of simultaneous failures to tolerate.
+type FaultTolerance struct {
 	Machines int `yaml:"Machines"`
 }
 
-// Bounds are the figures of the rules in force.
+// Bounds holds the limits that the platform's rules set.
 type Bounds struct {
 	Contact          clock.Duration `yaml:"Contact"`
 	Sync             clock.Duration `yaml:"Sync"`
@@ -70,64 +71,63 @@
 	RetrySlack       int            `yaml:"RetrySlack"`
 	KeyWindow        clock.Duration `yaml:"KeyWindow"`
 	Ack              clock.Duration `yaml:"Ack"`
-	// CanaryShare is given where versions are ordered; then a version that
-	// nobody ordered gets nothing.
+	// CanaryShare is set where versions are rolled out on an operator's order; a
+	// version without such an order then receives no traffic.
 	CanaryShare float64 `yaml:"CanaryShare"`
 }
 
-// CloudApi tells where the platform's list is.
-type CloudApi struct {
+// CloudAPI locates the platform's instance list and limits the request rate to it.
+type CloudAPI struct {
 	Address  string  `yaml:"Address"`
 	RatePerS float64 `yaml:"RatePerS"`
 }
 
-// Tuning is this project's own part.
+// Tuning holds the parameters of ploverhitch itself.
 type Tuning struct {
-	VoteSpan     clock.Duration `yaml:"vote_span"`
-	RecordWait   clock.Duration `yaml:"record_wait"`
-	Retention    clock.Duration `yaml:"retention"`
-	OpenLimit    int            `yaml:"open_limit"`
-	BufferBytes  int            `yaml:"buffer_bytes"`
-	Beat         clock.Duration `yaml:"beat"`
-	SilentAfter  clock.Duration `yaml:"silent_after"`
-	ReplaceAfter clock.Duration `yaml:"replace_after"`
-	Poll         clock.Duration `yaml:"poll"`
-	LogLevel     string         `yaml:"log_level"`
-	// CrossingPerKB is how much delay is borne to save a kilobyte between cells.
-	CrossingPerKB clock.Duration `yaml:"crossing_per_kb"`
-	// Branchline says when callers go to other sites only where these have room:
-	// off, once their own site has fallen, or always.
-	Branchline string `yaml:"branchline"`
-	// WorkingSet is how many servers of a service one proxy keeps to.
-	WorkingSet int `yaml:"working_set"`
-	// Loadgauge says whether nodes turn inquiries away by the cutoff that all agree
-	// on: off or on.
-	Loadgauge string `yaml:"loadgauge"`
-	// Loopback is where a machine's proxy finds its agent.
+	VoteTimeout       clock.Duration `yaml:"vote_span"`
+	RecordTimeout     clock.Duration `yaml:"record_wait"`
+	Retention         clock.Duration `yaml:"retention"`
+	OpenIntentLimit   int            `yaml:"open_limit"`
+	BufferBytes       int            `yaml:"buffer_bytes"`
+	HeartbeatInterval clock.Duration `yaml:"beat"`
+	SilenceTimeout    clock.Duration `yaml:"silent_after"`
+	ReplaceAfter      clock.Duration `yaml:"replace_after"`
+	PollInterval      clock.Duration `yaml:"poll"`
+	LogLevel          string         `yaml:"log_level"`
+	// CrossZoneDelayPerKB is the added delay that is acceptable to save one kilobyte
+	// of traffic between zones.
+	CrossZoneDelayPerKB clock.Duration `yaml:"crossing_per_kb"`
+	// CapacityLeases says when requests go to other sites only under capacity leases:
+	// never, when the local site is down, or always.
+	CapacityLeases string `yaml:"branchline"`
+	// SubsetSize is the number of servers of a service that one proxy uses.
+	SubsetSize int `yaml:"working_set"`
+	// SharedCutoff says whether nodes shed requests by the cutoff that all of them
+	// agree on: off or on.
+	SharedCutoff string `yaml:"loadgauge"`
+	// Loopback is the IPv4 address at which a machine's proxy reaches its agent.
 	Loopback string `yaml:"loopback"`
 }
 
-// Whether the cutoff of an overload is agreed on and heeded.
+// Values of Tuning.SharedCutoff: whether the nodes agree on an overload cutoff and
+// shed requests by it.
 const (
-	GaugeOff = "off"
-	GaugeOn  = "on"
+	SharedCutoffOff = "off"
+	SharedCutoffOn  = "on"
 )
 
-// When callers are passed to other sites by lots only.
+// Values of Tuning.CapacityLeases: when requests go to other sites only under
+// capacity leases.
 const (
-	BranchOff    = "off"
-	BranchFallen = "fallen"
-	BranchAlways = "always"
+	CapacityLeasesOff      = "off"
+	CapacityLeasesSiteDown = "fallen"
+	CapacityLeasesAlways   = "always"
 )
 
-// Read reads and checks the file at the path.
-//
-// Example:
-//
-//	set, err := settings.Read(os.Getenv(settings.PathVariable))
+// Read reads and validates the settings file at path.
 func Read(path string) (*Settings, error) {
 	if path == "" {
-		return nil, errors.NotValidf("settings: no path (set %s or --settings)", PathVariable)
+		return nil, errors.NotValidf("settings: no file path given (set %s or --settings)", PathVariable)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -136,82 +136,75 @@
 	return Parse(text)
 }
 
-// Parse reads and checks the text of a settings file. Unknown fields are
-// ignored; a wrong one is named in the error.
-//
-// Example:
-//
-//	set, err := settings.Parse([]byte("platform: {Ip: 127.0.0.1}"))
+// Parse parses and validates the text of a settings file. Unknown fields are
+// ignored. The error names each invalid field.
 func Parse(text []byte) (*Settings, error) {
 	set := &Settings{Tuning: Defaults()}
 	if err := yaml.Unmarshal(text, set); err != nil {
 		return nil, errors.NewNotValid(nil, "settings: "+strings.ReplaceAll(err.Error(), "\n", " "))
 	}
-	if err := set.check(); err != nil {
+	if err := set.validate(); err != nil {
 		return nil, errors.NewNotValid(nil, "settings: "+err.Error())
 	}
 	return set, nil
 }
 
-// Defaults is the tuning in force where the file says nothing.
-//
-// Example:
-//
-//	tuning := settings.Defaults()
+// Defaults returns the tuning parameters that apply where the file sets none.
 func Defaults() Tuning {
 	const ms = clock.Duration(1_000_000)
 	return Tuning{
-		VoteSpan: 250 * ms, RecordWait: 250 * ms, Retention: 24 * 3600 * 1000 * ms,
-		OpenLimit: 4096, BufferBytes: 1 << 20, Beat: 300 * ms, SilentAfter: 1200 * ms,
-		ReplaceAfter: 2500 * ms, Poll: 400 * ms, LogLevel: "warn", Branchline: BranchOff, Loadgauge: GaugeOff, CrossingPerKB: 10 * ms, WorkingSet: 24, Loopback: "127.0.0.1",
+		VoteTimeout: 250 * ms, RecordTimeout: 250 * ms, Retention: 24 * 3600 * 1000 * ms,
+		OpenIntentLimit: 4096, BufferBytes: 1 << 20, HeartbeatInterval: 300 * ms, SilenceTimeout: 1200 * ms,
+		ReplaceAfter: 2500 * ms, PollInterval: 400 * ms, LogLevel: "warn", CapacityLeases: CapacityLeasesOff, SharedCutoff: SharedCutoffOff, CrossZoneDelayPerKB: 10 * ms, SubsetSize: 24, Loopback: "127.0.0.1",
 	}
 }
 
-func (s *Settings) check() error {
+func (s *Settings) validate() error {
 	p, t := &s.Platform, &s.Tuning
 	const ms = clock.Duration(1_000_000)
-	atLeast := func(least clock.Duration) validation.Rule { return validation.Min(int64(least)) }
-	spans := validation.Errors{}
-	for name, span := range map[string]clock.Duration{
-		"tuning.vote_span": t.VoteSpan, "tuning.record_wait": t.RecordWait, "tuning.beat": t.Beat,
-		"tuning.silent_after": t.SilentAfter, "tuning.replace_after": t.ReplaceAfter, "tuning.poll": t.Poll,
+	atLeast := func(minimum clock.Duration) validation.Rule { return validation.Min(int64(minimum)) }
+	failures := validation.Errors{}
+	for name, duration := range map[string]clock.Duration{
+		"tuning.vote_span": t.VoteTimeout, "tuning.record_wait": t.RecordTimeout, "tuning.beat": t.HeartbeatInterval,
+		"tuning.silent_after": t.SilenceTimeout, "tuning.replace_after": t.ReplaceAfter, "tuning.poll": t.PollInterval,
 	} {
-		spans[name] = validation.Validate(int64(span), validation.Required, atLeast(10*ms))
+		failures[name] = validation.Validate(int64(duration), validation.Required, atLeast(10*ms))
 	}
 	for name, err := range (validation.Errors{
 		"platform.NodeName":                validation.Validate(p.NodeName, validation.Required),
-		"platform.Ip":                      validation.Validate(p.Ip, validation.Required),
+		"platform.Ip":                      validation.Validate(p.IP, validation.Required),
 		"platform.SeedNodes":               validation.Validate(p.SeedNodes, validation.Required),
 		"platform.InternalPorts":           validation.Validate(p.InternalPorts, validation.Length(2, 2)),
-		"platform.Limits.MemoryMb":         validation.Validate(p.Limits.MemoryMb, validation.Min(0)),
+		"platform.Limits.MemoryMb":         validation.Validate(p.Limits.MemoryMB, validation.Min(0)),
 		"platform.Limits.LinkMbps":         validation.Validate(p.Limits.LinkMbps, validation.Min(0.0)),
 		"platform.Bounds.RetryBudgetRatio": validation.Validate(p.Bounds.RetryBudgetRatio, validation.Min(0.0)),
 		"platform.Bounds.CanaryShare":      validation.Validate(p.Bounds.CanaryShare, validation.Min(0.0), validation.Max(1.0)),
 		"platform.Bounds.KeyWindow":        validation.Validate(int64(p.Bounds.KeyWindow), validation.Required),
 		"tuning.retention":                 validation.Validate(int64(t.Retention), atLeast(p.Bounds.KeyWindow)),
-		"tuning.silent_after":              validation.Validate(int64(t.SilentAfter), atLeast(2*t.Beat)),
-		"tuning.open_limit":                validation.Validate(t.OpenLimit, validation.Min(1)),
+		"tuning.silent_after":              validation.Validate(int64(t.SilenceTimeout), atLeast(2*t.HeartbeatInterval)),
+		"tuning.open_limit":                validation.Validate(t.OpenIntentLimit, validation.Min(1)),
 		"tuning.buffer_bytes":              validation.Validate(t.BufferBytes, validation.Min(4096)),
-		"tuning.working_set":               validation.Validate(t.WorkingSet, validation.Min(4)),
-		"tuning.branchline":                validation.Validate(t.Branchline, validation.In(BranchOff, BranchFallen, BranchAlways)),
-		"tuning.loadgauge":                 validation.Validate(t.Loadgauge, validation.In(GaugeOff, GaugeOn)),
+		"tuning.working_set":               validation.Validate(t.SubsetSize, validation.Min(4)),
+		"tuning.branchline":                validation.Validate(t.CapacityLeases, validation.In(CapacityLeasesOff, CapacityLeasesSiteDown, CapacityLeasesAlways)),
+		"tuning.loadgauge":                 validation.Validate(t.SharedCutoff, validation.In(SharedCutoffOff, SharedCutoffOn)),
 		"tuning.loopback":                  validation.Validate(t.Loopback, validation.Required, is.IPv4),
 		"tuning.log_level":                 validation.Validate(t.LogLevel, validation.In("debug", "info", "warn", "error")),
 	}) {
 		if err != nil {
-			spans[name] = err
+			failures[name] = err
 		}
 	}
-	return spans.Filter()
+	return failures.Filter()
 }
 
-// InternalAddress is the address of a node's own protocol, at the n-th
-// internal port of the machine that holds host.
+// InternalAddress returns the address of the internal protocol on the machine of
+// host: the machine's address with the first internal port plus index. A port in
+// host is ignored.
 //
 // Example:
 //
 //	address := set.InternalAddress("10.1.0.42:8382", 0) // "10.1.0.42:7200"
-func (s *Settings) InternalAddress(host string, n int) string {
+func (s *Settings) InternalAddress(host string, index int) string {
 	host, _, _ = strings.Cut(host, ":")
-	return host + ":" + itoa(s.Platform.InternalPorts[0]+n)
+	return host + ":" + itoa(s.Platform.InternalPorts[0]+index)
 }
