--- a/internal/proxy/idempotency.go
+++ b/internal/proxy/idempotency.go
@@ -27,7 +27,7 @@
 	ungranted map[string]bool
 }
 
-// standingHandlers is the replay decision table: it maps the result of the vote round
+// resultHandlers is the replay decision table: it maps the result of the vote round
 // to the handling of the request.
 var resultHandlers = map[idempotency.Result]func(*keyedAttempt, context.Context, endpoint.Endpoint) (any, error){
 	idempotency.Won:             (*keyedAttempt).execute,
